--- a/benches/seats.rs
+++ b/benches/seats.rs
@@ -9,8 +9,8 @@
 use common::*;
 use gaugestep::Dispatcher;
 use gaugestep::interface::*;
-use gaugestep_seats::key;
-use gaugestep_seats::subset::{Member, Subset};
+use gaugestep_subsetting::key;
+use gaugestep_subsetting::subset::{Member, Subset};
 
 /// The median of five, in microseconds for each of `times`.
 fn micros(times: u32, mut run: impl FnMut()) -> f64 {
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -26,9 +26,9 @@
 use gaugestep_duty::receiver::{self, Receiver as Terms, Refused};
 use gaugestep_duty::seek::Seek;
 use gaugestep_duty::{SEATS, VERSIONS};
-use gaugestep_seats::holder::{Holder, Told};
-use gaugestep_seats::place::Place;
 use gaugestep_store::slots::{Slots, peek};
+use gaugestep_subsetting::holder::{Holder, Told};
+use gaugestep_subsetting::place::Place;
 use may::net::TcpStream;
 
 use crate::backoff::Backoff;
--- a/crates/control/src/seating.rs
+++ b/crates/control/src/seating.rs
@@ -7,7 +7,7 @@
 use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
 use gaugestep_duty::SEATS;
 use gaugestep_duty::charter::Outcome;
-use gaugestep_seats::roster::{Keeper, Roster};
+use gaugestep_subsetting::roster::{Keeper, Roster};
 use prost::Message as _;
 
 use crate::service::{Inner, Service};
--- a/crates/seats/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaugestep_seats::fairness::{Fairness, fairness};
-use gaugestep_seats::key;
-use gaugestep_seats::place::Place;
-use gaugestep_seats::subset::{Member, Subset, Table};
+use gaugestep_subsetting::fairness::{Fairness, fairness};
+use gaugestep_subsetting::key;
+use gaugestep_subsetting::place::Place;
+use gaugestep_subsetting::subset::{Member, Subset, Table};
 use proptest::prelude::*;
 
 fn members(count: u32) -> Vec<Member> {
--- a/crates/seats/tests/turns.rs
+++ b/crates/subsetting/tests/turns.rs
@@ -1,7 +1,7 @@
 //! What a whole fleet sends a cold engine, whoever sends when: the sum in every window stays under the rule's limit.
 
-use gaugestep_seats::subset::Stand;
-use gaugestep_seats::turn::{Allowance, Budget, ColdSettings, SKEW};
+use gaugestep_subsetting::subset::Stand;
+use gaugestep_subsetting::turn::{Allowance, Budget, ColdSettings, SKEW};
 use oorandom::Rand64;
 use proptest::prelude::*;
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -88,7 +88,7 @@
         let mut settings = gaugestep::wire::settings(told)?;
         let name = json["name"].as_str().unwrap_or("gaugestep").to_owned();
         if settings.place == Place::Name(0) {
-            settings.place = Place::Name(gaugestep_seats::key(&name));
+            settings.place = Place::Name(gaugestep_subsetting::key(&name));
         }
         settings.validate().map_err(|error| error.to_string())?;
         let address = |key: &str| -> Result<Option<SocketAddr>, String> {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,9 +6,9 @@
 use std::fmt;
 use std::sync::Arc;
 
-pub use gaugestep_seats::place::Place;
-pub use gaugestep_seats::subset::Member;
-pub use gaugestep_seats::turn::ColdSettings;
+pub use gaugestep_subsetting::place::Place;
+pub use gaugestep_subsetting::subset::Member;
+pub use gaugestep_subsetting::turn::ColdSettings;
 
 /// A point on the embedder's clock, or a span of it, in milliseconds.
 pub type Millis = f64;
@@ -295,7 +295,7 @@
     pub readiness: Readiness,
     /// When it last started, if that was not long ago.
     pub started: Option<Millis>,
-    /// Its key, the same at every dispatcher, as `gaugestep_seats::key` makes it of its name.
+    /// Its key, the same at every dispatcher, as `gaugestep_subsetting::key` makes it of its name.
     pub key: u64,
 }
 
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -171,7 +171,7 @@
             cell: CellId(cell),
             readiness,
             started: started.map(|at| self.gateway.facade.at_unix(at)),
-            key: gaugestep_seats::key(name),
+            key: gaugestep_subsetting::key(name),
         })
     }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -8,8 +8,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use gaugestep_seats::subset::Subset;
-use gaugestep_seats::turn::{Allowance, Budget, spread};
+use gaugestep_subsetting::subset::Subset;
+use gaugestep_subsetting::turn::{Allowance, Budget, spread};
 
 use crate::interface::*;
 use crate::requests::{Attempt, Class, KeyLine, Request};
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -243,7 +243,7 @@
         let engine = fields.engine()?;
         let entry = EngineEntry {
             engine,
-            key: gaugestep_seats::key(&engine.0.to_string()),
+            key: gaugestep_subsetting::key(&engine.0.to_string()),
             zone: ZoneId(fields.whole_or("campus", 0)? as usize),
             machine: MachineId(fields.whole_or("machine", 0)? as usize),
             cell: CellId(fields.whole_or("group", 0)?),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -54,7 +54,7 @@
         cell: CellId(0),
         readiness: Readiness::Up,
         started: None,
-        key: gaugestep_seats::key(&engine.to_string()),
+        key: gaugestep_subsetting::key(&engine.to_string()),
     }
 }
 
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -16,7 +16,7 @@
 use gaugestep_duty::SEATS;
 use gaugestep_lab::crowd::{Rule, cold, drawn, late};
 use gaugestep_lab::stand::{Arrival, Engine, List, Records};
-use gaugestep_seats::fairness::fairness;
+use gaugestep_subsetting::fairness::fairness;
 use group::{Group, wait};
 use oorandom::Rand64;
 use proxy::{Client, Launch, Proxy};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,7 @@
 use common::*;
 use gaugestep::Dispatcher;
 use gaugestep::interface::*;
-use gaugestep_seats::turn::Budget;
+use gaugestep_subsetting::turn::Budget;
 
 const DISPATCHERS: u64 = 40;
 const STEP: Millis = 10.0;
@@ -118,7 +118,7 @@
 /// dispatchers is wrong by a factor of two either way.
 #[test]
 fn a_fleet_without_seats_or_with_a_wrong_number_keeps_the_limit_in_the_mean() {
-    let name = |seed: u64| Place::Name(gaugestep_seats::key(&format!("n{seed}")));
+    let name = |seed: u64| Place::Name(gaugestep_subsetting::key(&format!("n{seed}")));
     let by_lot = play(6_000.0, DISPATCHERS, 0.0, name);
     println!("by lot: worst {:.2}, {:.2} used", worst(&by_lot), mean(&by_lot, 6_000.0));
     assert!(worst(&by_lot) <= 1.0 && mean(&by_lot, 6_000.0) > 0.1);
