--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -121,7 +121,7 @@
         #[command(flatten)]
         connect: Connect,
         /// The duty.
-        #[arg(default_value = gaugestep_duty::VERSIONS)]
+        #[arg(default_value = gaugestep_leadership::VERSIONS)]
         duty: String,
         /// The member; whichever has the fewest duties if none is named.
         #[arg(long, default_value_t = 0)]
@@ -132,7 +132,7 @@
         #[command(flatten)]
         connect: Connect,
         /// The duty.
-        #[arg(default_value = gaugestep_duty::VERSIONS)]
+        #[arg(default_value = gaugestep_leadership::VERSIONS)]
         duty: String,
     },
     /// Has there be a further duty, for which the group finds an owner.
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -23,9 +23,9 @@
     from_client, from_service,
 };
 use gaugestep_config::{Document, LONGEST_DOCUMENT, PROTOCOL, Refusal, schema, short};
-use gaugestep_duty::receiver::{self, Receiver as Terms, Refused};
-use gaugestep_duty::seek::Seek;
-use gaugestep_duty::{SEATS, VERSIONS};
+use gaugestep_leadership::receiver::{self, Receiver as Terms, Refused};
+use gaugestep_leadership::seek::Seek;
+use gaugestep_leadership::{SEATS, VERSIONS};
 use gaugestep_store::slots::{Slots, peek};
 use gaugestep_subsetting::holder::{Holder, Told};
 use gaugestep_subsetting::place::Place;
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 use gaugestep_config::schema::{self, Act, Member, PeerHello, PeerWelcome, Renewed, Yield};
-use gaugestep_duty::book::{Book, Refused};
-use gaugestep_duty::charter::{Change, Charter, Outcome};
-use gaugestep_duty::lease::{Session, Timing};
+use gaugestep_leadership::book::{Book, Refused};
+use gaugestep_leadership::charter::{Change, Charter, Outcome};
+use gaugestep_leadership::lease::{Session, Timing};
 use raft::eraftpb::Message;
 
 use crate::keys::{ClientKeys, Files};
--- a/crates/control/src/opened.rs
+++ b/crates/control/src/opened.rs
@@ -5,8 +5,8 @@
 
 use gaugestep_config::Document;
 use gaugestep_config::schema::{self, Entry, Member};
-use gaugestep_duty::charter::{Charter, Held};
-use gaugestep_duty::seal::{Found, boot};
+use gaugestep_leadership::charter::{Charter, Held};
+use gaugestep_leadership::seal::{Found, boot};
 use gaugestep_store::seal;
 use gaugestep_store::versions::{Batch, Versions as Store};
 use prost::Message as _;
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -15,7 +15,7 @@
     FromClient, FromService, Member, Peer, PeerHello, PeerWelcome, Piece, Ping, RaftMessage, from_client,
     from_service,
 };
-use gaugestep_duty::book::Refused;
+use gaugestep_leadership::book::Refused;
 use may::net::TcpStream;
 use prost::Message as _;
 
--- a/crates/control/src/seating.rs
+++ b/crates/control/src/seating.rs
@@ -5,8 +5,8 @@
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
-use gaugestep_duty::SEATS;
-use gaugestep_duty::charter::Outcome;
+use gaugestep_leadership::SEATS;
+use gaugestep_leadership::charter::Outcome;
 use gaugestep_subsetting::roster::{Keeper, Roster};
 use prost::Message as _;
 
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -17,10 +17,10 @@
     Displaced, FromClient, FromService, Hello, Member, Welcome, from_client, from_service,
 };
 use gaugestep_config::{PROTOCOL, schema};
-use gaugestep_duty::VERSIONS;
-use gaugestep_duty::doubt::Doubt;
-use gaugestep_duty::gate::Gate;
-use gaugestep_duty::names::{Given, Names};
+use gaugestep_leadership::VERSIONS;
+use gaugestep_leadership::doubt::Doubt;
+use gaugestep_leadership::gate::Gate;
+use gaugestep_leadership::names::{Given, Names};
 use may::net::{TcpListener, TcpStream};
 
 use crate::channel::{Channel, STACK_WORDS};
@@ -433,7 +433,7 @@
 
     fn hello(&self, channel: &mut Channel, stream: u64, mut hello: Hello) -> io::Result<()> {
         let named = !hello.proxy.is_empty() && hello.proxy.len() <= NAME && hello.build.len() <= NAME;
-        if hello.protocol != PROTOCOL || !named || hello.seen.len() > gaugestep_duty::charter::DUTIES {
+        if hello.protocol != PROTOCOL || !named || hello.seen.len() > gaugestep_leadership::charter::DUTIES {
             return Err(io::Error::other("a hello that this build does not understand"));
         }
         self.certified(channel, Some(&hello.proxy))?;
--- a/crates/duty/tests/fleet.rs
+++ b/crates/leadership/tests/fleet.rs
@@ -6,9 +6,9 @@
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{Act, Declare, Keep, Member};
-use gaugestep_duty::charter::{Charter, Outcome};
-use gaugestep_duty::lease::{Action, Grantor, Session, Timing};
-use gaugestep_duty::receiver::{self, Receiver};
+use gaugestep_leadership::charter::{Charter, Outcome};
+use gaugestep_leadership::lease::{Action, Grantor, Session, Timing};
+use gaugestep_leadership::receiver::{self, Receiver};
 use oorandom::Rand64;
 
 const MEMBERS: u64 = 3;
--- a/crates/duty/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -7,9 +7,9 @@
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{Act, Member};
-use gaugestep_duty::VERSIONS;
-use gaugestep_duty::charter::{Charter, Outcome};
-use gaugestep_duty::receiver::{self, Receiver};
+use gaugestep_leadership::VERSIONS;
+use gaugestep_leadership::charter::{Charter, Outcome};
+use gaugestep_leadership::receiver::{self, Receiver};
 use prost::Message as _;
 use stateright::{Checker, Model, Property};
 
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -13,9 +13,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use gaugestep_config::schema::call;
-use gaugestep_duty::SEATS;
 use gaugestep_lab::crowd::{Rule, cold, drawn, late};
 use gaugestep_lab::stand::{Arrival, Engine, List, Records};
+use gaugestep_leadership::SEATS;
 use gaugestep_subsetting::fairness::fairness;
 use group::{Group, wait};
 use oorandom::Rand64;
