--- a/crates/control/src/channel.rs
+++ b/crates/control/src/channel.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read as _, Write as _};
 use std::sync::Arc;
 
-use gaugestep_coio::stream::{Filled, Outbox, Stream, Waker, fill};
+use gaugestep_coroutine_io::stream::{Filled, Outbox, Stream, Waker, fill};
 use may::io::WaitIo as _;
 use may::net::TcpStream;
 use prost::Message;
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -14,8 +14,6 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use gaugestep_coio::stream::Waker;
-use gaugestep_coio::task;
 use gaugestep_config::ledger::{Action, Event, Fate, Ledger, OfferId};
 use gaugestep_config::live::Live;
 use gaugestep_config::schema::{
@@ -23,10 +21,12 @@
     from_client, from_service,
 };
 use gaugestep_config::{Document, LONGEST_DOCUMENT, PROTOCOL, Refusal, schema, short};
+use gaugestep_coroutine_io::stream::Waker;
+use gaugestep_coroutine_io::task;
 use gaugestep_leadership::receiver::{self, Receiver as Terms, Refused};
 use gaugestep_leadership::seek::Seek;
 use gaugestep_leadership::{SEATS, VERSIONS};
-use gaugestep_store::slots::{Slots, peek};
+use gaugestep_storage::slots::{Slots, peek};
 use gaugestep_subsetting::holder::{Holder, Told};
 use gaugestep_subsetting::place::Place;
 use may::net::TcpStream;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -28,8 +28,8 @@
 
 use std::path::Path;
 
-use gaugestep_coio::lock;
 use gaugestep_config::text;
+use gaugestep_coroutine_io::lock;
 
 /// Reads a message of this name from a file of protobuf text format; the error is one plain line that names the file.
 pub fn read_file<M: prost::Message + Default>(name: &str, path: &Path) -> Result<M, String> {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -12,7 +12,7 @@
 use gaugestep_leadership::charter::{Change, Charter, Outcome};
 use gaugestep_leadership::lease::{Action, Grantor, Timing};
 use gaugestep_leadership::proposals::Proposals;
-use gaugestep_store::versions::{Batch, Versions as Store};
+use gaugestep_storage::versions::{Batch, Versions as Store};
 use prost::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, EntryType, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
--- a/crates/control/src/opened.rs
+++ b/crates/control/src/opened.rs
@@ -7,8 +7,8 @@
 use gaugestep_config::schema::{self, Entry, Member};
 use gaugestep_leadership::charter::{Charter, Held};
 use gaugestep_leadership::seal::{Found, boot};
-use gaugestep_store::seal;
-use gaugestep_store::versions::{Batch, Versions as Store};
+use gaugestep_storage::seal;
+use gaugestep_storage::versions::{Batch, Versions as Store};
 use prost::Message as _;
 use raft::eraftpb::{ConfState, HardState};
 
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -7,14 +7,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use gaugestep_coio::stream::Waker;
-use gaugestep_coio::task;
 use gaugestep_config::PROTOCOL;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{
     FromClient, FromService, Member, Peer, PeerHello, PeerWelcome, Piece, Ping, RaftMessage, from_client,
     from_service,
 };
+use gaugestep_coroutine_io::stream::Waker;
+use gaugestep_coroutine_io::task;
 use gaugestep_leadership::book::Refused;
 use may::net::TcpStream;
 use prost::Message as _;
--- a/crates/control/src/raft_log.rs
+++ b/crates/control/src/raft_log.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use gaugestep_coio::lock;
+use gaugestep_coroutine_io::lock;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, StorageError};
 
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -10,13 +10,13 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-use gaugestep_coio::stream::Waker;
-use gaugestep_coio::task;
 use gaugestep_config::rollout::{Action, Event, Rollout};
 use gaugestep_config::schema::{
     Displaced, FromClient, FromService, Hello, Member, Welcome, from_client, from_service,
 };
 use gaugestep_config::{PROTOCOL, schema};
+use gaugestep_coroutine_io::stream::Waker;
+use gaugestep_coroutine_io::task;
 use gaugestep_leadership::VERSIONS;
 use gaugestep_leadership::doubt::Doubt;
 use gaugestep_leadership::gate::Gate;
--- a/crates/coio/tests/outbox.rs
+++ b/crates/coroutine-io/tests/outbox.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
-use gaugestep_coio::stream::Outbox;
+use gaugestep_coroutine_io::stream::Outbox;
 
 /// The other side reads on, so slowly that something waits at all times: what is written is let go of all the same, and all
 /// comes in order.
--- a/crates/store/tests/durable.rs
+++ b/crates/storage/tests/durable.rs
@@ -4,9 +4,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use gaugestep_store::seal;
-use gaugestep_store::slots::{Slots, peek};
-use gaugestep_store::versions::{Batch, Versions};
+use gaugestep_storage::seal;
+use gaugestep_storage::slots::{Slots, peek};
+use gaugestep_storage::versions::{Batch, Versions};
 use proptest::prelude::*;
 
 const MOST: usize = 1 << 20;
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -11,7 +11,7 @@
 
 use gaugestep::interface::*;
 use gaugestep::{Action, Dispatcher, Event, Settings};
-use gaugestep_coio::lock;
+use gaugestep_coroutine_io::lock;
 use may::sync::mpsc::{Receiver, Sender, channel};
 
 /// What reaches a request's coroutine. `Back` is whatever the databases' side has to say of an attempt.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,7 +13,7 @@
 pub mod server;
 pub mod versions;
 
-pub use gaugestep_coio::{lock, stream, task};
+pub use gaugestep_coroutine_io::{lock, stream, task};
 
 use std::fmt::Debug;
 use std::sync::Arc;
