--- a/crates/lab/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The auditor on runs that keep every rule, and on runs that break each.
 
-use gaugestep_lab::audit::{Breach, Cold, Effect, Rules, audit};
-use gaugestep_lab::record::{Answer, End, Phase, Record, read, write};
+use gaugestep_testbed::audit::{Breach, Cold, Effect, Rules, audit};
+use gaugestep_testbed::record::{Answer, End, Phase, Record, read, write};
 
 fn rules() -> Rules {
     let classes = [("lookup".to_owned(), Effect::Safe), ("load".to_owned(), Effect::Unsafe)];
--- a/crates/lab/tests/engine.rs
+++ b/crates/testbed/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The model of an engine: no work is made or lost, and what the brief says of engines holds.
 
-use gaugestep_lab::engine::{Engine, Query, Shape};
+use gaugestep_testbed::engine::{Engine, Query, Shape};
 use proptest::prelude::*;
 
 fn query(work: f64) -> Query {
--- a/crates/plan/tests/fleet.rs
+++ b/crates/two-level/tests/fleet.rs
@@ -8,15 +8,15 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use gaugestep_lab::audit::{self, Rules, audit};
-use gaugestep_lab::engine::{Engine as Machine, Query, Shape};
-use gaugestep_lab::record::{Answer as Told, End, Phase, Record};
-use gaugestep_plan::PlannerId;
-use gaugestep_plan::book::{Book, FORGET_AFTER, LEASE, RENEW_EVERY, Welcome};
-use gaugestep_plan::guard::{
+use gaugestep_testbed::audit::{self, Rules, audit};
+use gaugestep_testbed::engine::{Engine as Machine, Query, Shape};
+use gaugestep_testbed::record::{Answer as Told, End, Phase, Record};
+use gaugestep_two_level::PlannerId;
+use gaugestep_two_level::book::{Book, FORGET_AFTER, LEASE, RENEW_EVERY, Welcome};
+use gaugestep_two_level::guard::{
     Act, Answer, Attempt, Effect, Engine, EngineId, Facts, Guard, Order, Ration, Stand, Tell,
 };
-use gaugestep_plan::membership::Planners;
+use gaugestep_two_level::membership::Planners;
 
 const FORWARDERS: usize = 10;
 const PLANNERS: usize = 3;
@@ -894,7 +894,7 @@
 
 #[test]
 fn a_seed_replays_to_the_byte() {
-    let run = |seed| gaugestep_lab::record::write(&World::new(seed).run().records);
+    let run = |seed| gaugestep_testbed::record::write(&World::new(seed).run().records);
     assert_eq!(run(7), run(7));
     assert_ne!(run(7), run(8));
 }
--- a/crates/plan/tests/guard.rs
+++ b/crates/two-level/tests/guard.rs
@@ -1,7 +1,7 @@
 //! The hard cases of two levels on the guard alone: planners that die, pause, wake and quarrel.
 
-use gaugestep_plan::PlannerId;
-use gaugestep_plan::guard::{
+use gaugestep_two_level::PlannerId;
+use gaugestep_two_level::guard::{
     Act, Answer, Attempt, Effect, Engine, EngineId, Facts, Group, Guard, Order, Ration, Stand, Tell, Veto,
 };
 
--- a/crates/plan/tests/model.rs
+++ b/crates/two-level/tests/model.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-use gaugestep_plan::PlannerId;
-use gaugestep_plan::guard::{
+use gaugestep_two_level::PlannerId;
+use gaugestep_two_level::guard::{
     Act, Answer, Effect, Engine, EngineId, Facts, Guard, Order, Ration, Stand, Tell,
 };
 use stateright::{Checker as _, Model, Property};
--- a/crates/plan/tests/shares.rs
+++ b/crates/two-level/tests/shares.rs
@@ -1,8 +1,8 @@
 //! Shares under loss, delay, doubling, restarts and clocks that differ in pace: together never more than the whole, and
 //! what is wanted is lent once all is quiet.
 
-use gaugestep_plan::PlannerId;
-use gaugestep_plan::shares::{Holder, Keeper, LEASE, floor, keeper_of};
+use gaugestep_two_level::PlannerId;
+use gaugestep_two_level::shares::{Holder, Keeper, LEASE, floor, keeper_of};
 use proptest::prelude::*;
 
 const WHOLE: f64 = 100.0;
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -13,10 +13,10 @@
 };
 use gaugestep_config::{short, text};
 use gaugestep_control::call::Service;
-use gaugestep_lab::duties::Record;
-use gaugestep_lab::faults::{Fault, Schedule};
-use gaugestep_lab::network::{Link, Network, Way};
-use gaugestep_lab::process::Process;
+use gaugestep_testbed::duties::Record;
+use gaugestep_testbed::faults::{Fault, Schedule};
+use gaugestep_testbed::network::{Link, Network, Way};
+use gaugestep_testbed::process::Process;
 use prost::Message as _;
 use serde_json::Value;
 
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -13,10 +13,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use gaugestep_config::schema::call;
-use gaugestep_lab::crowd::{Rule, cold, drawn, late};
-use gaugestep_lab::stand::{Arrival, Engine, List, Records};
 use gaugestep_leadership::SEATS;
 use gaugestep_subsetting::fairness::fairness;
+use gaugestep_testbed::crowd::{Rule, cold, drawn, late};
+use gaugestep_testbed::stand::{Arrival, Engine, List, Records};
 use group::{Group, wait};
 use oorandom::Rand64;
 use proxy::{Client, Launch, Proxy};
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -9,9 +9,9 @@
 
 use gaugestep_config::rollout::lot;
 use gaugestep_config::schema::{Hello, Plan, Seen, call};
-use gaugestep_lab::duties::{Breach, judge};
-use gaugestep_lab::faults::Schedule;
-use gaugestep_lab::network::{Link, Way};
+use gaugestep_testbed::duties::{Breach, judge};
+use gaugestep_testbed::faults::Schedule;
+use gaugestep_testbed::network::{Link, Way};
 use group::{Group, Publisher, wait};
 use proxy::Proxy;
 
@@ -726,7 +726,7 @@
 }
 
 /// One schedule of faults, drawn from its seed, under publications; what the records say of it.
-fn storm(seed: u64, faults: usize) -> gaugestep_lab::duties::Verdict {
+fn storm(seed: u64, faults: usize) -> gaugestep_testbed::duties::Verdict {
     eprintln!("seed {seed}");
     let mut group = Group::start(3);
     let names: Vec<String> = (0..3).map(|at| format!("n{at}")).collect();
--- a/tests/seats.rs
+++ b/tests/seats.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeSet;
 
 use gaugestep_config::schema::{HandOver, Plan, call};
-use gaugestep_lab::crowd::{Held, Shared, shared};
-use gaugestep_lab::faults::Schedule;
-use gaugestep_lab::network::{Link, Way};
 use gaugestep_leadership::SEATS;
+use gaugestep_testbed::crowd::{Held, Shared, shared};
+use gaugestep_testbed::faults::Schedule;
+use gaugestep_testbed::network::{Link, Way};
 use group::{Group, wait};
 use oorandom::Rand64;
 use proxy::Proxy;
