--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -214,8 +214,10 @@
     let told: schema::Service = crate::read_file("Service", path)?;
     let settings = Settings::of(&told).map_err(|error| format!("{}: {error}", path.display()))?;
     let settings = Settings { restored, ..settings };
-    let filter = tracing_subscriber::EnvFilter::try_from_env("GAUGESTEP_LOG")
-        .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info,may=warn"));
+    let filter = std::env::var("GAUGESTEP_LOG")
+        .ok()
+        .and_then(|told| tracing_subscriber::EnvFilter::try_new(gaugestep_log_filter::expand(&told)).ok())
+        .unwrap_or_else(|| tracing_subscriber::EnvFilter::new("info,may=warn"));
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_env_filter(filter).with_ansi(false);
     match json {
         true => log.json().flatten_event(true).init(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -17,6 +17,7 @@
 use signal_hook::iterator::Signals;
 
 use gaugestep_config::schema::{Control, Operator};
+use gaugestep_log_filter::expand;
 use tracing_appender::non_blocking::NonBlocking;
 use tracing_subscriber::{EnvFilter, reload};
 
@@ -157,7 +158,7 @@
     let told = std::env::var("GAUGESTEP_LOG").ok();
     let at_start = told.filter(|told| EnvFilter::try_new(told).is_ok());
     let at_start = at_start.unwrap_or_else(|| "gaugestep=info,gaugestep_control=info".into());
-    let (filter, handle) = reload::Layer::new(EnvFilter::new(&at_start));
+    let (filter, handle) = reload::Layer::new(EnvFilter::new(expand(&at_start)));
     let lines = tracing_subscriber::fmt::layer().with_writer(writer).with_ansi(false);
     let log = tracing_subscriber::registry().with(filter);
     match json {
@@ -166,8 +167,8 @@
     }
     Box::new(move |directives| {
         let filter = match directives {
-            None => Ok(EnvFilter::new(&at_start)),
-            Some(directives) => EnvFilter::try_new(format!("{at_start},{directives}")),
+            None => Ok(EnvFilter::new(expand(&at_start))),
+            Some(directives) => EnvFilter::try_new(expand(&format!("{at_start},{directives}"))),
         };
         let set = filter
             .map_err(|error| error.to_string())
