--- a/src/bin/gaugestep-control.rs
+++ b/src/bin/gaugestep-control.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    gaugestep_control::cli::run()
+    gaugestep_control_plane::cli::run()
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -115,7 +115,7 @@
     let server = Arc::new(net::server::Server::start(config, socket_fd, set_log)?);
     if let Some(control) = control {
         let build = env!("CARGO_PKG_VERSION");
-        let settings = gaugestep_control::follow::Settings::of(&control, &name, build, seed)?;
+        let settings = gaugestep_control_plane::follow::Settings::of(&control, &name, build, seed)?;
         server.follow(settings)?;
     }
     if let Some(address) = management {
@@ -148,7 +148,7 @@
 
 /// What an operator's file says of a control service.
 fn control(path: &Path) -> Result<Option<Control>, String> {
-    let told: Operator = gaugestep_control::read_file("Operator", path)?;
+    let told: Operator = gaugestep_control_plane::read_file("Operator", path)?;
     Ok(told.control)
 }
 
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use gaugestep::Settings;
-use gaugestep_control::follow::{self, Follower};
+use gaugestep_control_plane::follow::{self, Follower};
 use may::io::{CoIo, WaitIo as _, WaitIoWaker};
 
 use super::back::lines::Lines;
