--- a/benches/duties.rs
+++ b/benches/duties.rs
@@ -15,7 +15,7 @@
 
 use gaugestep_config::schema::{List, Publish, Status, call};
 use gaugestep_config::text;
-use gaugestep_control_plane::call::Service;
+use gaugestep_control_plane::cli::admin_client::Service;
 use gaugestep_testbed::process::Process;
 use group::{Group, wait};
 use subscriber::{median, subscribers};
--- a/crates/control-plane/src/call.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -12,8 +12,8 @@
 use rustls::{ClientConnection, StreamOwned};
 use rustls_pki_types::ServerName;
 
-use crate::frame;
-use crate::keys::{self, ClientKeys, Files};
+use crate::transport::framing;
+use crate::transport::tls::{self, ClientKeys, Files};
 
 /// How long one try may take, and how long a call is tried at all while nobody can carry it out.
 const WITHIN: Duration = Duration::from_secs(5);
@@ -40,7 +40,7 @@
     /// again only if `again` says that this does no harm.
     pub fn call(&self, what: &call::What, again: bool) -> Result<reply::What, String> {
         for address in &self.addresses {
-            keys::allowed(*address, self.keys.is_some())?;
+            tls::allowed(*address, self.keys.is_some())?;
         }
         let (began, mut turns) = (Instant::now(), self.addresses.iter().cycle().copied());
         let mut next = turns.next();
@@ -56,7 +56,7 @@
             match self.talk(what, address, one) {
                 Ok(Some(reply::What::Error(error))) => return Err(error),
                 Ok(Some(reply::What::Owner(owner)))
-                    if keys::allowed_text(&owner.operators, self.keys.is_some()) =>
+                    if tls::allowed_text(&owner.operators, self.keys.is_some()) =>
                 {
                     last = format!(
                         "member {} at {} owns it, and cannot be reached",
@@ -96,7 +96,7 @@
     ) -> Result<Option<reply::What>, (bool, io::Error)> {
         let mut stream = self.connect(address, within).map_err(|error| (false, error))?;
         let call = Call { what: Some(what.clone()) };
-        let said = frame::encode(&FromClient { said: Some(from_client::Said::Call(call)) });
+        let said = framing::encode(&FromClient { said: Some(from_client::Said::Call(call)) });
         let mut ask = || {
             stream.write_all(&said)?;
             stream.flush()?;
@@ -126,7 +126,7 @@
     let mut input = Vec::new();
     let mut chunk = [0; 16 * 1024];
     loop {
-        if let Some((body, _)) = frame::first(&input).map_err(wrong)? {
+        if let Some((body, _)) = framing::first(&input).map_err(wrong)? {
             let message = FromService::decode(body).map_err(wrong)?;
             return match message.said {
                 Some(from_service::Said::Reply(reply)) => Ok(reply),
--- a/crates/control-plane/src/commands.rs
+++ b/crates/control-plane/src/cli/commands.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use crate::call::Service;
-use crate::keys::Files;
+use crate::cli::admin_client::Service;
 use crate::read_file;
+use crate::transport::tls::Files;
 use clap::Args;
 use gaugestep_config::schema::entry::State;
 use gaugestep_config::schema::{
--- a/crates/control-plane/src/group_commands.rs
+++ b/crates/control-plane/src/cli/group_commands.rs
@@ -4,7 +4,7 @@
 use gaugestep_config::schema::{HandOver, ListDuties, ListMembers, ListSeats, Member, call, reply};
 use serde_json::{Value, json};
 
-use crate::commands::{Connect, Done, Out, unexpected};
+use crate::cli::commands::{Connect, Done, Out, unexpected};
 
 /// What `members add` takes.
 #[derive(Args)]
--- a/crates/control-plane/src/cli.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -1,11 +1,15 @@
 //! The command line of `gaugestep-control`: the control service, and the operators' commands.
 
+pub mod admin_client;
+mod commands;
+mod group_commands;
+
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use crate::commands::{self, Connect, Out, PublishArgs};
-use crate::group_commands::{self, NewMember};
-use crate::service::{Service, Settings};
+use crate::cli::commands::{Connect, Out, PublishArgs};
+use crate::cli::group_commands::NewMember;
+use crate::server::{Service, Settings};
 use clap::{CommandFactory as _, Parser, Subcommand};
 use gaugestep_config::schema;
 
--- /dev/null
+++ b/crates/control-plane/src/client/mod.rs
@@ -0,0 +1,3 @@
+//! A proxy's side of the configuration stream.
+
+pub mod subscriber;
--- a/crates/control-plane/src/follow.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -31,10 +31,10 @@
 use gaugestep_subsetting::place::Place;
 use may::net::TcpStream;
 
-use crate::backoff::Backoff;
-use crate::channel::{Channel, STACK_WORDS};
-use crate::keys::{self, ClientKeys, Files};
-use crate::{clock, lock, seams};
+use crate::transport::backoff::Backoff;
+use crate::transport::connection::{Channel, STACK_WORDS};
+use crate::transport::tls::{self, ClientKeys, Files};
+use crate::{clock, failpoints, lock};
 use prost::Message as _;
 
 /// A service that cannot be reached within this time is given up for now.
@@ -101,7 +101,7 @@
             Some(files) => Some((Files::of(files)?, told.service_name.clone())),
         };
         for address in &services {
-            keys::allowed(*address, keys.is_some())?;
+            tls::allowed(*address, keys.is_some())?;
         }
         let (proxy, build, state) = (proxy.to_owned(), build.to_owned(), PathBuf::from(&told.state));
         Ok(Settings { proxy, build, services, state, keys, seed })
@@ -314,7 +314,7 @@
     fn take(&self, actions: Vec<receiver::Action<Said>>) {
         for action in actions {
             let action = match action {
-                receiver::Action::Refuse(said, Refused::Stale { .. }) if seams::out("receiver") => {
+                receiver::Action::Refuse(said, Refused::Stale { .. }) if failpoints::out("receiver") => {
                     receiver::Action::Take(said)
                 }
                 action => action,
@@ -343,7 +343,7 @@
                     self.answer(&mut lock(&self.desk), id, number, Some(refusal));
                 }
                 receiver::Action::Take(Said::Seat(asked, told)) => {
-                    let asked = if seams::out("seat") { f64::MAX } else { asked };
+                    let asked = if failpoints::out("seat") { f64::MAX } else { asked };
                     if lock(&self.desk).holder.told(asked, told) {
                         self.look_at_seat(true);
                     }
@@ -524,7 +524,7 @@
         }
         let owner = told.owner.as_ref().filter(|owner| owner.duty == VERSIONS);
         let named = owner.map(|owner| (owner.member, owner.term));
-        let seen = if seams::out("receiver") { 0 } else { desk.terms.term(VERSIONS) };
+        let seen = if failpoints::out("receiver") { 0 } else { desk.terms.term(VERSIONS) };
         let now = self.now();
         if desk.seek.welcomed(now, told.member, named, seen) {
             return Err(io::Error::other(match named {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,30 +1,16 @@
 //! The control service of versioned configuration and the proxies' side of its stream.
 //!
-//! What is decided is decided in `gaugestep-config`; here are the shells that do its I/O: [`service`] keeps versions and
-//! talks to proxies and operators, [`follow`] is a proxy's side, [`call`] an operator's command's. All talk over a
-//! [`channel::Channel`]: messages behind their length, over TLS where there are [`keys`].
+//! What is decided is decided in `gaugestep-config`; here are the shells that do its I/O: [`server`] keeps versions and
+//! talks to proxies and operators, [`client`] is a proxy's side, [`cli::admin_client`] an operator's command's. All talk over a
+//! [`transport::connection::Channel`]: messages behind their length, over TLS where there are [`transport::tls`].
 
-pub mod backoff;
-pub mod call;
-mod calls;
-pub mod channel;
 pub mod cli;
+pub mod client;
 pub mod clock;
-mod commands;
-mod driving;
-pub mod follow;
-pub mod frame;
-pub mod group;
-mod group_commands;
-pub mod keys;
-mod node;
-mod opened;
-pub mod peers;
-mod raft_log;
-mod raft_wire;
-pub mod seams;
-mod seating;
-pub mod service;
+pub mod failpoints;
+pub mod raft;
+pub mod server;
+pub mod transport;
 
 use std::path::Path;
 
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/raft/driver.rs
@@ -17,10 +17,10 @@
 use raft::eraftpb::{ConfChange, ConfChangeType, EntryType, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
 
-use crate::group::{Group, Job, OnChange, Tell, View};
-use crate::opened::{Opened, spoilt, unpair};
-use crate::raft_log::Log;
-use crate::{clock, lock, peers, raft_wire};
+use crate::raft::recovery::{Opened, spoilt, unpair};
+use crate::raft::replica::{Group, Job, OnChange, Tell, View};
+use crate::raft::storage::Log;
+use crate::{clock, lock, raft::codec, raft::transport};
 
 /// Between two ticks of the library's clock; an election begins after 10 to 20 without a word of the leader.
 const TICK: Duration = Duration::from_millis(100);
@@ -160,7 +160,7 @@
             self.settle()?;
             let changes = std::mem::take(&mut self.changes);
             if changes.contains(&Change::Members) {
-                peers::dial(self.group);
+                transport::dial(self.group);
                 let gone = lock(&self.group.view).charter.removed.contains(&self.group.own.number);
                 if gone {
                     self.group.end("this member was removed from its group");
@@ -404,11 +404,11 @@
             }
             if let Some(first) = ready.entries().first() {
                 batch.log_from = Some(first.index);
-                let stored = |it: &raft::eraftpb::Entry| (it.index, raft_wire::entry(it).encode_to_vec());
+                let stored = |it: &raft::eraftpb::Entry| (it.index, codec::entry(it).encode_to_vec());
                 batch.log = ready.entries().iter().map(stored).collect();
             }
             if let Some(hard) = ready.hs() {
-                batch.values.push(("hard", raft_wire::hard(hard).encode_to_vec()));
+                batch.values.push(("hard", codec::hard(hard).encode_to_vec()));
                 self.log.set_hard(hard.clone());
             }
             let committed = ready.take_committed_entries();
@@ -416,7 +416,7 @@
             // Stored before it is told.
             self.store.write(&batch)?;
             if !ready.entries().is_empty() {
-                crate::seams::stop_at("stored");
+                crate::failpoints::stop_at("stored");
             }
             self.log.append(ready.entries());
             self.say(ready.take_persisted_messages());
@@ -425,7 +425,7 @@
             let mut batch = Batch::default();
             if let Some(commit) = light.commit_index() {
                 let hard = self.log.set_commit(commit);
-                batch.values.push(("hard", raft_wire::hard(&hard).encode_to_vec()));
+                batch.values.push(("hard", codec::hard(&hard).encode_to_vec()));
             }
             self.say(light.take_messages());
             let committed = light.take_committed_entries();
@@ -457,7 +457,7 @@
     fn say(&self, messages: Vec<Message>) {
         for message in messages {
             let (to, snapshot) = (message.to, message.get_msg_type() == MessageType::MsgSnapshot);
-            let said = self.group.links.say(to, Said::Raft(raft_wire::message(&message)));
+            let said = self.group.links.say(to, Said::Raft(codec::message(&message)));
             if snapshot {
                 // What gets lost behind this is sent anew, as the member says what it lacks.
                 self.group.job(Job::Snapshot(to, said));
@@ -479,7 +479,7 @@
         }
         batch.values.extend([
             ("charter", charter.stored().encode_to_vec()),
-            ("members", raft_wire::members(&members).encode_to_vec()),
+            ("members", codec::members(&members).encode_to_vec()),
             ("base", unpair(base)),
             ("applied", base.0.to_be_bytes().to_vec()),
         ]);
@@ -580,7 +580,7 @@
         let kind = kind.ok_or_else(|| spoilt("a change of members", "it is of an unknown kind"))?;
         change.set_change_type(kind);
         let members = self.raw.apply_conf_change(&change).map_err(|error| error.to_string())?;
-        batch.values.push(("members", raft_wire::members(&members).encode_to_vec()));
+        batch.values.push(("members", codec::members(&members).encode_to_vec()));
         tracing::info!(voters = ?members.voters, "members");
         let mut view = lock(&self.group.view);
         view.voters = members.voters.iter().copied().collect();
--- a/crates/control-plane/src/opened.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -12,8 +12,8 @@
 use prost::Message as _;
 use raft::eraftpb::{ConfState, HardState};
 
-use crate::group::Settings;
-use crate::raft_wire;
+use crate::raft::codec;
+use crate::raft::replica::Settings;
 
 /// A store as it was found.
 pub(crate) struct Opened {
@@ -93,12 +93,12 @@
             for (index, bytes) in store.log()?.into_iter().filter(|(index, _)| *index > base.0) {
                 let told =
                     schema::RaftEntry::decode(bytes.as_slice()).map_err(|error| spoilt("the log", error))?;
-                let entry = raft_wire::of_entry(told).filter(|_| index == base.0 + 1 + entries.len() as u64);
+                let entry = codec::of_entry(told).filter(|_| index == base.0 + 1 + entries.len() as u64);
                 entries.push(entry.ok_or("the log has a gap")?);
             }
             let applied = kept("applied")?.map_or(0, single);
             let charter = Charter { versions, ..Charter::of(told) };
-            let (hard, members) = (raft_wire::of_hard(hard), raft_wire::of_members(members));
+            let (hard, members) = (codec::of_hard(hard), codec::of_members(members));
             return Ok(Opened { store, boot, charter, hard, members, base, applied, entries });
         }
         let (mut hard, mut members) = (HardState::default(), ConfState::default());
@@ -123,8 +123,8 @@
     fn all_into(&self, batch: &mut Batch) {
         batch.values.extend([
             ("charter", self.charter.stored().encode_to_vec()),
-            ("hard", raft_wire::hard(&self.hard).encode_to_vec()),
-            ("members", raft_wire::members(&self.members).encode_to_vec()),
+            ("hard", codec::hard(&self.hard).encode_to_vec()),
+            ("members", codec::members(&self.members).encode_to_vec()),
             ("base", unpair(self.base)),
             ("applied", self.applied.to_be_bytes().to_vec()),
         ]);
--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/raft/replica.rs
@@ -18,10 +18,10 @@
 use gaugestep_leadership::lease::{Session, Timing};
 use raft::eraftpb::Message;
 
-use crate::keys::{ClientKeys, Files};
-use crate::node::Node;
-use crate::opened::Opened;
-use crate::peers::{self, Links};
+use crate::raft::driver::Node;
+use crate::raft::recovery::Opened;
+use crate::raft::transport::{self, Links};
+use crate::transport::tls::{ClientKeys, Files};
 use crate::{clock, lock};
 
 /// A store that failed is opened anew after this time.
@@ -128,7 +128,7 @@
         });
         let started = group.clone();
         let start = move |on_change: OnChange| {
-            peers::dial(&started);
+            transport::dial(&started);
             let run = move || {
                 let turns = std::panic::AssertUnwindSafe(|| started.turns(opened, &work, &on_change));
                 if std::panic::catch_unwind(turns).is_err() {
@@ -209,7 +209,7 @@
         let view = lock(&self.view);
         let (owner, term) = view.charter.owner(duty);
         let lease =
-            view.session.may_act(clock::now(), view.applied, duty, term) || crate::seams::out("owner");
+            view.session.may_act(clock::now(), view.applied, duty, term) || crate::failpoints::out("owner");
         (owner == self.own.number && lease).then_some(term)
     }
 
@@ -333,7 +333,7 @@
             let View { book, charter, .. } = &mut *view;
             book.note(charter, members);
         }
-        peers::dial(self);
+        transport::dial(self);
     }
 
     pub(crate) fn heard(&self, member: u64, now: f64) {
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/raft/transport.rs
@@ -19,12 +19,12 @@
 use may::net::TcpStream;
 use prost::Message as _;
 
-use crate::backoff::Backoff;
-use crate::channel::{Channel, STACK_WORDS};
 use crate::clock;
-use crate::group::Group;
-use crate::keys::ClientKeys;
 use crate::lock;
+use crate::raft::replica::Group;
+use crate::transport::backoff::Backoff;
+use crate::transport::connection::{Channel, STACK_WORDS};
+use crate::transport::tls::ClientKeys;
 
 /// A member that cannot be reached within this time is given up for now; one that is silent for so long too.
 const CONNECT_WITHIN: Duration = Duration::from_millis(1_000);
@@ -284,7 +284,7 @@
         if told.from != self.member || told.to != group.number() {
             return Err(io::Error::other("a message of another member, or for one"));
         }
-        let message = crate::raft_wire::of_message(told);
+        let message = crate::raft::codec::of_message(told);
         group.step(message.ok_or_else(|| io::Error::other("a message that this build does not know"))?);
         Ok(())
     }
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/server/admin.rs
@@ -12,9 +12,9 @@
 use gaugestep_leadership::{SEATS, VERSIONS};
 use may::net::TcpStream;
 
-use crate::channel::Channel;
-use crate::group::Tell;
-use crate::service::{Line, NAME, SILENCE, Service};
+use crate::raft::replica::Tell;
+use crate::server::{Line, NAME, SILENCE, Service};
+use crate::transport::connection::Channel;
 use crate::{clock, lock};
 
 /// Operators' calls open together.
--- a/crates/control-plane/src/service.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -3,6 +3,10 @@
 //!
 //! Each stream is one coroutine.
 
+mod admin;
+mod rollout_driver;
+pub(crate) mod roster_service;
+
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
@@ -23,11 +27,11 @@
 use gaugestep_leadership::names::{Given, Names};
 use may::net::{TcpListener, TcpStream};
 
-use crate::channel::{Channel, STACK_WORDS};
-use crate::group::{self, Group};
-use crate::keys::{self, Files, ServerKeys};
-use crate::peers::Incoming;
-use crate::seating::Seating;
+use crate::raft::replica::{self, Group};
+use crate::raft::transport::Incoming;
+use crate::server::roster_service::Seating;
+use crate::transport::connection::{Channel, STACK_WORDS};
+use crate::transport::tls::{self, Files, ServerKeys};
 use crate::{clock, lock};
 
 /// A peer that has not said who it is within this time, or has been silent for so long, is closed.
@@ -90,7 +94,7 @@
         }
         let (listen, operators) = (address("listen", &told.listen)?, address("operators", &told.operators)?);
         for address in [listen, operators] {
-            keys::allowed(address, keys.is_some())?;
+            tls::allowed(address, keys.is_some())?;
         }
         let group = told.group.clone().unwrap_or_default();
         if keys.is_some() && told.group.is_some() && group.service_name.is_empty() {
@@ -186,7 +190,7 @@
 impl Service {
     /// Opens the store and the listeners and begins to serve. An error is one plain line.
     pub fn start(settings: Settings, seed: u64) -> Result<Arc<Self>, String> {
-        let (group, go) = Group::open(group::Settings {
+        let (group, go) = Group::open(replica::Settings {
             member: settings.member.clone(),
             joins: settings.joins,
             store: settings.store.clone(),
@@ -422,7 +426,7 @@
     /// Guards each place against whoever holds another's key.
     fn certified(&self, channel: &Channel, name: Option<&str>) -> io::Result<()> {
         let Some(certificate) = channel.peer() else { return Ok(()) };
-        match name.is_some_and(|name| keys::carries(certificate, name)) {
+        match name.is_some_and(|name| tls::carries(certificate, name)) {
             true => Ok(()),
             false => {
                 let name = name.unwrap_or_default();
--- a/crates/control-plane/src/driving.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -15,7 +15,7 @@
 use gaugestep_leadership::{SEATS, VERSIONS};
 use prost::Message as _;
 
-use crate::service::{Inner, Line, Service};
+use crate::server::{Inner, Line, Service};
 use crate::{clock, lock};
 
 /// Milliseconds of Unix time.
@@ -99,7 +99,7 @@
             return;
         }
         let (seen, term) = (line.seen(), inner.acting.unwrap_or(0));
-        if seen > term && inner.acting.is_some() && !crate::seams::out("owner") {
+        if seen > term && inner.acting.is_some() && !crate::failpoints::out("owner") {
             tracing::warn!(proxy = hello.proxy, seen, term, "a proxy has seen a later owner");
             if self.restored && seen - term <= RAISED_BY {
                 // The operator said that whoever used the store before is gone for good.
--- a/crates/control-plane/src/seating.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -10,7 +10,7 @@
 use gaugestep_subsetting::roster::{Keeper, Roster};
 use prost::Message as _;
 
-use crate::service::{Inner, Service};
+use crate::server::{Inner, Service};
 use crate::{clock, lock};
 
 /// How often members tell the owner whom they hear, in milliseconds.
@@ -95,7 +95,7 @@
     /// What proxies may be told of: nothing while this member could be behind. The lease is looked at before the roster is
     /// read: the other way round the roster could be an old one and the lease a new one.
     fn told(&self) -> Option<(schema::Duty, Roster)> {
-        let leased = self.group.leased() || crate::seams::out("owner");
+        let leased = self.group.leased() || crate::failpoints::out("owner");
         self.agreed().filter(|(duty, _)| leased && duty.term > 0)
     }
 
--- a/crates/control-plane/src/channel.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -11,10 +11,10 @@
 use rustls::{ClientConfig, ClientConnection, Connection, ServerConfig, ServerConnection};
 use rustls_pki_types::{CertificateDer, ServerName};
 
-use crate::frame;
+use crate::transport::framing;
 
 /// Bytes that may wait for a peer that does not read: a message, and what else is due meanwhile.
-const MOST_WAITING: usize = 2 * frame::LONGEST;
+const MOST_WAITING: usize = 2 * framing::LONGEST;
 /// Words of a channel's coroutine's stack (512 KB): the handshake of TLS runs on it.
 pub const STACK_WORDS: usize = 64 * 1024;
 
@@ -79,7 +79,7 @@
 
     /// Adds a message to what is to be written; an error if the peer has let too much wait.
     pub fn send(&mut self, message: &impl Message) -> io::Result<()> {
-        let bytes = frame::encode(message);
+        let bytes = framing::encode(message);
         let late = || io::Error::new(io::ErrorKind::TimedOut, "the peer does not read");
         let room = match &mut self.tls {
             None if self.out.waiting() + bytes.len() > MOST_WAITING => false,
@@ -127,7 +127,7 @@
 
     /// What has come may be this long before it must have been taken.
     fn room(&self) -> bool {
-        self.input.len() - self.at <= frame::LONGEST
+        self.input.len() - self.at <= framing::LONGEST
     }
 
     fn read_plain(&mut self) -> io::Result<bool> {
@@ -171,7 +171,7 @@
 
     /// The next whole message that has come.
     pub fn take<M: Message + Default>(&mut self) -> io::Result<Option<M>> {
-        let Some((body, taken)) = frame::first(&self.input[self.at..]).map_err(wrong)? else {
+        let Some((body, taken)) = framing::first(&self.input[self.at..]).map_err(wrong)? else {
             self.input.drain(..self.at);
             self.at = 0;
             if self.input.is_empty() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -115,7 +115,8 @@
     let server = Arc::new(net::server::Server::start(config, socket_fd, set_log)?);
     if let Some(control) = control {
         let build = env!("CARGO_PKG_VERSION");
-        let settings = gaugestep_control_plane::follow::Settings::of(&control, &name, build, seed)?;
+        let settings =
+            gaugestep_control_plane::client::subscriber::Settings::of(&control, &name, build, seed)?;
         server.follow(settings)?;
     }
     if let Some(address) = management {
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use gaugestep::Settings;
-use gaugestep_control_plane::follow::{self, Follower};
+use gaugestep_control_plane::client::subscriber::{self, Follower};
 use may::io::{CoIo, WaitIo as _, WaitIoWaker};
 
 use super::back::lines::Lines;
@@ -177,7 +177,7 @@
     }
 
     /// Follows a control service from now on; first of all the last good version is taken.
-    pub fn follow(&self, settings: follow::Settings) -> Result<(), String> {
+    pub fn follow(&self, settings: subscriber::Settings) -> Result<(), String> {
         let follower = Follower::start(settings, self.versioned.clone())?;
         let _ = self.follower.set(follower);
         Ok(())
--- a/src/net/versions.rs
+++ b/src/net/versions.rs
@@ -10,7 +10,7 @@
 use gaugestep_config::Document;
 use gaugestep_config::live::{self, Engine, Live, Platform, State};
 use gaugestep_config::schema::logging::Level;
-use gaugestep_control_plane::follow::Host;
+use gaugestep_control_plane::client::subscriber::Host;
 
 use super::classes::Class;
 use super::coordinator::{Listed, Roster};
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -12,7 +12,7 @@
     Publish, Status, call, from_client, reply,
 };
 use gaugestep_config::{short, text};
-use gaugestep_control_plane::call::Service;
+use gaugestep_control_plane::cli::admin_client::Service;
 use gaugestep_testbed::duties::Record;
 use gaugestep_testbed::faults::{Fault, Schedule};
 use gaugestep_testbed::network::{Link, Network, Way};
--- a/tests/common/subscriber.rs
+++ b/tests/common/subscriber.rs
@@ -10,7 +10,7 @@
 use prost::Message as _;
 
 fn say(socket: &mut TcpStream, said: from_client::Said) -> std::io::Result<()> {
-    socket.write_all(&gaugestep_control_plane::frame::encode(&FromClient { said: Some(said) }))
+    socket.write_all(&gaugestep_control_plane::transport::framing::encode(&FromClient { said: Some(said) }))
 }
 
 /// A subscriber that acknowledges all it is offered and tells when. Its reads tell how many bytes came.
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -32,7 +32,8 @@
     let said = gaugestep_config::schema::from_client::Said::Hello(Hello { protocol: 1, ..hello });
     let message = gaugestep_config::schema::FromClient { said: Some(said) };
     let mut stream = std::net::TcpStream::connect(group.nodes[0].listen).unwrap();
-    std::io::Write::write_all(&mut stream, &gaugestep_control_plane::frame::encode(&message)).unwrap();
+    std::io::Write::write_all(&mut stream, &gaugestep_control_plane::transport::framing::encode(&message))
+        .unwrap();
     stream
 }
 
