--- a/benches/versions.rs
+++ b/benches/configuration.rs
@@ -1,4 +1,4 @@
-//! What versioned configuration costs: `cargo bench --bench versions`. Prints figures and asserts none; those of note are
+//! What versioned configuration costs: `cargo bench --bench configuration`. Prints figures and asserts none; those of note are
 //! kept in docs/versioned-configuration.md, as ratios within one run.
 
 #[path = "../tests/common/control.rs"]
--- a/benches/seats.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -1,4 +1,4 @@
-//! What choosing by seats costs: `cargo bench --bench seats`. Prints figures and asserts none; those of note are kept in
+//! What choosing by seats costs: `cargo bench --bench subsets`. Prints figures and asserts none; those of note are kept in
 //! docs/seats-and-turns.md.
 
 #[path = "../tests/common/mod.rs"]
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use common::*;
-use gaugestep::Dispatcher;
-use gaugestep::interface::*;
+use gaugestep_dispatch::Dispatcher;
+use gaugestep_dispatch::interface::*;
 use gaugestep_subsetting::key;
 use gaugestep_subsetting::subset::{Member, Subset};
 
--- /dev/null
+++ b/crates/dispatch/src/lib.rs
@@ -0,0 +1,14 @@
+#![forbid(unsafe_code)]
+//! The decision module: which engine a request is sent to, when an attempt is cancelled and relaunched, whether it is
+//! retried and what is rejected.
+//!
+//! A [`Dispatcher`] takes [`Event`]s and returns [`Action`]s. It does no I/O, reads no clock and starts no thread. The same
+//! seed and the same events give the same actions.
+
+pub mod interface;
+pub mod policy;
+mod requests;
+mod stats;
+
+pub use interface::{Action, Event, Settings};
+pub use policy::Dispatcher;
--- a/src/rules.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! All decisions of a dispatcher. Its events and actions are in `src/interface.rs`.
+//! All decisions of a dispatcher. Its events and actions are in [`crate::interface`].
 //!
 //! A request's path: `arrived` books it, `serve_waiting` ranks what waits by worth per work and gives each an
 //! engine with room (`place`), or leaves it waiting; `tick` watches what runs: past its class's tau
--- a/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! What the tests share: plain settings, and events with sensible defaults.
 #![allow(dead_code)]
 
-use gaugestep::interface::*;
-use gaugestep::{Action, Dispatcher, Event, Settings};
+use gaugestep_dispatch::interface::*;
+use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
 
 pub fn class(effect: Effect, threads: f64) -> ClassSettings {
     ClassSettings {
--- a/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use gaugestep::Dispatcher;
-use gaugestep::interface::*;
+use gaugestep_dispatch::Dispatcher;
+use gaugestep_dispatch::interface::*;
 use gaugestep_subsetting::turn::Budget;
 
 const DISPATCHERS: u64 = 40;
--- a/tests/module.rs
+++ b/crates/dispatch/tests/module.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use gaugestep::Dispatcher;
-use gaugestep::interface::*;
+use gaugestep_dispatch::Dispatcher;
+use gaugestep_dispatch::interface::*;
 
 /// Feeds one class `bad` stragglers of `long` ms in every ten runs of 1,000 ms, all uncut by their times.
 fn taught(mut settings: Settings, bad: usize, long: Millis) -> Desk {
--- a/tests/random.rs
+++ b/crates/dispatch/tests/random.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use gaugestep::Dispatcher;
-use gaugestep::interface::*;
+use gaugestep_dispatch::Dispatcher;
+use gaugestep_dispatch::interface::*;
 
 struct Sent {
     engine: EngineId,
--- a/src/net/ops.rs
+++ b/crates/proxy/src/admin.rs
@@ -8,8 +8,8 @@
 
 use may::net::{TcpListener, TcpStream};
 
-use super::server::Server;
-use super::task;
+use crate::server::Server;
+use crate::task;
 
 /// A call must be whole within this time. Guards the door against callers that send nothing, or half a call.
 const CALL_WITHIN: Duration = Duration::from_millis(1_500);
--- a/src/net/classes.rs
+++ b/crates/proxy/src/class_registry.rs
@@ -4,11 +4,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 
-use gaugestep::Settings;
-use gaugestep::interface::{ClassId, ClassSettings};
+use gaugestep_dispatch::Settings;
+use gaugestep_dispatch::interface::{ClassId, ClassSettings};
 
-use super::lock;
 use crate::config::Names;
+use crate::lock;
 
 /// What became of the requests of one class since the start.
 #[derive(Debug, Default)]
--- a/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use gaugestep::Settings;
-use gaugestep::interface::Place;
+use gaugestep_dispatch::Settings;
+use gaugestep_dispatch::interface::Place;
 use serde_json::Value;
 
 /// The limits that the proxy keeps.
@@ -85,7 +85,7 @@
         if !told.is_object() {
             return Err("'settings' is missing".into());
         }
-        let mut settings = gaugestep::wire::settings(told)?;
+        let mut settings = gaugestep_settings::settings(told)?;
         let name = json["name"].as_str().unwrap_or("gaugestep").to_owned();
         if settings.place == Place::Name(0) {
             settings.place = Place::Name(gaugestep_subsetting::key(&name));
--- a/src/net/versions.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -5,18 +5,18 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 
-use gaugestep::Settings;
-use gaugestep::interface::{AttemptBudget, EngineId, Place, Readiness, Route, TenantId};
 use gaugestep_config::Document;
 use gaugestep_config::live::{self, Engine, Live, Platform, State};
 use gaugestep_config::schema::logging::Level;
 use gaugestep_control_plane::client::subscriber::Host;
+use gaugestep_dispatch::Settings;
+use gaugestep_dispatch::interface::{AttemptBudget, EngineId, Place, Readiness, Route, TenantId};
 
-use super::classes::Class;
-use super::coordinator::{Listed, Roster};
-use super::lock;
-use super::relay::Gateway;
+use crate::class_registry::Class;
 use crate::config::Names;
+use crate::discovery::{Listed, Roster};
+use crate::lock;
+use crate::request_lifecycle::Gateway;
 
 /// The span of a ration of further attempts, in milliseconds, where the platform names none.
 const SPAN: f64 = 5_000.0;
--- a/src/net/coordinator.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -6,12 +6,12 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Duration;
 
-use gaugestep::interface::{CellId, EngineEntry, EngineId, MachineId, Readiness, ZoneId};
+use gaugestep_dispatch::interface::{CellId, EngineEntry, EngineId, MachineId, Readiness, ZoneId};
 use may::net::TcpStream;
 use serde_json::Value;
 
-use super::relay::Gateway;
-use super::{lock, task};
+use crate::request_lifecycle::Gateway;
+use crate::{lock, task};
 
 /// A comment comes each second: silence for longer means that the connection is dead.
 const SILENCE: Duration = Duration::from_millis(2_500);
--- a/src/net/front/message.rs
+++ b/crates/proxy/src/downstream/message.rs
@@ -1,6 +1,6 @@
 //! Messages of the PostgreSQL protocol, version 3.0.
 
-use crate::net::Pages;
+use crate::query::Pages;
 
 /// The longest start-up message.
 const LONGEST_START: usize = 10_000;
--- a/src/net/front/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -2,4 +2,4 @@
 
 mod fields;
 mod message;
-pub mod pg;
+pub mod postgres;
--- a/src/net/front/pg.rs
+++ b/crates/proxy/src/downstream/postgres.rs
@@ -10,15 +10,16 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-use gaugestep::interface::{NewRequest, TablesId, TenantId};
+use gaugestep_dispatch::interface::{NewRequest, TablesId, TenantId};
 use may::io::{CoIo, WaitIo as _};
 
 use super::message::{self, Start};
 use super::{fields, message::Message};
 use crate::facade::{Letter, Mailbox, request_id};
-use crate::net::relay::{Gateway, Open, relay};
-use crate::net::stream::{Filled, Outbox, Stream as _, Waker, fill, left, pass_over, readable};
-use crate::net::{Answer, Client, Post, Query, lock, task};
+use crate::query::{Answer, Client, Post, Query};
+use crate::request_lifecycle::{Gateway, Open, relay};
+use crate::stream::{Filled, Outbox, Stream as _, Waker, fill, left, pass_over, readable};
+use crate::{lock, task};
 
 /// Milliseconds kept back from a client's time for the answer's way.
 const ANSWER_WAY: f64 = 5.0;
--- a/src/facade.rs
+++ b/crates/proxy/src/facade.rs
@@ -9,9 +9,9 @@
 use std::thread::Thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use gaugestep::interface::*;
-use gaugestep::{Action, Dispatcher, Event, Settings};
 use gaugestep_coroutine_io::lock;
+use gaugestep_dispatch::interface::*;
+use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
 use may::sync::mpsc::{Receiver, Sender, channel};
 
 /// What reaches a request's coroutine. `Back` is whatever the databases' side has to say of an attempt.
--- a/src/main.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,20 @@
 //! The real proxy: command line and logging.
 
+mod admin;
+mod class_registry;
 mod config;
-mod exits;
+mod config_applier;
+mod discovery;
+mod downstream;
 mod facade;
-mod net;
+mod process_exit;
+mod query;
+mod request_lifecycle;
+mod server;
+mod termination;
+mod upstream;
+
+pub(crate) use gaugestep_coroutine_io::{lock, stream, task};
 
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
@@ -22,7 +33,7 @@
 use tracing_subscriber::{EnvFilter, reload};
 
 use config::Config;
-use net::versions::SetLog;
+use config_applier::SetLog;
 
 /// A proxy before query engines: cuts stragglers past a learned timeout and relaunches them once.
 #[derive(Parser)]
@@ -62,10 +73,11 @@
     Version,
 }
 
-fn main() -> ExitCode {
-    exits::watch();
+/// Runs the program.
+pub fn run() -> ExitCode {
+    process_exit::watch();
     let cli = Cli::try_parse().unwrap_or_else(|told| {
-        exits::planned();
+        process_exit::planned();
         told.exit()
     });
     let done = match cli.command {
@@ -80,7 +92,7 @@
             Ok(())
         }
     };
-    exits::planned();
+    process_exit::planned();
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
@@ -108,11 +120,11 @@
         .buffered_lines_limit(4096)
         .finish(std::io::stderr());
     let set_log = start_log(writer, log_json);
-    net::task::set_up();
+    task::set_up();
     let name = config.name.clone();
     let management = management.or(config.management);
     let (seed, control) = (config.seed, operator.map(control).transpose()?.flatten());
-    let server = Arc::new(net::server::Server::start(config, socket_fd, set_log)?);
+    let server = Arc::new(server::Server::start(config, socket_fd, set_log)?);
     if let Some(control) = control {
         let build = env!("CARGO_PKG_VERSION");
         let settings =
@@ -120,7 +132,7 @@
         server.follow(settings)?;
     }
     if let Some(address) = management {
-        net::ops::open(address, server.clone())?;
+        admin::open(address, server.clone())?;
     }
     let log = std::env::var("GAUGESTEP_LOG").unwrap_or_default();
     tracing::info!(name, log, "serving");
--- a/src/net/mod.rs
+++ b/crates/proxy/src/query.rs
@@ -1,28 +1,16 @@
-//! The real proxy on sockets.
+//! A request on its way through the proxy.
 //!
-//! A front yields a [`Query`] and takes an [`Answer`]; the databases' side gets a [`Query`] and yields [`News`].
-//! Neither knows the other: [`relay`] stands between them and asks the facade what to do.
-
-pub mod back;
-pub mod classes;
-pub mod coordinator;
-pub mod ending;
-pub mod front;
-pub mod ops;
-pub mod relay;
-pub mod server;
-pub mod versions;
-
-pub use gaugestep_coroutine_io::{lock, stream, task};
+//! The client's side yields a [`Query`] and takes an [`Answer`]; the databases' side gets a [`Query`] and yields [`News`].
+//! Neither knows the other: [`crate::request_lifecycle`] stands between them and asks the facade what to do.
 
 use std::fmt::Debug;
 use std::sync::Arc;
 
-use gaugestep::interface::{Cost, LoadReport, NewRequest, Note, Refusal};
+use gaugestep_dispatch::interface::{Cost, LoadReport, NewRequest, Note, Refusal};
 
+use crate::class_registry::Class;
 use crate::facade::Letter;
-use classes::Class;
-use ending::Ending;
+use crate::termination::Ending;
 
 /// Who waits for a request's answer, as can be asked at any moment.
 pub trait Client: Debug + Send + Sync {
--- a/src/net/relay.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -3,12 +3,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-use super::back::lines::Lines;
-use super::classes::{Class, Classes};
-use super::ending::Ending;
-use super::{Answer, AttemptEnding, Mail, News, Pages, Query};
+use crate::class_registry::{Class, Classes};
 use crate::config::Names;
 use crate::facade::{AttemptReport, Facade, Letter, Mailbox, Sending, Step, milliseconds};
+use crate::query::{Answer, AttemptEnding, Mail, News, Pages, Query};
+use crate::termination::Ending;
+use crate::upstream::line_protocol::Lines;
 
 /// What all requests share.
 pub struct Gateway {
--- a/src/net/server.rs
+++ b/crates/proxy/src/server.rs
@@ -7,19 +7,19 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-use gaugestep::Settings;
 use gaugestep_control_plane::client::subscriber::{self, Follower};
+use gaugestep_dispatch::Settings;
 use may::io::{CoIo, WaitIo as _, WaitIoWaker};
 
-use super::back::lines::Lines;
-use super::classes::Classes;
-use super::coordinator::Roster;
-use super::front::pg::{Front, Leave};
-use super::relay::Gateway;
-use super::versions::{SetLog, Told, Versioned};
-use super::{lock, task};
+use crate::class_registry::Classes;
 use crate::config::{Config, Limits};
+use crate::config_applier::{SetLog, Told, Versioned};
+use crate::discovery::Roster;
+use crate::downstream::postgres::{Front, Leave};
 use crate::facade::{Facade, milliseconds};
+use crate::request_lifecycle::Gateway;
+use crate::upstream::line_protocol::Lines;
+use crate::{lock, task};
 
 /// Descriptors for everything but clients and databases.
 const RESERVE: usize = 32;
--- a/src/net/ending.rs
+++ b/crates/proxy/src/termination.rs
@@ -1,6 +1,6 @@
 //! How an attempt, or the connection that carried it, can end.
 
-use gaugestep::interface::Outcome;
+use gaugestep_dispatch::interface::Outcome;
 
 /// Every way in which an attempt ends. What it proves about the attempt is said once, in [`Ending::outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/net/back/lines.rs
+++ b/crates/proxy/src/upstream/line_protocol.rs
@@ -11,15 +11,16 @@
 use std::sync::{Arc, Mutex, OnceLock, Weak};
 use std::time::{Duration, Instant};
 
-use gaugestep::interface::{AttemptNo, Cost, EngineId, LoadReport, Note, Readiness, RequestId};
+use gaugestep_dispatch::interface::{AttemptNo, Cost, EngineId, LoadReport, Note, Readiness, RequestId};
 use may::io::WaitIo as _;
 use may::net::TcpStream;
 
 use crate::config::Limits;
 use crate::facade::{Letter, Sending};
-use crate::net::ending::Ending;
-use crate::net::stream::{Filled, Outbox, Stream, Waker, fill, pass_over};
-use crate::net::{AttemptEnding, News, Pages, Post, Query, lock, task};
+use crate::query::{AttemptEnding, News, Pages, Post, Query};
+use crate::stream::{Filled, Outbox, Stream, Waker, fill, pass_over};
+use crate::termination::Ending;
+use crate::{lock, task};
 
 /// The longest line that a database may send, and the longest page.
 const LONGEST_LINE: usize = 4 * 1024;
--- a/src/net/back/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,3 +1,3 @@
 //! The databases' side.
 
-pub mod lines;
+pub mod line_protocol;
--- /dev/null
+++ b/src/bin/gaugestep.rs
@@ -0,0 +1,7 @@
+//! `gaugestep`: the proxy.
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    gaugestep_proxy::run()
+}
--- a/tests/adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -3,8 +3,9 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use gaugestep::interface::*;
-use gaugestep::wire::{Host, print, settings};
+use gaugestep_dispatch::interface::*;
+use gaugestep_settings::settings;
+use gaugestep_simulator_adapter::{Host, print};
 
 const SETTINGS: &str = r#"{"zone": 0, "balancers": 1, "unknown": {"a": 1}, "kinds": ["k"],
  "family_info": {"class_threads": [1], "size_cores": [8], "ram_of_kind_mb": [16384], "tells_cost": true,
