--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -23,8 +23,8 @@
 use gaugestep_config::{Document, LONGEST_DOCUMENT, PROTOCOL, Refusal, schema, short};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::receiver::{self, Receiver as Terms, Refused};
-use gaugestep_leadership::seek::Seek;
+use gaugestep_leadership::fencing::{self, Receiver as Terms, Refused};
+use gaugestep_leadership::leader_discovery::Seek;
 use gaugestep_leadership::{SEATS, VERSIONS};
 use gaugestep_storage::slots::{Slots, peek};
 use gaugestep_subsetting::holder::{Holder, Told};
@@ -311,27 +311,27 @@
         self.take(actions);
     }
 
-    fn take(&self, actions: Vec<receiver::Action<Said>>) {
+    fn take(&self, actions: Vec<fencing::Action<Said>>) {
         for action in actions {
             let action = match action {
-                receiver::Action::Refuse(said, Refused::Stale { .. }) if failpoints::out("receiver") => {
-                    receiver::Action::Take(said)
+                fencing::Action::Refuse(said, Refused::Stale { .. }) if failpoints::out("receiver") => {
+                    fencing::Action::Take(said)
                 }
                 action => action,
             };
             match action {
-                receiver::Action::Keep(terms) => self.work(Job::Keep(terms)),
-                receiver::Action::Take(Said::Offer(stream, offer)) => {
+                fencing::Action::Keep(terms) => self.work(Job::Keep(terms)),
+                fencing::Action::Take(Said::Offer(stream, offer)) => {
                     let (version, nonce) = (offer.version.as_ref().map_or(0, |it| it.number), offer.nonce);
                     tracing::info!(version, nonce, duty = VERSIONS, term = offer.term, "version offered");
                     self.tell(Event::Offered(stream, offer));
                 }
-                receiver::Action::Take(Said::Owns(stream)) => {
+                fencing::Action::Take(Said::Owns(stream)) => {
                     if lock(&self.desk).stream == stream {
                         self.connected.store(true, Ordering::Relaxed);
                     }
                 }
-                receiver::Action::Refuse(Said::Offer(stream, offer), refused) => {
+                fencing::Action::Refuse(Said::Offer(stream, offer), refused) => {
                     let number = offer.version.as_ref().map_or(0, |it| it.number);
                     let refusal = match refused {
                         Refused::Stale { term, seen } => Refusal::StaleTerm { term, seen },
@@ -342,13 +342,13 @@
                     let id = OfferId { stream, nonce: offer.nonce };
                     self.answer(&mut lock(&self.desk), id, number, Some(refusal));
                 }
-                receiver::Action::Take(Said::Seat(asked, told)) => {
+                fencing::Action::Take(Said::Seat(asked, told)) => {
                     let asked = if failpoints::out("seat") { f64::MAX } else { asked };
                     if lock(&self.desk).holder.told(asked, told) {
                         self.look_at_seat(true);
                     }
                 }
-                receiver::Action::Refuse(Said::Seat(_, told), refused) => {
+                fencing::Action::Refuse(Said::Seat(_, told), refused) => {
                     tracing::warn!(
                         duty = SEATS,
                         term = told.term,
@@ -356,7 +356,7 @@
                         "stale act refused: {refused}"
                     );
                 }
-                receiver::Action::Refuse(Said::Owns(_), refused) => {
+                fencing::Action::Refuse(Said::Owns(_), refused) => {
                     tracing::warn!(duty = VERSIONS, "an owner is not believed: {refused}");
                 }
             }
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -5,8 +5,8 @@
 
 use gaugestep_config::Document;
 use gaugestep_config::schema::{self, Entry, Member};
-use gaugestep_leadership::charter::{Charter, Held};
-use gaugestep_leadership::seal::{Found, boot};
+use gaugestep_leadership::group_state::{Charter, Held};
+use gaugestep_leadership::rollback_guard::{Found, boot};
 use gaugestep_storage::seal;
 use gaugestep_storage::versions::{Batch, Versions as Store};
 use prost::Message as _;
--- a/crates/control-plane/src/raft/replica.rs
+++ b/crates/control-plane/src/raft/replica.rs
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 use gaugestep_config::schema::{self, Act, Member, PeerHello, PeerWelcome, Renewed, Yield};
-use gaugestep_leadership::book::{Book, Refused};
-use gaugestep_leadership::charter::{Change, Charter, Outcome};
+use gaugestep_leadership::group_state::{Change, Charter, Outcome};
 use gaugestep_leadership::lease::{Session, Timing};
+use gaugestep_leadership::peer_directory::{Book, Refused};
 use raft::eraftpb::Message;
 
 use crate::raft::driver::Node;
--- a/crates/control-plane/src/raft/transport.rs
+++ b/crates/control-plane/src/raft/transport.rs
@@ -15,7 +15,7 @@
 };
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::book::Refused;
+use gaugestep_leadership::peer_directory::Refused;
 use may::net::TcpStream;
 use prost::Message as _;
 
--- a/crates/control-plane/src/server/admin.rs
+++ b/crates/control-plane/src/server/admin.rs
@@ -8,7 +8,7 @@
     Act, Call, Declare, Done, Fleet, FromClient, FromService, HandOver, NewVersion, Plan, Proxy, Published,
     Reply, Shown, Versions, call, from_client, from_service, reply,
 };
-use gaugestep_leadership::charter::{Outcome, RAISED_BY};
+use gaugestep_leadership::group_state::{Outcome, RAISED_BY};
 use gaugestep_leadership::{SEATS, VERSIONS};
 use may::net::TcpStream;
 
@@ -318,7 +318,7 @@
             }
         }
         proxies.sort_by(|a, b| (&a.name, a.displaced).cmp(&(&b.name, b.displaced)));
-        let newest = self.group.charter(gaugestep_leadership::charter::Charter::newest);
+        let newest = self.group.charter(gaugestep_leadership::group_state::Charter::newest);
         reply(reply::What::Fleet(Fleet { newest, proxies }))
     }
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -22,9 +22,9 @@
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
 use gaugestep_leadership::VERSIONS;
-use gaugestep_leadership::doubt::Doubt;
-use gaugestep_leadership::gate::Gate;
-use gaugestep_leadership::names::{Given, Names};
+use gaugestep_leadership::checkpoint::Gate;
+use gaugestep_leadership::identity::{Given, Names};
+use gaugestep_leadership::pause_detector::Doubt;
 use may::net::{TcpListener, TcpStream};
 
 use crate::raft::replica::{self, Group};
@@ -437,7 +437,10 @@
 
     fn hello(&self, channel: &mut Channel, stream: u64, mut hello: Hello) -> io::Result<()> {
         let named = !hello.proxy.is_empty() && hello.proxy.len() <= NAME && hello.build.len() <= NAME;
-        if hello.protocol != PROTOCOL || !named || hello.seen.len() > gaugestep_leadership::charter::DUTIES {
+        if hello.protocol != PROTOCOL
+            || !named
+            || hello.seen.len() > gaugestep_leadership::group_state::DUTIES
+        {
             return Err(io::Error::other("a hello that this build does not understand"));
         }
         self.certified(channel, Some(&hello.proxy))?;
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -9,9 +9,9 @@
 use gaugestep_config::schema::offer::Content;
 use gaugestep_config::schema::{Act, Answer, NewState, NewVersion, Offer, Plan, Progress, from_service};
 use gaugestep_config::{delta, short};
-use gaugestep_leadership::charter::{Change, Charter, Held, Outcome, RAISED_BY, number};
-use gaugestep_leadership::gate::Gate;
-use gaugestep_leadership::names::Given;
+use gaugestep_leadership::checkpoint::Gate;
+use gaugestep_leadership::group_state::{Change, Charter, Held, Outcome, RAISED_BY, number};
+use gaugestep_leadership::identity::Given;
 use gaugestep_leadership::{SEATS, VERSIONS};
 use prost::Message as _;
 
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -6,7 +6,7 @@
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
 use gaugestep_leadership::SEATS;
-use gaugestep_leadership::charter::Outcome;
+use gaugestep_leadership::group_state::Outcome;
 use gaugestep_subsetting::roster::{Keeper, Roster};
 use prost::Message as _;
 
--- a/crates/leadership/src/lease.rs
+++ b/crates/leadership/src/lease.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::spread;
+use crate::assignment;
 
 /// Times, in milliseconds.
 #[derive(Clone, Copy, Debug)]
@@ -260,7 +260,7 @@
         });
         let owners: BTreeMap<String, Option<u64>> = owners.collect();
         let silent = owners.values().flatten().any(|owner| !heard.contains(owner));
-        for one in spread::moves(&owners, &heard) {
+        for one in assignment::moves(&owners, &heard) {
             let Some((owner, term)) = duties.get(&one.duty).copied() else { continue };
             let keeps = owners.get(&one.duty).copied().flatten();
             // While an owner may still have its lease nothing is evened out: it may be back in a moment.
--- a/crates/leadership/src/book.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -6,8 +6,8 @@
 use gaugestep_config::PROTOCOL;
 use gaugestep_config::schema::{Member, PeerHello};
 
-use crate::charter::Charter;
-use crate::seal::forgot;
+use crate::group_state::Charter;
+use crate::rollback_guard::forgot;
 
 /// A member that said nothing for this time is not here, in milliseconds.
 pub const HEARD_WITHIN: f64 = 3_000.0;
--- a/crates/leadership/tests/fleet.rs
+++ b/crates/leadership/tests/fleet.rs
@@ -6,9 +6,9 @@
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{Act, Declare, Keep, Member};
-use gaugestep_leadership::charter::{Charter, Outcome};
+use gaugestep_leadership::fencing::{self, Receiver};
+use gaugestep_leadership::group_state::{Charter, Outcome};
 use gaugestep_leadership::lease::{Action, Grantor, Session, Timing};
-use gaugestep_leadership::receiver::{self, Receiver};
 use oorandom::Rand64;
 
 const MEMBERS: u64 = 3;
@@ -227,15 +227,15 @@
                 let mut actions = self.receivers[to].act(duty, term, from);
                 while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
                     match action {
-                        receiver::Action::Keep(_) => {
+                        fencing::Action::Keep(_) => {
                             let stored = if self.below(30) > 0 { Ok(()) } else { Err("full".into()) };
                             actions.extend(self.receivers[to].kept(stored));
                         }
-                        receiver::Action::Take(_) => self.take(to, duty, term),
-                        receiver::Action::Refuse(..) if self.bug == Bug::BothChecks => {
+                        fencing::Action::Take(_) => self.take(to, duty, term),
+                        fencing::Action::Refuse(..) if self.bug == Bug::BothChecks => {
                             self.take(to, duty, term)
                         }
-                        receiver::Action::Refuse(..) => self.seen.stale_refused += 1,
+                        fencing::Action::Refuse(..) => self.seen.stale_refused += 1,
                     }
                 }
             }
--- a/crates/leadership/tests/charter.rs
+++ b/crates/leadership/tests/group_state.rs
@@ -8,7 +8,7 @@
 use gaugestep_config::schema::{Act, Declare, Keep, Limits, Member, NewState, NewVersion};
 use gaugestep_config::{Document, digest};
 use gaugestep_leadership::VERSIONS;
-use gaugestep_leadership::charter::{Change, Charter, Outcome, RAISED_BY};
+use gaugestep_leadership::group_state::{Change, Charter, Outcome, RAISED_BY};
 use proptest::prelude::*;
 
 fn member(number: u64) -> Member {
--- a/crates/leadership/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -8,8 +8,8 @@
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{Act, Member};
 use gaugestep_leadership::VERSIONS;
-use gaugestep_leadership::charter::{Charter, Outcome};
-use gaugestep_leadership::receiver::{self, Receiver};
+use gaugestep_leadership::fencing::{self, Receiver};
+use gaugestep_leadership::group_state::{Charter, Outcome};
 use prost::Message as _;
 use stateright::{Checker, Model, Property};
 
@@ -78,13 +78,13 @@
 }
 
 impl World {
-    fn take(&self, state: &mut State, actions: Vec<receiver::Action<(u64, u64)>>) {
+    fn take(&self, state: &mut State, actions: Vec<fencing::Action<(u64, u64)>>) {
         for action in actions {
             match action {
-                receiver::Action::Keep(_) => state.storing = true,
-                receiver::Action::Take((_, term)) => state.taken.push(term),
-                receiver::Action::Refuse((_, term), _) if self.bug == Bug::NoCheck => state.taken.push(term),
-                receiver::Action::Refuse(..) => {}
+                fencing::Action::Keep(_) => state.storing = true,
+                fencing::Action::Take((_, term)) => state.taken.push(term),
+                fencing::Action::Refuse((_, term), _) if self.bug == Bug::NoCheck => state.taken.push(term),
+                fencing::Action::Refuse(..) => {}
             }
         }
     }
