--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -44,7 +44,7 @@
         }
     }
     let (middle, worst) = median(spans);
-    let lease = gaugestep_leadership::lease::Timing::default().lease;
+    let lease = gaugestep_leadership::lease::LeaseTiming::default().duration;
     println!(
         "{kind}: {rounds} owners lost, nobody owns for {middle:.0} ms median, {worst:.0} ms worst; {:.2} and {:.2} leases",
         middle / lease,
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -125,7 +125,7 @@
         #[command(flatten)]
         connect: Connect,
         /// The duty.
-        #[arg(default_value = gaugestep_leadership::VERSIONS)]
+        #[arg(default_value = gaugestep_leadership::CONFIGURATION_ROLE)]
         duty: String,
         /// The member; whichever has the fewest duties if none is named.
         #[arg(long, default_value_t = 0)]
@@ -136,7 +136,7 @@
         #[command(flatten)]
         connect: Connect,
         /// The duty.
-        #[arg(default_value = gaugestep_leadership::VERSIONS)]
+        #[arg(default_value = gaugestep_leadership::CONFIGURATION_ROLE)]
         duty: String,
     },
     /// Has there be a further duty, for which the group finds an owner.
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -3,7 +3,7 @@
 //! One coroutine holds the stream to a service; a thread of its own stores, as that blocks. Both tell the ledger what
 //! happens and carry out what it wants done, one at a time. Whatever goes wrong here, the proxy goes on under the
 //! version in force. What is said for the fleet goes through the [`Receiver`], which refuses old owners; which service is
-//! the owner's is found by [`Seek`].
+//! the owner's is found by [`LeaderDiscovery`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -23,9 +23,9 @@
 use gaugestep_config::{Document, LONGEST_DOCUMENT, PROTOCOL, Refusal, schema, short};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::fencing::{self, Receiver as Terms, Refused};
-use gaugestep_leadership::leader_discovery::Seek;
-use gaugestep_leadership::{SEATS, VERSIONS};
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected};
+use gaugestep_leadership::leader_discovery::LeaderDiscovery;
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
 use gaugestep_storage::slots::{Slots, peek};
 use gaugestep_subsetting::holder::{Holder, Told};
 use gaugestep_subsetting::place::Place;
@@ -134,8 +134,8 @@
     out: VecDeque<Answer>,
     waker: Option<Waker>,
     /// The highest terms seen.
-    terms: Terms<Said>,
-    seek: Seek,
+    fencing: FencingGuard<Said>,
+    discovery: LeaderDiscovery,
     holder: Holder,
     /// The place that the host was told last.
     place: Option<Place>,
@@ -181,8 +181,8 @@
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
             Err(error) => return Err(format!("{}: {error}", settings.state.display())),
         };
-        let terms = Terms::new(kept(&settings.state));
-        let seek = Seek::new(settings.services.len());
+        let fencing = FencingGuard::new(kept(&settings.state));
+        let discovery = LeaderDiscovery::new(settings.services.len());
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let drawn = settings.seed ^ since.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
         // Also where a predecessor still holds it.
@@ -209,8 +209,8 @@
                 stream: 0,
                 out: VecDeque::new(),
                 waker: None,
-                terms,
-                seek,
+                fencing,
+                discovery,
                 holder: Holder::default(),
                 place: None,
                 name_term: 0,
@@ -268,15 +268,15 @@
             "age_s": in_force.map(|_| ((self.now() - desk.ledger.since()) / 1e3).round()),
             "connected": self.connected.load(Ordering::Relaxed),
             "refused": self.refused.load(Ordering::Relaxed),
-            "term": desk.terms.term(VERSIONS),
-            "stale_refused": desk.terms.stale(),
+            "term": desk.fencing.term(CONFIGURATION_ROLE),
+            "stale_refused": desk.fencing.stale_count(),
             "process": format!("{:016x}", self.incarnation),
             "name_term": desk.name_term,
             "displaced": desk.displaced.is_some(),
             "seat": desk.holder.place(clock::now()).map(|(place, until)| match place {
                 Place::Seat { seat, seats } => serde_json::json!({
                     "seat": seat, "seats": seats, "epoch": desk.holder.known().map(|told| told.epoch),
-                    "term": desk.terms.term(SEATS), "left_ms": (until - clock::now()).max(0.0).round(),
+                    "term": desk.fencing.term(ORDINALS_ROLE), "left_ms": (until - clock::now()).max(0.0).round(),
                 }),
                 Place::Name(_) => serde_json::Value::Null,
             }),
@@ -306,58 +306,68 @@
     /// Something was said for the fleet under a term of a duty.
     fn said(&self, duty: &str, term: u64, said: Said) {
         let mut desk = lock(&self.desk);
-        let actions = desk.terms.act(duty, term, said);
+        let actions = desk.fencing.check(duty, term, said);
         drop(desk);
         self.take(actions);
     }
 
-    fn take(&self, actions: Vec<fencing::Action<Said>>) {
+    fn take(&self, actions: Vec<FencingAction<Said>>) {
         for action in actions {
             let action = match action {
-                fencing::Action::Refuse(said, Refused::Stale { .. }) if failpoints::out("receiver") => {
-                    fencing::Action::Take(said)
+                FencingAction::Reject(said, FencingRejected::StaleTerm { .. })
+                    if failpoints::is_check_disabled("receiver") =>
+                {
+                    FencingAction::Accept(said)
                 }
                 action => action,
             };
             match action {
-                fencing::Action::Keep(terms) => self.work(Job::Keep(terms)),
-                fencing::Action::Take(Said::Offer(stream, offer)) => {
+                FencingAction::Persist(terms) => self.work(Job::Keep(terms)),
+                FencingAction::Accept(Said::Offer(stream, offer)) => {
                     let (version, nonce) = (offer.version.as_ref().map_or(0, |it| it.number), offer.nonce);
-                    tracing::info!(version, nonce, duty = VERSIONS, term = offer.term, "version offered");
+                    tracing::info!(
+                        version,
+                        nonce,
+                        duty = CONFIGURATION_ROLE,
+                        term = offer.term,
+                        "version offered"
+                    );
                     self.tell(Event::Offered(stream, offer));
                 }
-                fencing::Action::Take(Said::Owns(stream)) => {
+                FencingAction::Accept(Said::Owns(stream)) => {
                     if lock(&self.desk).stream == stream {
                         self.connected.store(true, Ordering::Relaxed);
                     }
                 }
-                fencing::Action::Refuse(Said::Offer(stream, offer), refused) => {
+                FencingAction::Reject(Said::Offer(stream, offer), refused) => {
                     let number = offer.version.as_ref().map_or(0, |it| it.number);
                     let refusal = match refused {
-                        Refused::Stale { term, seen } => Refusal::StaleTerm { term, seen },
-                        Refused::NoTerm => Refusal::StaleTerm { term: 0, seen: 0 },
-                        Refused::NotKept(why) => Refusal::NotStored(why),
-                        Refused::Full => Refusal::NotStored(refused.to_string()),
+                        FencingRejected::StaleTerm { term, highest } => {
+                            Refusal::StaleTerm { term, seen: highest }
+                        }
+                        FencingRejected::MissingTerm => Refusal::StaleTerm { term: 0, seen: 0 },
+                        FencingRejected::NotPersisted(why) => Refusal::NotStored(why),
+                        FencingRejected::QueueFull => Refusal::NotStored(refused.to_string()),
                     };
                     let id = OfferId { stream, nonce: offer.nonce };
                     self.answer(&mut lock(&self.desk), id, number, Some(refusal));
                 }
-                fencing::Action::Take(Said::Seat(asked, told)) => {
-                    let asked = if failpoints::out("seat") { f64::MAX } else { asked };
+                FencingAction::Accept(Said::Seat(asked, told)) => {
+                    let asked = if failpoints::is_check_disabled("seat") { f64::MAX } else { asked };
                     if lock(&self.desk).holder.told(asked, told) {
                         self.look_at_seat(true);
                     }
                 }
-                fencing::Action::Refuse(Said::Seat(_, told), refused) => {
+                FencingAction::Reject(Said::Seat(_, told), refused) => {
                     tracing::warn!(
-                        duty = SEATS,
+                        duty = ORDINALS_ROLE,
                         term = told.term,
                         epoch = told.epoch,
                         "stale act refused: {refused}"
                     );
                 }
-                fencing::Action::Refuse(Said::Owns(_), refused) => {
-                    tracing::warn!(duty = VERSIONS, "an owner is not believed: {refused}");
+                FencingAction::Reject(Said::Owns(_), refused) => {
+                    tracing::warn!(duty = CONFIGURATION_ROLE, "an owner is not believed: {refused}");
                 }
             }
         }
@@ -367,7 +377,7 @@
     fn look_at_seat(&self, confirmed: bool) {
         let now = clock::now();
         let mut desk = lock(&self.desk);
-        let (held, term) = (desk.holder.place(now), desk.terms.term(SEATS));
+        let (held, term) = (desk.holder.place(now), desk.fencing.term(ORDINALS_ROLE));
         let place = held.map(|(place, _)| place);
         let changed = std::mem::replace(&mut desk.place, place) != place;
         if !(changed || confirmed && held.is_some()) {
@@ -377,11 +387,20 @@
         drop(desk);
         if let Some((Place::Seat { seat, seats }, until)) = held {
             if changed {
-                tracing::info!(duty = SEATS, term, epoch, seat, seats, "seat");
+                tracing::info!(duty = ORDINALS_ROLE, term, epoch, seat, seats, "seat");
             }
-            tracing::debug!(duty = SEATS, term, epoch, seat, seats, at = now, until, "seat confirmed");
+            tracing::debug!(
+                duty = ORDINALS_ROLE,
+                term,
+                epoch,
+                seat,
+                seats,
+                at = now,
+                until,
+                "seat confirmed"
+            );
         } else {
-            tracing::warn!(duty = SEATS, term, epoch, "no seat any more");
+            tracing::warn!(duty = ORDINALS_ROLE, term, epoch, "no seat any more");
         }
         self.host.seated(held.map(|(place, until)| (place, until - now)));
     }
@@ -474,7 +493,7 @@
                             tracing::info!(duty, term, "term kept");
                         }
                     }
-                    let actions = lock(&self.desk).terms.kept(end);
+                    let actions = lock(&self.desk).fencing.on_persisted(end);
                     self.take(actions);
                 }
                 Some(Job::Commit(version)) => {
@@ -489,7 +508,7 @@
     fn run(&self) {
         let mut backoff = Backoff::new(self.settings.seed ^ self.incarnation);
         loop {
-            let place = lock(&self.desk).seek.place();
+            let place = lock(&self.desk).discovery.endpoint();
             let service = self.settings.services[place % self.settings.services.len()];
             let began = Instant::now();
             let stream = {
@@ -504,7 +523,7 @@
             self.tell(Event::StreamEnded(stream));
             let error =
                 ended.err().map_or_else(|| "the service has closed".into(), |error| error.to_string());
-            let moves = lock(&self.desk).seek.ended();
+            let moves = lock(&self.desk).discovery.on_disconnect();
             // To an owner that was named and not tried yet there is nothing to wait for but the others' lots.
             let held = if was { began.elapsed().as_secs_f64() * 1e3 } else { 0.0 };
             let wait = backoff.ended(if moves { f64::INFINITY } else { held });
@@ -522,11 +541,12 @@
             }
             desk.name_term = told.name_term;
         }
-        let owner = told.owner.as_ref().filter(|owner| owner.duty == VERSIONS);
+        let owner = told.owner.as_ref().filter(|owner| owner.duty == CONFIGURATION_ROLE);
         let named = owner.map(|owner| (owner.member, owner.term));
-        let seen = if failpoints::out("receiver") { 0 } else { desk.terms.term(VERSIONS) };
+        let seen =
+            if failpoints::is_check_disabled("receiver") { 0 } else { desk.fencing.term(CONFIGURATION_ROLE) };
         let now = self.now();
-        if desk.seek.welcomed(now, told.member, named, seen) {
+        if desk.discovery.on_welcome(now, told.member, named, seen) {
             return Err(io::Error::other(match named {
                 Some((owner, term)) => format!("member {owner} owns the versions, under term {term}"),
                 None => "it names no owner of the versions".into(),
@@ -534,7 +554,9 @@
         }
         drop(desk);
         match named {
-            Some((owner, term)) if owner == told.member => self.said(VERSIONS, term, Said::Owns(stream)),
+            Some((owner, term)) if owner == told.member => {
+                self.said(CONFIGURATION_ROLE, term, Said::Owns(stream))
+            }
             _ => self.connected.store(false, Ordering::Relaxed),
         }
         Ok(())
@@ -552,7 +574,7 @@
             let in_force = desk.ledger.in_force().map(|taken| taken.version.clone());
             let age_ms = (self.now() - desk.ledger.since()).max(0.0) as u64;
             let (proxy, build) = (self.settings.proxy.clone(), self.settings.build.clone());
-            let seen = desk.terms.terms().iter();
+            let seen = desk.fencing.terms().iter();
             let hello = Hello {
                 protocol: PROTOCOL,
                 proxy,
@@ -594,13 +616,13 @@
                         lock(&self.desk).displaced = Some((told.by, told.name_term));
                     }
                     Some(from_service::Said::Offer(offer)) if welcome => {
-                        self.said(VERSIONS, offer.term, Said::Offer(stream, Box::new(offer)));
+                        self.said(CONFIGURATION_ROLE, offer.term, Said::Offer(stream, Box::new(offer)));
                     }
                     Some(from_service::Said::Seated(Seated { term, epoch, asked_ms, seat, seats })) => {
                         let told = Told { term, epoch, seat: seat.map(|seat| (seat, seats)) };
                         // Nothing was asked for yet: it holds once the first figures are answered.
                         if welcome && asked_ms > 0 {
-                            self.said(SEATS, term, Said::Seat(asked_ms as f64, told));
+                            self.said(ORDINALS_ROLE, term, Said::Seat(asked_ms as f64, told));
                         }
                     }
                     // What a later build says is not for this one; what comes before the welcome is no service's.
--- a/crates/control-plane/src/raft/driver.rs
+++ b/crates/control-plane/src/raft/driver.rs
@@ -9,17 +9,17 @@
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{self, Act, Member, RaftChange, Renew, Renewed, Yield};
-use gaugestep_leadership::group_state::{Change, Charter, Outcome};
-use gaugestep_leadership::lease::{Action, Grantor, Timing};
-use gaugestep_leadership::pending_proposals::Proposals;
+use gaugestep_leadership::group_state::{GroupState, Outcome, StateChange};
+use gaugestep_leadership::lease::{LeaseAction, LeaseGrantor, LeaseTiming};
+use gaugestep_leadership::pending_proposals::PendingProposals;
 use gaugestep_storage::versions::{Batch, Versions as Store};
 use prost::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, EntryType, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
 
-use crate::raft::recovery::{Opened, spoilt, unpair};
-use crate::raft::replica::{Group, Job, OnChange, Tell, View};
-use crate::raft::storage::Log;
+use crate::raft::recovery::{RecoveredState, corrupt, encode_pair};
+use crate::raft::replica::{OnChange, Replica, ReplicaState, Request, Responder};
+use crate::raft::storage::RaftStorage;
 use crate::{clock, lock, raft::codec, raft::transport};
 
 /// Between two ticks of the library's clock; an election begins after 10 to 20 without a word of the leader.
@@ -34,18 +34,18 @@
 /// Jobs taken before what they lead to is stored.
 const AT_ONCE: usize = 256;
 /// One turn with the library and the store.
-pub(crate) struct Node<'a> {
-    group: &'a Arc<Group>,
+pub(crate) struct RaftDriver<'a> {
+    group: &'a Arc<Replica>,
     on_change: &'a OnChange,
-    raw: RawNode<Log>,
-    log: Log,
+    raw: RawNode<RaftStorage>,
+    log: RaftStorage,
     store: Store,
-    grantor: Grantor,
-    proposals: Proposals,
+    grantor: LeaseGrantor,
+    proposals: PendingProposals,
     /// Who waits for what was proposed.
-    waiting: BTreeMap<u64, Tell>,
+    waiting: BTreeMap<u64, Responder>,
     /// What changed since the service was told.
-    changes: Vec<Change>,
+    changes: Vec<StateChange>,
     /// Acts that were applied, for those who wait.
     ended: Vec<(u64, Outcome)>,
 }
@@ -67,14 +67,14 @@
     }
 }
 
-impl<'a> Node<'a> {
+impl<'a> RaftDriver<'a> {
     pub(crate) fn start(
-        group: &'a Arc<Group>,
-        opened: Opened,
+        group: &'a Arc<Replica>,
+        opened: RecoveredState,
         turn: u64,
         on_change: &'a OnChange,
     ) -> Result<Self, String> {
-        let Opened { store, charter, hard, members, base, applied, entries, .. } = opened;
+        let RecoveredState { store, charter, hard, members, base, applied, entries, .. } = opened;
         let (own, alone) = (group.own.number, members.voters == [group.own.number]);
         {
             let mut view = lock(&group.view);
@@ -83,9 +83,9 @@
         }
         let sent = Arc::downgrade(group);
         let whole = move || {
-            sent.upgrade().map(|it| lock(&it.view).charter.whole().encode_to_vec()).unwrap_or_default()
+            sent.upgrade().map(|it| lock(&it.view).charter.to_snapshot().encode_to_vec()).unwrap_or_default()
         };
-        let log = Log::new(hard, members, base, entries, applied, Box::new(whole));
+        let log = RaftStorage::new(hard, members, base, entries, applied, Box::new(whole));
         let config = Config {
             id: own,
             election_tick: ELECTION,
@@ -103,21 +103,21 @@
             // Nobody else can lead: no need to wait for a word of a leader.
             raw.campaign().map_err(|error| error.to_string())?;
         }
-        Ok(Node {
+        Ok(RaftDriver {
             group,
             on_change,
             raw,
             log,
             store,
-            grantor: Grantor::new(Timing::default()),
-            proposals: Proposals::new(turn << 32),
+            grantor: LeaseGrantor::new(LeaseTiming::default()),
+            proposals: PendingProposals::new(turn << 32),
             waiting: BTreeMap::new(),
             changes: Vec::new(),
             ended: Vec::new(),
         })
     }
 
-    pub(crate) fn run(mut self, work: &Receiver<Job>) -> Result<(), String> {
+    pub(crate) fn run(mut self, work: &Receiver<Request>) -> Result<(), String> {
         let ended = self.work(work);
         for (_, tell) in std::mem::take(&mut self.waiting) {
             tell(Err("the store of this member has failed".into()));
@@ -125,7 +125,7 @@
         ended
     }
 
-    fn work(&mut self, work: &Receiver<Job>) -> Result<(), String> {
+    fn work(&mut self, work: &Receiver<Request>) -> Result<(), String> {
         let mut tick = Instant::now();
         let mut keys = Instant::now();
         loop {
@@ -136,11 +136,11 @@
             };
             for _ in 0..AT_ONCE {
                 let Some(job) = next.take() else { break };
-                self.take(job);
+                self.handle(job);
                 next = work.try_recv().ok();
             }
             if let Some(job) = next {
-                self.take(job);
+                self.handle(job);
             }
             let ticks = Instant::now() >= tick;
             if ticks {
@@ -150,78 +150,78 @@
                 self.group.links.wake();
                 if keys.elapsed() >= Duration::from_secs(1) {
                     keys = Instant::now();
-                    if let Some((keys, _)) = self.group.keys() {
+                    if let Some((keys, _)) = self.group.client_keys() {
                         keys.look();
                     }
                 }
             }
-            self.settle()?;
-            self.clocks(ticks || !self.changes.is_empty());
-            self.settle()?;
+            self.process_ready()?;
+            self.on_clock(ticks || !self.changes.is_empty());
+            self.process_ready()?;
             let changes = std::mem::take(&mut self.changes);
-            if changes.contains(&Change::Members) {
-                transport::dial(self.group);
+            if changes.contains(&StateChange::MembersChanged) {
+                transport::connect_missing(self.group);
                 let gone = lock(&self.group.view).charter.removed.contains(&self.group.own.number);
                 if gone {
-                    self.group.end("this member was removed from its group");
+                    self.group.abort_process("this member was removed from its group");
                 }
             }
             (self.on_change)(&changes);
             for (number, outcome) in std::mem::take(&mut self.ended) {
-                if let Some(tell) = self.waiting.remove(&number).filter(|_| self.proposals.ended(number)) {
+                if let Some(tell) = self.waiting.remove(&number).filter(|_| self.proposals.complete(number)) {
                     tell(Ok(outcome));
                 }
             }
         }
     }
 
-    fn take(&mut self, job: Job) {
+    fn handle(&mut self, job: Request) {
         let now = clock::now();
         match job {
-            Job::Propose(act, tell) => {
+            Request::Propose(act, tell) => {
                 let Some(number) = self.proposals.add(now, Some(*act)) else {
                     return tell(Err("too much waits to be agreed on".into()));
                 };
                 self.waiting.insert(number, tell);
                 self.propose(now);
             }
-            Job::Join(member, tell) => {
-                let why = self.group.charter(|charter| charter.bars(&member));
+            Request::AddMember(member, tell) => {
+                let why = self.group.with_state(|charter| charter.join_rejection(&member));
                 let context = member.encode_to_vec();
                 // It catches up before it counts: a majority must not wait for one that has nothing yet.
                 self.change(now, ConfChangeType::AddLearnerNode, member.number, context, why, tell);
             }
-            Job::Leave(member, tell) => {
-                let last = self.group.alone() && member == self.group.own.number;
-                let why = self.group.charter(|charter| match charter.members.contains_key(&member) {
+            Request::RemoveMember(member, tell) => {
+                let last = self.group.is_single_voter() && member == self.group.own.number;
+                let why = self.group.with_state(|charter| match charter.members.contains_key(&member) {
                     false => Some(format!("there is no member {member}")),
                     true if last => Some("the last member cannot be removed".into()),
                     true => None,
                 });
                 self.change(now, ConfChangeType::RemoveNode, member, Vec::new(), why, tell);
             }
-            Job::Step(message) => {
+            Request::Step(message) => {
                 let commit = message.get_msg_type() == MessageType::MsgHeartbeat;
                 if commit && message.commit > self.raw.raft.raft_log.last_index() {
                     // The library ends with a panic where a member has lost what it acknowledged.
-                    self.group.end(
+                    self.group.abort_process(
                         "the store has lost what it acknowledged: remove this member, and add a new one",
                     );
                 }
                 // An error says that the message is of no use, as one of a member that is not there any more.
                 let _ = self.raw.step(*message);
             }
-            Job::Renew(member, number) => self.grantor.asked(now, member, number),
-            Job::Yield(wish) => {
-                if self.group.acts(&wish.duty) == Some(wish.term) {
+            Request::Lease(member, number) => self.grantor.on_request(now, member, number),
+            Request::HandOver(wish) => {
+                if self.group.acting_term(&wish.duty) == Some(wish.term) {
                     self.group.hand_over(&wish.duty, wish.term, wish.to, Box::new(|_| {}));
                 }
             }
-            Job::Unreachable(member) => {
+            Request::Unreachable(member) => {
                 self.raw.report_unreachable(member);
                 self.raw.report_snapshot(member, raft::SnapshotStatus::Failure);
             }
-            Job::Snapshot(member, arrived) => {
+            Request::SnapshotSent(member, arrived) => {
                 let status =
                     if arrived { raft::SnapshotStatus::Finish } else { raft::SnapshotStatus::Failure };
                 self.raw.report_snapshot(member, status);
@@ -236,10 +236,10 @@
         member: u64,
         context: Vec<u8>,
         why: Option<String>,
-        tell: Tell,
+        tell: Responder,
     ) {
         if let Some(why) = why {
-            return tell(Ok(Outcome::Refused(why)));
+            return tell(Ok(Outcome::Rejected(why)));
         }
         let mut change = ConfChange { node_id: member, context: context.into(), ..ConfChange::default() };
         change.set_change_type(kind);
@@ -249,7 +249,7 @@
         match self.raw.propose_conf_change(self.mark(number), change) {
             Ok(()) => drop(self.waiting.insert(number, tell)),
             Err(_) => {
-                self.proposals.ended(number);
+                self.proposals.complete(number);
                 tell(Err("members are changed at the leader, one at a time".into()));
             }
         }
@@ -267,7 +267,7 @@
             // Without a leader it is dropped, and proposed anew.
             let _ = self.raw.propose(self.mark(number), act.encode_to_vec());
         }
-        for number in due.given_up {
+        for number in due.timed_out {
             if let Some(tell) = self.waiting.remove(&number) {
                 tell(Err("no majority of the control services answers".into()));
             }
@@ -276,11 +276,11 @@
 
     /// Looks at clocks: leases, and what waits to be agreed on. With `all` also at each duty, who is to own it and who did not
     /// hand it over: at ticks and behind changes, as every message of an idle group would go through a thousand duties.
-    fn clocks(&mut self, all: bool) {
+    fn on_clock(&mut self, all: bool) {
         let now = clock::now();
         self.propose(now);
         let leads = self.raw.raft.state == StateRole::Leader && self.raw.raft.commit_to_current_term();
-        self.grantor.leads(now, leads);
+        self.grantor.set_leading(now, leads);
         let leader = self.raw.raft.leader_id;
         let own = self.group.own.number;
         let stuck;
@@ -290,21 +290,21 @@
                 tracing::info!(member = own, leader, term = self.raw.raft.term, "leader");
                 view.leader = leader;
             }
-            let asked = if leader > 0 { view.session.ask(now) } else { None };
-            let View { session, charter, .. } = &mut *view;
-            let owned = charter.duties.values().filter(|it| it.owner == own);
+            let asked = if leader > 0 { view.session.next_request(now) } else { None };
+            let ReplicaState { session, charter, .. } = &mut *view;
+            let owned = charter.roles.values().filter(|it| it.owner == own);
             let owned = owned.map(|it| (it.name.as_str(), it.term));
-            stuck = if all { session.stuck(now, owned) } else { Vec::new() };
+            stuck = if all { session.stalled_handovers(now, owned) } else { Vec::new() };
             let charter = &view.charter;
-            let duties = charter.duties.values().map(|it| (it.name.clone(), (it.owner, it.term)));
+            let duties = charter.roles.values().map(|it| (it.name.clone(), (it.owner, it.term)));
             let duties: BTreeMap<String, (u64, u64)> =
                 if leads && all { duties.collect() } else { BTreeMap::new() };
             (asked, duties, view.voters.clone())
         };
         match asked {
-            Some(number) if leader == own => self.grantor.asked(now, own, number),
+            Some(number) if leader == own => self.grantor.on_request(now, own, number),
             Some(number) => {
-                self.group.links.say(leader, Said::Renew(Renew { member: own, number }));
+                self.group.links.send(leader, Said::Renew(Renew { member: own, number }));
             }
             None => {}
         }
@@ -325,7 +325,7 @@
         }
         let actions = match all {
             true => self.grantor.tick(now, &duties, &members),
-            false => Vec::from_iter(self.grantor.confirm(now)),
+            false => Vec::from_iter(self.grantor.next_confirmation(now)),
         };
         self.carry_out(actions);
     }
@@ -348,44 +348,44 @@
         let own = self.group.own.number;
         let later = {
             let view = lock(&self.group.view);
-            view.book.later(&view.charter)
+            view.directory.unreplicated_starts(&view.charter)
         };
         for member in later {
             let what = Some(What::Member(member));
-            if !self.proposals.has(|act| act.what == what) {
+            if !self.proposals.contains(|act| act.what == what) {
                 let act = Act { by: own, what, ..Act::default() };
-                self.take(Job::Propose(Box::new(act), Box::new(|_| {})));
+                self.handle(Request::Propose(Box::new(act), Box::new(|_| {})));
             }
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn carry_out(&mut self, actions: Vec<LeaseAction>) {
         let own = self.group.own.number;
         for action in actions {
             match action {
-                Action::Confirm(number) => self.raw.read_index(number.to_be_bytes().to_vec()),
-                Action::Grant { member, number } => {
+                LeaseAction::ConfirmLeadership(number) => self.raw.read_index(number.to_be_bytes().to_vec()),
+                LeaseAction::Grant { member, number } => {
                     let applied = self.raw.raft.raft_log.committed;
                     match member == own {
-                        true => lock(&self.group.view).session.granted(number, applied),
+                        true => lock(&self.group.view).session.on_granted(number, applied),
                         false => {
                             let renewed = Renewed { member, number, applied };
-                            self.group.links.say(member, Said::Renewed(renewed));
+                            self.group.links.send(member, Said::Renewed(renewed));
                         }
                     }
                 }
-                Action::Assign { duty, term, to } => {
-                    tracing::info!(duty, term, to, "assigns a duty");
-                    let act = Act { duty, term, by: own, what: Some(What::Assign(to)) };
-                    self.take(Job::Propose(Box::new(act), Box::new(|_| {})));
+                LeaseAction::Assign { role, term, to } => {
+                    tracing::info!(duty = role, term, to, "assigns a duty");
+                    let act = Act { duty: role, term, by: own, what: Some(What::Assign(to)) };
+                    self.handle(Request::Propose(Box::new(act), Box::new(|_| {})));
                 }
-                Action::Yield { duty, term, from, to } => {
-                    tracing::info!(duty, term, from, to, "asks for a duty to be handed over");
-                    let wish = Yield { duty, term, to };
+                LeaseAction::RequestHandOver { role, term, from, to } => {
+                    tracing::info!(duty = role, term, from, to, "asks for a duty to be handed over");
+                    let wish = Yield { duty: role, term, to };
                     match from == own {
-                        true => self.take(Job::Yield(wish)),
+                        true => self.handle(Request::HandOver(wish)),
                         false => {
-                            self.group.links.say(from, Said::Yield(wish));
+                            self.group.links.send(from, Said::Yield(wish));
                         }
                     }
                 }
@@ -394,10 +394,10 @@
     }
 
     /// Stores, tells and applies all that the library has ready.
-    fn settle(&mut self) -> Result<(), String> {
+    fn process_ready(&mut self) -> Result<(), String> {
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
-            self.say(ready.take_messages());
+            self.send(ready.take_messages());
             let mut batch = Batch { sync: ready.must_sync(), ..Batch::default() };
             if !ready.snapshot().is_empty() {
                 self.install(ready.snapshot(), &mut batch)?;
@@ -416,10 +416,10 @@
             // Stored before it is told.
             self.store.write(&batch)?;
             if !ready.entries().is_empty() {
-                crate::failpoints::stop_at("stored");
+                crate::failpoints::suspend_at("stored");
             }
             self.log.append(ready.entries());
-            self.say(ready.take_persisted_messages());
+            self.send(ready.take_persisted_messages());
             let reads = ready.take_read_states();
             let mut light = self.raw.advance(ready);
             let mut batch = Batch::default();
@@ -427,7 +427,7 @@
                 let hard = self.log.set_commit(commit);
                 batch.values.push(("hard", codec::hard(&hard).encode_to_vec()));
             }
-            self.say(light.take_messages());
+            self.send(light.take_messages());
             let committed = light.take_committed_entries();
             if !committed.is_empty() {
                 self.apply(committed, &mut batch)?;
@@ -436,7 +436,7 @@
             self.raw.advance_apply();
             if let Some(base) = self.log.compact(LOG_KEPT, LOG_MUCH) {
                 // Synced with it: what is applied must be on disk before the entries that it came from are let go.
-                let values = vec![("base", unpair(base))];
+                let values = vec![("base", encode_pair(base))];
                 self.store.write(&Batch {
                     log_below: Some(base.0 + 1),
                     values,
@@ -446,7 +446,7 @@
             }
             for read in reads {
                 if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
-                    let granted = self.grantor.confirmed(u64::from_be_bytes(number));
+                    let granted = self.grantor.on_confirmed(u64::from_be_bytes(number));
                     self.carry_out(granted);
                 }
             }
@@ -454,13 +454,13 @@
         Ok(())
     }
 
-    fn say(&self, messages: Vec<Message>) {
+    fn send(&self, messages: Vec<Message>) {
         for message in messages {
             let (to, snapshot) = (message.to, message.get_msg_type() == MessageType::MsgSnapshot);
-            let said = self.group.links.say(to, Said::Raft(codec::message(&message)));
+            let said = self.group.links.send(to, Said::Raft(codec::message(&message)));
             if snapshot {
                 // What gets lost behind this is sent anew, as the member says what it lacks.
-                self.group.job(Job::Snapshot(to, said));
+                self.group.submit(Request::SnapshotSent(to, said));
             }
         }
     }
@@ -468,7 +468,8 @@
     /// Takes all that is agreed from a member that is further.
     fn install(&mut self, snapshot: &Snapshot, batch: &mut Batch) -> Result<(), String> {
         let told = schema::Charter::decode(snapshot.data.as_ref());
-        let charter = Charter::of(told.map_err(|error| spoilt("what another member sent", error))?);
+        let charter =
+            GroupState::from_schema(told.map_err(|error| corrupt("what another member sent", error))?);
         let meta = snapshot.get_metadata();
         let (base, members) = ((meta.index, meta.term), meta.get_conf_state().clone());
         let mut view = lock(&self.group.view);
@@ -478,17 +479,17 @@
             batch.entries.push((*number, held.entry.encode_to_vec()));
         }
         batch.values.extend([
-            ("charter", charter.stored().encode_to_vec()),
+            ("charter", charter.to_stored().encode_to_vec()),
             ("members", codec::members(&members).encode_to_vec()),
-            ("base", unpair(base)),
+            ("base", encode_pair(base)),
             ("applied", base.0.to_be_bytes().to_vec()),
         ]);
         (batch.log_below, batch.sync) = (Some(base.0 + 1), true);
         let dropped = view.charter.versions.keys().filter(|it| !charter.versions.contains_key(it));
-        self.changes.extend(dropped.map(|number| Change::Dropped(*number)));
-        self.changes.extend(charter.versions.keys().map(|number| Change::Version(*number)));
-        self.changes.extend(charter.duties.keys().map(|duty| Change::Owner(duty.clone())));
-        self.changes.push(Change::Members);
+        self.changes.extend(dropped.map(|number| StateChange::VersionDropped(*number)));
+        self.changes.extend(charter.versions.keys().map(|number| StateChange::VersionPublished(*number)));
+        self.changes.extend(charter.roles.keys().map(|duty| StateChange::HolderChanged(duty.clone())));
+        self.changes.push(StateChange::MembersChanged);
         tracing::info!(
             index = base.0,
             versions = charter.versions.len(),
@@ -509,11 +510,11 @@
                 EntryType::EntryConfChange => self.change_members(&entry, batch)?,
                 _ if entry.data.is_empty() => continue,
                 _ => match Act::decode(entry.data.as_ref()) {
-                    Err(error) => (Outcome::Refused(error.to_string()), Vec::new()),
+                    Err(error) => (Outcome::Rejected(error.to_string()), Vec::new()),
                     Ok(act) => self.act(&act),
                 },
             };
-            if let Outcome::Refused(why) = &outcome {
+            if let Outcome::Rejected(why) = &outcome {
                 tracing::debug!(index = entry.index, "refused: {why}");
             }
             changes.extend(changed);
@@ -528,38 +529,39 @@
         self.log.set_applied(last);
         batch.values.push(("applied", last.to_be_bytes().to_vec()));
         if !changes.is_empty() {
-            batch.values.push(("charter", view.charter.stored().encode_to_vec()));
+            batch.values.push(("charter", view.charter.to_stored().encode_to_vec()));
         }
         for change in &changes {
             match change {
-                Change::Version(number) | Change::Entry(number) => {
+                StateChange::VersionPublished(number) | StateChange::VersionUpdated(number) => {
                     let Some(held) = view.charter.versions.get(number) else { continue };
-                    if matches!(change, Change::Version(_)) {
+                    if matches!(change, StateChange::VersionPublished(_)) {
                         batch.documents.push((*number, held.document.encode_to_vec()));
                     }
                     batch.entries.push((*number, held.entry.encode_to_vec()));
                 }
-                Change::Dropped(number) => batch.dropped.push(*number),
-                Change::Owner(_) | Change::Duty(_) | Change::Members => {}
+                StateChange::VersionDropped(number) => batch.dropped.push(*number),
+                StateChange::HolderChanged(_) | StateChange::RoleChanged(_) | StateChange::MembersChanged => {
+                }
             }
         }
         self.changes.extend(changes);
         Ok(())
     }
 
-    fn act(&mut self, act: &Act) -> (Outcome, Vec<Change>) {
+    fn act(&mut self, act: &Act) -> (Outcome, Vec<StateChange>) {
         let mut view = lock(&self.group.view);
         let (outcome, changes) = view.charter.apply(act);
-        if let Outcome::Stale { term, present } = outcome {
+        if let Outcome::StaleTerm { term, current } = outcome {
             // An assignment that was proposed twice is nobody's old act.
             if !matches!(act.what, Some(What::Assign(_))) {
                 *view.stale.entry(act.duty.clone()).or_default() += 1;
-                tracing::warn!(duty = act.duty, term, present, by = act.by, "stale act refused");
+                tracing::warn!(duty = act.duty, term, current, by = act.by, "stale act refused");
             }
         }
         for change in &changes {
-            if let Change::Owner(duty) = change {
-                let (owner, term) = view.charter.owner(duty);
+            if let StateChange::HolderChanged(duty) = change {
+                let (owner, term) = view.charter.holder(duty);
                 view.since.insert(duty.clone(), clock::now());
                 tracing::info!(duty, term, owner, "owner");
             }
@@ -571,13 +573,13 @@
         &mut self,
         entry: &raft::eraftpb::Entry,
         batch: &mut Batch,
-    ) -> Result<(Outcome, Vec<Change>), String> {
+    ) -> Result<(Outcome, Vec<StateChange>), String> {
         let told =
-            RaftChange::decode(entry.data.as_ref()).map_err(|error| spoilt("a change of members", error))?;
+            RaftChange::decode(entry.data.as_ref()).map_err(|error| corrupt("a change of members", error))?;
         let mut change = ConfChange { node_id: told.member, ..ConfChange::default() };
         let kinds = [ConfChangeType::AddNode, ConfChangeType::RemoveNode, ConfChangeType::AddLearnerNode];
         let kind = kinds.into_iter().find(|kind| *kind as i32 == told.kind);
-        let kind = kind.ok_or_else(|| spoilt("a change of members", "it is of an unknown kind"))?;
+        let kind = kind.ok_or_else(|| corrupt("a change of members", "it is of an unknown kind"))?;
         change.set_change_type(kind);
         let members = self.raw.apply_conf_change(&change).map_err(|error| error.to_string())?;
         batch.values.push(("members", codec::members(&members).encode_to_vec()));
@@ -589,13 +591,13 @@
             ConfChangeType::AddNode => Vec::new(),
             ConfChangeType::AddLearnerNode => {
                 let member = Member::decode(told.context.as_slice()).unwrap_or_default();
-                view.charter.join(member)
+                view.charter.add_member(member)
             }
             ConfChangeType::RemoveNode => {
-                view.book.gone(told.member);
-                view.charter.leave(told.member)
+                view.directory.forget(told.member);
+                view.charter.remove_member(told.member)
             }
         };
-        Ok((Outcome::Done, changes))
+        Ok((Outcome::Applied, changes))
     }
 }
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -5,21 +5,21 @@
 
 use gaugestep_config::Document;
 use gaugestep_config::schema::{self, Entry, Member};
-use gaugestep_leadership::group_state::{Charter, Held};
-use gaugestep_leadership::rollback_guard::{Found, boot};
+use gaugestep_leadership::group_state::{GroupState, StoredVersion};
+use gaugestep_leadership::rollback_guard::{FoundStore, next_boot};
 use gaugestep_storage::seal;
 use gaugestep_storage::versions::{Batch, Versions as Store};
 use prost::Message as _;
 use raft::eraftpb::{ConfState, HardState};
 
 use crate::raft::codec;
-use crate::raft::replica::Settings;
+use crate::raft::replica::ReplicaSettings;
 
 /// A store as it was found.
-pub(crate) struct Opened {
+pub(crate) struct RecoveredState {
     pub(crate) store: Store,
     pub(crate) boot: u64,
-    pub(crate) charter: Charter,
+    pub(crate) charter: GroupState,
     pub(crate) hard: HardState,
     pub(crate) members: ConfState,
     pub(crate) base: (u64, u64),
@@ -27,22 +27,22 @@
     pub(crate) entries: Vec<raft::eraftpb::Entry>,
 }
 
-pub(crate) fn spoilt(what: &str, error: impl std::fmt::Display) -> String {
+pub(crate) fn corrupt(what: &str, error: impl std::fmt::Display) -> String {
     format!("{what} cannot be read: {error}")
 }
 
-fn pair(bytes: &[u8]) -> Option<(u64, u64)> {
+fn decode_pair(bytes: &[u8]) -> Option<(u64, u64)> {
     let (first, second) = bytes.split_first_chunk::<8>()?;
     Some((u64::from_be_bytes(*first), u64::from_be_bytes(second.try_into().ok()?)))
 }
 
-pub(crate) fn unpair((first, second): (u64, u64)) -> Vec<u8> {
+pub(crate) fn encode_pair((first, second): (u64, u64)) -> Vec<u8> {
     [first.to_be_bytes(), second.to_be_bytes()].concat()
 }
 
-impl Opened {
+impl RecoveredState {
     /// Opens the store; `again`: the number of this boot, if the store was opened before.
-    pub(crate) fn open(settings: &Settings, again: Option<u64>) -> Result<Self, String> {
+    pub(crate) fn open(settings: &ReplicaSettings, again: Option<u64>) -> Result<Self, String> {
         let path = &settings.store;
         let failed = |error: std::io::Error| format!("{}: {error}", path.display());
         let store = Store::open(path)?;
@@ -50,15 +50,15 @@
         let single = |bytes: Vec<u8>| bytes.try_into().map(u64::from_be_bytes).unwrap_or(0);
         let charter = kept("charter")?;
         let charter = charter.map(|bytes| schema::Charter::decode(bytes.as_slice())).transpose();
-        let charter = charter.map_err(|error| spoilt("what is agreed", error))?;
+        let charter = charter.map_err(|error| corrupt("what is agreed", error))?;
         let boot = match again {
             Some(boot) => boot,
             None => {
                 let boots = kept("boots")?.map_or(0, single);
                 let file = seal::file(path).map_err(failed)?;
-                let found = Found { boots, file, seal: seal::read(path).map_err(failed)? };
+                let found = FoundStore { boots, file, generation: seal::read(path).map_err(failed)? };
                 let several = charter.as_ref().is_some_and(|charter| charter.members.len() > 1);
-                let boot = boot(found, settings.restored && !several).map_err(|refused| {
+                let boot = next_boot(found, settings.restored && !several).map_err(|refused| {
                     let way = match several {
                         true => {
                             "remove this member with `members remove`, and add a new one with an empty store"
@@ -76,56 +76,66 @@
         };
         let mut versions = BTreeMap::new();
         for stored in store.all()? {
-            let entry = Entry::decode(stored.entry.as_slice()).map_err(|error| spoilt("a version", error))?;
+            let entry =
+                Entry::decode(stored.entry.as_slice()).map_err(|error| corrupt("a version", error))?;
             let document = Document::decode(stored.document.as_slice());
-            let document = Arc::new(document.map_err(|error| spoilt("a document", error))?);
-            versions.insert(stored.number, Held { entry, document });
+            let document = Arc::new(document.map_err(|error| corrupt("a document", error))?);
+            versions.insert(stored.number, StoredVersion { entry, document });
         }
         if let Some(told) = charter {
             let hard = kept("hard")?.unwrap_or_default();
             let hard =
-                schema::RaftHard::decode(hard.as_slice()).map_err(|error| spoilt("the vote", error))?;
+                schema::RaftHard::decode(hard.as_slice()).map_err(|error| corrupt("the vote", error))?;
             let members = kept("members")?.unwrap_or_default();
             let members = schema::RaftMembers::decode(members.as_slice());
-            let members = members.map_err(|error| spoilt("the members", error))?;
-            let base = kept("base")?.and_then(|bytes| pair(&bytes)).ok_or("the log has no beginning")?;
+            let members = members.map_err(|error| corrupt("the members", error))?;
+            let base =
+                kept("base")?.and_then(|bytes| decode_pair(&bytes)).ok_or("the log has no beginning")?;
             let mut entries = Vec::new();
             for (index, bytes) in store.log()?.into_iter().filter(|(index, _)| *index > base.0) {
                 let told =
-                    schema::RaftEntry::decode(bytes.as_slice()).map_err(|error| spoilt("the log", error))?;
+                    schema::RaftEntry::decode(bytes.as_slice()).map_err(|error| corrupt("the log", error))?;
                 let entry = codec::of_entry(told).filter(|_| index == base.0 + 1 + entries.len() as u64);
                 entries.push(entry.ok_or("the log has a gap")?);
             }
             let applied = kept("applied")?.map_or(0, single);
-            let charter = Charter { versions, ..Charter::of(told) };
+            let charter = GroupState { versions, ..GroupState::from_schema(told) };
             let (hard, members) = (codec::of_hard(hard), codec::of_members(members));
-            return Ok(Opened { store, boot, charter, hard, members, base, applied, entries });
+            return Ok(RecoveredState { store, boot, charter, hard, members, base, applied, entries });
         }
         let (mut hard, mut members) = (HardState::default(), ConfState::default());
         let (charter, base) = match settings.joins {
-            true => (Charter::default(), (0, 0)),
+            true => (GroupState::default(), (0, 0)),
             false => {
                 // Alone, with what an older build left: as if it had been agreed on by a first entry.
                 members.voters = vec![settings.member.number];
                 (hard.term, hard.vote, hard.commit) = (1, settings.member.number, 1);
                 let member = Member { boot, nonce: settings.seed | 1, ..settings.member.clone() };
-                (Charter::alone(store.lineage(settings.seed.max(1))?, member, versions), (1, 1))
+                (GroupState::single_member(store.lineage(settings.seed.max(1))?, member, versions), (1, 1))
             }
         };
-        let opened =
-            Opened { store, boot, charter, hard, members, base, applied: base.0, entries: Vec::new() };
+        let opened = RecoveredState {
+            store,
+            boot,
+            charter,
+            hard,
+            members,
+            base,
+            applied: base.0,
+            entries: Vec::new(),
+        };
         let mut batch = Batch { sync: true, ..Batch::default() };
-        opened.all_into(&mut batch);
+        opened.append_to(&mut batch);
         opened.store.write(&batch)?;
         Ok(opened)
     }
 
-    fn all_into(&self, batch: &mut Batch) {
+    fn append_to(&self, batch: &mut Batch) {
         batch.values.extend([
-            ("charter", self.charter.stored().encode_to_vec()),
+            ("charter", self.charter.to_stored().encode_to_vec()),
             ("hard", codec::hard(&self.hard).encode_to_vec()),
             ("members", codec::members(&self.members).encode_to_vec()),
-            ("base", unpair(self.base)),
+            ("base", encode_pair(self.base)),
             ("applied", self.applied.to_be_bytes().to_vec()),
         ]);
     }
--- a/crates/control-plane/src/raft/storage.rs
+++ b/crates/control-plane/src/raft/storage.rs
@@ -8,7 +8,7 @@
 
 /// The log.
 #[derive(Clone)]
-pub struct Log(Arc<Mutex<Inner>>);
+pub struct RaftStorage(Arc<Mutex<Inner>>);
 
 struct Inner {
     hard: HardState,
@@ -38,7 +38,7 @@
     }
 }
 
-impl Log {
+impl RaftStorage {
     /// A log as it was found; `charter` gives all that is agreed up to the entry that was applied last.
     pub fn new(
         hard: HardState,
@@ -48,7 +48,7 @@
         applied: u64,
         charter: Box<dyn Fn() -> Vec<u8> + Send>,
     ) -> Self {
-        Log(Arc::new(Mutex::new(Inner { hard, members, base, entries, applied, charter })))
+        RaftStorage(Arc::new(Mutex::new(Inner { hard, members, base, entries, applied, charter })))
     }
 
     /// Adds entries, instead of those that stood there.
@@ -106,7 +106,7 @@
     }
 }
 
-impl raft::Storage for Log {
+impl raft::Storage for RaftStorage {
     fn initial_state(&self) -> Result<RaftState> {
         let inner = lock(&self.0);
         Ok(RaftState::new(inner.hard.clone(), inner.members.clone()))
--- a/crates/control-plane/src/raft/transport.rs
+++ b/crates/control-plane/src/raft/transport.rs
@@ -15,13 +15,13 @@
 };
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::peer_directory::Refused;
+use gaugestep_leadership::peer_directory::PeerRejected;
 use may::net::TcpStream;
 use prost::Message as _;
 
 use crate::clock;
 use crate::lock;
-use crate::raft::replica::Group;
+use crate::raft::replica::Replica;
 use crate::transport::backoff::Backoff;
 use crate::transport::connection::{Channel, STACK_WORDS};
 use crate::transport::tls::ClientKeys;
@@ -59,11 +59,11 @@
 
 /// The links to all others.
 #[derive(Default)]
-pub struct Links(Mutex<BTreeMap<u64, Link>>);
+pub struct PeerLinks(Mutex<BTreeMap<u64, Link>>);
 
-impl Links {
+impl PeerLinks {
     /// Adds a message for a member; false if nobody can be told now.
-    pub fn say(&self, member: u64, said: Said) -> bool {
+    pub fn send(&self, member: u64, said: Said) -> bool {
         let mut links = lock(&self.0);
         let Some(link) = links.get_mut(&member).filter(|link| link.welcome) else { return false };
         let peer = Peer { said: Some(said) };
@@ -84,7 +84,7 @@
     }
 
     /// Members whose stream is open.
-    pub fn open(&self) -> Vec<u64> {
+    pub fn connected(&self) -> Vec<u64> {
         lock(&self.0).iter().filter(|(_, link)| link.welcome).map(|(member, _)| *member).collect()
     }
 
@@ -96,8 +96,8 @@
 }
 
 /// Dials those members that are not dialed yet, and leaves those alone that are members no more.
-pub fn dial(group: &Arc<Group>) {
-    let wanted: Vec<u64> = group.others();
+pub fn connect_missing(group: &Arc<Replica>) {
+    let wanted: Vec<u64> = group.other_members();
     let mut links = lock(&group.links.0);
     links.retain(|member, _| wanted.contains(member));
     for member in wanted {
@@ -106,24 +106,24 @@
         }
         links.insert(member, Link::default());
         let group = group.clone();
-        let dialing = task::spawn_deep("member", STACK_WORDS, move || keep_dialed(&group, member));
+        let dialing = task::spawn_deep("member", STACK_WORDS, move || keep_connected(&group, member));
         if let Err(error) = dialing {
             tracing::error!(member, "no coroutine for a member: {error}");
         }
     }
 }
 
-fn keep_dialed(group: &Arc<Group>, member: u64) {
-    let mut backoff = Backoff::new(group.own().nonce ^ member);
+fn keep_connected(group: &Arc<Replica>, member: u64) {
+    let mut backoff = Backoff::new(group.own_member().nonce ^ member);
     let mut told = String::new();
     while lock(&group.links.0).contains_key(&member) {
         let began = Instant::now();
         let ended = match group.address(member) {
-            Some(address) => talk(group, member, address),
+            Some(address) => exchange(group, member, address),
             None => Err(io::Error::other("its address is not known")),
         };
         group.links.ended(member);
-        group.unreachable(member);
+        group.report_unreachable(member);
         let why = ended.err().map_or_else(|| "it has closed".into(), |error| error.to_string());
         // The same again and again says nothing new.
         if why != told {
@@ -135,15 +135,19 @@
     }
 }
 
-fn talk(group: &Arc<Group>, member: u64, address: SocketAddr) -> io::Result<()> {
+fn exchange(group: &Arc<Replica>, member: u64, address: SocketAddr) -> io::Result<()> {
     let socket = TcpStream::connect_timeout(&address, CONNECT_WITHIN)?;
-    let keys = group.keys().map(|(keys, name)| (ClientKeys::now(keys), name));
+    let keys = group.client_keys().map(|(keys, name)| (ClientKeys::now(keys), name));
     let mut channel = Channel::connected(socket, keys)?;
     if let Some(link) = lock(&group.links.0).get_mut(&member) {
         link.waker = Some(channel.waker());
     }
-    let hello =
-        PeerHello { protocol: PROTOCOL, lineage: group.lineage(), from: Some(group.own()), to: member };
+    let hello = PeerHello {
+        protocol: PROTOCOL,
+        lineage: group.lineage(),
+        from: Some(group.own_member()),
+        to: member,
+    };
     channel.send(&FromClient { said: Some(from_client::Said::PeerHello(hello)) })?;
     let (mut heard, mut pinged, mut welcome) = (Instant::now(), Instant::now(), false);
     let mut pieces: VecDeque<Piece> = VecDeque::new();
@@ -205,9 +209,9 @@
     bytes.chunks(PIECE).enumerate().map(piece).collect()
 }
 
-fn welcomed(group: &Arc<Group>, member: u64, told: &PeerWelcome) -> io::Result<()> {
+fn welcomed(group: &Arc<Replica>, member: u64, told: &PeerWelcome) -> io::Result<()> {
     if told.fatal && told.member == member {
-        group.end(&format!("member {member} does not let this one in: {}", told.refused));
+        group.abort_process(&format!("member {member} does not let this one in: {}", told.refused));
     }
     if told.member != member {
         return Err(io::Error::other(format!("member {} is there, not member {member}", told.member)));
@@ -215,42 +219,42 @@
     if !told.refused.is_empty() {
         return Err(io::Error::other(told.refused.clone()));
     }
-    group.note(&told.members);
+    group.record_members(&told.members);
     Ok(())
 }
 
-fn refusal(welcome: PeerWelcome, refused: &Refused) -> PeerWelcome {
-    PeerWelcome { refused: refused.to_string(), fatal: refused.fatal(), members: Vec::new(), ..welcome }
+fn refusal(welcome: PeerWelcome, refused: &PeerRejected) -> PeerWelcome {
+    PeerWelcome { refused: refused.to_string(), fatal: refused.is_fatal(), members: Vec::new(), ..welcome }
 }
 
 /// A peer's side of a stream that it dialed.
-pub struct Incoming {
+pub struct InboundPeer {
     /// Who speaks.
     pub member: u64,
     pieces: Vec<u8>,
 }
 
-impl Incoming {
+impl InboundPeer {
     /// Lets a peer in, or says why not.
-    pub fn hello(group: &Arc<Group>, hello: &PeerHello) -> (PeerWelcome, Option<Self>) {
+    pub fn accept(group: &Arc<Replica>, hello: &PeerHello) -> (PeerWelcome, Option<Self>) {
         let from: Member = hello.from.clone().unwrap_or_default();
         let welcome = group.welcome();
-        if let Err(refused) = group.admits(hello) {
+        if let Err(refused) = group.check_hello(hello) {
             tracing::warn!(member = from.number, boot = from.boot, "a member is not let in: {refused}");
             return (refusal(welcome, &refused), None);
         }
         tracing::info!(member = from.number, boot = from.boot, "a member is here");
-        group.note(std::slice::from_ref(&from));
-        (welcome, Some(Incoming { member: from.number, pieces: Vec::new() }))
+        group.record_members(std::slice::from_ref(&from));
+        (welcome, Some(InboundPeer { member: from.number, pieces: Vec::new() }))
     }
 
     /// Takes what the peer says; an answer, if one is due.
-    pub fn take(&mut self, group: &Arc<Group>, peer: Peer) -> io::Result<Option<PeerWelcome>> {
-        group.heard(self.member, clock::now());
+    pub fn handle(&mut self, group: &Arc<Replica>, peer: Peer) -> io::Result<Option<PeerWelcome>> {
+        group.mark_alive(self.member, clock::now());
         match peer.said {
             Some(Said::Ping(_)) => {
                 let welcome = group.welcome();
-                return Ok(Some(match group.keeps(self.member) {
+                return Ok(Some(match group.check_membership(self.member) {
                     Ok(()) => welcome,
                     Err(refused) => refusal(welcome, &refused),
                 }));
@@ -270,18 +274,20 @@
             }
             Some(Said::Raft(raft)) => self.raft(group, raft)?,
             Some(Said::Renew(renew)) if renew.member == self.member => {
-                group.renew(renew.member, renew.number)
+                group.request_lease(renew.member, renew.number)
             }
-            Some(Said::Renewed(renewed)) if renewed.member == group.number() => group.renewed(&renewed),
-            Some(Said::Yield(wish)) => group.asked_to_yield(wish),
-            Some(Said::Present(told)) => group.present(told),
+            Some(Said::Renewed(renewed)) if renewed.member == group.member_number() => {
+                group.on_lease_granted(&renewed)
+            }
+            Some(Said::Yield(wish)) => group.on_hand_over_requested(wish),
+            Some(Said::Present(told)) => group.report_presence(told),
             Some(Said::Renew(_) | Said::Renewed(_)) | None => {}
         }
         Ok(None)
     }
 
-    fn raft(&self, group: &Arc<Group>, told: RaftMessage) -> io::Result<()> {
-        if told.from != self.member || told.to != group.number() {
+    fn raft(&self, group: &Arc<Replica>, told: RaftMessage) -> io::Result<()> {
+        if told.from != self.member || told.to != group.member_number() {
             return Err(io::Error::other("a message of another member, or for one"));
         }
         let message = crate::raft::codec::of_message(told);
--- a/crates/control-plane/src/server/admin.rs
+++ b/crates/control-plane/src/server/admin.rs
@@ -8,11 +8,11 @@
     Act, Call, Declare, Done, Fleet, FromClient, FromService, HandOver, NewVersion, Plan, Proxy, Published,
     Reply, Shown, Versions, call, from_client, from_service, reply,
 };
-use gaugestep_leadership::group_state::{Outcome, RAISED_BY};
-use gaugestep_leadership::{SEATS, VERSIONS};
+use gaugestep_leadership::group_state::{MAX_TERM_RAISE, Outcome};
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
 use may::net::TcpStream;
 
-use crate::raft::replica::Tell;
+use crate::raft::replica::Responder;
 use crate::server::{Line, NAME, SILENCE, Service};
 use crate::transport::connection::Channel;
 use crate::{clock, lock};
@@ -96,7 +96,7 @@
                 ..NewVersion::default()
             }),
             Some(call::What::Rollback(back)) => {
-                let held = self.group.charter(|charter| charter.versions.get(&back.to).cloned());
+                let held = self.group.with_state(|charter| charter.versions.get(&back.to).cloned());
                 let Some(held) = held else { return error(format!("there is no version {}", back.to)) };
                 self.publish(NewVersion {
                     document: Some((*held.document).clone()),
@@ -111,19 +111,19 @@
             Some(call::What::Show(show)) => self.show(show.number),
             Some(call::What::Status(_)) => self.status(),
             Some(call::What::Members(_)) => reply(reply::What::Members(self.group.members())),
-            Some(call::What::Duties(_)) => reply(reply::What::Duties(self.group.duties())),
+            Some(call::What::Duties(_)) => reply(reply::What::Duties(self.group.roles())),
             Some(call::What::Seats(_)) => match self.seats() {
                 Some(seats) => reply(reply::What::Seats(seats)),
-                None => error(format!("no roster is kept: `declare {SEATS}` has one kept")),
+                None => error(format!("no roster is kept: `declare {ORDINALS_ROLE}` has one kept")),
             },
             Some(call::What::AddMember(member)) => self.change_members(|tell| {
                 if member.listen.parse::<std::net::SocketAddr>().is_err() {
-                    return tell(Ok(Outcome::Refused(format!("'{}' is no address", member.listen))));
+                    return tell(Ok(Outcome::Rejected(format!("'{}' is no address", member.listen))));
                 }
-                self.group.join(member, tell);
+                self.group.add_member(member, tell);
             }),
             Some(call::What::RemoveMember(member)) => {
-                self.change_members(|tell| self.group.leave(member, tell))
+                self.change_members(|tell| self.group.remove_member(member, tell))
             }
             Some(call::What::HandOver(wish)) => self.hand_over(&wish),
             Some(call::What::Declare(duty)) => {
@@ -141,14 +141,14 @@
 
     /// The term under which this service acts for a duty, or where else to ask.
     fn acting(&self, duty: &str) -> Result<u64, Box<Reply>> {
-        if let Some(term) = self.group.acts(duty) {
+        if let Some(term) = self.group.acting_term(duty) {
             return Ok(term);
         }
-        let (owner, term) = self.group.charter(|charter| charter.owner(duty));
-        let elsewhere = owner > 0 && owner != self.group.number() && self.group.leader() > 0;
+        let (owner, term) = self.group.with_state(|charter| charter.holder(duty));
+        let elsewhere = owner > 0 && owner != self.group.member_number() && self.group.leader() > 0;
         match self.owner(owner, term).filter(|_| elsewhere) {
             Some(owner) => Err(Box::new(reply(reply::What::Owner(owner)))),
-            None => Err(Box::new(later(self.group.why_not()))),
+            None => Err(Box::new(later(self.group.unavailable_reason()))),
         }
     }
 
@@ -160,7 +160,7 @@
         if let Some(why) = bad_plan(&plan) {
             return error(why);
         }
-        let term = match self.acting(VERSIONS) {
+        let term = match self.acting(CONFIGURATION_ROLE) {
             Ok(term) => term,
             Err(elsewhere) => return *elsewhere,
         };
@@ -168,25 +168,32 @@
             return error(why);
         }
         self.stood_still(&mut lock(&self.inner), clock::now());
-        let stood = lock(&self.doubt).stood().filter(|_| self.group.alone());
+        let stood = lock(&self.doubt).suspended_for().filter(|_| self.group.is_single_voter());
         if let Some(stood) = stood {
             return later(format!(
                 "this service stood still for {:.0} s, and no proxy has come back since: another may have taken its \
-                 place (if not: `take-over {VERSIONS}`)",
+                 place (if not: `take-over {CONFIGURATION_ROLE}`)",
                 stood / 1e3
             ));
         }
         let new = self.numbered(&lock(&self.inner), NewVersion { plan: Some(plan), ..new });
-        self.agree(Act { duty: VERSIONS.into(), term, what: Some(What::Version(new)), ..Act::default() })
+        self.agree(Act {
+            duty: CONFIGURATION_ROLE.into(),
+            term,
+            what: Some(What::Version(new)),
+            ..Act::default()
+        })
     }
 
     /// Members are changed at the leader.
-    fn change_members(&self, change: impl FnOnce(Tell)) -> Reply {
-        let (own, leader) = (self.group.number(), self.group.leader());
+    fn change_members(&self, change: impl FnOnce(Responder)) -> Reply {
+        let (own, leader) = (self.group.member_number(), self.group.leader());
         if leader != own {
             let there = if leader > 0 { self.owner(leader, 0) } else { None };
-            return there
-                .map_or_else(|| later(self.group.why_not()), |there| reply(reply::What::Owner(there)));
+            return there.map_or_else(
+                || later(self.group.unavailable_reason()),
+                |there| reply(reply::What::Owner(there)),
+            );
         }
         told(change)
     }
@@ -209,7 +216,7 @@
             *member != members.own && members.heard.contains(member) && members.voters.contains(member)
         };
         let owns = |member: u64| {
-            self.group.charter(|charter| charter.duties.values().filter(|it| it.owner == member).count())
+            self.group.with_state(|charter| charter.roles.values().filter(|it| it.owner == member).count())
         };
         match wanted {
             0 => members.heard.iter().copied().filter(here).min_by_key(|member| (owns(*member), *member)),
@@ -220,13 +227,13 @@
     /// Hands all duties over, as before the end of the process, and waits for that, but not for long. Blocks its thread.
     pub fn hand_all_over(&self, within: Duration) {
         let (tell, told) = std::sync::mpsc::channel();
-        let own = self.group.number();
-        let owned: Vec<String> = self.group.charter(|charter| {
-            charter.duties.values().filter(|duty| duty.owner == own).map(|duty| duty.name.clone()).collect()
+        let own = self.group.member_number();
+        let owned: Vec<String> = self.group.with_state(|charter| {
+            charter.roles.values().filter(|duty| duty.owner == own).map(|duty| duty.name.clone()).collect()
         });
         let mut wait = 0;
         for duty in owned {
-            let (Some(term), Some(to)) = (self.group.acts(&duty), self.heir(0)) else { continue };
+            let (Some(term), Some(to)) = (self.group.acting_term(&duty), self.heir(0)) else { continue };
             let tell = tell.clone();
             tracing::info!(duty, term, to, "hands a duty over before the end");
             self.group.hand_over(&duty, term, to, Box::new(move |outcome| drop(tell.send(outcome))));
@@ -246,9 +253,9 @@
             Ok(term) => term,
             Err(elsewhere) => return *elsewhere,
         };
-        lock(&self.doubt).vouched();
+        lock(&self.doubt).clear();
         let inner = lock(&self.inner);
-        let near = |seen: &u64| seen.saturating_sub(term) <= RAISED_BY;
+        let near = |seen: &u64| seen.saturating_sub(term) <= MAX_TERM_RAISE;
         let above = inner.lines.values().map(Line::seen).filter(near).max().unwrap_or(0).max(term);
         drop(inner);
         tracing::warn!(duty, term, above, "an operator has this service take over");
@@ -257,15 +264,15 @@
 
     fn list(&self, most: usize) -> Reply {
         let most = if most == 0 { usize::MAX } else { most };
-        let entries = self.group.charter(|charter| {
+        let entries = self.group.with_state(|charter| {
             charter.versions.values().rev().take(most).map(|held| held.entry.clone()).collect()
         });
         reply(reply::What::Versions(Versions { entries }))
     }
 
     fn show(&self, number: u64) -> Reply {
-        let held = self.group.charter(|charter| {
-            let number = if number == 0 { charter.newest() } else { number };
+        let held = self.group.with_state(|charter| {
+            let number = if number == 0 { charter.newest_version() } else { number };
             charter.versions.get(&number).cloned()
         });
         let Some(held) = held else { return error(format!("there is no version {number}")) };
@@ -274,7 +281,7 @@
     }
 
     fn status(&self) -> Reply {
-        if let Err(elsewhere) = self.acting(VERSIONS) {
+        if let Err(elsewhere) = self.acting(CONFIGURATION_ROLE) {
             return *elsewhere;
         }
         let inner = lock(&self.inner);
@@ -301,7 +308,7 @@
         let term = inner.acting.unwrap_or(0);
         for (stream, line) in &inner.lines {
             let Some((hello, _)) = &line.hello else { continue };
-            let displaced = !inner.names.holds(&hello.proxy, *stream);
+            let displaced = !inner.names.is_holder(&hello.proxy, *stream);
             let beyond = Some(line.seen()).filter(|seen| *seen > term).unwrap_or(0);
             if displaced || beyond > 0 {
                 proxies.push(Proxy {
@@ -318,13 +325,13 @@
             }
         }
         proxies.sort_by(|a, b| (&a.name, a.displaced).cmp(&(&b.name, b.displaced)));
-        let newest = self.group.charter(gaugestep_leadership::group_state::Charter::newest);
+        let newest = self.group.with_state(gaugestep_leadership::group_state::GroupState::newest_version);
         reply(reply::What::Fleet(Fleet { newest, proxies }))
     }
 }
 
 /// Asks for something, waits, and says what became of it.
-fn told(ask: impl FnOnce(Tell)) -> Reply {
+fn told(ask: impl FnOnce(Responder)) -> Reply {
     let (tell, told) = may::sync::mpsc::channel();
     ask(Box::new(move |outcome| drop(tell.send(outcome))));
     answer(told.recv().unwrap_or_else(|_| Err("the service is ending".into())))
@@ -333,13 +340,13 @@
 /// What an outcome is to whoever called.
 fn answer(outcome: Result<Outcome, String>) -> Reply {
     match outcome {
-        Ok(Outcome::Done) => reply(reply::What::Done(Done {})),
+        Ok(Outcome::Applied) => reply(reply::What::Done(Done {})),
         Ok(Outcome::Published(version)) => {
             reply(reply::What::Published(Published { version: Some(version) }))
         }
-        Ok(Outcome::Refused(why)) => error(why),
+        Ok(Outcome::Rejected(why)) => error(why),
         // The duty went to another while the act was under way.
-        Ok(Outcome::Stale { .. }) => later("the duty has another owner by now"),
+        Ok(Outcome::StaleTerm { .. }) => later("the duty has another owner by now"),
         Err(why) => later(why),
     }
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,5 +1,5 @@
 //! The control service: listeners, and the streams of proxies and of the group's other members. What is agreed on lies in
-//! the [`Group`]; who is offered what is in `driving`, what operators ask for in `calls`.
+//! the [`Replica`]; who is offered what is in `driving`, what operators ask for in `calls`.
 //!
 //! Each stream is one coroutine.
 
@@ -21,14 +21,14 @@
 use gaugestep_config::{PROTOCOL, schema};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::VERSIONS;
-use gaugestep_leadership::checkpoint::Gate;
-use gaugestep_leadership::identity::{Given, Names};
-use gaugestep_leadership::pause_detector::Doubt;
+use gaugestep_leadership::CONFIGURATION_ROLE;
+use gaugestep_leadership::checkpoint::CheckpointBarrier;
+use gaugestep_leadership::identity::{Claim, IdentityRegistry};
+use gaugestep_leadership::pause_detector::PauseDetector;
 use may::net::{TcpListener, TcpStream};
 
-use crate::raft::replica::{self, Group};
-use crate::raft::transport::Incoming;
+use crate::raft::replica::{self, Replica};
+use crate::raft::transport::InboundPeer;
 use crate::server::roster_service::Seating;
 use crate::transport::connection::{Channel, STACK_WORDS};
 use crate::transport::tls::{self, Files, ServerKeys};
@@ -157,7 +157,7 @@
 
 /// The highest term of the versions that a proxy has seen.
 pub(crate) fn seen(hello: &Hello) -> u64 {
-    hello.seen.iter().filter(|it| it.duty == VERSIONS).map(|it| it.term).max().unwrap_or(0)
+    hello.seen.iter().filter(|it| it.duty == CONFIGURATION_ROLE).map(|it| it.term).max().unwrap_or(0)
 }
 
 #[derive(Default)]
@@ -167,8 +167,8 @@
     /// The term under which it does.
     pub(crate) acting: Option<u64>,
     /// Holds offers of a step back until the next owner would know of it.
-    pub(crate) gate: Gate<Action>,
-    pub(crate) names: Names,
+    pub(crate) gate: CheckpointBarrier<Action>,
+    pub(crate) names: IdentityRegistry,
     pub(crate) lines: BTreeMap<u64, Line>,
     pub(crate) next_stream: u64,
     pub(crate) calls: usize,
@@ -178,8 +178,8 @@
 /// A service that runs.
 pub struct Service {
     pub(crate) inner: Mutex<Inner>,
-    pub(crate) group: Arc<Group>,
-    pub(crate) doubt: Mutex<Doubt>,
+    pub(crate) group: Arc<Replica>,
+    pub(crate) doubt: Mutex<PauseDetector>,
     pub(crate) keep: usize,
     pub(crate) restored: bool,
     streams: usize,
@@ -190,7 +190,7 @@
 impl Service {
     /// Opens the store and the listeners and begins to serve. An error is one plain line.
     pub fn start(settings: Settings, seed: u64) -> Result<Arc<Self>, String> {
-        let (group, go) = Group::open(replica::Settings {
+        let (group, go) = Replica::open(replica::ReplicaSettings {
             member: settings.member.clone(),
             joins: settings.joins,
             store: settings.store.clone(),
@@ -206,7 +206,7 @@
             this: this.clone(),
             inner: Mutex::default(),
             group,
-            doubt: Mutex::new(Doubt::new(clock::now())),
+            doubt: Mutex::new(PauseDetector::new(clock::now())),
             keep: settings.keep,
             restored: settings.restored,
             streams: settings.streams,
@@ -251,7 +251,7 @@
 
     /// Looks whether this service stood still, whatever it does first when it goes on.
     pub(crate) fn stood_still(&self, inner: &mut Inner, now: f64) {
-        if lock(&self.doubt).tick(now, STOOD_STILL, !inner.names.is_empty()) {
+        if lock(&self.doubt).observe(now, STOOD_STILL, !inner.names.is_empty()) {
             // Whoever was connected may follow another by now: what it has seen is told by a hello.
             tracing::warn!("stood still for longer than a lease: proxies are to come anew");
             for line in inner.lines.values_mut().filter(|line| line.hello.is_some()) {
@@ -320,8 +320,8 @@
         let mut inner = lock(&self.inner);
         let line = inner.lines.remove(&number);
         if let Some((hello, _)) = line.and_then(|line| line.hello) {
-            let held = inner.names.holds(&hello.proxy, number);
-            inner.names.left(clock::now(), number);
+            let held = inner.names.is_holder(&hello.proxy, number);
+            inner.names.disconnected(clock::now(), number);
             if held {
                 self.drive(&mut inner, Event::Left { proxy: hello.proxy, stream: number });
             }
@@ -332,7 +332,7 @@
     fn talk(&self, channel: &mut Channel, stream: u64) -> io::Result<()> {
         let (began, mut heard) = (Instant::now(), Instant::now());
         let mut proxy: Option<String> = None;
-        let mut peer: Option<Incoming> = None;
+        let mut peer: Option<InboundPeer> = None;
         loop {
             let closed = channel.pump()?;
             while let Some(message) = channel.take::<FromClient>()? {
@@ -344,7 +344,7 @@
                     }
                     (Some(from_client::Said::PeerHello(hello)), None, None) => {
                         self.certified(channel, self.group.peer_name())?;
-                        let (welcome, incoming) = Incoming::hello(&self.group, &hello);
+                        let (welcome, incoming) = InboundPeer::accept(&self.group, &hello);
                         channel
                             .send(&FromService { said: Some(from_service::Said::PeerWelcome(welcome)) })?;
                         peer = incoming;
@@ -354,7 +354,7 @@
                         }
                     }
                     (Some(from_client::Said::Peer(said)), None, Some(peer)) => {
-                        if let Some(welcome) = peer.take(&self.group, said)? {
+                        if let Some(welcome) = peer.handle(&self.group, said)? {
                             channel.send(&FromService {
                                 said: Some(from_service::Said::PeerWelcome(welcome)),
                             })?;
@@ -370,7 +370,7 @@
                         if let Some(line) = inner.lines.get_mut(&stream) {
                             line.asked = told.asked_ms;
                         }
-                        if inner.names.holds(&proxy, stream) {
+                        if inner.names.is_holder(&proxy, stream) {
                             self.drive(
                                 &mut inner,
                                 Event::Figures { proxy, stream, served, unserved, number },
@@ -417,9 +417,9 @@
     /// A proxy tells its figures, and so has heard this service's welcome: it follows no later owner. A hello proves less, as
     /// one may have waited while this service stood still.
     fn vouched(&self, inner: &Inner, stream: u64) {
-        let term = self.group.charter(|charter| charter.owner(VERSIONS).1);
+        let term = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE).1);
         if inner.lines.get(&stream).is_some_and(|line| line.end.is_none() && line.seen() <= term) {
-            lock(&self.doubt).vouched();
+            lock(&self.doubt).clear();
         }
     }
 
@@ -439,7 +439,7 @@
         let named = !hello.proxy.is_empty() && hello.proxy.len() <= NAME && hello.build.len() <= NAME;
         if hello.protocol != PROTOCOL
             || !named
-            || hello.seen.len() > gaugestep_leadership::group_state::DUTIES
+            || hello.seen.len() > gaugestep_leadership::group_state::MAX_ROLES
         {
             return Err(io::Error::other("a hello that this build does not understand"));
         }
@@ -450,7 +450,7 @@
         }
         let now = clock::now();
         let mut inner = lock(&self.inner);
-        let given = inner.names.hello(now, &hello.proxy, hello.incarnation, hello.name_term, stream);
+        let given = inner.names.claim(now, &hello.proxy, hello.incarnation, hello.name_term, stream);
         let version = hello.in_force.as_ref().map_or(0, |version| version.number);
         let (proxy, incarnation) = (hello.proxy.clone(), hello.incarnation);
         tracing::info!(
@@ -467,8 +467,8 @@
         let welcome = self.welcome(&inner, stream);
         channel.send(&FromService { said: Some(from_service::Said::Welcome(welcome)) })?;
         match given {
-            Given::Yours { term, displaced } => {
-                if let Some(line) = displaced.and_then(|old| inner.lines.get_mut(&old)) {
+            Claim::Granted { term, superseded } => {
+                if let Some(line) = superseded.and_then(|old| inner.lines.get_mut(&old)) {
                     tracing::warn!(
                         proxy,
                         name_term = term,
@@ -479,7 +479,7 @@
                 }
                 self.present(&mut inner, stream);
             }
-            Given::Displaced { term, by } => {
+            Claim::Superseded { term, by } => {
                 tracing::warn!(proxy, name_term = term, by, incarnation, "a proxy's name is another's");
                 let displaced = Displaced { name_term: term, by };
                 channel.send(&FromService { said: Some(from_service::Said::Displaced(displaced)) })?;
@@ -490,8 +490,8 @@
 
     /// What a proxy is told of who it speaks to.
     pub(crate) fn welcome(&self, inner: &Inner, stream: u64) -> Welcome {
-        let own = self.group.number();
-        let (owner, term) = self.group.charter(|charter| charter.owner(VERSIONS));
+        let own = self.group.member_number();
+        let (owner, term) = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE));
         let owner = match inner.acting {
             Some(term) => Some((own, term)),
             // Its lease has lapsed, as far as it knows.
@@ -500,7 +500,7 @@
         };
         let owner = owner.and_then(|(owner, term)| self.owner(owner, term));
         let proxy = inner.lines.get(&stream).and_then(|line| line.hello.as_ref());
-        let name_term = proxy.filter(|(hello, _)| inner.names.holds(&hello.proxy, stream));
+        let name_term = proxy.filter(|(hello, _)| inner.names.is_holder(&hello.proxy, stream));
         let name_term = name_term.and_then(|(hello, _)| inner.names.holder(&hello.proxy));
         Welcome {
             protocol: PROTOCOL,
@@ -515,6 +515,6 @@
     pub(crate) fn owner(&self, member: u64, term: u64) -> Option<schema::Owner> {
         let known = self.group.member(member)?;
         let (listen, operators) = (known.listen, known.operators);
-        Some(schema::Owner { duty: VERSIONS.into(), member, term, listen, operators })
+        Some(schema::Owner { duty: CONFIGURATION_ROLE.into(), member, term, listen, operators })
     }
 }
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -9,10 +9,12 @@
 use gaugestep_config::schema::offer::Content;
 use gaugestep_config::schema::{Act, Answer, NewState, NewVersion, Offer, Plan, Progress, from_service};
 use gaugestep_config::{delta, short};
-use gaugestep_leadership::checkpoint::Gate;
-use gaugestep_leadership::group_state::{Change, Charter, Held, Outcome, RAISED_BY, number};
-use gaugestep_leadership::identity::Given;
-use gaugestep_leadership::{SEATS, VERSIONS};
+use gaugestep_leadership::checkpoint::CheckpointBarrier;
+use gaugestep_leadership::group_state::{
+    GroupState, MAX_TERM_RAISE, Outcome, StateChange, StoredVersion, version_number,
+};
+use gaugestep_leadership::identity::Claim;
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
 use prost::Message as _;
 
 use crate::server::{Inner, Line, Service};
@@ -25,16 +27,16 @@
 
 impl Service {
     /// Something that is agreed on has changed, or somebody's lease.
-    pub(crate) fn changed(&self, changes: &[Change]) {
+    pub(crate) fn changed(&self, changes: &[StateChange]) {
         let mut inner = lock(&self.inner);
         self.look(&mut inner);
         for change in changes {
             match change {
-                Change::Version(number)
+                StateChange::VersionPublished(number)
                     if inner.acting.is_some() && inner.rollout.state(*number).is_none() =>
                 {
                     let entry =
-                        self.group.charter(|it| it.versions.get(number).map(|held| held.entry.clone()));
+                        self.group.with_state(|it| it.versions.get(number).map(|held| held.entry.clone()));
                     let Some(entry) = entry else { continue };
                     let digest =
                         entry.version.as_ref().map(|version| short(&version.digest)).unwrap_or_default();
@@ -43,12 +45,18 @@
                     let plan = entry.plan.unwrap_or_default();
                     self.drive(&mut inner, Event::Published { number: *number, plan, rolls_back_to });
                 }
-                Change::Dropped(_) => {
-                    let least = self.group.charter(|it| it.versions.keys().next().copied().unwrap_or(0));
+                StateChange::VersionDropped(_) => {
+                    let least = self.group.with_state(|it| it.versions.keys().next().copied().unwrap_or(0));
                     inner.rollout.forget_below(least);
                 }
-                Change::Owner(duty) if duty == VERSIONS => self.welcome_all(&mut inner),
-                Change::Owner(duty) | Change::Duty(duty) if duty == SEATS => self.seat_all(&mut inner),
+                StateChange::HolderChanged(duty) if duty == CONFIGURATION_ROLE => {
+                    self.welcome_all(&mut inner)
+                }
+                StateChange::HolderChanged(duty) | StateChange::RoleChanged(duty)
+                    if duty == ORDINALS_ROLE =>
+                {
+                    self.seat_all(&mut inner)
+                }
                 _ => {}
             }
         }
@@ -56,15 +64,15 @@
 
     /// Looks whether this service owns the versions at this moment.
     pub(crate) fn look(&self, inner: &mut Inner) {
-        let acts = self.group.acts(VERSIONS);
+        let acts = self.group.acting_term(CONFIGURATION_ROLE);
         if acts == inner.acting {
             return;
         }
         inner.acting = acts;
         inner.rollout = Rollout::default();
-        inner.gate = Gate::default();
+        inner.gate = CheckpointBarrier::default();
         match acts {
-            None => tracing::warn!(duty = VERSIONS, "does not act any more"),
+            None => tracing::warn!(duty = CONFIGURATION_ROLE, "does not act any more"),
             Some(term) => self.begin(inner, term),
         }
         self.welcome_all(inner);
@@ -72,18 +80,18 @@
 
     /// Goes on where the last owner stood.
     fn begin(&self, inner: &mut Inner, term: u64) {
-        let (versions, duty) = self.group.charter(|charter| {
+        let (versions, duty) = self.group.with_state(|charter| {
             let versions = charter.versions.values().map(|held| {
                 let entry = &held.entry;
-                (number(entry), entry.plan.unwrap_or_default(), entry.state(), entry.rolls_back_to)
+                (version_number(entry), entry.plan.unwrap_or_default(), entry.state(), entry.rolls_back_to)
             });
-            (versions.collect::<Vec<_>>(), charter.duties.get(VERSIONS).cloned().unwrap_or_default())
+            (versions.collect::<Vec<_>>(), charter.roles.get(CONFIGURATION_ROLE).cloned().unwrap_or_default())
         });
         inner.rollout = Rollout::recover(clock::now(), versions);
         let progress = Progress::decode(duty.state.as_slice()).unwrap_or_default();
         let (version, step, against) = (progress.number, progress.step, progress.against.len());
-        tracing::info!(duty = VERSIONS, term, version, step, against, "acts");
-        inner.gate = Gate::begin(duty.order, progress.clone());
+        tracing::info!(duty = CONFIGURATION_ROLE, term, version, step, against, "acts");
+        inner.gate = CheckpointBarrier::resume(duty.order, progress.clone());
         inner.rollout.resume(progress);
         let streams: Vec<u64> = inner.lines.keys().copied().collect();
         for stream in streams {
@@ -95,22 +103,22 @@
     pub(crate) fn present(&self, inner: &mut Inner, stream: u64) {
         let Some(line) = inner.lines.get(&stream) else { return };
         let Some((hello, at)) = line.hello.clone() else { return };
-        if !inner.names.holds(&hello.proxy, stream) {
+        if !inner.names.is_holder(&hello.proxy, stream) {
             return;
         }
         let (seen, term) = (line.seen(), inner.acting.unwrap_or(0));
-        if seen > term && inner.acting.is_some() && !crate::failpoints::out("owner") {
+        if seen > term && inner.acting.is_some() && !crate::failpoints::is_check_disabled("owner") {
             tracing::warn!(proxy = hello.proxy, seen, term, "a proxy has seen a later owner");
-            if self.restored && seen - term <= RAISED_BY {
+            if self.restored && seen - term <= MAX_TERM_RAISE {
                 // The operator said that whoever used the store before is gone for good.
                 let what = Some(What::Raise(seen));
-                let act = Act { duty: VERSIONS.into(), term, what, ..Act::default() };
+                let act = Act { duty: CONFIGURATION_ROLE.into(), term, what, ..Act::default() };
                 self.group.propose(act, Box::new(|_| {}));
             }
             return;
         }
         let number = hello.in_force.as_ref().map_or(0, |version| version.number);
-        let known = self.group.charter(|charter| {
+        let known = self.group.with_state(|charter| {
             charter.versions.get(&number).is_some_and(|held| held.entry.version == hello.in_force)
         });
         let age = hello.age_ms as f64 + (clock::now() - at);
@@ -120,14 +128,15 @@
 
     /// Gives a name back to a process whose successor has gone for good.
     pub(crate) fn promote(&self, inner: &mut Inner, now: f64) {
-        let displaced: Vec<u64> = inner.names.displaced().map(|(stream, ..)| stream).collect();
+        let displaced: Vec<u64> = inner.names.superseded().map(|(stream, ..)| stream).collect();
         for stream in displaced {
             let Some((hello, _)) = inner.lines.get(&stream).and_then(|line| line.hello.clone()) else {
                 continue;
             };
             // It was told the term of its successor, and so never counts as newer.
             let term = hello.name_term.max(1);
-            if let Given::Yours { .. } = inner.names.hello(now, &hello.proxy, hello.incarnation, term, stream)
+            if let Claim::Granted { .. } =
+                inner.names.claim(now, &hello.proxy, hello.incarnation, term, stream)
             {
                 let welcome = self.welcome(inner, stream);
                 if let Some(line) = inner.lines.get_mut(&stream) {
@@ -157,13 +166,13 @@
         match &refusal {
             None => {
                 tracing::info!(proxy, version = number, nonce, "in force");
-                let version = self.group.charter(|it| it.versions.get(&number)?.entry.version.clone());
+                let version = self.group.with_state(|it| it.versions.get(&number)?.entry.version.clone());
                 let term = inner.acting;
                 if let Some((hello, at)) = inner.lines.get_mut(&stream).and_then(|line| line.hello.as_mut()) {
                     (hello.in_force, hello.age_ms, *at) =
                         (version.or(hello.in_force.take()), 0, clock::now());
                     // It has kept the term of what it took.
-                    let seen = hello.seen.iter_mut().find(|it| it.duty == VERSIONS);
+                    let seen = hello.seen.iter_mut().find(|it| it.duty == CONFIGURATION_ROLE);
                     if let (Some(seen), Some(term)) = (seen, term) {
                         seen.term = seen.term.max(term);
                     }
@@ -186,7 +195,7 @@
         for action in actions {
             // The next owner must know of a step before any proxy does.
             let held = matches!(action, Action::Offer { .. });
-            if let Some(action) = if held { inner.gate.say(action) } else { Some(action) } {
+            if let Some(action) = if held { inner.gate.submit(action) } else { Some(action) } {
                 self.carry_out(inner, term, action);
             }
         }
@@ -196,15 +205,23 @@
         match action {
             Action::Offer { proxy, stream, nonce, number, base } => {
                 // The polite half: its own lease, at the last moment.
-                if self.group.acts(VERSIONS) != Some(term) {
+                if self.group.acting_term(CONFIGURATION_ROLE) != Some(term) {
                     return;
                 }
-                let offer = self.group.charter(|charter| {
+                let offer = self.group.with_state(|charter| {
                     let held = charter.versions.get(&number)?;
                     Some(offer(held, charter.versions.get(&base), nonce, term))
                 });
                 let (Some(offer), Some(line)) = (offer, inner.lines.get_mut(&stream)) else { return };
-                tracing::info!(proxy, version = number, nonce, base, duty = VERSIONS, term, "offered");
+                tracing::info!(
+                    proxy,
+                    version = number,
+                    nonce,
+                    base,
+                    duty = CONFIGURATION_ROLE,
+                    term,
+                    "offered"
+                );
                 line.say(from_service::Said::Offer(offer));
             }
             // Whatever was on its way when a version was published is overtaken by that very act.
@@ -217,7 +234,7 @@
             Action::RollBack { of, to, why } => {
                 tracing::error!(version = of, to, why, term, "rolled back");
                 let document =
-                    self.group.charter(|it| it.versions.get(&to).map(|held| (*held.document).clone()));
+                    self.group.with_state(|it| it.versions.get(&to).map(|held| (*held.document).clone()));
                 let new = NewVersion {
                     document: Some(document.unwrap_or_default()),
                     author: "gaugestep-control".into(),
@@ -234,11 +251,11 @@
     }
 
     fn act(&self, term: u64, what: What) {
-        let act = Act { duty: VERSIONS.into(), term, what: Some(what), ..Act::default() };
+        let act = Act { duty: CONFIGURATION_ROLE.into(), term, what: Some(what), ..Act::default() };
         self.group.propose(
             act,
             Box::new(|outcome| {
-                if let Err(why) | Ok(Outcome::Refused(why)) = outcome {
+                if let Err(why) | Ok(Outcome::Rejected(why)) = outcome {
                     tracing::warn!("an act for the versions was not agreed on: {why}");
                 }
             }),
@@ -248,14 +265,15 @@
     /// Has it agreed how far the rollout is, where that has changed.
     fn tell_progress(&self, inner: &mut Inner, now: f64, term: u64) {
         let progress = inner.rollout.progress();
-        let Some(keep) = inner.gate.look(now, progress) else { return };
+        let Some(keep) = inner.gate.checkpoint(now, progress) else { return };
         let (order, service) = (keep.order, self.itself());
         let told = Progress::decode(keep.state.as_slice()).unwrap_or_default();
-        let act = Act { duty: VERSIONS.into(), term, what: Some(What::Keep(keep)), ..Act::default() };
+        let act =
+            Act { duty: CONFIGURATION_ROLE.into(), term, what: Some(What::Keep(keep)), ..Act::default() };
         let tell = move |outcome| {
             let (version, step, against) = (told.number, told.step, told.against.len());
-            let done = outcome == Ok(Outcome::Done);
-            tracing::info!(duty = VERSIONS, term, version, step, against, done, "progress agreed");
+            let done = outcome == Ok(Outcome::Applied);
+            tracing::info!(duty = CONFIGURATION_ROLE, term, version, step, against, done, "progress agreed");
             if let Some(service) = service.upgrade() {
                 service.kept(term, order, done);
             }
@@ -269,7 +287,7 @@
         if inner.acting != Some(term) {
             return;
         }
-        for action in inner.gate.kept(order, done) {
+        for action in inner.gate.on_commit(order, done) {
             self.carry_out(&mut inner, term, action);
         }
     }
@@ -277,7 +295,7 @@
     /// A publication with the least number that it may have, and with the versions that are kept however old: what a rollback
     /// would bring back, and what proxies have in force.
     pub(crate) fn numbered(&self, inner: &Inner, new: NewVersion) -> NewVersion {
-        let newest = self.group.charter(Charter::newest);
+        let newest = self.group.with_state(GroupState::newest_version);
         let mut needed: Vec<u64> = inner.rollout.proxies().values().map(|proxy| proxy.in_force).collect();
         needed.push(inner.rollout.complete_before(newest + 1));
         needed.sort_unstable();
@@ -296,15 +314,16 @@
         (later.len() >= others.len()).then(|| {
             format!(
                 "proxies follow an owner of term {highest}, this one's is {term}: if that owner is gone for good, \
-                 `take-over {VERSIONS}`"
+                 `take-over {CONFIGURATION_ROLE}`"
             )
         })
     }
 }
 
 /// An offer of a version: as changes to what the proxy has in force, where that is shorter.
-fn offer(held: &Held, base: Option<&Held>, nonce: u64, term: u64) -> Offer {
-    let changes = base.map(|base| delta::between(number(&base.entry), &base.document, &held.document));
+fn offer(held: &StoredVersion, base: Option<&StoredVersion>, nonce: u64, term: u64) -> Offer {
+    let changes =
+        base.map(|base| delta::between(version_number(&base.entry), &base.document, &held.document));
     let changes = changes.filter(|changes| changes.encoded_len() < held.document.encoded_len());
     let content = match changes {
         Some(changes) => Content::Delta(changes),
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -1,11 +1,11 @@
-//! Seats of the fleet: a shell round the [`Keeper`], which decides who sits where, at the owner of the duty [`SEATS`]; and, at
+//! Seats of the fleet: a shell round the [`Keeper`], which decides who sits where, at the owner of the duty [`ORDINALS_ROLE`]; and, at
 //! every member, what proxies are told of it. Members tell the owner which proxies they hear; the roster is agreed on like
 //! all else, so every member knows it.
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
-use gaugestep_leadership::SEATS;
+use gaugestep_leadership::ORDINALS_ROLE;
 use gaugestep_leadership::group_state::Outcome;
 use gaugestep_subsetting::roster::{Keeper, Roster};
 use prost::Message as _;
@@ -32,52 +32,54 @@
 impl Service {
     /// The duty as it is agreed on: its term and the roster; none while no operator has declared it.
     fn agreed(&self) -> Option<(schema::Duty, Roster)> {
-        let duty = self.group.charter(|charter| charter.duties.get(SEATS).cloned())?;
+        let duty = self.group.with_state(|charter| charter.roles.get(ORDINALS_ROLE).cloned())?;
         let roster = read(&duty.state);
         Some((duty, roster))
     }
 
     /// Looks at the clock: tells whom this service hears, and keeps the roster if it is its own.
     pub(crate) fn keep_seats(&self, inner: &mut Inner, now: f64) {
-        let acts = self.group.acts(SEATS);
+        let acts = self.group.acting_term(ORDINALS_ROLE);
         if acts != inner.seating.keeping.as_ref().map(|(term, ..)| *term) {
             inner.seating.keeping = None;
             match (acts, self.agreed()) {
                 (Some(term), Some((_, roster))) => {
                     let (epoch, seats) = (roster.epoch, roster.names.len());
-                    tracing::info!(duty = SEATS, term, epoch, seats, "acts");
+                    tracing::info!(duty = ORDINALS_ROLE, term, epoch, seats, "acts");
                     inner.seating.keeping = Some((term, Keeper::resume(now, roster)));
                 }
-                _ => tracing::warn!(duty = SEATS, "does not act any more"),
+                _ => tracing::warn!(duty = ORDINALS_ROLE, "does not act any more"),
             }
         }
-        let owner = self.group.charter(|charter| charter.owner(SEATS).0);
+        let owner = self.group.with_state(|charter| charter.holder(ORDINALS_ROLE).0);
         if owner > 0 && now - inner.seating.told_at >= TELL_EVERY {
             inner.seating.told_at = now;
             let here =
                 inner.lines.iter().filter_map(|(stream, line)| Some((stream, &line.hello.as_ref()?.0)));
-            let here = here.filter(|(stream, hello)| inner.names.holds(&hello.proxy, **stream));
+            let here = here.filter(|(stream, hello)| inner.names.is_holder(&hello.proxy, **stream));
             let told = Present { proxies: here.map(|(_, hello)| hello.proxy.clone()).collect() };
-            match owner == self.group.number() {
-                true => self.group.present(told),
-                false if !told.proxies.is_empty() => drop(self.group.links.say(owner, Said::Present(told))),
+            match owner == self.group.member_number() {
+                true => self.group.report_presence(told),
+                false if !told.proxies.is_empty() => drop(self.group.links.send(owner, Said::Present(told))),
                 false => {}
             }
         }
         let Some((term, keeper)) = &mut inner.seating.keeping else { return };
-        for told in self.group.heard_of() {
+        for told in self.group.take_presence_reports() {
             keeper.heard(now, told.proxies.iter().map(String::as_str));
         }
         let Some(next) = keeper.tick(now) else { return };
         let (term, epoch, seats) = (*term, next.epoch, next.names.len());
         let state = schema::Roster { epoch, proxies: next.names.clone() }.encode_to_vec();
         // The order behind what is agreed: of two proposals that were made of one roster only the first is taken.
-        let order = self.group.charter(|charter| charter.duties.get(SEATS).map_or(0, |duty| duty.order)) + 1;
+        let order =
+            self.group.with_state(|charter| charter.roles.get(ORDINALS_ROLE).map_or(0, |duty| duty.order))
+                + 1;
         let keep = What::Keep(Keep { state, order });
         let service = self.itself();
         let tell = move |outcome| {
-            let done = outcome == Ok(Outcome::Done);
-            tracing::info!(duty = SEATS, term, epoch, seats, done, "roster agreed");
+            let done = outcome == Ok(Outcome::Applied);
+            tracing::info!(duty = ORDINALS_ROLE, term, epoch, seats, done, "roster agreed");
             let Some(service) = service.upgrade() else { return };
             let there = service.agreed().is_some_and(|(_, roster)| roster == next);
             let mut inner = lock(&service.inner);
@@ -88,14 +90,16 @@
                 None => {}
             }
         };
-        self.group
-            .propose(Act { duty: SEATS.into(), term, what: Some(keep), ..Act::default() }, Box::new(tell));
+        self.group.propose(
+            Act { duty: ORDINALS_ROLE.into(), term, what: Some(keep), ..Act::default() },
+            Box::new(tell),
+        );
     }
 
     /// What proxies may be told of: nothing while this member could be behind. The lease is looked at before the roster is
     /// read: the other way round the roster could be an old one and the lease a new one.
     fn told(&self) -> Option<(schema::Duty, Roster)> {
-        let leased = self.group.leased() || crate::failpoints::out("owner");
+        let leased = self.group.has_lease() || crate::failpoints::is_check_disabled("owner");
         self.agreed().filter(|(duty, _)| leased && duty.term > 0)
     }
 
@@ -127,7 +131,7 @@
 
 fn seated(inner: &Inner, stream: u64, (duty, roster): &(schema::Duty, Roster)) -> Option<Seated> {
     let line = inner.lines.get(&stream)?;
-    let (hello, _) = line.hello.as_ref().filter(|(hello, _)| inner.names.holds(&hello.proxy, stream))?;
+    let (hello, _) = line.hello.as_ref().filter(|(hello, _)| inner.names.is_holder(&hello.proxy, stream))?;
     let seat = roster.seat(&hello.proxy).map(|(seat, _)| seat);
     let (term, epoch, seats) = (duty.term, roster.epoch, roster.names.len() as u32);
     Some(Seated { term, epoch, asked_ms: line.asked, seat, seats })
--- a/crates/leadership/src/identity.rs
+++ b/crates/leadership/src/identity.rs
@@ -4,23 +4,23 @@
 use std::collections::BTreeMap;
 
 /// A process that had a name and is gone may have it back after this many milliseconds without the later one.
-pub const GONE_AFTER: f64 = 10_000.0;
+pub const RECLAIM_AFTER: f64 = 10_000.0;
 /// Names remembered whose process is gone.
-const REMEMBERED: usize = 10_000;
+const MAX_DISCONNECTED: usize = 10_000;
 
 /// What becomes of a process that names itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Given {
+pub enum Claim {
     /// The name is its own, under this term. The stream, if there is one, is that of another process, which is to be
     /// told.
-    Yours {
+    Granted {
         /// The name's term.
         term: u64,
         /// The stream of the process that had the name.
-        displaced: Option<u64>,
+        superseded: Option<u64>,
     },
     /// A later process has the name.
-    Displaced {
+    Superseded {
         /// The name's term.
         term: u64,
         /// That process.
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct Registration {
     term: u64,
     incarnation: u64,
     /// Its stream, or since when it has none.
@@ -38,78 +38,88 @@
 
 /// All names.
 #[derive(Debug, Default)]
-pub struct Names {
-    held: BTreeMap<String, Held>,
+pub struct IdentityRegistry {
+    registrations: BTreeMap<String, Registration>,
     /// Streams of processes whose name is another's, which stay to be shown.
-    displaced: BTreeMap<u64, (String, u64)>,
+    superseded: BTreeMap<u64, (String, u64)>,
 }
 
-impl Names {
+impl IdentityRegistry {
     /// A process opens a stream under a name. `term` is the one under which it was given the name; 0: it never was.
-    pub fn hello(&mut self, now: f64, name: &str, incarnation: u64, term: u64, stream: u64) -> Given {
-        self.displaced.remove(&stream);
-        let Some(held) = self.held.get_mut(name) else {
+    pub fn claim(&mut self, now: f64, name: &str, incarnation: u64, term: u64, stream: u64) -> Claim {
+        self.superseded.remove(&stream);
+        let Some(registration) = self.registrations.get_mut(name) else {
             // Another service gave the name: its terms go on.
             let term = term.saturating_add(u64::from(term == 0));
-            self.held.insert(name.to_owned(), Held { term, incarnation, stream: Ok(stream) });
-            self.forget_some();
-            return Given::Yours { term, displaced: None };
+            self.registrations
+                .insert(name.to_owned(), Registration { term, incarnation, stream: Ok(stream) });
+            self.evict_oldest();
+            return Claim::Granted { term, superseded: None };
         };
-        if held.incarnation == incarnation {
-            held.term = held.term.max(term);
-            held.stream = Ok(stream);
-            return Given::Yours { term: held.term, displaced: None };
+        if registration.incarnation == incarnation {
+            registration.term = registration.term.max(term);
+            registration.stream = Ok(stream);
+            return Claim::Granted { term: registration.term, superseded: None };
         }
-        let gone = held.stream.is_err_and(|since| now - since >= GONE_AFTER);
+        let gone = registration.stream.is_err_and(|since| now - since >= RECLAIM_AFTER);
         // One that once had the name, under a lower term, is the earlier one and does not take it back while the later
         // one is there. One that has a higher term was given the name by another service after this one.
-        let earlier = term > 0 && term <= held.term;
+        let earlier = term > 0 && term <= registration.term;
         if earlier && !gone {
-            self.displaced.insert(stream, (name.to_owned(), incarnation));
-            return Given::Displaced { term: held.term, by: held.incarnation };
+            self.superseded.insert(stream, (name.to_owned(), incarnation));
+            return Claim::Superseded { term: registration.term, by: registration.incarnation };
         }
-        let old = held.stream.ok();
+        let old = registration.stream.ok();
         if let Some(old) = old {
-            self.displaced.insert(old, (name.to_owned(), held.incarnation));
+            self.superseded.insert(old, (name.to_owned(), registration.incarnation));
         }
-        *held = Held { term: held.term.max(term).saturating_add(1), incarnation, stream: Ok(stream) };
-        Given::Yours { term: held.term, displaced: old }
+        *registration = Registration {
+            term: registration.term.max(term).saturating_add(1),
+            incarnation,
+            stream: Ok(stream),
+        };
+        Claim::Granted { term: registration.term, superseded: old }
     }
 
     /// A stream has ended.
-    pub fn left(&mut self, now: f64, stream: u64) {
-        self.displaced.remove(&stream);
-        if let Some(held) = self.held.values_mut().find(|held| held.stream == Ok(stream)) {
-            held.stream = Err(now);
+    pub fn disconnected(&mut self, now: f64, stream: u64) {
+        self.superseded.remove(&stream);
+        if let Some(registration) =
+            self.registrations.values_mut().find(|registration| registration.stream == Ok(stream))
+        {
+            registration.stream = Err(now);
         }
     }
 
     /// Whether a stream's process has its name.
-    pub fn holds(&self, name: &str, stream: u64) -> bool {
-        self.held.get(name).is_some_and(|held| held.stream == Ok(stream))
+    pub fn is_holder(&self, name: &str, stream: u64) -> bool {
+        self.registrations.get(name).is_some_and(|registration| registration.stream == Ok(stream))
     }
 
     /// Whether nobody ever came.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.registrations.is_empty()
     }
 
     /// The process that has a name, and the term.
     pub fn holder(&self, name: &str) -> Option<(u64, u64)> {
-        self.held.get(name).map(|held| (held.incarnation, held.term))
+        self.registrations.get(name).map(|registration| (registration.incarnation, registration.term))
     }
 
     /// Processes whose name is another's, and that are still here: their streams, names and processes.
-    pub fn displaced(&self) -> impl Iterator<Item = (u64, &str, u64)> {
-        self.displaced.iter().map(|(stream, (name, incarnation))| (*stream, name.as_str(), *incarnation))
+    pub fn superseded(&self) -> impl Iterator<Item = (u64, &str, u64)> {
+        self.superseded.iter().map(|(stream, (name, incarnation))| (*stream, name.as_str(), *incarnation))
     }
 
     /// Guards the memory against names that never come back.
-    fn forget_some(&mut self) {
-        let gone = self.held.iter().filter_map(|(name, held)| Some((held.stream.err()?, name)));
-        if gone.clone().count() > REMEMBERED {
+    fn evict_oldest(&mut self) {
+        let gone = self
+            .registrations
+            .iter()
+            .filter_map(|(name, registration)| Some((registration.stream.err()?, name)));
+        if gone.clone().count() > MAX_DISCONNECTED {
             let longest = gone.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, name)| name.clone());
-            longest.map(|name| self.held.remove(&name));
+            longest.map(|name| self.registrations.remove(&name));
         }
     }
 }
@@ -120,32 +130,39 @@
 
     #[test]
     fn the_later_process_wins_the_earlier_one_is_told_and_does_not_fight_back() {
-        let mut names = Names::default();
-        assert_eq!(names.hello(0.0, "n0", 7, 0, 1), Given::Yours { term: 1, displaced: None });
-        assert_eq!(names.hello(1.0, "n0", 8, 0, 2), Given::Yours { term: 2, displaced: Some(1) });
-        assert_eq!(names.displaced().collect::<Vec<_>>(), [(1, "n0", 7)]);
-        names.left(2.0, 1);
-        assert_eq!(names.hello(3.0, "n0", 7, 1, 3), Given::Displaced { term: 2, by: 8 });
-        assert!(names.holds("n0", 2) && !names.holds("n0", 3));
-        names.left(4.0, 2);
-        assert_eq!(names.hello(5.0, "n0", 7, 1, 4), Given::Displaced { term: 2, by: 8 }, "it may come back");
-        let back = names.hello(4.0 + GONE_AFTER, "n0", 7, 1, 5);
-        assert_eq!(back, Given::Yours { term: 3, displaced: None });
-        assert_eq!(names.hello(20_000.0, "n0", 8, 2, 6), Given::Displaced { term: 3, by: 7 });
+        let mut registry = IdentityRegistry::default();
+        assert_eq!(registry.claim(0.0, "n0", 7, 0, 1), Claim::Granted { term: 1, superseded: None });
+        assert_eq!(registry.claim(1.0, "n0", 8, 0, 2), Claim::Granted { term: 2, superseded: Some(1) });
+        assert_eq!(registry.superseded().collect::<Vec<_>>(), [(1, "n0", 7)]);
+        registry.disconnected(2.0, 1);
+        assert_eq!(registry.claim(3.0, "n0", 7, 1, 3), Claim::Superseded { term: 2, by: 8 });
+        assert!(registry.is_holder("n0", 2) && !registry.is_holder("n0", 3));
+        registry.disconnected(4.0, 2);
+        assert_eq!(
+            registry.claim(5.0, "n0", 7, 1, 4),
+            Claim::Superseded { term: 2, by: 8 },
+            "it may come back"
+        );
+        let back = registry.claim(4.0 + RECLAIM_AFTER, "n0", 7, 1, 5);
+        assert_eq!(back, Claim::Granted { term: 3, superseded: None });
+        assert_eq!(registry.claim(20_000.0, "n0", 8, 2, 6), Claim::Superseded { term: 3, by: 7 });
     }
 
     #[test]
     fn a_service_that_starts_anew_takes_the_terms_that_others_gave() {
-        let mut names = Names::default();
-        assert_eq!(names.hello(0.0, "n0", 7, 4, 1), Given::Yours { term: 4, displaced: None });
-        assert_eq!(names.hello(0.0, "n0", 8, 5, 2), Given::Yours { term: 6, displaced: Some(1) });
+        let mut registry = IdentityRegistry::default();
+        assert_eq!(registry.claim(0.0, "n0", 7, 4, 1), Claim::Granted { term: 4, superseded: None });
+        assert_eq!(registry.claim(0.0, "n0", 8, 5, 2), Claim::Granted { term: 6, superseded: Some(1) });
         assert_eq!(
-            names.hello(0.0, "n0", 8, 6, 3),
-            Given::Yours { term: 6, displaced: None },
+            registry.claim(0.0, "n0", 8, 6, 3),
+            Claim::Granted { term: 6, superseded: None },
             "a stream anew"
         );
-        let edge = names.hello(0.0, "n1", 1, u64::MAX, 4);
-        assert_eq!(edge, Given::Yours { term: u64::MAX, displaced: None });
-        assert_eq!(names.hello(0.0, "n1", 2, 0, 5), Given::Yours { term: u64::MAX, displaced: Some(4) });
+        let edge = registry.claim(0.0, "n1", 1, u64::MAX, 4);
+        assert_eq!(edge, Claim::Granted { term: u64::MAX, superseded: None });
+        assert_eq!(
+            registry.claim(0.0, "n1", 2, 0, 5),
+            Claim::Granted { term: u64::MAX, superseded: Some(4) }
+        );
     }
 }
--- a/crates/leadership/src/lease.rs
+++ b/crates/leadership/src/lease.rs
@@ -1,9 +1,9 @@
 //! Who may act until when.
 //!
-//! One lease for each member covers all its duties, so that a thousand duties cost no more than one. A member asks the
-//! leader for it ([`Session`]), which grants it once a majority has confirmed that it still leads ([`Grantor`]). The
-//! member's lease runs from the moment it asked, the leader's patience from the moment it heard: with clocks whose rates
-//! differ by no more than [`Timing::drift`], the owner has stopped before anybody else is given what it owned.
+//! One lease for each member covers all its roles, so that a thousand roles cost no more than one. A member asks the
+//! leader for it ([`LeaseSession`]), which grants it once a majority has confirmed that it still leads ([`LeaseGrantor`]). The
+//! member's lease runs from the moment it asked, the leader's expiry_grace from the moment it live: with clocks whose rates
+//! differ by no more than [`LeaseTiming::drift`], the holder has stopped before anybody else is given what it held.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,57 +11,63 @@
 
 /// Times, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Timing {
+pub struct LeaseTiming {
     /// How long a lease lasts from the moment at which it was asked for.
-    pub lease: f64,
+    pub duration: f64,
     /// How much faster or slower than true any clock may run, as a part of 1.
     pub drift: f64,
     /// Between two askings.
-    pub renew: f64,
+    pub renew_interval: f64,
     /// After this time without effect a wish is told anew.
-    pub again: f64,
+    pub retry_interval: f64,
     /// A member whose store failed asks for no lease before the store has held for this time. Guards against one that
     /// comes back for a moment each time, and would keep what it owns without ever doing it.
-    pub holds: f64,
+    pub probation: f64,
 }
 
-impl Default for Timing {
+impl Default for LeaseTiming {
     fn default() -> Self {
-        Timing { lease: 2_000.0, drift: 0.02, renew: 500.0, again: 1_000.0, holds: 5_000.0 }
+        LeaseTiming {
+            duration: 2_000.0,
+            drift: 0.02,
+            renew_interval: 500.0,
+            retry_interval: 1_000.0,
+            probation: 5_000.0,
+        }
     }
 }
 
-impl Timing {
-    /// How long a leader waits for a member that is silent before it gives its duties to others.
-    pub fn patience(&self) -> f64 {
-        self.lease * (1.0 + self.drift) / (1.0 - self.drift)
+impl LeaseTiming {
+    /// How long a leader waits for a member that is silent before it gives its roles to others.
+    pub fn expiry_grace(&self) -> f64 {
+        self.duration * (1.0 + self.drift) / (1.0 - self.drift)
     }
 }
 
 /// A member's side.
 #[derive(Debug)]
-pub struct Session {
-    timing: Timing,
+pub struct LeaseSession {
+    timing: LeaseTiming,
     until: f64,
-    /// What must be applied before anything is done: the duties may have changed while this member slept.
+    /// What must be applied before anything is done: the roles may have changed while this member slept.
     applied: u64,
     /// Askings that were not answered: number and when.
-    asked: BTreeMap<u64, f64>,
+    requested: BTreeMap<u64, f64>,
     next: u64,
     last: f64,
     /// Duties that it hands over: the term under which it stopped to act, and when.
     resigned: BTreeMap<String, (u64, f64)>,
 }
 
-impl Session {
+impl LeaseSession {
     /// A member without a lease. Numbers of askings begin at `first`, so that none is told twice over a restart.
-    pub fn new(timing: Timing, first: u64) -> Self {
+    pub fn new(timing: LeaseTiming, first: u64) -> Self {
         let (until, last) = (f64::NEG_INFINITY, f64::NEG_INFINITY);
-        Session {
+        LeaseSession {
             timing,
             until,
             applied: 0,
-            asked: BTreeMap::new(),
+            requested: BTreeMap::new(),
             next: first,
             last,
             resigned: BTreeMap::new(),
@@ -69,55 +75,59 @@
     }
 
     /// The member's store has failed: it owns nothing from now on, and has to hold before it asks again.
-    pub fn failed(&mut self, now: f64) {
+    pub fn store_failed(&mut self, now: f64) {
         self.until = f64::NEG_INFINITY;
-        self.asked.clear();
-        self.last = now + self.timing.holds - self.timing.renew;
+        self.requested.clear();
+        self.last = now + self.timing.probation - self.timing.renew_interval;
     }
 
     /// The number under which to ask for the lease now, if it is time to.
-    pub fn ask(&mut self, now: f64) -> Option<u64> {
-        if now - self.last < self.timing.renew {
+    pub fn next_request(&mut self, now: f64) -> Option<u64> {
+        if now - self.last < self.timing.renew_interval {
             return None;
         }
         self.last = now;
         self.next += 1;
-        self.asked.retain(|_, at| now - *at < self.timing.lease);
-        self.asked.insert(self.next, now);
+        self.requested.retain(|_, at| now - *at < self.timing.duration);
+        self.requested.insert(self.next, now);
         Some(self.next)
     }
 
     /// The lease was granted to that asking.
-    pub fn granted(&mut self, number: u64, applied: u64) {
-        if let Some(at) = self.asked.remove(&number) {
-            self.until = self.until.max(at + self.timing.lease);
+    pub fn on_granted(&mut self, number: u64, applied: u64) {
+        if let Some(at) = self.requested.remove(&number) {
+            self.until = self.until.max(at + self.timing.duration);
             self.applied = self.applied.max(applied);
-            self.asked = self.asked.split_off(&number);
+            self.requested = self.requested.split_off(&number);
         }
     }
 
-    /// Whether the member, which owns the duty under this term as far as it knows, may act for it at this moment, having
+    /// Whether the member, which owns the role under this term as far as it knows, may act for it at this moment, having
     /// applied all up to `applied`.
-    pub fn may_act(&self, now: f64, applied: u64, duty: &str, term: u64) -> bool {
-        let resigned = self.resigned.get(duty).is_some_and(|(resigned, _)| *resigned >= term);
+    pub fn may_act(&self, now: f64, applied: u64, role: &str, term: u64) -> bool {
+        let resigned = self.resigned.get(role).is_some_and(|(resigned, _)| *resigned >= term);
         now < self.until && applied >= self.applied && !resigned
     }
 
-    /// The member hands a duty over: it acts no more under this term, before anybody else can hear of it.
-    pub fn resign(&mut self, now: f64, duty: &str, term: u64) {
-        self.resigned.insert(duty.to_owned(), (term, now));
+    /// The member hands a role over: it acts no more under this term, before anybody else can hear of it.
+    pub fn resign(&mut self, now: f64, role: &str, term: u64) {
+        self.resigned.insert(role.to_owned(), (term, now));
     }
 
-    /// Duties that were to be handed over and are still this member's, as `owned` says (duty, term): nobody agreed within
-    /// [`Timing::holds`]. It goes on only under a higher term, as the old one may still go to another.
-    pub fn stuck<'a>(&mut self, now: f64, owned: impl Iterator<Item = (&'a str, u64)>) -> Vec<(String, u64)> {
-        let owned: BTreeMap<&str, u64> = owned.collect();
-        self.resigned.retain(|duty, (term, _)| owned.get(duty.as_str()) == Some(term));
+    /// Duties that were to be handed over and are still this member's, as `held` says (role, term): nobody agreed within
+    /// [`LeaseTiming::probation`]. It goes on only under a higher term, as the old one may still go to another.
+    pub fn stalled_handovers<'a>(
+        &mut self,
+        now: f64,
+        held: impl Iterator<Item = (&'a str, u64)>,
+    ) -> Vec<(String, u64)> {
+        let held: BTreeMap<&str, u64> = held.collect();
+        self.resigned.retain(|role, (term, _)| held.get(role.as_str()) == Some(term));
         let mut stuck = Vec::new();
-        for (duty, (term, at)) in &mut self.resigned {
-            if now - *at >= self.timing.holds {
+        for (role, (term, at)) in &mut self.resigned {
+            if now - *at >= self.timing.probation {
                 *at = now;
-                stuck.push((duty.clone(), *term));
+                stuck.push((role.clone(), *term));
             }
         }
         stuck
@@ -126,9 +136,9 @@
 
 /// What a leader is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Have a majority confirm that this member still leads, then tell [`Grantor::confirmed`] with this number.
-    Confirm(u64),
+pub enum LeaseAction {
+    /// Have a majority confirm that this member still leads, then tell [`LeaseGrantor::on_confirmed`] with this number.
+    ConfirmLeadership(u64),
     /// Tell a member that its lease is granted.
     Grant {
         /// The member.
@@ -136,22 +146,22 @@
         /// The number under which it asked.
         number: u64,
     },
-    /// Have it agreed that the duty, whose term is `term`, has this owner.
+    /// Have it agreed that the role, whose term is `term`, has this holder.
     Assign {
-        /// The duty.
-        duty: String,
+        /// The role.
+        role: String,
         /// The term that it has so far.
         term: u64,
-        /// Its owner.
+        /// Its holder.
         to: u64,
     },
-    /// Ask the duty's owner to hand it over.
-    Yield {
-        /// The duty.
-        duty: String,
+    /// Ask the role's holder to hand it over.
+    RequestHandOver {
+        /// The role.
+        role: String,
         /// Its term.
         term: u64,
-        /// Its owner.
+        /// Its holder.
         from: u64,
         /// Who is to have it.
         to: u64,
@@ -160,124 +170,129 @@
 
 /// The leader's side.
 #[derive(Debug)]
-pub struct Grantor {
-    timing: Timing,
+pub struct LeaseGrantor {
+    timing: LeaseTiming,
     /// Since when this member leads.
-    leads: Option<f64>,
-    heard: BTreeMap<u64, f64>,
+    leading_since: Option<f64>,
+    last_request: BTreeMap<u64, f64>,
     /// Askings that no confirmation covers yet, and those that the one under way covers.
-    fresh: Vec<(u64, u64)>,
+    unconfirmed: Vec<(u64, u64)>,
     covered: Vec<(u64, u64)>,
     confirming: Option<(u64, f64)>,
     next: u64,
-    /// What was wished for of late: duty, term, and when.
-    wished: BTreeMap<String, (u64, f64)>,
+    /// What was proposed for of late: role, term, and when.
+    proposed: BTreeMap<String, (u64, f64)>,
 }
 
-impl Grantor {
+impl LeaseGrantor {
     /// A member that does not lead.
-    pub fn new(timing: Timing) -> Self {
-        Grantor {
+    pub fn new(timing: LeaseTiming) -> Self {
+        LeaseGrantor {
             timing,
-            leads: None,
-            heard: BTreeMap::new(),
-            fresh: Vec::new(),
+            leading_since: None,
+            last_request: BTreeMap::new(),
+            unconfirmed: Vec::new(),
             covered: Vec::new(),
             confirming: None,
             next: 0,
-            wished: BTreeMap::new(),
+            proposed: BTreeMap::new(),
         }
     }
 
     /// Whether this member leads. A new leader does not know when others were granted their leases: it waits for each
-    /// as if it had heard it just now.
-    pub fn leads(&mut self, now: f64, leads: bool) {
-        if leads == self.leads.is_some() {
+    /// as if it had live it just now.
+    pub fn set_leading(&mut self, now: f64, leading: bool) {
+        if leading == self.leading_since.is_some() {
             return;
         }
-        *self = Grantor { leads: leads.then_some(now), next: self.next, ..Grantor::new(self.timing) };
+        *self = LeaseGrantor {
+            leading_since: leading.then_some(now),
+            next: self.next,
+            ..LeaseGrantor::new(self.timing)
+        };
     }
 
     /// A member asks for its lease.
-    pub fn asked(&mut self, now: f64, member: u64, number: u64) {
-        if self.leads.is_some() && self.fresh.len() < 64 {
-            self.heard.insert(member, now);
-            self.fresh.push((member, number));
+    pub fn on_request(&mut self, now: f64, member: u64, number: u64) {
+        if self.leading_since.is_some() && self.unconfirmed.len() < 64 {
+            self.last_request.insert(member, now);
+            self.unconfirmed.push((member, number));
         }
     }
 
     /// A majority has confirmed the leader, asked under this number.
-    pub fn confirmed(&mut self, number: u64) -> Vec<Action> {
+    pub fn on_confirmed(&mut self, number: u64) -> Vec<LeaseAction> {
         if self.confirming.is_none_or(|(asked, _)| asked != number) {
             return Vec::new();
         }
         self.confirming = None;
-        let grant = |(member, number)| Action::Grant { member, number };
+        let grant = |(member, number)| LeaseAction::Grant { member, number };
         std::mem::take(&mut self.covered).into_iter().map(grant).collect()
     }
 
     /// Whether a member's lease may still last.
-    fn alive(&self, now: f64, member: u64) -> bool {
-        let since = self.heard.get(&member).copied().or(self.leads);
-        since.is_some_and(|since| now - since < self.timing.patience())
+    fn may_hold_lease(&self, now: f64, member: u64) -> bool {
+        let since = self.last_request.get(&member).copied().or(self.leading_since);
+        since.is_some_and(|since| now - since < self.timing.expiry_grace())
     }
 
-    /// Members whose lease may last and that were heard by this leader.
-    pub fn heard(&self, now: f64) -> BTreeSet<u64> {
-        self.heard.keys().copied().filter(|member| self.alive(now, *member)).collect()
+    /// Members whose lease may last and that were live by this leader.
+    pub fn live_members(&self, now: f64) -> BTreeSet<u64> {
+        self.last_request.keys().copied().filter(|member| self.may_hold_lease(now, *member)).collect()
     }
 
     /// Members that asked wait for a confirmation, and none is under way: it is time for one. Costs the same however many
-    /// duties there are, so that it can be asked behind every message; [`Grantor::tick`] cannot.
-    pub fn confirm(&mut self, now: f64) -> Option<Action> {
-        let lost = self.confirming.is_none_or(|(_, at)| now - at >= self.timing.again);
-        if self.leads.is_none() || !lost || (self.fresh.is_empty() && self.covered.is_empty()) {
+    /// roles there are, so that it can be asked behind every message; [`LeaseGrantor::tick`] cannot.
+    pub fn next_confirmation(&mut self, now: f64) -> Option<LeaseAction> {
+        let lost = self.confirming.is_none_or(|(_, at)| now - at >= self.timing.retry_interval);
+        if self.leading_since.is_none() || !lost || (self.unconfirmed.is_empty() && self.covered.is_empty()) {
             return None;
         }
         self.next += 1;
         // A confirmation that was lost covers nothing: what waited for it is old by now, and asked anew.
-        self.covered = std::mem::take(&mut self.fresh);
+        self.covered = std::mem::take(&mut self.unconfirmed);
         self.confirming = Some((self.next, now));
-        Some(Action::Confirm(self.next))
+        Some(LeaseAction::ConfirmLeadership(self.next))
     }
 
-    /// Time has passed; `duties` are all with owner (0: none) and term, `members` all members.
+    /// Time has passed; `roles` are all with holder (0: none) and term, `members` all members.
     pub fn tick(
         &mut self,
         now: f64,
-        duties: &BTreeMap<String, (u64, u64)>,
+        roles: &BTreeMap<String, (u64, u64)>,
         members: &BTreeSet<u64>,
-    ) -> Vec<Action> {
-        if self.leads.is_none() {
+    ) -> Vec<LeaseAction> {
+        if self.leading_since.is_none() {
             return Vec::new();
         }
-        let mut out = Vec::from_iter(self.confirm(now));
-        // Whoever was not heard is given nothing; whoever may still have a lease keeps what it owns.
-        let heard: BTreeSet<u64> = self.heard(now).intersection(members).copied().collect();
-        let owners = duties.iter().map(|(duty, (owner, _))| {
-            let keeps = *owner > 0 && members.contains(owner) && self.alive(now, *owner);
-            (duty.clone(), keeps.then_some(*owner))
+        let mut out = Vec::from_iter(self.next_confirmation(now));
+        // Whoever was not live is given nothing; whoever may still have a lease keeps what it owns.
+        let live: BTreeSet<u64> = self.live_members(now).intersection(members).copied().collect();
+        let holders = roles.iter().map(|(role, (holder, _))| {
+            let keeps = *holder > 0 && members.contains(holder) && self.may_hold_lease(now, *holder);
+            (role.clone(), keeps.then_some(*holder))
         });
-        let owners: BTreeMap<String, Option<u64>> = owners.collect();
-        let silent = owners.values().flatten().any(|owner| !heard.contains(owner));
-        for one in assignment::moves(&owners, &heard) {
-            let Some((owner, term)) = duties.get(&one.duty).copied() else { continue };
-            let keeps = owners.get(&one.duty).copied().flatten();
-            // While an owner may still have its lease nothing is evened out: it may be back in a moment.
+        let holders: BTreeMap<String, Option<u64>> = holders.collect();
+        let silent = holders.values().flatten().any(|holder| !live.contains(holder));
+        for one in assignment::rebalance(&holders, &live) {
+            let Some((holder, term)) = roles.get(&one.role).copied() else { continue };
+            let keeps = holders.get(&one.role).copied().flatten();
+            // While an holder may still have its lease nothing is evened out: it may be back in a moment.
             if keeps.is_some() && silent {
                 continue;
             }
-            let due = |&(wished, at): &(u64, f64)| wished != term || now - at >= self.timing.again;
-            if !self.wished.get(&one.duty).is_none_or(due) {
+            let due =
+                |&(proposed, at): &(u64, f64)| proposed != term || now - at >= self.timing.retry_interval;
+            if !self.proposed.get(&one.role).is_none_or(due) {
                 continue;
             }
-            self.wished.insert(one.duty.clone(), (term, now));
+            self.proposed.insert(one.role.clone(), (term, now));
             out.push(match one.from {
-                None => Action::Assign { duty: one.duty, term, to: one.to },
-                Some(_) => Action::Yield { duty: one.duty, term, from: owner, to: one.to },
+                None => LeaseAction::Assign { role: one.role, term, to: one.to },
+                Some(_) => LeaseAction::RequestHandOver { role: one.role, term, from: holder, to: one.to },
             });
         }
-        self.wished.retain(|duty, _| duties.contains_key(duty));
+        self.proposed.retain(|role, _| roles.contains_key(role));
         out
     }
 }
@@ -286,94 +301,109 @@
 mod tests {
     use super::*;
 
-    fn duties(owners: &[u64]) -> BTreeMap<String, (u64, u64)> {
-        owners.iter().enumerate().map(|(at, owner)| (format!("d{at}"), (*owner, 1))).collect()
+    fn roles(holders: &[u64]) -> BTreeMap<String, (u64, u64)> {
+        holders.iter().enumerate().map(|(at, holder)| (format!("d{at}"), (*holder, 1))).collect()
     }
 
     #[test]
     fn a_lease_runs_from_the_asking_and_is_void_until_all_is_applied() {
-        let mut session = Session::new(Timing::default(), 0);
-        let first = session.ask(0.0).unwrap();
-        assert_eq!(session.ask(499.0), None);
-        let second = session.ask(500.0).unwrap();
-        session.granted(second, 7);
+        let mut session = LeaseSession::new(LeaseTiming::default(), 0);
+        let first = session.next_request(0.0).unwrap();
+        assert_eq!(session.next_request(499.0), None);
+        let second = session.next_request(500.0).unwrap();
+        session.on_granted(second, 7);
         assert!(session.may_act(2_499.0, 7, "d", 1) && !session.may_act(2_499.0, 6, "d", 1));
         assert!(!session.may_act(2_500.0, 7, "d", 1));
-        session.granted(first, 0);
-        session.granted(second, 9);
+        session.on_granted(first, 0);
+        session.on_granted(second, 9);
         assert!(session.may_act(2_499.0, 7, "d", 1), "an answer that comes twice or late changes nothing");
     }
 
     #[test]
     fn who_hands_over_stops_first_and_goes_on_only_under_a_higher_term() {
-        let mut session = Session::new(Timing::default(), 0);
-        let asked = session.ask(0.0).unwrap();
-        session.granted(asked, 0);
+        let mut session = LeaseSession::new(LeaseTiming::default(), 0);
+        let asked = session.next_request(0.0).unwrap();
+        session.on_granted(asked, 0);
         session.resign(10.0, "d", 4);
         assert!(!session.may_act(11.0, 0, "d", 4) && session.may_act(11.0, 0, "e", 4));
-        assert!(session.may_act(11.0, 0, "d", 5), "the duty came back to it");
-        assert!(session.stuck(5_009.0, [("d", 4)].into_iter()).is_empty());
-        assert_eq!(session.stuck(5_010.0, [("d", 4)].into_iter()), [("d".to_owned(), 4)]);
-        assert!(session.stuck(5_020.0, [("d", 4)].into_iter()).is_empty(), "told already");
-        assert!(session.stuck(20_000.0, [("d", 5)].into_iter()).is_empty());
+        assert!(session.may_act(11.0, 0, "d", 5), "the role came back to it");
+        assert!(session.stalled_handovers(5_009.0, [("d", 4)].into_iter()).is_empty());
+        assert_eq!(session.stalled_handovers(5_010.0, [("d", 4)].into_iter()), [("d".to_owned(), 4)]);
+        assert!(session.stalled_handovers(5_020.0, [("d", 4)].into_iter()).is_empty(), "told already");
+        assert!(session.stalled_handovers(20_000.0, [("d", 5)].into_iter()).is_empty());
     }
 
     #[test]
     fn a_member_whose_store_fails_again_and_again_never_asks() {
-        let mut session = Session::new(Timing::default(), 0);
-        let asked = session.ask(0.0).unwrap();
-        session.failed(100.0);
-        session.granted(asked, 0);
+        let mut session = LeaseSession::new(LeaseTiming::default(), 0);
+        let asked = session.next_request(0.0).unwrap();
+        session.store_failed(100.0);
+        session.on_granted(asked, 0);
         assert!(!session.may_act(101.0, 0, "d", 1), "what was granted before is void");
         for failure in 1..50 {
             let now = 100.0 + f64::from(failure) * 1_000.0;
-            assert_eq!(session.ask(now), None);
-            session.failed(now);
+            assert_eq!(session.next_request(now), None);
+            session.store_failed(now);
         }
-        assert!(session.ask(49_100.0 + 5_000.0).is_some(), "it has held");
+        assert!(session.next_request(49_100.0 + 5_000.0).is_some(), "it has held");
     }
 
     #[test]
     fn a_silent_owner_keeps_its_duties_until_its_lease_has_ended_for_anybody() {
-        let timing = Timing::default();
-        let (mut grantor, members) = (Grantor::new(timing), BTreeSet::from([1, 2, 3]));
-        grantor.leads(0.0, true);
+        let timing = LeaseTiming::default();
+        let (mut grantor, members) = (LeaseGrantor::new(timing), BTreeSet::from([1, 2, 3]));
+        grantor.set_leading(0.0, true);
         for member in [1, 2] {
-            grantor.asked(10.0, member, 1);
+            grantor.on_request(10.0, member, 1);
         }
-        let owned = duties(&[3, 1, 2]);
-        let assigns = |actions: &[Action]| {
-            actions.iter().filter(|it| matches!(it, Action::Assign { .. } | Action::Yield { .. })).count()
+        let held = roles(&[3, 1, 2]);
+        let assigns = |actions: &[LeaseAction]| {
+            actions
+                .iter()
+                .filter(|it| matches!(it, LeaseAction::Assign { .. } | LeaseAction::RequestHandOver { .. }))
+                .count()
         };
-        assert_eq!(grantor.tick(20.0, &owned, &members), [Action::Confirm(1)]);
-        assert_eq!(grantor.confirmed(2), []);
-        assert_eq!(grantor.confirmed(1).len(), 2);
+        assert_eq!(grantor.tick(20.0, &held, &members), [LeaseAction::ConfirmLeadership(1)]);
+        assert_eq!(grantor.on_confirmed(2), []);
+        assert_eq!(grantor.on_confirmed(1).len(), 2);
         for member in [1, 2] {
-            grantor.asked(timing.patience() - 20.0, member, 2);
+            grantor.on_request(timing.expiry_grace() - 20.0, member, 2);
         }
-        assert_eq!(assigns(&grantor.tick(timing.patience() - 1.0, &owned, &members)), 0);
-        let given = grantor.tick(timing.patience(), &owned, &members);
-        assert!(matches!(&given[..], [Action::Assign { duty, term: 1, .. }] if duty == "d0"), "{given:?}");
-        assert_eq!(assigns(&grantor.tick(timing.patience() + 1.0, &owned, &members)), 0, "wished already");
+        assert_eq!(assigns(&grantor.tick(timing.expiry_grace() - 1.0, &held, &members)), 0);
+        let given = grantor.tick(timing.expiry_grace(), &held, &members);
+        assert!(
+            matches!(&given[..], [LeaseAction::Assign { role, term: 1, .. }] if role == "d0"),
+            "{given:?}"
+        );
+        assert_eq!(
+            assigns(&grantor.tick(timing.expiry_grace() + 1.0, &held, &members)),
+            0,
+            "proposed already"
+        );
     }
 
     #[test]
     fn a_member_that_comes_is_given_its_part_by_those_that_have_more_and_one_without_a_majority_grants_nothing()
      {
-        let (mut grantor, members) = (Grantor::new(Timing::default()), BTreeSet::from([1, 2]));
-        grantor.leads(0.0, true);
-        grantor.asked(1.0, 1, 1);
-        grantor.asked(1.0, 2, 1);
-        let wished = grantor.tick(2.0, &duties(&[1, 1, 1, 1]), &members);
-        let yields = wished.iter().filter(|it| matches!(it, Action::Yield { from: 1, to: 2, .. })).count();
-        assert_eq!(yields, 2, "{wished:?}");
+        let (mut grantor, members) = (LeaseGrantor::new(LeaseTiming::default()), BTreeSet::from([1, 2]));
+        grantor.set_leading(0.0, true);
+        grantor.on_request(1.0, 1, 1);
+        grantor.on_request(1.0, 2, 1);
+        let proposed = grantor.tick(2.0, &roles(&[1, 1, 1, 1]), &members);
+        let yields = proposed
+            .iter()
+            .filter(|it| matches!(it, LeaseAction::RequestHandOver { from: 1, to: 2, .. }))
+            .count();
+        assert_eq!(yields, 2, "{proposed:?}");
         // No confirmation comes: nothing is granted, and what waited is not granted by a later one.
-        grantor.asked(1_100.0, 2, 2);
-        assert!(grantor.tick(1_100.0, &BTreeMap::new(), &members).contains(&Action::Confirm(2)));
-        assert_eq!(grantor.confirmed(1), []);
-        assert_eq!(grantor.confirmed(2), [Action::Grant { member: 2, number: 2 }]);
-        grantor.leads(1_200.0, false);
-        grantor.asked(1_300.0, 1, 3);
-        assert!(grantor.tick(9_000.0, &duties(&[0]), &members).is_empty());
+        grantor.on_request(1_100.0, 2, 2);
+        assert!(
+            grantor.tick(1_100.0, &BTreeMap::new(), &members).contains(&LeaseAction::ConfirmLeadership(2))
+        );
+        assert_eq!(grantor.on_confirmed(1), []);
+        assert_eq!(grantor.on_confirmed(2), [LeaseAction::Grant { member: 2, number: 2 }]);
+        grantor.set_leading(1_200.0, false);
+        grantor.on_request(1_300.0, 1, 3);
+        assert!(grantor.tick(9_000.0, &roles(&[0]), &members).is_empty());
     }
 }
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -23,6 +23,6 @@
 pub mod rollback_guard;
 
 /// The duty of publishing versions and driving their rollouts.
-pub const VERSIONS: &str = "versions";
+pub const CONFIGURATION_ROLE: &str = "versions";
 /// The duty of keeping the roster of seats. There is one once an operator has declared it.
-pub const SEATS: &str = "seats";
+pub const ORDINALS_ROLE: &str = "seats";
--- a/crates/leadership/tests/fleet.rs
+++ b/crates/leadership/tests/fleet.rs
@@ -6,9 +6,9 @@
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{Act, Declare, Keep, Member};
-use gaugestep_leadership::fencing::{self, Receiver};
-use gaugestep_leadership::group_state::{Charter, Outcome};
-use gaugestep_leadership::lease::{Action, Grantor, Session, Timing};
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard};
+use gaugestep_leadership::group_state::{GroupState, Outcome};
+use gaugestep_leadership::lease::{LeaseAction, LeaseGrantor, LeaseSession, LeaseTiming};
 use oorandom::Rand64;
 
 const MEMBERS: u64 = 3;
@@ -41,9 +41,9 @@
 }
 
 struct Node {
-    session: Session,
-    grantor: Grantor,
-    charter: Charter,
+    session: LeaseSession,
+    grantor: LeaseGrantor,
+    group_state: GroupState,
     applied: usize,
     /// How fast its clock runs, and until when it is paused.
     rate: f64,
@@ -71,7 +71,7 @@
     leader: Option<usize>,
     cut: BTreeSet<(usize, usize)>,
     mail: Vec<(f64, Mail)>,
-    receivers: Vec<Receiver<u64>>,
+    receivers: Vec<FencingGuard<u64>>,
     taken: Vec<BTreeMap<&'static str, u64>>,
     seen: Seen,
 }
@@ -80,21 +80,21 @@
     fn new(seed: u64, bug: Bug) -> Self {
         let mut random = Rand64::new(seed.into());
         let member = |number| Member { number, ..Member::default() };
-        let mut charter = Charter::alone(1, member(1), BTreeMap::new());
-        (2..=MEMBERS).for_each(|number| drop(charter.join(member(number))));
+        let mut group_state = GroupState::single_member(1, member(1), BTreeMap::new());
+        (2..=MEMBERS).for_each(|number| drop(group_state.add_member(member(number))));
         for duty in DUTIES {
-            charter.apply(&Act {
+            group_state.apply(&Act {
                 duty: duty.into(),
                 what: Some(What::Declare(Declare {})),
                 ..Act::default()
             });
         }
-        let drift = if bug == Bug::Clocks { 0.9 } else { Timing::default().drift };
-        let patience = if bug == Bug::NoPatience { 300.0 } else { Timing::default().lease };
+        let drift = if bug == Bug::Clocks { 0.9 } else { LeaseTiming::default().drift };
+        let patience = if bug == Bug::NoPatience { 300.0 } else { LeaseTiming::default().duration };
         let node = |_| Node {
-            session: Session::new(Timing::default(), 0),
-            grantor: Grantor::new(Timing { lease: patience, ..Timing::default() }),
-            charter: charter.clone(),
+            session: LeaseSession::new(LeaseTiming::default(), 0),
+            grantor: LeaseGrantor::new(LeaseTiming { duration: patience, ..LeaseTiming::default() }),
+            group_state: group_state.clone(),
             applied: 0,
             rate: 1.0 + drift * (2.0 * random.rand_float() - 1.0),
             paused: 0.0,
@@ -108,7 +108,7 @@
             leader: None,
             cut: BTreeSet::new(),
             mail: Vec::new(),
-            receivers: (0..RECEIVERS).map(|_| Receiver::new(BTreeMap::new())).collect(),
+            receivers: (0..RECEIVERS).map(|_| FencingGuard::new(BTreeMap::new())).collect(),
             taken: vec![BTreeMap::new(); RECEIVERS],
             seen: Seen::default(),
         }
@@ -159,10 +159,10 @@
             12 => {
                 // A receiver restarts: it knows what it kept.
                 let which = self.below(RECEIVERS as u64) as usize;
-                self.receivers[which] = Receiver::new(self.receivers[which].terms().clone());
+                self.receivers[which] = FencingGuard::new(self.receivers[which].terms().clone());
             }
             13 => {
-                let owner = self.nodes[one].charter.owner(DUTIES[0]);
+                let owner = self.nodes[one].group_state.holder(DUTIES[0]);
                 if owner.0 == one as u64 + 1 {
                     self.hand_over(one, DUTIES[0], owner.1, other as u64 + 1);
                 }
@@ -199,12 +199,12 @@
         for duty in DUTIES {
             let acting = (0..self.nodes.len()).filter(|node| {
                 let one = &self.nodes[*node];
-                one.charter.owner(duty).0 == *node as u64 + 1
+                one.group_state.holder(duty).0 == *node as u64 + 1
                     && one.session.may_act(
                         self.clock(*node),
                         one.applied as u64,
                         duty,
-                        one.charter.owner(duty).1,
+                        one.group_state.holder(duty).1,
                     )
             });
             self.seen.two_owners += u64::from(acting.count() > 1);
@@ -218,24 +218,22 @@
                     return;
                 };
                 let clock = self.clock(leader);
-                self.nodes[leader].grantor.asked(clock, member, number);
+                self.nodes[leader].grantor.on_request(clock, member, number);
             }
             Mail::Grant(member, number, applied) => {
-                self.nodes[member as usize - 1].session.granted(number, applied);
+                self.nodes[member as usize - 1].session.on_granted(number, applied);
             }
             Mail::Act(from, to, duty, term) => {
-                let mut actions = self.receivers[to].act(duty, term, from);
+                let mut actions = self.receivers[to].check(duty, term, from);
                 while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
                     match action {
-                        fencing::Action::Keep(_) => {
+                        FencingAction::Persist(_) => {
                             let stored = if self.below(30) > 0 { Ok(()) } else { Err("full".into()) };
-                            actions.extend(self.receivers[to].kept(stored));
+                            actions.extend(self.receivers[to].on_persisted(stored));
                         }
-                        fencing::Action::Take(_) => self.take(to, duty, term),
-                        fencing::Action::Refuse(..) if self.bug == Bug::BothChecks => {
-                            self.take(to, duty, term)
-                        }
-                        fencing::Action::Refuse(..) => self.seen.stale_refused += 1,
+                        FencingAction::Accept(_) => self.take(to, duty, term),
+                        FencingAction::Reject(..) if self.bug == Bug::BothChecks => self.take(to, duty, term),
+                        FencingAction::Reject(..) => self.seen.stale_refused += 1,
                     }
                 }
             }
@@ -254,23 +252,23 @@
         if self.leader.is_some_and(|leader| self.reaches(leader, node)) {
             for at in self.nodes[node].applied..self.log.len() {
                 let act = self.log[at].clone();
-                let (outcome, changes) = self.nodes[node].charter.apply(&act);
+                let (outcome, changes) = self.nodes[node].group_state.apply(&act);
                 let first = at + 1 == self.log.len() && node == 0;
-                if first && outcome == Outcome::Done {
+                if first && outcome == Outcome::Applied {
                     self.seen.changes += changes.len() as u64;
                 }
             }
             self.nodes[node].applied = self.log.len();
         }
         let clock = self.clock(node);
-        if let (Some(number), Some(leader)) = (self.nodes[node].session.ask(clock), self.leader) {
+        if let (Some(number), Some(leader)) = (self.nodes[node].session.next_request(clock), self.leader) {
             self.send(node, leader, Mail::Renew(node as u64 + 1, number));
         }
         let leads = self.leader == Some(node) && self.nodes[node].applied == self.log.len();
-        self.nodes[node].grantor.leads(clock, leads);
+        self.nodes[node].grantor.set_leading(clock, leads);
         let duties = self.nodes[node]
-            .charter
-            .duties
+            .group_state
+            .roles
             .values()
             .map(|it| (it.name.clone(), (it.owner, it.term)))
             .collect();
@@ -278,15 +276,15 @@
         let actions = self.nodes[node].grantor.tick(clock, &duties, &members);
         self.carry_out(node, actions);
         let own = node as u64 + 1;
-        let Node { session, charter, .. } = &mut self.nodes[node];
+        let Node { session, group_state, .. } = &mut self.nodes[node];
         let owned =
-            charter.duties.values().filter(|it| it.owner == own).map(|it| (it.name.as_str(), it.term));
-        for (duty, term) in session.stuck(clock, owned) {
+            group_state.roles.values().filter(|it| it.owner == own).map(|it| (it.name.as_str(), it.term));
+        for (duty, term) in session.stalled_handovers(clock, owned) {
             self.propose(node, Act { duty, term, what: Some(What::Raise(term)), ..Act::default() });
         }
         for duty in DUTIES {
             let one = &self.nodes[node];
-            let (owner, term) = one.charter.owner(duty);
+            let (owner, term) = one.group_state.holder(duty);
             let polite = one.session.may_act(clock, one.applied as u64, duty, term);
             let blind = matches!(self.bug, Bug::OwnersCheck | Bug::BothChecks);
             if owner == node as u64 + 1 && (polite || blind) && self.below(10) == 0 {
@@ -311,26 +309,31 @@
         self.propose(from, Act { duty: duty.into(), term, what, ..Act::default() });
     }
 
-    fn carry_out(&mut self, node: usize, actions: Vec<Action>) {
+    fn carry_out(&mut self, node: usize, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
-                Action::Confirm(number) if self.majority(node) && self.leader == Some(node) => {
-                    let granted = self.nodes[node].grantor.confirmed(number);
+                LeaseAction::ConfirmLeadership(number)
+                    if self.majority(node) && self.leader == Some(node) =>
+                {
+                    let granted = self.nodes[node].grantor.on_confirmed(number);
                     self.carry_out(node, granted);
                 }
-                Action::Confirm(_) => {}
-                Action::Grant { member, number } => {
+                LeaseAction::ConfirmLeadership(_) => {}
+                LeaseAction::Grant { member, number } => {
                     let applied = self.log.len() as u64;
                     self.send(node, member as usize - 1, Mail::Grant(member, number, applied));
                 }
-                Action::Assign { duty, term, to } => {
-                    self.propose(node, Act { duty, term, what: Some(What::Assign(to)), ..Act::default() });
+                LeaseAction::Assign { role, term, to } => {
+                    self.propose(
+                        node,
+                        Act { duty: role, term, what: Some(What::Assign(to)), ..Act::default() },
+                    );
                 }
-                Action::Yield { duty, term, from, to } => {
+                LeaseAction::RequestHandOver { role, term, from, to } => {
                     let (from, owner) =
-                        (from as usize - 1, self.nodes[from as usize - 1].charter.owner(&duty));
+                        (from as usize - 1, self.nodes[from as usize - 1].group_state.holder(&role));
                     if self.reaches(node, from) && owner == (from as u64 + 1, term) {
-                        self.hand_over(from, &duty, term, to);
+                        self.hand_over(from, &role, term, to);
                     }
                 }
             }
--- a/crates/leadership/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -1,5 +1,5 @@
-//! A model (stateright) of owners, terms and a receiver: owners that may be paused at any point, between looking and acting
-//! too, messages in any order and more than once, a receiver that restarts and whose disk fails. The charter and the receiver
+//! A model (stateright) of owners, terms and a guard: owners that may be paused at any point, between looking and acting
+//! too, messages in any order and more than once, a guard that restarts and whose disk fails. The group and the guard
 //! are the program's own.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,9 +7,9 @@
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{Act, Member};
-use gaugestep_leadership::VERSIONS;
-use gaugestep_leadership::fencing::{self, Receiver};
-use gaugestep_leadership::group_state::{Charter, Outcome};
+use gaugestep_leadership::CONFIGURATION_ROLE;
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard};
+use gaugestep_leadership::group_state::{GroupState, Outcome};
 use prost::Message as _;
 use stateright::{Checker, Model, Property};
 
@@ -17,45 +17,45 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bug {
     None,
-    /// The receiver takes whatever it is told.
+    /// The guard takes whatever it is told.
     NoCheck,
-    /// The receiver acts before its term is on the disk.
+    /// The guard acts before its term is on the disk.
     ActsFirst,
     /// A new owner goes on under the old one's term.
     TermKept,
-    /// What is agreed on does not look at the term of an act.
+    /// What is group_state on does not look at the term of an act.
     LogBlind,
 }
 
-/// The charter, told apart by what is stored of it.
+/// The group, told apart by what is stored of it.
 #[derive(Clone, Debug)]
-struct Agreed(Charter);
+struct HashedState(GroupState);
 
-impl PartialEq for Agreed {
+impl PartialEq for HashedState {
     fn eq(&self, other: &Self) -> bool {
         self.0 == other.0
     }
 }
-impl Eq for Agreed {}
-impl Hash for Agreed {
+impl Eq for HashedState {}
+impl Hash for HashedState {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.0.stored().encode_to_vec().hash(state);
+        self.0.to_stored().encode_to_vec().hash(state);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    agreed: Agreed,
+    group_state: HashedState,
     /// What each member believes to own, and under which term: as late as can be.
     believes: [u64; 2],
     /// Acts on their way: the member and the term. They stay, as a message may come twice.
     sent: BTreeSet<(u64, u64)>,
-    receiver: Receiver<(u64, u64)>,
+    guard: FencingGuard<(u64, u64)>,
     /// A term is being stored.
     storing: bool,
     /// The terms taken, in order.
     taken: Vec<u64>,
-    /// Terms under which state was written into the charter, in order.
+    /// Terms under which state was written into the group, in order.
     written: Vec<u64>,
     /// Owners by term.
     owners: BTreeSet<(u64, u64)>,
@@ -78,13 +78,13 @@
 }
 
 impl World {
-    fn take(&self, state: &mut State, actions: Vec<fencing::Action<(u64, u64)>>) {
+    fn take(&self, state: &mut State, actions: Vec<FencingAction<(u64, u64)>>) {
         for action in actions {
             match action {
-                fencing::Action::Keep(_) => state.storing = true,
-                fencing::Action::Take((_, term)) => state.taken.push(term),
-                fencing::Action::Refuse((_, term), _) if self.bug == Bug::NoCheck => state.taken.push(term),
-                fencing::Action::Refuse(..) => {}
+                FencingAction::Persist(_) => state.storing = true,
+                FencingAction::Accept((_, term)) => state.taken.push(term),
+                FencingAction::Reject((_, term), _) if self.bug == Bug::NoCheck => state.taken.push(term),
+                FencingAction::Reject(..) => {}
             }
         }
     }
@@ -96,13 +96,13 @@
 
     fn init_states(&self) -> Vec<State> {
         let member = |number| Member { number, ..Member::default() };
-        let mut charter = Charter::alone(1, member(1), BTreeMap::new());
-        charter.join(member(2));
+        let mut group = GroupState::single_member(1, member(1), BTreeMap::new());
+        group.add_member(member(2));
         vec![State {
-            agreed: Agreed(charter),
+            group_state: HashedState(group),
             believes: [0; 2],
             sent: BTreeSet::new(),
-            receiver: Receiver::new(BTreeMap::new()),
+            guard: FencingGuard::new(BTreeMap::new()),
             storing: false,
             taken: Vec::new(),
             written: Vec::new(),
@@ -112,7 +112,7 @@
 
     fn actions(&self, state: &State, out: &mut Vec<Step>) {
         for member in [1, 2] {
-            if state.agreed.0.owner(VERSIONS).1 < self.terms {
+            if state.group_state.0.holder(CONFIGURATION_ROLE).1 < self.terms {
                 out.push(Step::Assign(member));
             }
             out.push(Step::Learn(member));
@@ -132,17 +132,22 @@
         let mut state = last.clone();
         match step {
             Step::Assign(to) => {
-                let term = state.agreed.0.owner(VERSIONS).1;
-                let act = Act { duty: VERSIONS.into(), term, what: Some(What::Assign(to)), ..Act::default() };
-                assert_eq!(state.agreed.0.apply(&act).0, Outcome::Done);
+                let term = state.group_state.0.holder(CONFIGURATION_ROLE).1;
+                let act = Act {
+                    duty: CONFIGURATION_ROLE.into(),
+                    term,
+                    what: Some(What::Assign(to)),
+                    ..Act::default()
+                };
+                assert_eq!(state.group_state.0.apply(&act).0, Outcome::Applied);
                 if self.bug == Bug::TermKept {
-                    if let Some(duty) = state.agreed.0.duties.get_mut(VERSIONS) {
+                    if let Some(duty) = state.group_state.0.roles.get_mut(CONFIGURATION_ROLE) {
                         duty.term = term.max(1);
                     }
                 }
             }
             Step::Learn(member) => {
-                let (owner, term) = state.agreed.0.owner(VERSIONS);
+                let (owner, term) = state.group_state.0.holder(CONFIGURATION_ROLE);
                 // One that hears that it owns nothing acts no more; one that hears nothing goes on.
                 state.believes[member as usize - 1] = if owner == member { term } else { 0 };
                 if owner == member {
@@ -151,34 +156,34 @@
             }
             Step::Send(member) => drop(state.sent.insert((member, state.believes[member as usize - 1]))),
             Step::Deliver(member, term) => {
-                if self.bug == Bug::ActsFirst && term >= state.receiver.term(VERSIONS) {
+                if self.bug == Bug::ActsFirst && term >= state.guard.term(CONFIGURATION_ROLE) {
                     state.taken.push(term);
-                    let _ = state.receiver.act(VERSIONS, term, (member, term));
+                    let _ = state.guard.check(CONFIGURATION_ROLE, term, (member, term));
                 } else {
-                    let actions = state.receiver.act(VERSIONS, term, (member, term));
+                    let actions = state.guard.check(CONFIGURATION_ROLE, term, (member, term));
                     self.take(&mut state, actions);
                 }
             }
             Step::Stored(done) => {
                 state.storing = false;
-                let actions = state.receiver.kept(if done { Ok(()) } else { Err("full".into()) });
+                let actions = state.guard.on_persisted(if done { Ok(()) } else { Err("full".into()) });
                 self.take(&mut state, actions);
             }
             Step::Restart => {
-                state.receiver = Receiver::new(state.receiver.terms().clone());
+                state.guard = FencingGuard::new(state.guard.terms().clone());
                 state.storing = false;
             }
             Step::Write(member) => {
                 let term = state.believes[member as usize - 1];
                 let blind = self.bug == Bug::LogBlind;
-                let (owner, present) = state.agreed.0.owner(VERSIONS);
+                let (owner, present) = state.group_state.0.holder(CONFIGURATION_ROLE);
                 let act = Act {
-                    duty: VERSIONS.into(),
+                    duty: CONFIGURATION_ROLE.into(),
                     term: if blind { present } else { term },
                     by: if blind { owner } else { member },
                     what: Some(What::Keep(gaugestep_config::schema::Keep { state: vec![1], order: 1 })),
                 };
-                if state.agreed.0.apply(&act).0 == Outcome::Done {
+                if state.group_state.0.apply(&act).0 == Outcome::Applied {
                     state.written.push(term);
                 }
             }
@@ -219,7 +224,7 @@
 
 #[test]
 fn whoever_is_paused_wherever_old_terms_do_nothing() {
-    // All up to some steps: a receiver counts what it refuses, so there is no end to the states.
+    // All up to some steps: a guard counts what it refuses, so there is no end to the states.
     let whole = World { bug: Bug::None, terms: 2 }.checker().target_max_depth(13).spawn_bfs().join();
     println!("{} states", whole.unique_state_count());
     assert!(whole.unique_state_count() > 1_000, "{}", whole.unique_state_count());
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use gaugestep_config::schema::call;
-use gaugestep_leadership::SEATS;
+use gaugestep_leadership::ORDINALS_ROLE;
 use gaugestep_subsetting::fairness::fairness;
 use gaugestep_testbed::crowd::{Rule, cold, drawn, late};
 use gaugestep_testbed::stand::{Arrival, Engine, List, Records};
@@ -252,7 +252,7 @@
 #[test]
 fn a_fleet_that_is_doubled_and_halved_under_load_draws_engines_evenly_again() {
     let group = Group::start(3);
-    group.until_done(call::What::Declare(SEATS.into()));
+    group.until_done(call::What::Declare(ORDINALS_ROLE.into()));
     let mut crowd = Crowd::start(12);
     (0..10).for_each(|number| crowd.add_following(&group, number));
     group.seated(&crowd.proxies.iter().collect::<Vec<_>>(), 10);
--- a/tests/ordinals.rs
+++ b/tests/ordinals.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 use gaugestep_config::schema::{HandOver, Plan, call};
-use gaugestep_leadership::SEATS;
+use gaugestep_leadership::ORDINALS_ROLE;
 use gaugestep_testbed::crowd::{Held, Shared, shared};
 use gaugestep_testbed::faults::Schedule;
 use gaugestep_testbed::network::{Link, Way};
@@ -20,7 +20,7 @@
 /// A group of services that keeps a roster, and has proxies log each confirmation.
 fn group(services: u64) -> Group {
     let group = Group::start(services);
-    group.until_done(call::What::Declare(SEATS.into()));
+    group.until_done(call::What::Declare(ORDINALS_ROLE.into()));
     let logging = "logging { level: INFO parts { name: \"gaugestep_control::follow\" level: DEBUG } }";
     group.published(logging, "logging", Plan::default());
     group
@@ -92,7 +92,7 @@
     }
     let keeper = |group: &Group, but: u64| {
         let asked = group.nodes.iter().filter(|node| node.number != but && node.runs());
-        let told = asked.flat_map(|node| node.duties()).filter(|it| it.name == SEATS);
+        let told = asked.flat_map(|node| node.duties()).filter(|it| it.name == ORDINALS_ROLE);
         told.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
     };
     let (old, old_term) = keeper(&group, 0);
@@ -186,7 +186,7 @@
             }
         }
         group.play(&schedule, &known);
-        let _ = group.call(call::What::HandOver(HandOver { duty: SEATS.into(), to: 0 }));
+        let _ = group.call(call::What::HandOver(HandOver { duty: ORDINALS_ROLE.into(), to: 0 }));
     }
     stopped.iter().for_each(|one| proxies[*one].go_on());
     group.seated(&proxies.iter().collect::<Vec<_>>(), 10);
