--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -229,7 +229,7 @@
     }
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT])
         .map_err(|error| format!("cannot take signals: {error}"))?;
-    gaugestep_coroutine_io::task::set_up();
+    gaugestep_coroutine_io::task::init_scheduler();
     let seed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let seed = seed.map_or(1, |since| since.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40);
     let (listen, operators) = (settings.listen, settings.operators);
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -26,9 +26,9 @@
 use gaugestep_leadership::receiver::{self, Receiver as Terms, Refused};
 use gaugestep_leadership::seek::Seek;
 use gaugestep_leadership::{SEATS, VERSIONS};
-use gaugestep_storage::slots::{Slots, peek};
-use gaugestep_subsetting::holder::{Holder, Told};
-use gaugestep_subsetting::place::Place;
+use gaugestep_storage::snapshot_slots::{SnapshotSlots, read_unlocked};
+use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
+use gaugestep_subsetting::position::FleetPosition;
 use may::net::TcpStream;
 
 use crate::transport::backoff::Backoff;
@@ -62,7 +62,7 @@
     /// Requests since the start: served, refused, failed.
     fn counted(&self) -> (u64, u64, u64);
     /// The proxy has this seat for so many milliseconds from now on; none: it goes by what else it knows.
-    fn seated(&self, seat: Option<(Place, f64)>);
+    fn seated(&self, seat: Option<(FleetPosition, f64)>);
 }
 
 /// How to follow a service.
@@ -123,7 +123,7 @@
     /// A version, on a stream.
     Offer(u64, Box<Offer>),
     /// The proxy's seat, confirmed for what it asked at that time.
-    Seat(f64, Told),
+    Seat(f64, OrdinalGrant),
 }
 
 /// What the stream's coroutine shares with the thread that stores.
@@ -136,9 +136,9 @@
     /// The highest terms seen.
     terms: Terms<Said>,
     seek: Seek,
-    holder: Holder,
+    holder: OrdinalLease,
     /// The place that the host was told last.
-    place: Option<Place>,
+    place: Option<FleetPosition>,
     /// The term under which this process has the proxy's name; 0: it never had it.
     name_term: u64,
     /// The process that has the name now, and its term.
@@ -161,7 +161,7 @@
 
 /// The terms that were kept in this folder.
 fn kept(folder: &Path) -> BTreeMap<String, u64> {
-    for found in peek(&folder.join(TERMS_FOLDER), TERMS) {
+    for found in read_unlocked(&folder.join(TERMS_FOLDER), TERMS) {
         match found.and_then(|bytes| Charter::decode(bytes.as_slice()).map_err(|error| error.to_string())) {
             Ok(told) => return told.duties.into_iter().map(|it| (it.name, it.term)).collect(),
             Err(error) => tracing::error!("the terms seen cannot be read: {error}"),
@@ -175,7 +175,7 @@
     pub fn start(settings: Settings, host: Arc<dyn Host>) -> Result<Arc<Self>, String> {
         let keys = settings.keys.as_ref().map(|(files, _)| ClientKeys::connect(files.clone())).transpose()?;
         let (jobs, work) = channel();
-        let slots = Slots::open(&settings.state, LONGEST_DOCUMENT + AROUND);
+        let slots = SnapshotSlots::open(&settings.state, LONGEST_DOCUMENT + AROUND);
         let slots = match slots {
             Ok(slots) => Some(slots),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
@@ -186,7 +186,7 @@
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let drawn = settings.seed ^ since.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
         // Also where a predecessor still holds it.
-        let stored = peek(&settings.state, LONGEST_DOCUMENT + AROUND);
+        let stored = read_unlocked(&settings.state, LONGEST_DOCUMENT + AROUND);
         let mut ledger = Ledger::new();
         host.held(&mut |live| {
             let (recovered, refused) = Ledger::recover(0.0, stored.iter().cloned(), live);
@@ -211,7 +211,7 @@
                 waker: None,
                 terms,
                 seek,
-                holder: Holder::default(),
+                holder: OrdinalLease::default(),
                 place: None,
                 name_term: 0,
                 displaced: None,
@@ -229,7 +229,7 @@
             .spawn(move || storing.store(slots, &work))
             .map_err(|error| format!("cannot start a thread: {error}"))?;
         let following = follower.clone();
-        task::spawn_deep("versions", STACK_WORDS, move || following.run())
+        task::spawn_with_large_stack("versions", STACK_WORDS, move || following.run())
             .map_err(|error| format!("cannot start a coroutine: {error}"))?;
         let waking = follower.clone();
         task::spawn("version clocks", move || {
@@ -273,12 +273,12 @@
             "process": format!("{:016x}", self.incarnation),
             "name_term": desk.name_term,
             "displaced": desk.displaced.is_some(),
-            "seat": desk.holder.place(clock::now()).map(|(place, until)| match place {
-                Place::Seat { seat, seats } => serde_json::json!({
-                    "seat": seat, "seats": seats, "epoch": desk.holder.known().map(|told| told.epoch),
+            "seat": desk.holder.position(clock::now()).map(|(place, until)| match place {
+                FleetPosition::Ordinal { ordinal: seat, fleet_size: seats } => serde_json::json!({
+                    "seat": seat, "seats": seats, "epoch": desk.holder.last_grant().map(|told| told.epoch),
                     "term": desk.terms.term(SEATS), "left_ms": (until - clock::now()).max(0.0).round(),
                 }),
-                Place::Name(_) => serde_json::Value::Null,
+                FleetPosition::NameKey(_) => serde_json::Value::Null,
             }),
             "last_refusal": last_refusal.last(),
             "weak_routes": weak,
@@ -344,7 +344,7 @@
                 }
                 receiver::Action::Take(Said::Seat(asked, told)) => {
                     let asked = if failpoints::out("seat") { f64::MAX } else { asked };
-                    if lock(&self.desk).holder.told(asked, told) {
+                    if lock(&self.desk).holder.confirm(asked, told) {
                         self.look_at_seat(true);
                     }
                 }
@@ -367,15 +367,15 @@
     fn look_at_seat(&self, confirmed: bool) {
         let now = clock::now();
         let mut desk = lock(&self.desk);
-        let (held, term) = (desk.holder.place(now), desk.terms.term(SEATS));
+        let (held, term) = (desk.holder.position(now), desk.terms.term(SEATS));
         let place = held.map(|(place, _)| place);
         let changed = std::mem::replace(&mut desk.place, place) != place;
         if !(changed || confirmed && held.is_some()) {
             return;
         }
-        let epoch = desk.holder.known().map_or(0, |told| told.epoch);
+        let epoch = desk.holder.last_grant().map_or(0, |told| told.epoch);
         drop(desk);
-        if let Some((Place::Seat { seat, seats }, until)) = held {
+        if let Some((FleetPosition::Ordinal { ordinal: seat, fleet_size: seats }, until)) = held {
             if changed {
                 tracing::info!(duty = SEATS, term, epoch, seat, seats, "seat");
             }
@@ -431,8 +431,8 @@
     }
 
     /// The thread that stores.
-    fn store(&self, mut slots: Option<Slots>, work: &Receiver<Job>) {
-        let mut terms: Option<Slots> = None;
+    fn store(&self, mut slots: Option<SnapshotSlots>, work: &Receiver<Job>) {
+        let mut terms: Option<SnapshotSlots> = None;
         loop {
             let job = match work.recv_timeout(LOOK) {
                 Ok(job) => Some(job),
@@ -443,7 +443,7 @@
                 keys.look();
             }
             if slots.is_none() {
-                slots = Slots::open(&self.settings.state, LONGEST_DOCUMENT + AROUND).ok();
+                slots = SnapshotSlots::open(&self.settings.state, LONGEST_DOCUMENT + AROUND).ok();
             }
             let held = slots.as_ref().ok_or_else(|| "another process holds the store".to_owned());
             match job {
@@ -454,7 +454,7 @@
                 }
                 Some(Job::Keep(seen)) => {
                     if terms.is_none() && held.is_ok() {
-                        terms = Slots::open(&self.settings.state.join(TERMS_FOLDER), TERMS).ok();
+                        terms = SnapshotSlots::open(&self.settings.state.join(TERMS_FOLDER), TERMS).ok();
                     }
                     let duty = |(name, term): (&String, &u64)| Duty {
                         name: name.clone(),
@@ -462,8 +462,9 @@
                         ..Duty::default()
                     };
                     let all = Charter { duties: seen.iter().map(duty).collect(), ..Charter::default() };
-                    let keep =
-                        |slots: &Slots| slots.stage(&all.encode_to_vec()).and_then(|()| slots.commit());
+                    let keep = |slots: &SnapshotSlots| {
+                        slots.stage(&all.encode_to_vec()).and_then(|()| slots.commit())
+                    };
                     let end = match (&terms, held) {
                         (Some(terms), Ok(_)) => keep(terms).map_err(|error| error.to_string()),
                         (_, Err(why)) => Err(why),
@@ -597,7 +598,7 @@
                         self.said(VERSIONS, offer.term, Said::Offer(stream, Box::new(offer)));
                     }
                     Some(from_service::Said::Seated(Seated { term, epoch, asked_ms, seat, seats })) => {
-                        let told = Told { term, epoch, seat: seat.map(|seat| (seat, seats)) };
+                        let told = OrdinalGrant { term, epoch, ordinal: seat.map(|seat| (seat, seats)) };
                         // Nothing was asked for yet: it holds once the first figures are answered.
                         if welcome && asked_ms > 0 {
                             self.said(SEATS, term, Said::Seat(asked_ms as f64, told));
--- a/crates/control-plane/src/raft/driver.rs
+++ b/crates/control-plane/src/raft/driver.rs
@@ -12,7 +12,7 @@
 use gaugestep_leadership::charter::{Change, Charter, Outcome};
 use gaugestep_leadership::lease::{Action, Grantor, Timing};
 use gaugestep_leadership::proposals::Proposals;
-use gaugestep_storage::versions::{Batch, Versions as Store};
+use gaugestep_storage::control_store::{ControlStore, WriteBatch};
 use prost::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, EntryType, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
@@ -39,7 +39,7 @@
     on_change: &'a OnChange,
     raw: RawNode<Log>,
     log: Log,
-    store: Store,
+    store: ControlStore,
     grantor: Grantor,
     proposals: Proposals,
     /// Who waits for what was proposed.
@@ -398,14 +398,14 @@
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
             self.say(ready.take_messages());
-            let mut batch = Batch { sync: ready.must_sync(), ..Batch::default() };
+            let mut batch = WriteBatch { sync: ready.must_sync(), ..WriteBatch::default() };
             if !ready.snapshot().is_empty() {
                 self.install(ready.snapshot(), &mut batch)?;
             }
             if let Some(first) = ready.entries().first() {
-                batch.log_from = Some(first.index);
+                batch.truncate_log_from = Some(first.index);
                 let stored = |it: &raft::eraftpb::Entry| (it.index, codec::entry(it).encode_to_vec());
-                batch.log = ready.entries().iter().map(stored).collect();
+                batch.log_entries = ready.entries().iter().map(stored).collect();
             }
             if let Some(hard) = ready.hs() {
                 batch.values.push(("hard", codec::hard(hard).encode_to_vec()));
@@ -422,7 +422,7 @@
             self.say(ready.take_persisted_messages());
             let reads = ready.take_read_states();
             let mut light = self.raw.advance(ready);
-            let mut batch = Batch::default();
+            let mut batch = WriteBatch::default();
             if let Some(commit) = light.commit_index() {
                 let hard = self.log.set_commit(commit);
                 batch.values.push(("hard", codec::hard(&hard).encode_to_vec()));
@@ -437,11 +437,11 @@
             if let Some(base) = self.log.compact(LOG_KEPT, LOG_MUCH) {
                 // Synced with it: what is applied must be on disk before the entries that it came from are let go.
                 let values = vec![("base", unpair(base))];
-                self.store.write(&Batch {
-                    log_below: Some(base.0 + 1),
+                self.store.write(&WriteBatch {
+                    compact_log_below: Some(base.0 + 1),
                     values,
                     sync: true,
-                    ..Batch::default()
+                    ..WriteBatch::default()
                 })?;
             }
             for read in reads {
@@ -466,13 +466,13 @@
     }
 
     /// Takes all that is agreed from a member that is further.
-    fn install(&mut self, snapshot: &Snapshot, batch: &mut Batch) -> Result<(), String> {
+    fn install(&mut self, snapshot: &Snapshot, batch: &mut WriteBatch) -> Result<(), String> {
         let told = schema::Charter::decode(snapshot.data.as_ref());
         let charter = Charter::of(told.map_err(|error| spoilt("what another member sent", error))?);
         let meta = snapshot.get_metadata();
         let (base, members) = ((meta.index, meta.term), meta.get_conf_state().clone());
         let mut view = lock(&self.group.view);
-        batch.dropped = view.charter.versions.keys().copied().collect();
+        batch.removed_versions = view.charter.versions.keys().copied().collect();
         for (number, held) in &charter.versions {
             batch.documents.push((*number, held.document.encode_to_vec()));
             batch.entries.push((*number, held.entry.encode_to_vec()));
@@ -483,7 +483,7 @@
             ("base", unpair(base)),
             ("applied", base.0.to_be_bytes().to_vec()),
         ]);
-        (batch.log_below, batch.sync) = (Some(base.0 + 1), true);
+        (batch.compact_log_below, batch.sync) = (Some(base.0 + 1), true);
         let dropped = view.charter.versions.keys().filter(|it| !charter.versions.contains_key(it));
         self.changes.extend(dropped.map(|number| Change::Dropped(*number)));
         self.changes.extend(charter.versions.keys().map(|number| Change::Version(*number)));
@@ -501,7 +501,7 @@
     }
 
     /// Applies entries that are agreed on, and notes what is to be stored of it.
-    fn apply(&mut self, entries: Vec<raft::eraftpb::Entry>, batch: &mut Batch) -> Result<(), String> {
+    fn apply(&mut self, entries: Vec<raft::eraftpb::Entry>, batch: &mut WriteBatch) -> Result<(), String> {
         let Some(last) = entries.last().map(|entry| entry.index) else { return Ok(()) };
         let mut changes = Vec::new();
         for entry in entries {
@@ -539,7 +539,7 @@
                     }
                     batch.entries.push((*number, held.entry.encode_to_vec()));
                 }
-                Change::Dropped(number) => batch.dropped.push(*number),
+                Change::Dropped(number) => batch.removed_versions.push(*number),
                 Change::Owner(_) | Change::Duty(_) | Change::Members => {}
             }
         }
@@ -570,7 +570,7 @@
     fn change_members(
         &mut self,
         entry: &raft::eraftpb::Entry,
-        batch: &mut Batch,
+        batch: &mut WriteBatch,
     ) -> Result<(Outcome, Vec<Change>), String> {
         let told =
             RaftChange::decode(entry.data.as_ref()).map_err(|error| spoilt("a change of members", error))?;
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -7,8 +7,8 @@
 use gaugestep_config::schema::{self, Entry, Member};
 use gaugestep_leadership::charter::{Charter, Held};
 use gaugestep_leadership::seal::{Found, boot};
-use gaugestep_storage::seal;
-use gaugestep_storage::versions::{Batch, Versions as Store};
+use gaugestep_storage::control_store::{ControlStore, WriteBatch};
+use gaugestep_storage::generation_file;
 use prost::Message as _;
 use raft::eraftpb::{ConfState, HardState};
 
@@ -17,7 +17,7 @@
 
 /// A store as it was found.
 pub(crate) struct Opened {
-    pub(crate) store: Store,
+    pub(crate) store: ControlStore,
     pub(crate) boot: u64,
     pub(crate) charter: Charter,
     pub(crate) hard: HardState,
@@ -45,7 +45,7 @@
     pub(crate) fn open(settings: &Settings, again: Option<u64>) -> Result<Self, String> {
         let path = &settings.store;
         let failed = |error: std::io::Error| format!("{}: {error}", path.display());
-        let store = Store::open(path)?;
+        let store = ControlStore::open(path)?;
         let kept = |name: &str| store.value(name);
         let single = |bytes: Vec<u8>| bytes.try_into().map(u64::from_be_bytes).unwrap_or(0);
         let charter = kept("charter")?;
@@ -55,8 +55,8 @@
             Some(boot) => boot,
             None => {
                 let boots = kept("boots")?.map_or(0, single);
-                let file = seal::file(path).map_err(failed)?;
-                let found = Found { boots, file, seal: seal::read(path).map_err(failed)? };
+                let file = generation_file::file_id(path).map_err(failed)?;
+                let found = Found { boots, file, seal: generation_file::read(path).map_err(failed)? };
                 let several = charter.as_ref().is_some_and(|charter| charter.members.len() > 1);
                 let boot = boot(found, settings.restored && !several).map_err(|refused| {
                     let way = match several {
@@ -69,13 +69,13 @@
                 })?;
                 // Store before seal: a kill in between leaves the store one ahead, never behind.
                 let values = vec![("boots", boot.to_be_bytes().to_vec())];
-                store.write(&Batch { values, sync: true, ..Batch::default() })?;
-                seal::write(path, boot, file).map_err(failed)?;
+                store.write(&WriteBatch { values, sync: true, ..WriteBatch::default() })?;
+                generation_file::write(path, boot, file).map_err(failed)?;
                 boot
             }
         };
         let mut versions = BTreeMap::new();
-        for stored in store.all()? {
+        for stored in store.versions()? {
             let entry = Entry::decode(stored.entry.as_slice()).map_err(|error| spoilt("a version", error))?;
             let document = Document::decode(stored.document.as_slice());
             let document = Arc::new(document.map_err(|error| spoilt("a document", error))?);
@@ -114,13 +114,13 @@
         };
         let opened =
             Opened { store, boot, charter, hard, members, base, applied: base.0, entries: Vec::new() };
-        let mut batch = Batch { sync: true, ..Batch::default() };
+        let mut batch = WriteBatch { sync: true, ..WriteBatch::default() };
         opened.all_into(&mut batch);
         opened.store.write(&batch)?;
         Ok(opened)
     }
 
-    fn all_into(&self, batch: &mut Batch) {
+    fn all_into(&self, batch: &mut WriteBatch) {
         batch.values.extend([
             ("charter", self.charter.stored().encode_to_vec()),
             ("hard", codec::hard(&self.hard).encode_to_vec()),
--- a/crates/control-plane/src/raft/transport.rs
+++ b/crates/control-plane/src/raft/transport.rs
@@ -106,7 +106,8 @@
         }
         links.insert(member, Link::default());
         let group = group.clone();
-        let dialing = task::spawn_deep("member", STACK_WORDS, move || keep_dialed(&group, member));
+        let dialing =
+            task::spawn_with_large_stack("member", STACK_WORDS, move || keep_dialed(&group, member));
         if let Err(error) = dialing {
             tracing::error!(member, "no coroutine for a member: {error}");
         }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -287,7 +287,7 @@
                 }
             };
             let service = self.clone();
-            let spawned = task::spawn_deep("stream", STACK_WORDS, move || {
+            let spawned = task::spawn_with_large_stack("stream", STACK_WORDS, move || {
                 let ended = match proxies {
                     true => service.stream(stream),
                     false => service.operator(stream),
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -1,4 +1,4 @@
-//! Seats of the fleet: a shell round the [`Keeper`], which decides who sits where, at the owner of the duty [`SEATS`]; and, at
+//! Seats of the fleet: a shell round the [`RosterManager`], which decides who sits where, at the owner of the duty [`SEATS`]; and, at
 //! every member, what proxies are told of it. Members tell the owner which proxies they hear; the roster is agreed on like
 //! all else, so every member knows it.
 
@@ -7,7 +7,7 @@
 use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
 use gaugestep_leadership::SEATS;
 use gaugestep_leadership::charter::Outcome;
-use gaugestep_subsetting::roster::{Keeper, Roster};
+use gaugestep_subsetting::roster::{Roster, RosterManager};
 use prost::Message as _;
 
 use crate::server::{Inner, Service};
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub(crate) struct Seating {
     /// The term under which this service keeps the roster, and the keeper.
-    keeping: Option<(u64, Keeper)>,
+    keeping: Option<(u64, RosterManager)>,
     told_at: f64,
 }
 
@@ -46,7 +46,7 @@
                 (Some(term), Some((_, roster))) => {
                     let (epoch, seats) = (roster.epoch, roster.names.len());
                     tracing::info!(duty = SEATS, term, epoch, seats, "acts");
-                    inner.seating.keeping = Some((term, Keeper::resume(now, roster)));
+                    inner.seating.keeping = Some((term, RosterManager::resume(now, roster)));
                 }
                 _ => tracing::warn!(duty = SEATS, "does not act any more"),
             }
@@ -66,9 +66,9 @@
         }
         let Some((term, keeper)) = &mut inner.seating.keeping else { return };
         for told in self.group.heard_of() {
-            keeper.heard(now, told.proxies.iter().map(String::as_str));
+            keeper.record_heartbeats(now, told.proxies.iter().map(String::as_str));
         }
-        let Some(next) = keeper.tick(now) else { return };
+        let Some(next) = keeper.next_change(now) else { return };
         let (term, epoch, seats) = (*term, next.epoch, next.names.len());
         let state = schema::Roster { epoch, proxies: next.names.clone() }.encode_to_vec();
         // The order behind what is agreed: of two proposals that were made of one roster only the first is taken.
@@ -82,7 +82,7 @@
             let there = service.agreed().is_some_and(|(_, roster)| roster == next);
             let mut inner = lock(&service.inner);
             match inner.seating.keeping.as_mut().filter(|(own, _)| *own == term) {
-                Some((_, keeper)) if there => keeper.agreed(clock::now(), epoch, true),
+                Some((_, keeper)) if there => keeper.change_decided(clock::now(), epoch, true),
                 // It may be agreed on yet, or another one was: begins again with whatever is there.
                 Some(_) => inner.seating.keeping = None,
                 None => {}
@@ -128,7 +128,7 @@
 fn seated(inner: &Inner, stream: u64, (duty, roster): &(schema::Duty, Roster)) -> Option<Seated> {
     let line = inner.lines.get(&stream)?;
     let (hello, _) = line.hello.as_ref().filter(|(hello, _)| inner.names.holds(&hello.proxy, stream))?;
-    let seat = roster.seat(&hello.proxy).map(|(seat, _)| seat);
+    let seat = roster.ordinal_of(&hello.proxy).map(|(seat, _)| seat);
     let (term, epoch, seats) = (duty.term, roster.epoch, roster.names.len() as u32);
     Some(Seated { term, epoch, asked_ms: line.asked, seat, seats })
 }
--- a/crates/control-plane/src/transport/connection.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Read as _, Write as _};
 use std::sync::Arc;
 
-use gaugestep_coroutine_io::stream::{Filled, Outbox, Stream, Waker, fill};
+use gaugestep_coroutine_io::stream::{ReadOutcome, Stream, Waker, WriteBuffer, read_into};
 use may::io::WaitIo as _;
 use may::net::TcpStream;
 use prost::Message;
@@ -23,7 +23,7 @@
     stream: TcpStream,
     tls: Option<Box<Connection>>,
     /// Bytes to be written, where there is no TLS; with it, they wait within.
-    out: Outbox,
+    out: WriteBuffer,
     /// Bytes read and not yet taken.
     input: Vec<u8>,
     /// Bytes of `input` that are done with.
@@ -59,7 +59,7 @@
         if let Some(tls) = &mut tls {
             tls.set_buffer_limit(Some(MOST_WAITING));
         }
-        Ok(Channel { stream, tls, out: Outbox::default(), input: Vec::new(), at: 0 })
+        Ok(Channel { stream, tls, out: WriteBuffer::default(), input: Vec::new(), at: 0 })
     }
 
     /// Wakes the coroutine that waits for the channel.
@@ -82,7 +82,7 @@
         let bytes = framing::encode(message);
         let late = || io::Error::new(io::ErrorKind::TimedOut, "the peer does not read");
         let room = match &mut self.tls {
-            None if self.out.waiting() + bytes.len() > MOST_WAITING => false,
+            None if self.out.pending() + bytes.len() > MOST_WAITING => false,
             None => {
                 self.out.buffer().extend_from_slice(&bytes);
                 true
@@ -95,7 +95,7 @@
     /// Whether all that was sent has left.
     pub fn flushed(&self) -> bool {
         match &self.tls {
-            None => self.out.waiting() == 0,
+            None => self.out.pending() == 0,
             Some(tls) => !tls.wants_write(),
         }
     }
@@ -132,10 +132,10 @@
 
     fn read_plain(&mut self) -> io::Result<bool> {
         while self.room() {
-            match fill(self.stream.socket(), &mut self.input)? {
-                Filled::Some => {}
-                Filled::Nothing => return Ok(false),
-                Filled::Closed => return Ok(true),
+            match read_into(self.stream.socket(), &mut self.input)? {
+                ReadOutcome::Data => {}
+                ReadOutcome::WouldBlock => return Ok(false),
+                ReadOutcome::Closed => return Ok(true),
             }
         }
         Ok(false)
--- a/crates/coroutine-io/src/stream.rs
+++ b/crates/coroutine-io/src/stream.rs
@@ -31,11 +31,11 @@
 
 /// What a read brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Filled {
+pub enum ReadOutcome {
     /// Bytes; there may be more.
-    Some,
+    Data,
     /// Nothing for now.
-    Nothing,
+    WouldBlock,
     /// The other side has closed.
     Closed,
 }
@@ -46,7 +46,7 @@
 const PASSES: usize = 32;
 
 /// Reads once into the end of `buffer`.
-pub fn fill(mut socket: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<Filled> {
+pub fn read_into(mut socket: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<ReadOutcome> {
     let before = buffer.len();
     buffer.resize(before + CHUNK, 0);
     let read = loop {
@@ -57,16 +57,16 @@
     };
     buffer.truncate(before + *read.as_ref().unwrap_or(&0));
     match read {
-        Ok(0) => Ok(Filled::Closed),
-        Ok(_) => Ok(Filled::Some),
-        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Filled::Nothing),
+        Ok(0) => Ok(ReadOutcome::Closed),
+        Ok(_) => Ok(ReadOutcome::Data),
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(ReadOutcome::WouldBlock),
         Err(error) => Err(error),
     }
 }
 
 /// Whether the other side has closed its part of the connection, or the connection is broken: also where bytes that came
 /// before are still to be read. Asks the system and takes nothing off the socket.
-pub fn left(socket: &TcpStream) -> bool {
+pub fn peer_closed(socket: &TcpStream) -> bool {
     let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR | PollFlags::NVAL;
     let mut ask = [PollFd::new(socket, PollFlags::IN | PollFlags::RDHUP)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -87,10 +87,10 @@
 
 /// Passes over what has come and nobody reads any more: a connection that is closed with bytes unread is reset, and what
 /// was sent last is lost.
-pub fn pass_over(socket: &TcpStream) {
+pub fn discard_input(socket: &TcpStream) {
     let mut bytes = Vec::new();
     for _ in 0..PASSES {
-        if !matches!(fill(socket, &mut bytes), Ok(Filled::Some)) {
+        if !matches!(read_into(socket, &mut bytes), Ok(ReadOutcome::Data)) {
             return;
         }
         bytes.clear();
@@ -102,7 +102,7 @@
 
 /// Bytes on their way out.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct WriteBuffer {
     bytes: Vec<u8>,
     /// Bytes of `bytes` that are written.
     at: usize,
@@ -110,19 +110,19 @@
     earlier: u64,
 }
 
-impl Outbox {
+impl WriteBuffer {
     /// Where the next byte added will stand in all that was ever written.
-    pub fn end(&self) -> u64 {
+    pub fn end_offset(&self) -> u64 {
         self.earlier + self.bytes.len() as u64
     }
 
     /// Bytes written so far.
-    pub fn written(&self) -> u64 {
+    pub fn written_offset(&self) -> u64 {
         self.earlier + self.at as u64
     }
 
     /// Bytes that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.bytes.len() - self.at
     }
 
@@ -149,7 +149,7 @@
             self.at = 0;
             // Guards the memory: hundreds of connections are idle most of the time.
             self.bytes = Vec::new();
-        } else if self.at >= WRITTEN && self.at >= self.waiting() {
+        } else if self.at >= WRITTEN && self.at >= self.pending() {
             // So it does where the other side reads so slowly that something waits at all times.
             self.bytes.drain(..self.at);
             self.earlier += self.at as u64;
--- a/crates/coroutine-io/src/task.rs
+++ b/crates/coroutine-io/src/task.rs
@@ -13,7 +13,7 @@
 const POOL: usize = 256;
 
 /// Sets the scheduler up: one worker, as a proxy has one core. Must come before the first coroutine.
-pub fn set_up() {
+pub fn init_scheduler() {
     let config = may::config();
     config.set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(POOL);
     config.set_worker_pin(false);
@@ -70,7 +70,11 @@
 }
 
 /// Starts a coroutine with a stack of so many words, for what the usual one is too small for.
-pub fn spawn_deep<F: FnOnce() + Send + 'static>(name: &'static str, words: usize, task: F) -> io::Result<()> {
+pub fn spawn_with_large_stack<F: FnOnce() + Send + 'static>(
+    name: &'static str,
+    words: usize,
+    task: F,
+) -> io::Result<()> {
     start(may::coroutine::Builder::new().name(name.into()).stack_size(words), task)
 }
 
--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -46,7 +46,7 @@
     for (proxies, engines) in [(10, 40), (100, 60), (300, 80), (1_000, 80)] {
         let member = |id: u32| Member { id, key: key(&format!("s-{id}")), size: 8.0, zone: 0 };
         let members: Vec<Member> = (0..engines).map(member).collect();
-        let place = Place::seat(3, proxies).unwrap();
+        let place = FleetPosition::ordinal(3, proxies).unwrap();
         let span = micros(20, || drop(Subset::draw(place, proxies as usize, &members, 8)));
         println!("{proxies} proxies, {engines} engines: the subset is drawn anew in {span:.0} us");
     }
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -6,9 +6,9 @@
 use std::fmt;
 use std::sync::Arc;
 
-pub use gaugestep_subsetting::place::Place;
+pub use gaugestep_subsetting::position::FleetPosition;
+pub use gaugestep_subsetting::slow_start::SlowStartSettings;
 pub use gaugestep_subsetting::subset::Member;
-pub use gaugestep_subsetting::turn::ColdSettings;
 
 /// A point on the embedder's clock, or a span of it, in milliseconds.
 pub type Millis = f64;
@@ -156,7 +156,7 @@
     /// How many dispatchers there are.
     pub dispatchers: usize,
     /// Where this one stands among them.
-    pub place: Place,
+    pub place: FleetPosition,
     /// The zone that this one stands in.
     pub zone: ZoneId,
     /// Requests that may be open together; of more, those worth least for their work are refused.
@@ -180,7 +180,7 @@
     /// A final answer this long after the deadline still counts.
     pub answer_slack: Millis,
     /// What a freshly started engine can bear.
-    pub cold: ColdSettings,
+    pub cold: SlowStartSettings,
     /// How long a key rests after an attempt that might still be running.
     pub order_pause: Millis,
     /// The budget of further attempts, if one is stated.
@@ -214,8 +214,8 @@
         }
         let times = [
             ("answer_slack", settings.answer_slack),
-            ("cold.warm_within", settings.cold.warm_within),
-            ("cold.span", settings.cold.span),
+            ("cold.warm_within", settings.cold.warm_up),
+            ("cold.span", settings.cold.window),
             ("order_pause", settings.order_pause),
             ("max_retry_after", settings.max_retry_after),
             ("budget.span", settings.budget.map_or(0.0, |budget| budget.span)),
@@ -228,10 +228,10 @@
         if settings.dispatchers == 0 {
             return fail("dispatchers", "must be 1 or more");
         }
-        if !(0.0..=1.0).contains(&settings.cold.share) {
+        if !(0.0..=1.0).contains(&settings.cold.initial_share) {
             return fail("cold.share", "must lie between 0 and 1");
         }
-        if !time(settings.cold.multiple) {
+        if !time(settings.cold.capacity_multiple) {
             return fail("cold.multiple", "must be finite and 0 or more");
         }
         for class in &settings.classes {
@@ -436,7 +436,7 @@
     /// The dispatcher will end: its requests are due by then at the latest.
     ClosingBy(Millis),
     /// The dispatcher has a place by a roster until then, and by its settings from then on.
-    Seated(Place, Millis),
+    Seated(FleetPosition, Millis),
     /// New settings. A class keeps its place as long as a request of it is open; other rules come under another place.
     Retuned(Box<Settings>),
     /// A probe came back.
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -8,8 +8,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use gaugestep_subsetting::slow_start::{SlowStartBudget, SlowStartLimit, stagger_factor};
 use gaugestep_subsetting::subset::Subset;
-use gaugestep_subsetting::turn::{Allowance, Budget, spread};
 
 use crate::interface::*;
 use crate::requests::{Attempt, Class, KeyLine, Request};
@@ -104,7 +104,7 @@
     entry: EngineEntry,
     cold_since: Option<Millis>,
     /// What may be sent while it is cold.
-    allowance: Allowance,
+    allowance: SlowStartBudget,
     /// Mean log of run times over what their classes usually take.
     slowness: Mean,
     /// Queries held for other dispatchers, as reported.
@@ -139,7 +139,7 @@
     subset: Subset,
     own: (Vec<EngineId>, Millis),
     /// Its place by a roster, and until when.
-    seated: (Place, Millis),
+    seated: (FleetPosition, Millis),
     /// Other dispatchers' queries for each core, and the blame of an engine, on the fleet's average.
     crowd: Level,
     blame: f64,
@@ -186,7 +186,7 @@
     /// for each event, which took more than a core: [`Dispatcher::settle`] must follow soon.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.subset.place != Some(self.stands()) {
+        if self.subset.position != Some(self.stands()) {
             self.draw_subset();
         }
         match event {
@@ -563,11 +563,13 @@
                 if strikes > 0 && engine.strikes >= STRIKES_OUT {
                     out.push(Action::Log(format!("engine {}: left alone, {:?}", end.engine.0, end.outcome)));
                     let doubled = f64::from((engine.strikes / STRIKES_OUT).min(8) - 1).exp2();
-                    let wait = (BAR_FIRST * doubled).min(BAR_MOST) * spread(self.subset.stands(end.engine.0));
+                    let wait = (BAR_FIRST * doubled).min(BAR_MOST)
+                        * stagger_factor(self.subset.rotation_slot(end.engine.0));
                     engine.barred_until = now + wait;
                     if end.outcome == Outcome::ConnectFailed {
                         // A process that comes back after this is cold, whenever the list says so.
-                        (engine.cold_since, engine.allowance) = (Some(now + wait), Allowance::default());
+                        (engine.cold_since, engine.allowance) =
+                            (Some(now + wait), SlowStartBudget::default());
                     }
                 }
             }
@@ -867,7 +869,7 @@
     }
 
     /// Where it stands at this time. What a roster told holds for a while only, and not behind a stop.
-    fn stands(&self) -> Place {
+    fn stands(&self) -> FleetPosition {
         if self.now < self.seated.1 { self.seated.0 } else { self.settings.place }
     }
 
@@ -909,7 +911,7 @@
         request.attempts.push(attempt);
         if let Some(engine) = self.engines.get_mut(&engine_id) {
             engine.held.add(needs, 1.0);
-            engine.allowance.sent(work);
+            engine.allowance.consume(work);
         }
         if self.settings.grants || self.settings.priorities {
             let memory_mb = if self.settings.grants { needs.memory } else { 0.0 };
@@ -980,18 +982,18 @@
 
     /// The share of its capacity that an engine has by now, at the least.
     fn warmth(&self, engine: &Engine) -> f64 {
-        engine.cold_since.map_or(1.0, |since| self.settings.cold.warmth(self.now - since))
+        engine.cold_since.map_or(1.0, |since| self.settings.cold.capacity_share(self.now - since))
     }
 
     /// Whether a cold engine can take one more request of the class, by this dispatcher's rights there.
     fn cold_room(&mut self, engine_id: EngineId, class: ClassId) -> bool {
         let Some(engine) = self.engines.get(&engine_id) else { return false };
         let Some(since) = engine.cold_since else { return true };
-        let budget = Budget { cores: self.machine(engine).cores, cold: self.settings.cold };
+        let budget = SlowStartLimit { cores: self.machine(engine).cores, settings: self.settings.cold };
         let works: Vec<f64> = (0..self.classes.len()).map(|it| self.usual_work(ClassId(it))).collect();
-        let (work, stand, age) = (works[class.0], self.subset.stands(engine_id.0), self.now - since);
+        let (work, stand, age) = (works[class.0], self.subset.rotation_slot(engine_id.0), self.now - since);
         let engine = self.engines.get_mut(&engine_id);
-        engine.is_some_and(|it| it.allowance.room(&budget, stand, age, works.into_iter(), work))
+        engine.is_some_and(|it| it.allowance.available(&budget, stand, age, works.into_iter(), work))
     }
 
     /// The work of a usual request of the class; only estimates that run low are corrected.
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -11,7 +11,7 @@
 use common::*;
 use gaugestep_dispatch::Dispatcher;
 use gaugestep_dispatch::interface::*;
-use gaugestep_subsetting::turn::Budget;
+use gaugestep_subsetting::slow_start::SlowStartLimit;
 
 const DISPATCHERS: u64 = 40;
 const STEP: Millis = 10.0;
@@ -28,7 +28,7 @@
 /// Plays `length` ms: each dispatcher gets a light request every 200 ms on average and a heavy one every 1,000 ms,
 /// from the seed; each attempt ends served after its work. Dispatchers stand where `place` says among `told`, and
 /// their clocks are up to `skew` ms late.
-fn play(length: Millis, told: u64, skew: Millis, place: impl Fn(u64) -> Place) -> Played {
+fn play(length: Millis, told: u64, skew: Millis, place: impl Fn(u64) -> FleetPosition) -> Played {
     let settings = settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.0)]);
     let start = 100_000.0;
     let mut played = Played { work: BTreeMap::new(), light: 0, heavy: 0 };
@@ -79,23 +79,23 @@
 /// of 8 cores at the start, in 1.5 s. The part that is allowed for chance is not used.
 fn worst(played: &Played) -> f64 {
     let window = (1_500.0 / STEP) as u64;
-    let budget = Budget { cores: 8.0, cold: settings(vec![class(Effect::Safe, 1.0)]).cold };
+    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Effect::Safe, 1.0)]).cold };
     let last = played.work.keys().last().copied().unwrap_or(0);
     let sums = (0..=last).map(|first| {
         let sent: Millis = played.work.range(first..first + window).map(|(_, work)| work).sum();
-        sent / budget.limit(first as f64 * STEP)
+        sent / budget.window_limit(first as f64 * STEP)
     });
     sums.fold(0.0, f64::max)
 }
 
 fn mean(played: &Played, length: Millis) -> f64 {
-    let budget = Budget { cores: 8.0, cold: settings(vec![class(Effect::Safe, 1.0)]).cold };
-    played.work.values().sum::<Millis>() / budget.gathered(length)
+    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Effect::Safe, 1.0)]).cold };
+    played.work.values().sum::<Millis>() / budget.accrued(length)
 }
 
 #[test]
 fn a_fleet_sends_a_cold_engine_no_more_than_may_reach_it_in_any_window() {
-    let seat = |seed: u64| Place::seat(seed as u32, DISPATCHERS as u32).unwrap();
+    let seat = |seed: u64| FleetPosition::ordinal(seed as u32, DISPATCHERS as u32).unwrap();
     let played = play(6_000.0, DISPATCHERS, 0.0, seat);
     let (worst_window, used) = (worst(&played), mean(&played, 6_000.0));
     println!(
@@ -118,14 +118,15 @@
 /// dispatchers is wrong by a factor of two either way.
 #[test]
 fn a_fleet_without_seats_or_with_a_wrong_number_keeps_the_limit_in_the_mean() {
-    let name = |seed: u64| Place::Name(gaugestep_subsetting::key(&format!("n{seed}")));
+    let name = |seed: u64| FleetPosition::NameKey(gaugestep_subsetting::key(&format!("n{seed}")));
     let by_lot = play(6_000.0, DISPATCHERS, 0.0, name);
     println!("by lot: worst {:.2}, {:.2} used", worst(&by_lot), mean(&by_lot, 6_000.0));
     assert!(worst(&by_lot) <= 1.0 && mean(&by_lot, 6_000.0) > 0.1);
-    let many =
-        play(6_000.0, 2 * DISPATCHERS, 0.0, |seed| Place::seat(seed as u32, 2 * DISPATCHERS as u32).unwrap());
+    let many = play(6_000.0, 2 * DISPATCHERS, 0.0, |seed| {
+        FleetPosition::ordinal(seed as u32, 2 * DISPATCHERS as u32).unwrap()
+    });
     let few = play(6_000.0, DISPATCHERS / 2, 0.0, |seed| {
-        Place::seat((seed / 2) as u32, DISPATCHERS as u32 / 2).unwrap()
+        FleetPosition::ordinal((seed / 2) as u32, DISPATCHERS as u32 / 2).unwrap()
     });
     println!("told twice as many: worst {:.2}, {:.2} used", worst(&many), mean(&many, 6_000.0));
     println!("told half as many: worst {:.2}, {:.2} used", worst(&few), mean(&few, 6_000.0));
@@ -139,7 +140,7 @@
 fn dispatchers_that_met_one_failure_come_back_one_after_the_other() {
     let mut back = Vec::new();
     for seat in 0..DISPATCHERS {
-        let place = Place::seat(seat as u32, DISPATCHERS as u32).unwrap();
+        let place = FleetPosition::ordinal(seat as u32, DISPATCHERS as u32).unwrap();
         let settings = settings(vec![class(Effect::Safe, 1.0)]);
         let settings = Settings { dispatchers: DISPATCHERS as usize, place, ..settings };
         let mut desk = Desk { dispatcher: Dispatcher::new(settings, seat).unwrap(), now: 0.0 };
--- a/crates/dispatch/tests/module.rs
+++ b/crates/dispatch/tests/module.rs
@@ -197,7 +197,7 @@
 #[test]
 fn a_cold_engine_gets_no_more_than_its_budget_in_a_window() {
     let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
-    (settings.dispatchers, settings.place) = (2, Place::seat(0, 2).unwrap());
+    (settings.dispatchers, settings.place) = (2, FleetPosition::ordinal(0, 2).unwrap());
     let mut desk = Desk::new(settings.clone(), 0);
     desk.now = 100_000.0;
     desk.tell(Event::EngineList(vec![EngineEntry { started: Some(99_990.0), ..entry(0) }]));
@@ -283,14 +283,14 @@
     endless.order_pause = f64::INFINITY;
     assert_eq!(Dispatcher::new(endless, 1).err().unwrap().field, "order_pause");
     let mut negative = settings(vec![class(Effect::Safe, 1.0)]);
-    negative.cold.span = -1.0;
+    negative.cold.window = -1.0;
     assert_eq!(Dispatcher::new(negative, 1).err().unwrap().field, "cold.span");
     let mut nobody = settings(vec![class(Effect::Safe, 1.0)]);
     nobody.dispatchers = 0;
     assert_eq!(Dispatcher::new(nobody, 1).err().unwrap().field, "dispatchers");
     for share in [-0.1, 1.1, f64::NAN] {
         let mut odd = settings(vec![class(Effect::Safe, 1.0)]);
-        odd.cold.share = share;
+        odd.cold.initial_share = share;
         assert_eq!(Dispatcher::new(odd, 1).err().unwrap().field, "cold.share");
     }
 }
@@ -379,7 +379,7 @@
     settings.dispatchers = 250;
     let mut sent = 0;
     for seed in 0..250 {
-        settings.place = Place::seat(seed as u32, 250).unwrap();
+        settings.place = FleetPosition::ordinal(seed as u32, 250).unwrap();
         let mut desk = Desk { dispatcher: Dispatcher::new(settings.clone(), seed).unwrap(), now: 100_000.0 };
         desk.tell(Event::EngineList(vec![EngineEntry { started: Some(99_990.0), ..entry(0) }]));
         for number in 0..6 {
@@ -628,7 +628,7 @@
     settings.dispatchers = 100;
     let mut fleet = [0; 80];
     for seed in 0..100 {
-        settings.place = Place::seat(seed as u32, 100).unwrap();
+        settings.place = FleetPosition::ordinal(seed as u32, 100).unwrap();
         let mut desk = Desk { dispatcher: Dispatcher::new(settings.clone(), seed).unwrap(), now: 0.0 };
         desk.tell(Event::EngineList((0..80).map(entry).collect()));
         let mut own = std::collections::BTreeSet::new();
@@ -664,7 +664,7 @@
 #[test]
 fn a_cold_engine_without_news_is_not_taken_to_be_as_crowded_as_warm_ones() {
     let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
-    (settings.dispatchers, settings.place) = (2, Place::seat(0, 2).unwrap());
+    (settings.dispatchers, settings.place) = (2, FleetPosition::ordinal(0, 2).unwrap());
     let mut desk = Desk::new(settings, 3);
     desk.now = 100_000.0;
     let held = |held| Some(LoadReport { held: Some(held), ..LoadReport::default() });
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use gaugestep_dispatch::Settings;
-use gaugestep_dispatch::interface::Place;
+use gaugestep_dispatch::interface::FleetPosition;
 use serde_json::Value;
 
 /// The limits that the proxy keeps.
@@ -87,8 +87,8 @@
         }
         let mut settings = gaugestep_settings::settings(told)?;
         let name = json["name"].as_str().unwrap_or("gaugestep").to_owned();
-        if settings.place == Place::Name(0) {
-            settings.place = Place::Name(gaugestep_subsetting::key(&name));
+        if settings.place == FleetPosition::NameKey(0) {
+            settings.place = FleetPosition::NameKey(gaugestep_subsetting::key(&name));
         }
         settings.validate().map_err(|error| error.to_string())?;
         let address = |key: &str| -> Result<Option<SocketAddr>, String> {
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -10,7 +10,7 @@
 use gaugestep_config::schema::logging::Level;
 use gaugestep_control_plane::client::subscriber::Host;
 use gaugestep_dispatch::Settings;
-use gaugestep_dispatch::interface::{AttemptBudget, EngineId, Place, Readiness, Route, TenantId};
+use gaugestep_dispatch::interface::{AttemptBudget, EngineId, FleetPosition, Readiness, Route, TenantId};
 
 use crate::class_registry::Class;
 use crate::config::Names;
@@ -81,7 +81,7 @@
             tenant.quota_per_s = *quota;
         }
         if let Some(seat) = document.proxies.iter().position(|name| *name == told.proxy) {
-            let place = Place::seat(seat as u32, document.proxies.len() as u32);
+            let place = FleetPosition::ordinal(seat as u32, document.proxies.len() as u32);
             (settings.place, settings.dispatchers) =
                 (place.unwrap_or(settings.place), document.proxies.len());
         }
@@ -187,9 +187,9 @@
         (self.set_log)(directives(document));
     }
 
-    fn seated(&self, seat: Option<(Place, f64)>) {
+    fn seated(&self, seat: Option<(FleetPosition, f64)>) {
         let _changes = lock(&self.gateway.changes);
-        let (place, left) = seat.unwrap_or((Place::Name(0), 0.0));
+        let (place, left) = seat.unwrap_or((FleetPosition::NameKey(0), 0.0));
         self.gateway.facade.seated(place, left);
     }
 
--- a/crates/proxy/src/downstream/postgres.rs
+++ b/crates/proxy/src/downstream/postgres.rs
@@ -18,7 +18,9 @@
 use crate::facade::{Letter, Mailbox, request_id};
 use crate::query::{Answer, Client, Post, Query};
 use crate::request_lifecycle::{Gateway, Open, relay};
-use crate::stream::{Filled, Outbox, Stream as _, Waker, fill, left, pass_over, readable};
+use crate::stream::{
+    ReadOutcome, Stream as _, Waker, WriteBuffer, discard_input, peer_closed, read_into, readable,
+};
 use crate::{lock, task};
 
 /// Milliseconds kept back from a client's time for the answer's way.
@@ -167,14 +169,14 @@
 
     /// Closes a connection for which there is no room, and says why.
     pub fn turn_away(&self, socket: &TcpStream) {
-        let mut out = Outbox::default();
+        let mut out = WriteBuffer::default();
         message::error(out.buffer(), true, "53300", "sorry, too many clients already");
         let _ = socket.set_nonblocking(true);
         let _ = socket.set_nodelay(true);
         let _ = out.flush(socket);
         let _ = socket.shutdown(Shutdown::Write);
         // Closed with bytes unread it would be reset, and the error lost.
-        pass_over(socket);
+        discard_input(socket);
     }
 
     /// Takes in a connection; the coroutine that runs it is started here.
@@ -204,7 +206,7 @@
                 process,
                 input: Vec::new(),
                 at: 0,
-                out: Outbox::default(),
+                out: WriteBuffer::default(),
                 began: Some(began),
                 moved: began,
                 read_at: 0.0,
@@ -215,7 +217,7 @@
             };
             session.run();
             session.leave_request();
-            pass_over(session.stream.socket());
+            discard_input(session.stream.socket());
             lock(&front.sessions).remove(&process);
         });
         if spawned.is_err() {
@@ -260,7 +262,7 @@
     /// nobody can tell it from one that has closed all of it.
     fn gone(&self) -> bool {
         let told = self.called_off.load(Ordering::Relaxed) || self.desk.cancelled.load(Ordering::Relaxed);
-        told || self.desk.stream.upgrade().is_none_or(|stream| left(stream.socket()))
+        told || self.desk.stream.upgrade().is_none_or(|stream| peer_closed(stream.socket()))
     }
 
     fn unheard(&self) -> bool {
@@ -302,7 +304,7 @@
     input: Vec<u8>,
     /// Bytes of `input` that are done with.
     at: usize,
-    out: Outbox,
+    out: WriteBuffer,
     /// When the message began that the client has not yet sent in full; the session's first at its start.
     began: Option<Instant>,
     /// When the client last took something, or was last not owed anything.
@@ -337,11 +339,11 @@
             self.take_messages();
             self.look_at_clock();
             match self.out.flush(self.stream.socket()) {
-                Ok(moved) if moved || self.out.waiting() == 0 => self.moved = Instant::now(),
+                Ok(moved) if moved || self.out.pending() == 0 => self.moved = Instant::now(),
                 Ok(_) => {}
                 Err(_) => return,
             }
-            if self.out.waiting() == 0 {
+            if self.out.pending() == 0 {
                 let done = answered.take().is_some();
                 if self.closed {
                     return;
@@ -359,7 +361,7 @@
             }
             let Some(standing) = self.stand() else { return };
             *lock(&self.desk.standing) = standing;
-            let more = self.out.waiting() == 0 && self.can_take() && self.whole_message();
+            let more = self.out.pending() == 0 && self.can_take() && self.whole_message();
             // Waits only once the socket had nothing more, or what it has need not be read: it tells of news once.
             if !more && (drained || !self.wants_more()) {
                 rounds = 0;
@@ -408,7 +410,7 @@
             // It makes room for another at once.
             State::Leaving { .. } if self.desk.evicted.load(Ordering::Relaxed) => return None,
             State::Leaving { until, at_last } => Some(until.min(at_last)),
-            _ if self.out.waiting() > 0 => Some(self.moved + READ_WITHIN),
+            _ if self.out.pending() > 0 => Some(self.moved + READ_WITHIN),
             _ => say,
         };
         let over = due.is_some_and(|due| due <= Instant::now()) && say != due;
@@ -434,7 +436,7 @@
     /// A client that does not read its answers, or sends faster than it is answered, has to wait: so much is read ahead and
     /// the rest of a long message, and no more. Within that a client whose query runs is read on, so that it is seen to leave.
     fn wants_more(&self) -> bool {
-        let long = || self.can_take() && self.out.waiting() == 0 && !self.whole_message();
+        let long = || self.can_take() && self.out.pending() == 0 && !self.whole_message();
         !self.closed && (self.input.len() < READ_AHEAD || long())
     }
 
@@ -444,10 +446,10 @@
             if !self.wants_more() {
                 break;
             }
-            match fill(self.stream.socket(), &mut self.input) {
-                Ok(Filled::Some) => self.read_at = self.front.gateway.facade.now(),
-                Ok(Filled::Nothing) => return Ok(true),
-                Ok(Filled::Closed) => {
+            match read_into(self.stream.socket(), &mut self.input) {
+                Ok(ReadOutcome::Data) => self.read_at = self.front.gateway.facade.now(),
+                Ok(ReadOutcome::WouldBlock) => return Ok(true),
+                Ok(ReadOutcome::Closed) => {
                     self.closed = true;
                     return Ok(true);
                 }
@@ -536,7 +538,7 @@
     /// Deals with the whole messages that have been read, up to the next query.
     fn take_messages(&mut self) {
         for _ in 0..MESSAGES {
-            if !self.can_take() || self.out.waiting() >= READ_AHEAD {
+            if !self.can_take() || self.out.pending() >= READ_AHEAD {
                 break;
             }
             let input = std::mem::take(&mut self.input);
--- a/crates/proxy/src/facade.rs
+++ b/crates/proxy/src/facade.rs
@@ -298,7 +298,7 @@
     }
 
     /// The dispatcher has this place for so long, and the one of its settings from then on.
-    pub fn seated(&self, place: Place, left: Millis) {
+    pub fn seated(&self, place: FleetPosition, left: Millis) {
         let until = self.now() + left;
         self.feed(lock(&self.inner), Some(Event::Seated(place, until)));
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -120,7 +120,7 @@
         .buffered_lines_limit(4096)
         .finish(std::io::stderr());
     let set_log = start_log(writer, log_json);
-    task::set_up();
+    task::init_scheduler();
     let name = config.name.clone();
     let management = management.or(config.management);
     let (seed, control) = (config.seed, operator.map(control).transpose()?.flatten());
--- a/crates/proxy/src/upstream/line_protocol.rs
+++ b/crates/proxy/src/upstream/line_protocol.rs
@@ -18,7 +18,7 @@
 use crate::config::Limits;
 use crate::facade::{Letter, Sending};
 use crate::query::{AttemptEnding, News, Pages, Post, Query};
-use crate::stream::{Filled, Outbox, Stream, Waker, fill, pass_over};
+use crate::stream::{ReadOutcome, Stream, Waker, WriteBuffer, discard_input, read_into};
 use crate::termination::Ending;
 use crate::{lock, task};
 
@@ -85,7 +85,7 @@
 
 struct State {
     phase: Phase,
-    out: Outbox,
+    out: WriteBuffer,
     calls: HashMap<String, Call>,
     heard: Instant,
     /// When the answer began of which a part has come.
@@ -366,7 +366,7 @@
     /// moot by then ends instead. Guards against an attempt that begins behind a client's back, or behind its window.
     fn write_unsent(&mut self) {
         let now = Instant::now();
-        if self.out.waiting() > 0 || self.calls.values().all(|call| call.unsent.is_none()) {
+        if self.out.pending() > 0 || self.calls.values().all(|call| call.unsent.is_none()) {
             return;
         }
         let moot = |call: &mut Call| call.unsent.as_ref().and_then(|unsent| unsent.moot(now));
@@ -383,7 +383,7 @@
         }
         for (id, call) in &mut self.calls {
             let Some(Unsent { query, priority, due, .. }) = call.unsent.take() else { continue };
-            call.begins = self.out.end();
+            call.begins = self.out.end_offset();
             let budget = due.saturating_duration_since(now).as_millis().max(1);
             self.forwards.fetch_add(1, Ordering::Relaxed);
             let out = self.out.buffer();
@@ -438,7 +438,7 @@
     fn new(forwards: Arc<AtomicU64>) -> Self {
         let state = State {
             phase: Phase::Dialing,
-            out: Outbox::default(),
+            out: WriteBuffer::default(),
             calls: HashMap::new(),
             heard: Instant::now(),
             partial: None,
@@ -489,12 +489,12 @@
         lines.forget(engine, &self);
         let mut state = lock(&self.state);
         state.phase = Phase::Closed;
-        let (written, calls) = (state.out.written(), std::mem::take(&mut state.calls));
+        let (written, calls) = (state.out.written_offset(), std::mem::take(&mut state.calls));
         drop(state);
         tracing::debug!(engine = engine.0, ?ending, open = calls.len(), "connection over");
         let dialled = socket.is_some();
         if let Some(stream) = &socket {
-            pass_over(stream.socket());
+            discard_input(stream.socket());
         }
         drop(socket);
         for (id, mut call) in calls {
@@ -520,14 +520,14 @@
         loop {
             let mut reads = 0;
             while reads < READS {
-                match fill(stream.socket(), &mut input) {
-                    Ok(Filled::Some) => match self.take(&input) {
+                match read_into(stream.socket(), &mut input) {
+                    Ok(ReadOutcome::Data) => match self.take(&input) {
                         Ok(taken) => drop(input.drain(..taken)),
                         Err(ending) => return ending,
                     },
-                    Ok(Filled::Nothing) if broken => return Ending::Reset,
-                    Ok(Filled::Nothing) => break,
-                    Ok(Filled::Closed) => return Ending::Closed,
+                    Ok(ReadOutcome::WouldBlock) if broken => return Ending::Reset,
+                    Ok(ReadOutcome::WouldBlock) => break,
+                    Ok(ReadOutcome::Closed) => return Ending::Closed,
                     Err(_) => return Ending::Reset,
                 }
                 reads += 1;
@@ -536,7 +536,7 @@
             if let Some(ending) = state.close {
                 return ending;
             }
-            if state.retired && state.calls.is_empty() && state.out.waiting() == 0 {
+            if state.retired && state.calls.is_empty() && state.out.pending() == 0 {
                 return Ending::Closed;
             }
             // An answer may have come whole just before the connection broke: it is read before all is given up.
@@ -553,7 +553,7 @@
                 state.write_unsent();
                 broken = state.out.flush(stream.socket()).is_err();
             }
-            if state.out.waiting() > MOST_WAITING {
+            if state.out.pending() > MOST_WAITING {
                 return Ending::Silent;
             }
             drop(state);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -95,11 +95,11 @@
         over_share_worth: real(json, "over_share_worth", 1.0)?,
         cross_zone_price: real(&json["prices"], "cross_zone", 0.0)?,
         answer_slack: real(rules, "answer_slack_ms", 0.0)?,
-        cold: ColdSettings {
-            share: real(rules, "cold_share", 1.0)?,
-            warm_within: real(rules, "warm_within_ms", 0.0)?,
-            multiple: real(rules, "tip_multiple", 0.0)?,
-            span: real(rules, "overload_for_ms", 0.0)?,
+        cold: SlowStartSettings {
+            initial_share: real(rules, "cold_share", 1.0)?,
+            warm_up: real(rules, "warm_within_ms", 0.0)?,
+            capacity_multiple: real(rules, "tip_multiple", 0.0)?,
+            window: real(rules, "overload_for_ms", 0.0)?,
         },
         order_pause: real(rules, "order_pause_ms", 0.0)?,
         budget,
@@ -112,8 +112,8 @@
 }
 
 /// Where a dispatcher stands: its number among all, where the settings tell it.
-fn place(json: &Value) -> Result<Place> {
+fn place(json: &Value) -> Result<FleetPosition> {
     let (own, all) = (real(json, "me", -1.0)?, real(json, "balancers", 1.0)?);
-    let seat = (own >= 0.0 && own < all).then(|| Place::seat(own as u32, all as u32));
-    Ok(seat.flatten().unwrap_or(Place::Name(0)))
+    let seat = (own >= 0.0 && own < all).then(|| FleetPosition::ordinal(own as u32, all as u32));
+    Ok(seat.flatten().unwrap_or(FleetPosition::NameKey(0)))
 }
--- a/crates/storage/src/versions.rs
+++ b/crates/storage/src/control_store.rs
@@ -23,23 +23,23 @@
 }
 
 /// The versions of one service. Only one process at a time may hold them.
-pub struct Versions {
+pub struct ControlStore {
     database: Database,
 }
 
 /// What is written together.
 #[derive(Debug, Default)]
-pub struct Batch {
+pub struct WriteBatch {
     /// Entries of the log from this index on are no more; before `log` is written.
-    pub log_from: Option<u64>,
+    pub truncate_log_from: Option<u64>,
     /// Entries of the log below this index are no more.
-    pub log_below: Option<u64>,
+    pub compact_log_below: Option<u64>,
     /// Entries of the log.
-    pub log: Vec<(u64, Vec<u8>)>,
+    pub log_entries: Vec<(u64, Vec<u8>)>,
     /// Values by name.
     pub values: Vec<(&'static str, Vec<u8>)>,
     /// Versions that are not kept any more; before `documents` and `entries` are written.
-    pub dropped: Vec<u64>,
+    pub removed_versions: Vec<u64>,
     /// Documents by the version's number.
     pub documents: Vec<(u64, Vec<u8>)>,
     /// What else is known of versions.
@@ -50,7 +50,7 @@
 
 /// One version as it is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct VersionRow {
     /// Its number.
     pub number: u64,
     /// What is known of it.
@@ -59,7 +59,7 @@
     pub document: Vec<u8>,
 }
 
-impl Versions {
+impl ControlStore {
     /// What is kept in this file, which is made if it is not there.
     pub fn open(path: &Path) -> Result<Self, Error> {
         let database = Database::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -70,7 +70,7 @@
         writing.open_table(LOG).map_err(told)?;
         writing.open_table(KEPT).map_err(told)?;
         writing.commit().map_err(told)?;
-        Ok(Versions { database })
+        Ok(ControlStore { database })
     }
 
     /// The number that tells this store from others: `fresh` where it has none yet.
@@ -92,7 +92,7 @@
     }
 
     /// Writes all of a batch, or nothing.
-    pub fn write(&self, batch: &Batch) -> Result<(), Error> {
+    pub fn write(&self, batch: &WriteBatch) -> Result<(), Error> {
         let mut writing = self.database.begin_write().map_err(told)?;
         if !batch.sync {
             writing.set_durability(redb::Durability::None);
@@ -100,7 +100,7 @@
         {
             let mut documents = writing.open_table(DOCUMENTS).map_err(told)?;
             let mut entries = writing.open_table(ENTRIES).map_err(told)?;
-            for number in &batch.dropped {
+            for number in &batch.removed_versions {
                 documents.remove(number).map_err(told)?;
                 entries.remove(number).map_err(told)?;
             }
@@ -111,13 +111,13 @@
                 entries.insert(number, entry.as_slice()).map_err(told)?;
             }
             let mut log = writing.open_table(LOG).map_err(told)?;
-            if let Some(from) = batch.log_from {
+            if let Some(from) = batch.truncate_log_from {
                 log.retain_in(from.., |_, _| false).map_err(told)?;
             }
-            if let Some(below) = batch.log_below {
+            if let Some(below) = batch.compact_log_below {
                 log.retain_in(..below, |_, _| false).map_err(told)?;
             }
-            for (index, entry) in &batch.log {
+            for (index, entry) in &batch.log_entries {
                 log.insert(index, entry.as_slice()).map_err(told)?;
             }
             let mut kept = writing.open_table(KEPT).map_err(told)?;
@@ -148,7 +148,7 @@
     }
 
     /// All versions that are kept, in the order of their numbers.
-    pub fn all(&self) -> Result<Vec<Stored>, Error> {
+    pub fn versions(&self) -> Result<Vec<VersionRow>, Error> {
         let reading = self.database.begin_read().map_err(told)?;
         let documents = reading.open_table(DOCUMENTS).map_err(told)?;
         let entries = reading.open_table(ENTRIES).map_err(told)?;
@@ -156,7 +156,7 @@
         for item in documents.iter().map_err(told)? {
             let (number, document) = item.map_err(told)?;
             let entry = entries.get(number.value()).map_err(told)?;
-            all.push(Stored {
+            all.push(VersionRow {
                 number: number.value(),
                 entry: entry.map(|entry| entry.value().to_vec()).unwrap_or_default(),
                 document: document.value().to_vec(),
--- a/crates/storage/src/seal.rs
+++ b/crates/storage/src/generation_file.rs
@@ -12,7 +12,7 @@
 }
 
 /// The number that tells this file from others on the machine: what is put there as a copy has another.
-pub fn file(store: &Path) -> io::Result<u64> {
+pub fn file_id(store: &Path) -> io::Result<u64> {
     let told = fs::metadata(store)?;
     Ok(told.ino() ^ told.dev().rotate_left(40))
 }
--- a/crates/storage/src/slots.rs
+++ b/crates/storage/src/snapshot_slots.rs
@@ -15,7 +15,7 @@
 
 /// The slots of one owner. Only one process at a time may hold them.
 #[derive(Debug)]
-pub struct Slots {
+pub struct SnapshotSlots {
     folder: PathBuf,
     most: usize,
     /// Held while this is: the folder's owner.
@@ -27,14 +27,14 @@
 const PREVIOUS: &str = "previous";
 const STAGED: &str = "staged";
 
-impl Slots {
+impl SnapshotSlots {
     /// The slots in this folder, which is made if it is not there. Values may be so many bytes long. It is an error if
     /// another process holds them, as while a successor takes over.
     pub fn open(folder: &Path, most: usize) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         let lock = OpenOptions::new().write(true).create(true).truncate(false).open(folder.join("lock"))?;
         rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive)?;
-        let slots = Slots { folder: folder.to_owned(), most, _lock: lock };
+        let slots = SnapshotSlots { folder: folder.to_owned(), most, _lock: lock };
         // Left by a process that was killed while it staged.
         let _ = fs::remove_file(slots.path(STAGED));
         Ok(slots)
@@ -44,9 +44,9 @@
         self.folder.join(name)
     }
 
-    /// What a start finds, see [`peek`].
+    /// What a start finds, see [`read_unlocked`].
     pub fn load(&self) -> Vec<Result<Vec<u8>, String>> {
-        peek(&self.folder, self.most)
+        read_unlocked(&self.folder, self.most)
     }
 
     /// Writes a value where a start does not look, whole and synced.
@@ -85,7 +85,7 @@
 /// What a start finds in this folder, the newest first; an error says why one cannot be used. Slots that were never
 /// filled are left out. Whoever holds them may go on writing meanwhile: a file of a name is always one whole value. So a
 /// successor starts on the last good value while its predecessor still holds the slots.
-pub fn peek(folder: &Path, most: usize) -> Vec<Result<Vec<u8>, String>> {
+pub fn read_unlocked(folder: &Path, most: usize) -> Vec<Result<Vec<u8>, String>> {
     let read = |name: &&str| match read(&folder.join(name), most) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => None,
         found => Some(found.map_err(|error| format!("{name}: {error}"))),
--- a/crates/storage/tests/durable.rs
+++ b/crates/storage/tests/durable.rs
@@ -4,9 +4,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use gaugestep_storage::seal;
-use gaugestep_storage::slots::{Slots, peek};
-use gaugestep_storage::versions::{Batch, Versions};
+use gaugestep_storage::control_store::{ControlStore, WriteBatch};
+use gaugestep_storage::generation_file;
+use gaugestep_storage::snapshot_slots::{SnapshotSlots, read_unlocked};
 use proptest::prelude::*;
 
 const MOST: usize = 1 << 20;
@@ -31,7 +31,7 @@
 #[test]
 fn a_file_cut_off_at_any_byte_or_with_any_bit_flipped_leaves_the_one_before() {
     let folder = tempfile::tempdir().unwrap();
-    let slots = Slots::open(folder.path(), MOST).unwrap();
+    let slots = SnapshotSlots::open(folder.path(), MOST).unwrap();
     for value in [b"the first".as_slice(), b"the second"] {
         slots.stage(value).unwrap();
         slots.commit().unwrap();
@@ -61,18 +61,18 @@
 #[test]
 fn what_was_only_staged_is_not_found_and_two_owners_are_one_too_many() {
     let folder = tempfile::tempdir().unwrap();
-    let slots = Slots::open(folder.path(), MOST).unwrap();
+    let slots = SnapshotSlots::open(folder.path(), MOST).unwrap();
     slots.stage(b"a").unwrap();
     assert!(slots.load().is_empty());
-    assert!(Slots::open(folder.path(), MOST).is_err());
+    assert!(SnapshotSlots::open(folder.path(), MOST).is_err());
     slots.commit().unwrap();
-    assert_eq!(peek(folder.path(), MOST), [Ok(b"a".to_vec())], "a successor may look");
+    assert_eq!(read_unlocked(folder.path(), MOST), [Ok(b"a".to_vec())], "a successor may look");
     slots.stage(b"b").unwrap();
     drop(slots);
     // A child that another test is just starting may hold what this process has let go, for a moment.
     let until = Instant::now() + Duration::from_secs(10);
     let slots = loop {
-        match Slots::open(folder.path(), MOST) {
+        match SnapshotSlots::open(folder.path(), MOST) {
             Ok(slots) => break slots,
             Err(error) => assert!(Instant::now() < until, "{error}"),
         }
@@ -94,7 +94,7 @@
     let Ok(folder) = std::env::var("GAUGESTEP_TEST_STORE") else { return };
     let folder = Path::new(&folder);
     if std::env::var("GAUGESTEP_TEST_KIND").as_deref() == Ok("slots") {
-        let slots = Slots::open(folder, MOST).unwrap();
+        let slots = SnapshotSlots::open(folder, MOST).unwrap();
         let last = slots.load().into_iter().flatten().next().map_or(0, |value| number(&value));
         tell(folder, last);
         for next in last + 1.. {
@@ -103,19 +103,19 @@
             tell(folder, next);
         }
     }
-    let versions = Versions::open(&folder.join("versions")).unwrap();
-    let last = versions.all().unwrap().last().map_or(0, |version| version.number);
+    let versions = ControlStore::open(&folder.join("versions")).unwrap();
+    let last = versions.versions().unwrap().last().map_or(0, |version| version.number);
     tell(folder, last);
     for next in last + 1.. {
-        let batch = Batch {
-            log_below: Some(next.saturating_sub(3)),
-            log: vec![(next, value(next))],
+        let batch = WriteBatch {
+            compact_log_below: Some(next.saturating_sub(3)),
+            log_entries: vec![(next, value(next))],
             values: vec![("applied", next.to_be_bytes().to_vec())],
-            dropped: next.checked_sub(8).filter(|old| *old > 1).into_iter().collect(),
+            removed_versions: next.checked_sub(8).filter(|old| *old > 1).into_iter().collect(),
             documents: vec![(next, value(next))],
             entries: vec![(next, vec![1])],
             sync: true,
-            ..Batch::default()
+            ..WriteBatch::default()
         };
         versions.write(&batch).unwrap();
         tell(folder, next);
@@ -147,7 +147,7 @@
 #[test]
 fn a_proxy_killed_at_any_instant_finds_what_it_committed() {
     killed("slots", |folder, told| {
-        let found = Slots::open(folder, MOST).unwrap().load();
+        let found = SnapshotSlots::open(folder, MOST).unwrap().load();
         if let Some(newest) = found.first() {
             let newest = number(newest.as_ref().unwrap());
             assert!((told..=told + 1).contains(&newest), "{newest} found, {told} told");
@@ -158,11 +158,11 @@
 #[test]
 fn a_service_killed_at_any_instant_finds_what_it_published_and_no_more_than_it_keeps() {
     killed("versions", |folder, told| {
-        let Ok(versions) = Versions::open(&folder.join("versions")) else {
+        let Ok(versions) = ControlStore::open(&folder.join("versions")) else {
             assert_eq!(told, 0, "killed before the file was made");
             return;
         };
-        let all = versions.all().unwrap();
+        let all = versions.versions().unwrap();
         let newest = all.last().map_or(0, |version| number(&version.document));
         assert!((told..=told + 1).contains(&newest), "{newest} found, {told} told");
         assert!(all.len() <= 9, "{} kept", all.len());
@@ -180,14 +180,20 @@
     let entries =
         |range: std::ops::Range<u64>| range.map(|index| (index, vec![index as u8])).collect::<Vec<_>>();
     {
-        let versions = Versions::open(&path).unwrap();
+        let versions = ControlStore::open(&path).unwrap();
         assert_eq!(versions.lineage(42).unwrap(), 42);
-        versions.write(&Batch { log: entries(1..9), sync: true, ..Batch::default() }).unwrap();
-        let cut =
-            Batch { log_from: Some(5), log_below: Some(3), log: vec![(5, vec![0])], ..Batch::default() };
-        versions.write(&Batch { sync: true, ..cut }).unwrap();
+        versions
+            .write(&WriteBatch { log_entries: entries(1..9), sync: true, ..WriteBatch::default() })
+            .unwrap();
+        let cut = WriteBatch {
+            truncate_log_from: Some(5),
+            compact_log_below: Some(3),
+            log_entries: vec![(5, vec![0])],
+            ..WriteBatch::default()
+        };
+        versions.write(&WriteBatch { sync: true, ..cut }).unwrap();
     }
-    let versions = Versions::open(&path).unwrap();
+    let versions = ControlStore::open(&path).unwrap();
     assert_eq!(versions.lineage(43).unwrap(), 42);
     assert_eq!(versions.log().unwrap(), [entries(3..5), vec![(5, vec![0])]].concat());
 }
@@ -197,14 +203,14 @@
     let folder = tempfile::tempdir().unwrap();
     let (store, copy) = (folder.path().join("store"), folder.path().join("copy"));
     std::fs::write(&store, "x").unwrap();
-    assert_eq!(seal::read(&store).unwrap(), None);
-    let file = seal::file(&store).unwrap();
-    seal::write(&store, 7, file).unwrap();
-    assert_eq!(seal::read(&store).unwrap(), Some((7, file)));
+    assert_eq!(generation_file::read(&store).unwrap(), None);
+    let file = generation_file::file_id(&store).unwrap();
+    generation_file::write(&store, 7, file).unwrap();
+    assert_eq!(generation_file::read(&store).unwrap(), Some((7, file)));
     std::fs::copy(&store, &copy).unwrap();
-    assert_ne!(seal::file(&copy).unwrap(), file);
+    assert_ne!(generation_file::file_id(&copy).unwrap(), file);
     std::fs::write(folder.path().join("store.seal"), "7").unwrap();
-    assert!(seal::read(&store).is_err(), "cut off");
+    assert!(generation_file::read(&store).is_err(), "cut off");
 }
 
 proptest! {
@@ -214,7 +220,7 @@
     #[test]
     fn any_bytes_are_a_value_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let folder = tempfile::tempdir().unwrap();
-        let slots = Slots::open(folder.path(), MOST).unwrap();
+        let slots = SnapshotSlots::open(folder.path(), MOST).unwrap();
         std::fs::write(file(folder.path(), "current"), &bytes).unwrap();
         prop_assert!(slots.load()[0].is_err());
         slots.stage(&bytes).unwrap();
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,20 +1,20 @@
 #![forbid(unsafe_code)]
 //! Choices that each proxy makes for itself and that add up over the fleet.
 //!
-//! A *seat* is a proxy's number among all that choose by the same rules ([`place`]). From its seat alone a proxy knows which
-//! engines are its own ([`subset`]) and when it is its turn to send what all others would send at the same moment ([`turn`]);
+//! A *seat* is a proxy's number among all that choose by the same rules ([`position`]). From its seat alone a proxy knows which
+//! engines are its own ([`subset`]) and when it is its turn to send what all others would send at the same moment ([`slow_start`]);
 //! nobody has to be asked. Seats come from the platform, from an operator's list, or from a roster that the owner of a duty
-//! keeps ([`roster`]), which a proxy goes on with for a while when it has lost touch ([`holder`]). [`fairness`] says how
+//! keeps ([`roster`]), which a proxy goes on with for a while when it has lost touch ([`ordinal_lease`]). [`fairness`] says how
 //! evenly things lie.
 //!
 //! Nothing here does I/O, reads a clock or starts a thread. Times are milliseconds on the embedder's clock.
 
 pub mod fairness;
-pub mod holder;
-pub mod place;
+pub mod ordinal_lease;
+pub mod position;
 pub mod roster;
+pub mod slow_start;
 pub mod subset;
-pub mod turn;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/subsetting/src/roster.rs
+++ b/crates/subsetting/src/roster.rs
@@ -1,9 +1,9 @@
 //! Who has which seat, as the owner of the duty `seats` keeps it.
 //!
-//! A seat is its holder's as long as a control service confirms it: each confirmation lets the proxy use it for [`HOLD`],
-//! counted from when the proxy asked ([`crate::holder`]). A service confirms only what it knows to be agreed, and only while
-//! it has its own lease, so for [`LEASE`] at most behind a change. The keeper frees the seat of a proxy that nobody has
-//! heard for [`QUIET`], and gives a freed seat to another only once it has rested for [`REST`], which is longer than both
+//! A seat is its holder's as long as a control service confirms it: each confirmation lets the proxy use it for [`ORDINAL_LEASE`],
+//! counted from when the proxy asked ([`crate::ordinal_lease`]). A service confirms only what it knows to be agreed, and only while
+//! it has its own lease, so for [`MEMBER_LEASE`] at most behind a change. The manager frees the seat of a proxy that nobody has
+//! heard for [`ABSENT_AFTER`], and gives a freed seat to another only once it has rested for [`REUSE_DELAY`], which is longer than both
 //! together: no two proxies are ever at one seat, whichever of them, of the services and of the links stood still.
 //!
 //! Newcomers take rested seats first and new ones at the end. Seats that stay free are closed up: the last holder moves into
@@ -11,16 +11,16 @@
 
 use std::collections::BTreeMap;
 
-use crate::place::SEATS;
+use crate::position::MAX_ORDINALS;
 
 /// How long a proxy may use its seat from when it asked for the confirmation, in milliseconds.
-pub const HOLD: f64 = 5_000.0;
+pub const ORDINAL_LEASE: f64 = 5_000.0;
 /// How far a control service that confirms may be behind what is agreed on, in milliseconds: the lease of a member.
-pub const LEASE: f64 = 2_000.0;
+pub const MEMBER_LEASE: f64 = 2_000.0;
 /// A proxy that no service has heard for so long has left.
-pub const QUIET: f64 = 6_000.0;
+pub const ABSENT_AFTER: f64 = 6_000.0;
 /// How long a freed seat rests before another one may have it; clocks may differ in pace by some parts in a hundred.
-pub const REST: f64 = (HOLD + LEASE) * 1.1;
+pub const REUSE_DELAY: f64 = (ORDINAL_LEASE + MEMBER_LEASE) * 1.1;
 
 /// Names by seat; empty where nobody sits.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -33,15 +33,15 @@
 
 impl Roster {
     /// The seat of a proxy, and how many seats there are.
-    pub fn seat(&self, name: &str) -> Option<(u32, u32)> {
+    pub fn ordinal_of(&self, name: &str) -> Option<(u32, u32)> {
         let seat = self.names.iter().position(|other| other == name && !name.is_empty())?;
         Some((seat as u32, self.names.len() as u32))
     }
 }
 
-/// The keeper of a roster.
+/// The manager of a roster.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct RosterManager {
     roster: Roster,
     /// A change that is being agreed on.
     pending: Option<Roster>,
@@ -51,15 +51,15 @@
     free: BTreeMap<usize, f64>,
 }
 
-impl Keeper {
+impl RosterManager {
     /// Goes on with what is agreed. Whoever had the duty before may have heard of proxies a moment ago, and freed seats a
     /// moment ago: all are taken to be there now, and all that is free to rest from now on.
     pub fn resume(now: f64, roster: Roster) -> Self {
         let seated = roster.names.iter().filter(|name| !name.is_empty());
         let heard = seated.map(|name| (name.clone(), now)).collect();
-        let mut keeper = Keeper { roster, pending: None, heard, free: BTreeMap::new() };
-        keeper.note_free(now);
-        keeper
+        let mut manager = RosterManager { roster, pending: None, heard, free: BTreeMap::new() };
+        manager.note_free(now);
+        manager
     }
 
     /// What is agreed.
@@ -68,11 +68,11 @@
     }
 
     /// A service has heard of these proxies.
-    pub fn heard<'a>(&mut self, now: f64, names: impl Iterator<Item = &'a str>) {
+    pub fn record_heartbeats<'a>(&mut self, now: f64, names: impl Iterator<Item = &'a str>) {
         for name in names.filter(|name| !name.is_empty()) {
             if let Some(at) = self.heard.get_mut(name) {
                 *at = now;
-            } else if self.heard.len() < 2 * SEATS as usize {
+            } else if self.heard.len() < 2 * MAX_ORDINALS as usize {
                 // Guards the memory against names without end: who finds no seat need not be remembered.
                 self.heard.insert(name.to_owned(), now);
             }
@@ -89,26 +89,26 @@
     }
 
     /// Time has passed: the roster that is to be agreed on now, if there is a change and none is under way.
-    pub fn tick(&mut self, now: f64) -> Option<Roster> {
+    pub fn next_change(&mut self, now: f64) -> Option<Roster> {
         if self.pending.is_some() {
             return None;
         }
-        self.heard.retain(|_, at| now - *at < QUIET);
+        self.heard.retain(|_, at| now - *at < ABSENT_AFTER);
         let mut next = self.roster.clone();
         for name in &mut next.names {
             if !self.heard.contains_key(name) {
                 name.clear();
             }
         }
-        let rested = |seat: &usize| self.free.get(seat).is_some_and(|since| now - since >= REST);
+        let rested = |seat: &usize| self.free.get(seat).is_some_and(|since| now - since >= REUSE_DELAY);
         let mut open: Vec<usize> = (0..next.names.len()).filter(rested).rev().collect();
         for name in self.heard.keys() {
-            if next.seat(name).is_some() {
+            if next.ordinal_of(name).is_some() {
                 continue;
             }
             match open.pop() {
                 Some(seat) => next.names[seat] = name.clone(),
-                None if next.names.len() < SEATS as usize => next.names.push(name.clone()),
+                None if next.names.len() < MAX_ORDINALS as usize => next.names.push(name.clone()),
                 None => break,
             }
         }
@@ -130,7 +130,7 @@
     }
 
     /// The roster that was to be agreed on is, or could not be.
-    pub fn agreed(&mut self, now: f64, epoch: u64, done: bool) {
+    pub fn change_decided(&mut self, now: f64, epoch: u64, done: bool) {
         if self.pending.as_ref().is_none_or(|pending| pending.epoch != epoch) {
             return;
         }
@@ -152,80 +152,84 @@
     use super::*;
 
     /// Ticks until nothing changes; how often it did.
-    fn settle(keeper: &mut Keeper, now: f64) -> u64 {
-        let before = keeper.roster.epoch;
-        while let Some(next) = keeper.tick(now) {
-            keeper.agreed(now, next.epoch, true);
+    fn settle(manager: &mut RosterManager, now: f64) -> u64 {
+        let before = manager.roster.epoch;
+        while let Some(next) = manager.next_change(now) {
+            manager.change_decided(now, next.epoch, true);
         }
-        keeper.roster.epoch - before
+        manager.roster.epoch - before
     }
 
-    fn names(keeper: &Keeper) -> String {
-        keeper.roster.names.iter().map(|name| if name.is_empty() { "-" } else { name }).collect()
+    fn names(manager: &RosterManager) -> String {
+        manager.roster.names.iter().map(|name| if name.is_empty() { "-" } else { name }).collect()
     }
 
     #[test]
     fn proxies_get_seats_keep_them_and_a_freed_one_rests() {
-        let mut keeper = Keeper::resume(0.0, Roster::default());
-        keeper.heard(0.0, ["a", "b", "c", "d"].into_iter());
-        assert_eq!(settle(&mut keeper, 0.0), 1, "all that come at once are one change");
-        assert_eq!(names(&keeper), "abcd");
+        let mut manager = RosterManager::resume(0.0, Roster::default());
+        manager.record_heartbeats(0.0, ["a", "b", "c", "d"].into_iter());
+        assert_eq!(settle(&mut manager, 0.0), 1, "all that come at once are one change");
+        assert_eq!(names(&manager), "abcd");
         let others = ["a", "c", "d"];
-        keeper.heard(QUIET - 1.0, others.into_iter());
-        assert_eq!(settle(&mut keeper, QUIET - 1.0), 0);
-        assert_eq!(settle(&mut keeper, QUIET), 1);
-        assert_eq!(names(&keeper), "a-cd");
-        keeper.heard(QUIET + 1.0, others.into_iter().chain(["e", "b"]));
-        settle(&mut keeper, QUIET + 1.0);
+        manager.record_heartbeats(ABSENT_AFTER - 1.0, others.into_iter());
+        assert_eq!(settle(&mut manager, ABSENT_AFTER - 1.0), 0);
+        assert_eq!(settle(&mut manager, ABSENT_AFTER), 1);
+        assert_eq!(names(&manager), "a-cd");
+        manager.record_heartbeats(ABSENT_AFTER + 1.0, others.into_iter().chain(["e", "b"]));
+        settle(&mut manager, ABSENT_AFTER + 1.0);
         assert_eq!(
-            names(&keeper),
+            names(&manager),
             "a-cdbe",
             "also its own earlier holder: its seat may be in use until it has rested"
         );
-        let later = QUIET + REST + 1.0;
-        keeper.heard(later, others.into_iter().chain(["e", "b", "f"]));
-        assert_eq!(settle(&mut keeper, later), 1);
-        assert_eq!(names(&keeper), "afcdbe");
+        let later = ABSENT_AFTER + REUSE_DELAY + 1.0;
+        manager.record_heartbeats(later, others.into_iter().chain(["e", "b", "f"]));
+        assert_eq!(settle(&mut manager, later), 1);
+        assert_eq!(names(&manager), "afcdbe");
     }
 
     #[test]
     fn what_stays_free_is_closed_up_one_proxy_at_a_time() {
-        let mut keeper = Keeper::resume(0.0, Roster::default());
-        keeper.heard(0.0, ["a", "b", "c", "d", "e", "f"].into_iter());
-        settle(&mut keeper, 0.0);
+        let mut manager = RosterManager::resume(0.0, Roster::default());
+        manager.record_heartbeats(0.0, ["a", "b", "c", "d", "e", "f"].into_iter());
+        settle(&mut manager, 0.0);
         let left = ["c", "f"];
-        keeper.heard(QUIET, left.into_iter());
-        settle(&mut keeper, QUIET);
-        assert_eq!(names(&keeper), "--c--f");
-        let now = QUIET + REST + 1.0;
-        keeper.heard(now, left.into_iter());
-        let next = keeper.tick(now).unwrap();
+        manager.record_heartbeats(ABSENT_AFTER, left.into_iter());
+        settle(&mut manager, ABSENT_AFTER);
+        assert_eq!(names(&manager), "--c--f");
+        let now = ABSENT_AFTER + REUSE_DELAY + 1.0;
+        manager.record_heartbeats(now, left.into_iter());
+        let next = manager.next_change(now).unwrap();
         assert_eq!(next.names, ["f", "", "c", "", "", ""], "one moves");
-        assert_eq!(keeper.tick(now), None, "one change at a time");
-        keeper.agreed(now, next.epoch, true);
-        settle(&mut keeper, now);
-        assert_eq!(names(&keeper), "fc----", "the seats that they left rest too");
-        keeper.heard(now + REST + 1.0, left.into_iter());
-        settle(&mut keeper, now + REST + 1.0);
-        assert_eq!(names(&keeper), "fc");
+        assert_eq!(manager.next_change(now), None, "one change at a time");
+        manager.change_decided(now, next.epoch, true);
+        settle(&mut manager, now);
+        assert_eq!(names(&manager), "fc----", "the seats that they left rest too");
+        manager.record_heartbeats(now + REUSE_DELAY + 1.0, left.into_iter());
+        settle(&mut manager, now + REUSE_DELAY + 1.0);
+        assert_eq!(names(&manager), "fc");
     }
 
     #[test]
     fn a_change_that_is_not_agreed_on_is_not_there_and_a_successor_takes_nothing_for_granted() {
-        let mut keeper = Keeper::resume(0.0, Roster::default());
-        keeper.heard(0.0, ["a", "b"].into_iter());
-        let next = keeper.tick(0.0).unwrap();
-        keeper.agreed(1.0, next.epoch, false);
-        assert_eq!(names(&keeper), "");
-        settle(&mut keeper, 2.0);
-        keeper.heard(QUIET + 1.0, ["a"].into_iter());
-        settle(&mut keeper, QUIET + 2.0);
-        assert_eq!(names(&keeper), "a-");
+        let mut manager = RosterManager::resume(0.0, Roster::default());
+        manager.record_heartbeats(0.0, ["a", "b"].into_iter());
+        let next = manager.next_change(0.0).unwrap();
+        manager.change_decided(1.0, next.epoch, false);
+        assert_eq!(names(&manager), "");
+        settle(&mut manager, 2.0);
+        manager.record_heartbeats(ABSENT_AFTER + 1.0, ["a"].into_iter());
+        settle(&mut manager, ABSENT_AFTER + 2.0);
+        assert_eq!(names(&manager), "a-");
         // The successor knows neither how long the seat rested nor whether b is back.
-        let mut next = Keeper::resume(QUIET + REST, keeper.roster().clone());
-        next.heard(QUIET + REST, ["a", "c"].into_iter());
-        settle(&mut next, QUIET + REST);
+        let mut next = RosterManager::resume(ABSENT_AFTER + REUSE_DELAY, manager.roster().clone());
+        next.record_heartbeats(ABSENT_AFTER + REUSE_DELAY, ["a", "c"].into_iter());
+        settle(&mut next, ABSENT_AFTER + REUSE_DELAY);
         assert_eq!(names(&next), "a-c");
-        assert_eq!(settle(&mut next, 2.0 * QUIET + REST), 1, "and who was there with it has its time again");
+        assert_eq!(
+            settle(&mut next, 2.0 * ABSENT_AFTER + REUSE_DELAY),
+            1,
+            "and who was there with it has its time again"
+        );
     }
 }
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use crate::lot;
-use crate::place::Place;
+use crate::position::FleetPosition;
 
 /// An engine to draw from.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,7 +28,7 @@
 
 /// Engines for each seat.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Table {
+pub struct AssignmentTable {
     /// Places in the list of members, by seat.
     rows: Vec<Vec<usize>>,
 }
@@ -91,7 +91,7 @@
     quotas
 }
 
-impl Table {
+impl AssignmentTable {
     /// Draws the rows of all seats, each of `size` engines, or of all if there are no more. The order of the members does not
     /// matter, and keys must differ.
     pub fn draw(seats: u32, members: &[Member], size: usize) -> Self {
@@ -113,16 +113,16 @@
                 row.extend(drawn.into_iter().map(|at| all[at]));
             }
         }
-        Table { rows }
+        AssignmentTable { rows }
     }
 
     /// A seat's engines, as places in the list of members; none if there is no such seat.
-    pub fn row(&self, seat: u32) -> &[usize] {
+    pub fn subset_of(&self, seat: u32) -> &[usize] {
         self.rows.get(seat as usize).map_or(&[], Vec::as_slice)
     }
 
     /// All rows.
-    pub fn rows(&self) -> &[Vec<usize>] {
+    pub fn subsets(&self) -> &[Vec<usize>] {
         &self.rows
     }
 }
@@ -186,21 +186,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Subset {
     /// Where the proxy stood when it was drawn.
-    pub place: Option<Place>,
+    pub position: Option<FleetPosition>,
     /// Ids of the engines: the subset, and behind it all others by lot, to step in for those that are left alone.
     pub order: Vec<u32>,
     /// How many of them are the subset.
-    pub own: usize,
+    pub own_count: usize,
     /// Where the proxy stands among those whose own an engine is, by id.
-    stands: BTreeMap<u32, Stand>,
+    stands: BTreeMap<u32, RotationSlot>,
 }
 
 impl Subset {
     /// Draws a proxy's subset among so many proxies.
-    pub fn draw(place: Place, proxies: usize, members: &[Member], size: usize) -> Self {
+    pub fn draw(place: FleetPosition, proxies: usize, members: &[Member], size: usize) -> Self {
         let seed = match place {
-            Place::Seat { seat, .. } => u64::from(seat),
-            Place::Name(name) => name,
+            FleetPosition::Ordinal { ordinal: seat, .. } => u64::from(seat),
+            FleetPosition::NameKey(name) => name,
         };
         let mut order: Vec<usize> = (0..members.len()).collect();
         let own_lot = |at: usize| -lot(members[at].key, seed).max(1e-300).ln() / members[at].size;
@@ -208,11 +208,15 @@
         let own = size.min(members.len());
         // How many have an engine as their own on average, where nothing better is known.
         let of = (proxies as f64 * own as f64 / members.len().max(1) as f64).max(1.0);
-        let by_lot = |member: &Member| Stand { at: lot(member.key, seed ^ STANDS) * of, of, exact: false };
-        let mut stands: BTreeMap<u32, Stand> = members.iter().map(|it| (it.id, by_lot(it))).collect();
-        if let Place::Seat { seat, seats } = place {
-            let table = Table::draw(seats, members, size);
-            let row = table.row(seat);
+        let by_lot = |member: &Member| RotationSlot {
+            index: lot(member.key, seed ^ STANDS) * of,
+            count: of,
+            exclusive: false,
+        };
+        let mut stands: BTreeMap<u32, RotationSlot> = members.iter().map(|it| (it.id, by_lot(it))).collect();
+        if let FleetPosition::Ordinal { ordinal: seat, fleet_size: seats } = place {
+            let table = AssignmentTable::draw(seats, members, size);
+            let row = table.subset_of(seat);
             // Those of its own come first, each group in its order.
             order.sort_by_key(|at| !row.contains(at));
             for at in row {
@@ -223,20 +227,20 @@
                 let (all, before) = others.fold((0.0, 0.0), |sum, (other, _)| {
                     (sum.0 + 1.0, sum.1 + f64::from(u8::from(lot_of(other) < mine)))
                 });
-                stands.insert(member.id, Stand { at: before, of: all, exact: true });
+                stands.insert(member.id, RotationSlot { index: before, count: all, exclusive: true });
             }
         }
         Subset {
-            place: Some(place),
+            position: Some(place),
             order: order.into_iter().map(|at| members[at].id).collect(),
-            own,
+            own_count: own,
             stands,
         }
     }
 
     /// Where the proxy stands at an engine; alone, where the engine is not known.
-    pub fn stands(&self, id: u32) -> Stand {
-        self.stands.get(&id).copied().unwrap_or(Stand { at: 0.0, of: 1.0, exact: false })
+    pub fn rotation_slot(&self, id: u32) -> RotationSlot {
+        self.stands.get(&id).copied().unwrap_or(RotationSlot { index: 0.0, count: 1.0, exclusive: false })
     }
 }
 
@@ -245,11 +249,11 @@
 
 /// Where a proxy stands among those who take turns.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stand {
+pub struct RotationSlot {
     /// How many are before it.
-    pub at: f64,
+    pub index: f64,
     /// How many there are, at least 1.
-    pub of: f64,
+    pub count: f64,
     /// Nobody else stands there.
-    pub exact: bool,
+    pub exclusive: bool,
 }
--- a/crates/subsetting/tests/turns.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! What a whole fleet sends a cold engine, whoever sends when: the sum in every window stays under the rule's limit.
 
-use gaugestep_subsetting::subset::Stand;
-use gaugestep_subsetting::turn::{Allowance, Budget, ColdSettings, SKEW};
+use gaugestep_subsetting::slow_start::{MAX_CLOCK_SKEW, SlowStartBudget, SlowStartLimit, SlowStartSettings};
+use gaugestep_subsetting::subset::RotationSlot;
 use oorandom::Rand64;
 use proptest::prelude::*;
 
@@ -24,7 +24,7 @@
 struct Fleet {
     proxies: u32,
     skew: f64,
-    budget: Budget,
+    budget: SlowStartLimit,
     works: Vec<f64>,
     ways: Vec<Way>,
     exact: bool,
@@ -34,16 +34,16 @@
 
 fn play(fleet: &Fleet, seed: u64) -> Sent {
     let mut random = Rand64::new(u128::from(seed));
-    let (step, until) = (25.0, fleet.budget.cold.warm_within);
+    let (step, until) = (25.0, fleet.budget.settings.warm_up);
     let mut sent = Vec::new();
     for proxy in 0..fleet.proxies {
         let of = f64::from(fleet.proxies);
         let at = if fleet.exact { f64::from(proxy) } else { random.rand_float() * of };
-        let stand = Stand { at, of, exact: fleet.exact };
+        let slot = RotationSlot { index: at, count: of, exclusive: fleet.exact };
         let way = fleet.ways[proxy as usize % fleet.ways.len()];
         let late = random.rand_float() * fleet.skew;
         let phase = random.rand_float() * 4_000.0;
-        let mut allowance = Allowance::default();
+        let mut allowance = SlowStartBudget::default();
         let mut now = random.rand_float() * step;
         while now + step < until {
             now += step;
@@ -54,7 +54,7 @@
                 Way::Stops => (now + phase) % 4_000.0 < 1_000.0,
             };
             if fleet.restarts && random.rand_float() < 0.002 {
-                allowance = Allowance::default();
+                allowance = SlowStartBudget::default();
             }
             // As often as it is let, the heavy ones first or the light ones.
             let mut order = fleet.works.clone();
@@ -63,8 +63,9 @@
             }
             for work in order.into_iter().filter(|_| awake) {
                 // Its clock is late: it believes the engine to be younger.
-                while allowance.room(&fleet.budget, stand, now - late, fleet.works.iter().copied(), work) {
-                    allowance.sent(work);
+                while allowance.available(&fleet.budget, slot, now - late, fleet.works.iter().copied(), work)
+                {
+                    allowance.consume(work);
                     sent.push((now, work));
                 }
             }
@@ -75,21 +76,29 @@
 }
 
 /// The largest sum in a window, over its limit.
-fn worst(sent: &Sent, budget: &Budget) -> f64 {
+fn worst(sent: &Sent, budget: &SlowStartLimit) -> f64 {
     let (mut first, mut sum, mut worst) = (0, 0.0, 0.0f64);
     for (at, work) in sent {
         sum += work;
-        while sent[first].0 <= at - budget.cold.span {
+        while sent[first].0 <= at - budget.settings.window {
             sum -= sent[first].1;
             first += 1;
         }
-        worst = worst.max(sum / budget.limit((at - budget.cold.span).max(0.0)));
+        worst = worst.max(sum / budget.window_limit((at - budget.settings.window).max(0.0)));
     }
     worst
 }
 
-fn budget(cores: f64, share: f64, span: f64, multiple: f64) -> Budget {
-    Budget { cores, cold: ColdSettings { share, warm_within: 12_000.0, multiple, span } }
+fn budget(cores: f64, share: f64, span: f64, multiple: f64) -> SlowStartLimit {
+    SlowStartLimit {
+        cores,
+        settings: SlowStartSettings {
+            initial_share: share,
+            warm_up: 12_000.0,
+            capacity_multiple: multiple,
+            window: span,
+        },
+    }
 }
 
 fn ways() -> impl Strategy<Value = Vec<Way>> {
@@ -109,7 +118,7 @@
         let budget = budget(cores, share, span, multiple);
         let first = multiple * cores * share * span;
         let works = vec![heavy * first, light * first];
-        let fleet = Fleet { proxies, skew: skew * SKEW * span, budget, works, ways, exact: true, restarts };
+        let fleet = Fleet { proxies, skew: skew * MAX_CLOCK_SKEW * span, budget, works, ways, exact: true, restarts };
         let worst = worst(&play(&fleet, seed), &budget);
         prop_assert!(worst <= 1.0, "{worst} of the limit");
     }
@@ -125,7 +134,7 @@
             let fleet = Fleet { proxies, skew: 100.0, budget, works, ways, exact, restarts: false };
             let sent = play(&fleet, seed);
             let sum: f64 = sent.iter().map(|it| it.1).sum();
-            (worst(&sent, &budget), sum / budget.gathered(12_000.0))
+            (worst(&sent, &budget), sum / budget.accrued(12_000.0))
         };
         let seats = play(true, &[Way::Greedy], 1);
         let lots: Vec<(f64, f64)> = (0..20).map(|seed| play(false, &[Way::Greedy], seed)).collect();
@@ -150,27 +159,30 @@
 fn rights_lapse_and_are_not_used_twice_over_a_restart() {
     let budget = budget(8.0, 0.34, 3_000.0, 2.5);
     let works = [4_100.0, 140.0];
-    let alone = Stand { at: 0.0, of: 1.0, exact: true };
-    let spend = |allowance: &mut Allowance, age: f64| {
+    let alone = RotationSlot { index: 0.0, count: 1.0, exclusive: true };
+    let spend = |allowance: &mut SlowStartBudget, age: f64| {
         let mut sum = 0.0;
         for work in works {
-            while allowance.room(&budget, alone, age, works.into_iter(), work) {
-                allowance.sent(work);
+            while allowance.available(&budget, alone, age, works.into_iter(), work) {
+                allowance.consume(work);
                 sum += work;
             }
         }
         sum
     };
-    let mut stopped = Allowance::default();
+    let mut stopped = SlowStartBudget::default();
     assert_eq!(spend(&mut stopped, 0.0), 0.0);
     // 9 s later rights for 30 s of work have come up; the newest of each kind is there.
-    let gathered = budget.gathered(9_000.0) * 0.45;
+    let gathered = budget.accrued(9_000.0) * 0.45;
     let spent = spend(&mut stopped, 9_000.0);
     assert!(spent > 0.0 && spent < 0.3 * gathered, "{spent} of {gathered}");
     assert_eq!(spend(&mut stopped, 9_001.0), 0.0);
-    let mut restarted = Allowance::default();
+    let mut restarted = SlowStartBudget::default();
     assert_eq!(spend(&mut restarted, 9_002.0), 0.0, "the rights that were there before it was");
     assert!((9_003..12_000).any(|age| spend(&mut restarted, f64::from(age)) > 0.0));
-    let mut warm = Allowance::default();
-    assert!(warm.room(&budget, alone, 12_000.0, works.into_iter(), 1e9), "a warm engine has no limit here");
+    let mut warm = SlowStartBudget::default();
+    assert!(
+        warm.available(&budget, alone, 12_000.0, works.into_iter(), 1e9),
+        "a warm engine has no limit here"
+    );
 }
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -4,8 +4,8 @@
 
 use gaugestep_subsetting::fairness::{Fairness, fairness};
 use gaugestep_subsetting::key;
-use gaugestep_subsetting::place::Place;
-use gaugestep_subsetting::subset::{Member, Subset, Table};
+use gaugestep_subsetting::position::FleetPosition;
+use gaugestep_subsetting::subset::{AssignmentTable, Member, Subset};
 use proptest::prelude::*;
 
 fn members(count: u32) -> Vec<Member> {
@@ -21,9 +21,9 @@
 
 /// Pairs of a seat and an engine's key.
 fn pairs(seats: u32, members: &[Member], size: usize) -> BTreeSet<(u32, u64)> {
-    let table = Table::draw(seats, members, size);
+    let table = AssignmentTable::draw(seats, members, size);
     (0..seats)
-        .flat_map(|seat| table.row(seat).iter().map(move |at| (seat, *at)))
+        .flat_map(|seat| table.subset_of(seat).iter().map(move |at| (seat, *at)))
         .map(|(seat, at)| (seat, members[at].key))
         .collect()
 }
@@ -55,9 +55,9 @@
             .zip(&sizes)
             .map(|(it, (size, zone))| Member { size: f64::from(*size), zone: *zone, ..it })
             .collect();
-        let table = Table::draw(seats, &all, size);
+        let table = AssignmentTable::draw(seats, &all, size);
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
-        for row in table.rows() {
+        for row in table.subsets() {
             prop_assert_eq!(row.len(), size.min(all.len()));
             prop_assert_eq!(row.iter().collect::<BTreeSet<_>>().len(), row.len());
             row.iter().for_each(|at| *counts.entry(all[*at].key).or_default() += 1);
@@ -77,10 +77,10 @@
         }
         let mut turned = all.clone();
         turned.reverse();
-        let keys = |table: &Table, all: &[Member]| -> Vec<BTreeSet<u64>> {
-            table.rows().iter().map(|row| row.iter().map(|at| all[*at].key).collect()).collect()
+        let keys = |table: &AssignmentTable, all: &[Member]| -> Vec<BTreeSet<u64>> {
+            table.subsets().iter().map(|row| row.iter().map(|at| all[*at].key).collect()).collect()
         };
-        prop_assert_eq!(keys(&table, &all), keys(&Table::draw(seats, &turned, size), &turned), "whatever their order");
+        prop_assert_eq!(keys(&table, &all), keys(&AssignmentTable::draw(seats, &turned, size), &turned), "whatever their order");
     }
 
     /// An engine or a proxy more: at most ten times the pairs move that any plan must move, and a few; two to four times in the
@@ -105,12 +105,13 @@
     {
         let all = mixed(engines);
         let seats = spread(&pairs(proxies, &all, size), &all);
-        let draw =
-            |name: u32| Subset::draw(Place::Name(key(&format!("n{name}"))), proxies as usize, &all, size);
+        let draw = |name: u32| {
+            Subset::draw(FleetPosition::NameKey(key(&format!("n{name}"))), proxies as usize, &all, size)
+        };
         let names: BTreeSet<(u32, u64)> = (0..proxies)
             .flat_map(|name| {
                 let subset = draw(name);
-                let own: Vec<u32> = subset.order[..subset.own].to_vec();
+                let own: Vec<u32> = subset.order[..subset.own_count].to_vec();
                 own.into_iter().map(move |id| (name, id))
             })
             .map(|(name, id)| (name, all[id as usize].key))
@@ -119,12 +120,17 @@
         let chance = spread(&names, &all);
         println!(
             "{proxies} proxies, {engines} engines, {size} each: seats {:.2} {:.2} {:.4}, names {:.2} {:.2} {:.4}",
-            seats.most, seats.least, seats.index, chance.most, chance.least, chance.index
+            seats.max_ratio,
+            seats.min_ratio,
+            seats.jain_index,
+            chance.max_ratio,
+            chance.min_ratio,
+            chance.jain_index
         );
         // Within one of the share.
         let share = f64::from(proxies) * size as f64 * 8.0 / all.iter().map(|it| it.size).sum::<f64>();
-        assert!(seats.most <= 1.0 + 1.0 / share && seats.least >= 1.0 - 1.0 / share, "{seats:?}");
-        assert!(seats.index > chance.index, "{seats:?} {chance:?}");
+        assert!(seats.max_ratio <= 1.0 + 1.0 / share && seats.min_ratio >= 1.0 - 1.0 / share, "{seats:?}");
+        assert!(seats.jain_index > chance.jain_index, "{seats:?} {chance:?}");
     }
 }
 
@@ -140,7 +146,7 @@
             let fair = spread(&pairs(seats, here, 8), here);
             let share = f64::from(seats) * 8.0 * 8.0 / here.iter().map(|it| it.size).sum::<f64>();
             if share * 2.0 <= f64::from(seats) {
-                assert!(fair.most <= 1.0 + 1.0 / share, "{seats} {engines}: {fair:?}");
+                assert!(fair.max_ratio <= 1.0 + 1.0 / share, "{seats} {engines}: {fair:?}");
             }
         }
     }
@@ -159,5 +165,5 @@
     let (half, twice) = (spread(&half, &all), spread(&twice, &all));
     println!("right {right:?}, told twice as many {half:?}, told half as many {twice:?}");
     // Chance has 0.936 here, by 1 / (1 + (1 - 8 / 60) / (100 * 8 / 60)).
-    assert!(right.index > 0.998 && half.index > 0.936 && twice.index > 0.99);
+    assert!(right.jain_index > 0.998 && half.jain_index > 0.936 && twice.jain_index > 0.99);
 }
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -177,7 +177,7 @@
 
 /// Answers of each proxy against the others'.
 fn even(answers: &Answers) -> f64 {
-    fairness(answers.lock().unwrap().values().map(|it| (it.0 as f64, 1.0))).index
+    fairness(answers.lock().unwrap().values().map(|it| (it.0 as f64, 1.0))).jain_index
 }
 
 #[test]
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -636,14 +636,14 @@
     }
     let document = gaugestep_config::text::parse("limits { max_open: 17 }").unwrap();
     {
-        let store = gaugestep_storage::versions::Versions::open(&group.node(1).store()).unwrap();
+        let store = gaugestep_storage::control_store::ControlStore::open(&group.node(1).store()).unwrap();
         assert_eq!(store.lineage(77).unwrap(), 77);
         let entry = Entry {
             version: Some(gaugestep_config::version(5, &document)),
             state: State::Complete as i32,
             ..Entry::default()
         };
-        let batch = gaugestep_storage::versions::Batch {
+        let batch = gaugestep_storage::control_store::WriteBatch {
             documents: vec![(5, document.encode_to_vec())],
             entries: vec![(5, entry.encode_to_vec())],
             sync: true,
@@ -679,7 +679,8 @@
     // Those that were there hold no more of the log either, whoever led; what they stored of it starts anew too.
     for number in [1, 2] {
         group.node_mut(number).kill();
-        let store = gaugestep_storage::versions::Versions::open(&group.node(number).store()).unwrap();
+        let store =
+            gaugestep_storage::control_store::ControlStore::open(&group.node(number).store()).unwrap();
         let kept = store.log().unwrap().len();
         assert!(kept < 1_300, "{kept} entries at member {number}");
         drop(store);
