--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -64,7 +64,7 @@
     for number in 0..300u64 {
         let (told, service) = (told.clone(), control.listen);
         let run = move || {
-            let wait = gaugestep_control_plane::transport::backoff::Backoff::new(number).ended(60_000.0);
+            let wait = gaugestep_control_plane::transport::backoff::Backoff::new(number).next_delay(60_000.0);
             std::thread::sleep(Duration::from_secs_f64(wait / 1e3));
             let _ = subscribe(service, format!("n{number}"), &told);
         };
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,12 +1,12 @@
 //! Whether a document can be used at all, whatever the proxy: types, ranges, names, references, weights.
 //!
-//! What depends on the proxy as it runs is decided in [`crate::live`].
+//! What depends on the proxy as it runs is decided in [`crate::proxy_state`].
 
 use std::collections::BTreeSet;
 
 use crate::schema::logging::Level;
 use crate::schema::target::Which;
-use crate::{Document, LONGEST_DOCUMENT, Refusal, schema};
+use crate::{Document, MAX_DOCUMENT_LENGTH, RejectReason, schema};
 
 use prost::Message as _;
 
@@ -35,10 +35,10 @@
 }
 
 /// Everything that is wrong with the document, in the order of its fields.
-pub fn check(document: &Document) -> Vec<Refusal> {
+pub fn check(document: &Document) -> Vec<RejectReason> {
     let bytes = document.encoded_len();
-    if bytes > LONGEST_DOCUMENT {
-        return vec![Refusal::TooLong { bytes, most: LONGEST_DOCUMENT }];
+    if bytes > MAX_DOCUMENT_LENGTH {
+        return vec![RejectReason::TooLong { bytes, most: MAX_DOCUMENT_LENGTH }];
     }
     let mut checker = Checker::default();
     checker.routes(&document.routes);
@@ -62,14 +62,14 @@
 
 #[derive(Default)]
 struct Checker {
-    found: Vec<Refusal>,
+    found: Vec<RejectReason>,
 }
 
 impl Checker {
     fn range(&mut self, path: &str, value: Option<f64>, (least, most): (f64, f64)) {
         // Not a number lies in no range.
         if let Some(value) = value.filter(|value| !(least..=most).contains(value)) {
-            self.found.push(Refusal::OutOfRange { path: path.into(), value, least, most });
+            self.found.push(RejectReason::OutOfRange { path: path.into(), value, least, most });
         }
     }
 
@@ -77,9 +77,10 @@
     fn name(&mut self, path: &str, name: &str) {
         let plain = |c: char| c.is_ascii_graphic() && !matches!(c, ',' | '=' | '*' | '/' | '"' | '\\');
         if name.is_empty() {
-            self.found.push(Refusal::Missing { path: path.into() });
+            self.found.push(RejectReason::Missing { path: path.into() });
         } else if name.len() > bounds::NAME || !name.chars().all(plain) {
-            self.found.push(Refusal::BadName { path: path.into(), name: name.chars().take(64).collect() });
+            self.found
+                .push(RejectReason::BadName { path: path.into(), name: name.chars().take(64).collect() });
         }
     }
 
@@ -91,14 +92,14 @@
             let path = format!("{path}[{at}]");
             self.name(&path, name);
             if !seen.insert(name) {
-                self.found.push(Refusal::Duplicate { path, name: name.clone() });
+                self.found.push(RejectReason::Duplicate { path, name: name.clone() });
             }
         }
     }
 
     fn length(&mut self, path: &str, entries: usize, most: usize) {
         if entries > most {
-            self.found.push(Refusal::TooMany { path: path.into(), entries, most });
+            self.found.push(RejectReason::TooMany { path: path.into(), entries, most });
         }
     }
 
@@ -110,14 +111,14 @@
             self.name(&format!("{path}.name"), &route.name);
             if !seen.insert(&route.name) {
                 let path = format!("{path}.name");
-                self.found.push(Refusal::Duplicate { path, name: route.name.clone() });
+                self.found.push(RejectReason::Duplicate { path, name: route.name.clone() });
             }
             self.names(&format!("{path}.classes"), &route.classes);
             self.names(&format!("{path}.tenants"), &route.tenants);
             self.targets(&format!("{path}.targets"), &route.targets);
             if schema::route::Otherwise::try_from(route.otherwise).is_err() {
                 let path = format!("{path}.otherwise");
-                self.found.push(Refusal::Unknown { path, value: route.otherwise });
+                self.found.push(RejectReason::Unknown { path, value: route.otherwise });
             }
             let covers = |before: &schema::Route| {
                 let all = |wide: &[String], narrow: &[String]| {
@@ -126,7 +127,7 @@
                 all(&before.classes, &route.classes) && all(&before.tenants, &route.tenants)
             };
             if let Some(behind) = routes[..at].iter().find(|before| covers(before)) {
-                self.found.push(Refusal::Unreachable { path, behind: behind.name.clone() });
+                self.found.push(RejectReason::Unreachable { path, behind: behind.name.clone() });
             }
         }
     }
@@ -134,20 +135,20 @@
     fn targets(&mut self, path: &str, targets: &[schema::Target]) {
         self.length(path, targets.len(), bounds::ENTRIES);
         if targets.is_empty() {
-            self.found.push(Refusal::Missing { path: path.into() });
+            self.found.push(RejectReason::Missing { path: path.into() });
         }
         for (at, target) in targets.iter().enumerate() {
             let path = format!("{path}[{at}]");
             match &target.which {
-                None => self.found.push(Refusal::Missing { path: path.clone() }),
+                None => self.found.push(RejectReason::Missing { path: path.clone() }),
                 Some(Which::Engine(name)) => self.name(&format!("{path}.engine"), name),
                 Some(Which::Kind(name)) => self.name(&format!("{path}.kind"), name),
                 Some(Which::Zone(name)) => self.name(&format!("{path}.zone"), name),
                 Some(Which::Cell(_)) => {}
             }
             if targets[..at].iter().any(|before| before.which.is_some() && before.which == target.which) {
-                let name = describe(target);
-                self.found.push(Refusal::Duplicate { path: path.clone(), name });
+                let name = describe_target(target);
+                self.found.push(RejectReason::Duplicate { path: path.clone(), name });
             }
             self.range(&format!("{path}.weight"), target.weight, bounds::WEIGHT);
         }
@@ -161,7 +162,7 @@
             self.name(&format!("{path}.name"), &tenant.name);
             if !seen.insert(&tenant.name) {
                 let path = format!("{path}.name");
-                self.found.push(Refusal::Duplicate { path, name: tenant.name.clone() });
+                self.found.push(RejectReason::Duplicate { path, name: tenant.name.clone() });
             }
             self.range(&format!("{path}.quota_per_s"), Some(tenant.quota_per_s), bounds::QUOTA);
         }
@@ -179,7 +180,7 @@
 
     fn level(&mut self, path: &str, value: i32) {
         if Level::try_from(value).is_err() {
-            self.found.push(Refusal::Unknown { path: path.into(), value });
+            self.found.push(RejectReason::Unknown { path: path.into(), value });
         }
     }
 
@@ -191,7 +192,7 @@
         for (at, route) in document.routes.iter().enumerate() {
             for (place, class) in route.classes.iter().enumerate() {
                 if !document.classes.contains(class) {
-                    self.found.push(Refusal::UnknownName {
+                    self.found.push(RejectReason::UnknownName {
                         path: format!("routes[{at}].classes[{place}]"),
                         kind: "class",
                         name: class.clone(),
@@ -203,7 +204,7 @@
 }
 
 /// A target as people read it.
-pub fn describe(target: &schema::Target) -> String {
+pub fn describe_target(target: &schema::Target) -> String {
     match &target.which {
         None => "nothing".into(),
         Some(Which::Engine(name)) => format!("engine {name}"),
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use crate::schema::Delta;
-use crate::{Document, Refusal};
+use crate::{Document, RejectReason};
 
 /// The changes that make `new` of `old`, which is version `base`. Names are unique in both, as [`crate::check`] sees to.
-pub fn between(base: u64, old: &Document, new: &Document) -> Delta {
+pub fn diff(base: u64, old: &Document, new: &Document) -> Delta {
     Delta {
         base,
         routes: new.routes.iter().filter(|route| !old.routes.contains(route)).cloned().collect(),
@@ -22,7 +22,7 @@
 }
 
 /// The document that the changes make of `old`. Whether it is the one meant, its digest tells.
-pub fn apply(old: &Document, delta: &Delta) -> Result<Document, Refusal> {
+pub fn apply(old: &Document, delta: &Delta) -> Result<Document, RejectReason> {
     Ok(Document {
         routes: ordered("routes", &old.routes, &delta.routes, &delta.route_order, |route| &route.name)?,
         tenants: ordered("tenants", &old.tenants, &delta.tenants, &delta.tenant_order, |tenant| {
@@ -43,11 +43,11 @@
     changed: &[T],
     order: &[String],
     name: impl Fn(&T) -> &String,
-) -> Result<Vec<T>, Refusal> {
+) -> Result<Vec<T>, RejectReason> {
     let known: BTreeMap<&String, &T> = old.iter().chain(changed).map(|entry| (name(entry), entry)).collect();
     let find = |name: &String| {
         let missing =
-            || Refusal::Unreadable(format!("the change names '{name}' in {list}, which is not there"));
+            || RejectReason::Unreadable(format!("the change names '{name}' in {list}, which is not there"));
         known.get(name).map(|entry| (*entry).clone()).ok_or_else(missing)
     };
     order.iter().map(find).collect()
@@ -70,7 +70,7 @@
                classes: "x""#,
         )
         .unwrap();
-        let delta = between(7, &old, &new);
+        let delta = diff(7, &old, &new);
         assert_eq!(delta.routes.len(), 1);
         assert_eq!(apply(&old, &delta).unwrap(), new);
         assert_eq!(apply(&Document::default(), &delta).unwrap_err().code(), "unreadable");
--- a/crates/config/src/live.rs
+++ b/crates/config/src/proxy_state.rs
@@ -1,15 +1,15 @@
 //! A document against the proxy as it runs, and what of it counts there.
 //!
 //! Decides what a version may not do to the proxy that it meets ([`check`]), which engines a route leaves for a request
-//! ([`resolve`]), and that what the platform's own file sets wins ([`Effective`]).
+//! ([`resolve`]), and that what the platform's own file sets wins ([`EffectiveConfig`]).
 
 use crate::schema::route::Otherwise;
 use crate::schema::target::Which;
-use crate::{Document, Refusal, schema};
+use crate::{Document, RejectReason, schema};
 
 /// Whether an engine takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum EngineState {
     /// It does.
     Up,
     /// It finishes what it has.
@@ -28,7 +28,7 @@
     /// Its cell.
     pub cell: u64,
     /// Whether it takes work.
-    pub state: State,
+    pub state: EngineState,
 }
 
 /// A class of the platform's file.
@@ -42,7 +42,7 @@
 
 /// What the platform's file and the rules allow.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Platform {
+pub struct PlatformLimits {
     /// Tenants by name, with their budget where the file gives one.
     pub tenants: Vec<(String, Option<f64>)>,
     /// Requests that may be open together.
@@ -55,7 +55,7 @@
 
 /// The proxy as it runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Live {
+pub struct ProxyState {
     /// The engines that are listed; none before the first list has come.
     pub engines: Option<Vec<Engine>>,
     /// The classes.
@@ -63,56 +63,56 @@
     /// Requests that are open.
     pub open: u64,
     /// What the platform allows.
-    pub platform: Platform,
+    pub platform: PlatformLimits,
 }
 
 /// What speaks against taking the document now. The document alone has been checked.
 ///
 /// While no list has come, routes are not held against it: a proxy that starts on its last good version must not be
 /// kept from it by a coordinator that is late.
-pub fn check(document: &Document, live: &Live) -> Vec<Refusal> {
+pub fn check(document: &Document, proxy: &ProxyState) -> Vec<RejectReason> {
     let mut found = Vec::new();
-    classes(document, live, &mut found);
-    routes(document, live, &mut found);
-    tenants(document, live, &mut found);
-    limits(document, live, &mut found);
+    classes(document, proxy, &mut found);
+    routes(document, proxy, &mut found);
+    tenants(document, proxy, &mut found);
+    limits(document, proxy, &mut found);
     found
 }
 
-fn classes(document: &Document, live: &Live, found: &mut Vec<Refusal>) {
+fn classes(document: &Document, proxy: &ProxyState, found: &mut Vec<RejectReason>) {
     for (at, name) in document.classes.iter().enumerate() {
-        if !live.classes.iter().any(|class| class.name == *name) {
+        if !proxy.classes.iter().any(|class| class.name == *name) {
             let path = format!("classes[{at}]");
-            found.push(Refusal::UnknownName { path, kind: "class", name: name.clone() });
+            found.push(RejectReason::UnknownName { path, kind: "class", name: name.clone() });
         }
     }
     let dropped = |class: &&Class| !document.classes.is_empty() && !document.classes.contains(&class.name);
-    for class in live.classes.iter().filter(dropped).filter(|class| class.open > 0) {
+    for class in proxy.classes.iter().filter(dropped).filter(|class| class.open > 0) {
         let (path, open) = ("classes".to_owned(), class.open);
-        found.push(Refusal::ClassInUse { path, class: class.name.clone(), open });
+        found.push(RejectReason::ClassInUse { path, class: class.name.clone(), open });
     }
 }
 
-fn routes(document: &Document, live: &Live, found: &mut Vec<Refusal>) {
+fn routes(document: &Document, proxy: &ProxyState, found: &mut Vec<RejectReason>) {
     for (at, route) in document.routes.iter().enumerate() {
         for (place, name) in route.classes.iter().enumerate() {
-            if !live.classes.iter().any(|class| class.name == *name) {
+            if !proxy.classes.iter().any(|class| class.name == *name) {
                 let path = format!("routes[{at}].classes[{place}]");
-                found.push(Refusal::UnknownName { path, kind: "class", name: name.clone() });
+                found.push(RejectReason::UnknownName { path, kind: "class", name: name.clone() });
             }
         }
         for (place, name) in route.tenants.iter().enumerate() {
-            let known = live.platform.tenants.iter().any(|(tenant, _)| tenant == name)
+            let known = proxy.platform.tenants.iter().any(|(tenant, _)| tenant == name)
                 || document.tenants.iter().any(|tenant| tenant.name == *name);
             if !known {
                 let path = format!("routes[{at}].tenants[{place}]");
-                found.push(Refusal::UnknownName { path, kind: "tenant", name: name.clone() });
+                found.push(RejectReason::UnknownName { path, kind: "tenant", name: name.clone() });
             }
         }
-        let Some(engines) = &live.engines else { continue };
+        let Some(engines) = &proxy.engines else { continue };
         let named: Vec<&Engine> = engines.iter().filter(|engine| weight(route, engine).is_some()).collect();
         let strict = route.otherwise == Otherwise::Wait as i32;
-        if !strict || named.iter().any(|engine| engine.state == State::Up) {
+        if !strict || named.iter().any(|engine| engine.state == EngineState::Up) {
             continue;
         }
         let draining = named.iter().map(|engine| engine.name.clone()).collect();
@@ -121,33 +121,33 @@
             Some(Which::Engine(name)) if !listed(name) => Some(name.clone()),
             _ => None,
         });
-        let of_all = live.classes.iter().find(|class| serves(document, &class.name));
+        let of_all = proxy.classes.iter().find(|class| serves(document, &class.name));
         let class = route.classes.first().or(of_all.map(|class| &class.name)).cloned().unwrap_or_default();
         let path = format!("routes[{at}].targets");
-        found.push(Refusal::NoUsableEngine { path, class, draining, unlisted: unlisted.collect() });
+        found.push(RejectReason::NoUsableEngine { path, class, draining, unlisted: unlisted.collect() });
     }
 }
 
-fn tenants(document: &Document, live: &Live, found: &mut Vec<Refusal>) {
+fn tenants(document: &Document, proxy: &ProxyState, found: &mut Vec<RejectReason>) {
     for (at, tenant) in document.tenants.iter().enumerate() {
-        if !live.platform.tenants.iter().any(|(name, _)| *name == tenant.name) {
+        if !proxy.platform.tenants.iter().any(|(name, _)| *name == tenant.name) {
             let path = format!("tenants[{at}].name");
-            found.push(Refusal::UnknownName { path, kind: "tenant", name: tenant.name.clone() });
+            found.push(RejectReason::UnknownName { path, kind: "tenant", name: tenant.name.clone() });
         }
     }
 }
 
-fn limits(document: &Document, live: &Live, found: &mut Vec<Refusal>) {
-    let platform = &live.platform;
+fn limits(document: &Document, proxy: &ProxyState, found: &mut Vec<RejectReason>) {
+    let platform = &proxy.platform;
     if let Some(limit) = document.limits.as_ref().and_then(|limits| limits.max_open).map(u64::from) {
-        if limit < live.open {
+        if limit < proxy.open {
             let path = "limits.max_open".into();
-            found.push(Refusal::BelowUse { path, limit, in_use: live.open });
+            found.push(RejectReason::BelowUse { path, limit, in_use: proxy.open });
         }
     }
     let mut beyond = |path: &str, value: Option<f64>, rule: f64| {
         if let Some(value) = value.filter(|value| *value > rule) {
-            found.push(Refusal::BeyondRule { path: path.into(), value, rule });
+            found.push(RejectReason::BeyondRule { path: path.into(), value, rule });
         }
     };
     if let Some(limits) = &document.limits {
@@ -179,7 +179,7 @@
 
 /// A route with the engines that it names just now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Resolved {
+pub struct ResolvedRoute {
     /// Its name.
     pub name: String,
     /// The classes and tenants that it holds for; empty: all.
@@ -193,12 +193,12 @@
 
 /// The routes of a document among the engines that are listed, in their order: the first that holds for a request
 /// decides. To be asked anew whenever the list changes.
-pub fn resolve(document: &Document, engines: &[Engine]) -> Vec<Resolved> {
+pub fn resolve(document: &Document, engines: &[Engine]) -> Vec<ResolvedRoute> {
     let resolved = |route: &schema::Route| {
         let named = engines.iter().filter_map(|engine| Some((engine, weight(route, engine)?)));
-        let up = named.clone().any(|(engine, _)| engine.state == State::Up);
+        let up = named.clone().any(|(engine, _)| engine.state == EngineState::Up);
         let strict = up || route.otherwise == Otherwise::Wait as i32;
-        Resolved {
+        ResolvedRoute {
             name: route.name.clone(),
             classes: route.classes.clone(),
             tenants: route.tenants.clone(),
@@ -210,7 +210,7 @@
 
 /// The limits that count once the document is in force: the platform's, where the document does not tighten them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Effective {
+pub struct EffectiveConfig {
     /// Tenants' budgets, in the platform's order; 0 where there is none.
     pub quotas: Vec<f64>,
     /// Requests that may be open together.
@@ -222,14 +222,14 @@
 }
 
 /// What counts under the document on this platform. Guards the platform's file, which wins, whatever was checked.
-pub fn effective(document: &Document, platform: &Platform) -> Effective {
+pub fn effective_config(document: &Document, platform: &PlatformLimits) -> EffectiveConfig {
     let quota = |(name, own): &(String, Option<f64>)| {
         let told = document.tenants.iter().find(|tenant| tenant.name == *name);
         own.or(told.map(|tenant| tenant.quota_per_s)).unwrap_or(0.0)
     };
     let limits = document.limits.unwrap_or_default();
     let retries = document.retries.unwrap_or_default();
-    Effective {
+    EffectiveConfig {
         quotas: platform.tenants.iter().map(quota).collect(),
         max_open: limits.max_open.map_or(platform.max_open, |most| platform.max_open.min(most.into())),
         max_attempts: limits
@@ -249,21 +249,21 @@
     use super::*;
     use crate::text::parse;
 
-    fn engine(name: &str, zone: &str, state: State) -> Engine {
+    fn engine(name: &str, zone: &str, state: EngineState) -> Engine {
         Engine { name: name.into(), kind: "k".into(), zone: zone.into(), cell: 0, state }
     }
 
-    fn live() -> Live {
+    fn live() -> ProxyState {
         let class = |name: &str, open| Class { name: name.into(), open };
-        Live {
+        ProxyState {
             engines: Some(vec![
-                engine("s-0", "east", State::Up),
-                engine("s-1", "east", State::Draining),
-                engine("s-2", "west", State::Draining),
+                engine("s-0", "east", EngineState::Up),
+                engine("s-1", "east", EngineState::Draining),
+                engine("s-2", "west", EngineState::Draining),
             ]),
             classes: vec![class("lookup", 3), class("load", 0)],
             open: 3,
-            platform: Platform {
+            platform: PlatformLimits {
                 tenants: vec![("acme".into(), Some(10.0)), ("zeta".into(), None)],
                 max_open: 100,
                 max_attempts: 4,
@@ -272,7 +272,7 @@
         }
     }
 
-    fn found(text: &str) -> Vec<Refusal> {
+    fn found(text: &str) -> Vec<RejectReason> {
         check(&parse(text).unwrap(), &live())
     }
 
@@ -283,7 +283,10 @@
         );
         let (draining, unlisted) = (vec!["s-2".to_owned()], vec!["s-9".to_owned()]);
         let path = "routes[0].targets".into();
-        assert_eq!(refused, [Refusal::NoUsableEngine { path, class: "lookup".into(), draining, unlisted }]);
+        assert_eq!(
+            refused,
+            [RejectReason::NoUsableEngine { path, class: "lookup".into(), draining, unlisted }]
+        );
         assert!(refused[0].to_string().contains("draining: s-2; not listed: s-9"), "{}", refused[0]);
         assert_eq!(found(r#"routes { name: "r" targets { zone: "west" } otherwise: ANY }"#), []);
         assert_eq!(found(r#"routes { name: "r" targets { zone: "east" } }"#), []);
@@ -291,7 +294,7 @@
 
     #[test]
     fn what_is_in_use_is_not_taken_away() {
-        let codes = |text| found(text).iter().map(Refusal::code).collect::<Vec<_>>();
+        let codes = |text| found(text).iter().map(RejectReason::code).collect::<Vec<_>>();
         assert_eq!(codes(r#"classes: "load""#), ["class-in-use"]);
         assert_eq!(codes(r#"classes: "lookup""#), [] as [&str; 0]);
         assert_eq!(codes("limits { max_open: 2 }"), ["below-use"]);
@@ -310,7 +313,7 @@
             r#"tenants { name: "acme" quota_per_s: 99 } tenants { name: "zeta" quota_per_s: 7 }
                limits { max_open: 1000 max_attempts: 2 } retries { ratio: 0.9 }"#,
         );
-        let counts = effective(&document.unwrap(), &live().platform);
+        let counts = effective_config(&document.unwrap(), &live().platform);
         assert_eq!(counts.quotas, [10.0, 7.0]);
         assert_eq!((counts.max_open, counts.max_attempts), (100, 2));
         assert_eq!(counts.retries, Some((0.2, 5.0)));
--- a/crates/config/src/refusal.rs
+++ b/crates/config/src/reject_reason.rs
@@ -6,7 +6,7 @@
 
 /// Why a version is turned down. `path` is the field at fault, as in `routes[2].targets[0].weight`.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refusal {
+pub enum RejectReason {
     // The offer itself.
     /// It cannot be read.
     Unreadable(String),
@@ -158,69 +158,69 @@
     },
 }
 
-impl Refusal {
+impl RejectReason {
     /// The reason's name, for machines.
     pub fn code(&self) -> &'static str {
         match self {
-            Refusal::Unreadable(_) => "unreadable",
-            Refusal::TooLong { .. } => "too-long",
-            Refusal::DigestDiffers => "digest-differs",
-            Refusal::WrongBase { .. } => "wrong-base",
-            Refusal::NotNewer { .. } => "not-newer",
-            Refusal::Conflicting { .. } => "conflicting",
-            Refusal::Superseded { .. } => "superseded",
-            Refusal::StaleTerm { .. } => "stale-term",
-            Refusal::NotStored(_) => "not-stored",
-            Refusal::Missing { .. } => "missing",
-            Refusal::OutOfRange { .. } => "out-of-range",
-            Refusal::BadName { .. } => "bad-name",
-            Refusal::Duplicate { .. } => "duplicate",
-            Refusal::TooMany { .. } => "too-many",
-            Refusal::Unknown { .. } => "unknown-value",
-            Refusal::Unreachable { .. } => "unreachable",
-            Refusal::UnknownName { .. } => "unknown-name",
-            Refusal::NoUsableEngine { .. } => "no-usable-engine",
-            Refusal::BelowUse { .. } => "below-use",
-            Refusal::ClassInUse { .. } => "class-in-use",
-            Refusal::BeyondRule { .. } => "beyond-rule",
+            RejectReason::Unreadable(_) => "unreadable",
+            RejectReason::TooLong { .. } => "too-long",
+            RejectReason::DigestDiffers => "digest-differs",
+            RejectReason::WrongBase { .. } => "wrong-base",
+            RejectReason::NotNewer { .. } => "not-newer",
+            RejectReason::Conflicting { .. } => "conflicting",
+            RejectReason::Superseded { .. } => "superseded",
+            RejectReason::StaleTerm { .. } => "stale-term",
+            RejectReason::NotStored(_) => "not-stored",
+            RejectReason::Missing { .. } => "missing",
+            RejectReason::OutOfRange { .. } => "out-of-range",
+            RejectReason::BadName { .. } => "bad-name",
+            RejectReason::Duplicate { .. } => "duplicate",
+            RejectReason::TooMany { .. } => "too-many",
+            RejectReason::Unknown { .. } => "unknown-value",
+            RejectReason::Unreachable { .. } => "unreachable",
+            RejectReason::UnknownName { .. } => "unknown-name",
+            RejectReason::NoUsableEngine { .. } => "no-usable-engine",
+            RejectReason::BelowUse { .. } => "below-use",
+            RejectReason::ClassInUse { .. } => "class-in-use",
+            RejectReason::BeyondRule { .. } => "beyond-rule",
         }
     }
 
     /// The field at fault; empty where none is.
     pub fn path(&self) -> &str {
         match self {
-            Refusal::Unreadable(_)
-            | Refusal::TooLong { .. }
-            | Refusal::DigestDiffers
-            | Refusal::WrongBase { .. }
-            | Refusal::NotNewer { .. }
-            | Refusal::Conflicting { .. }
-            | Refusal::Superseded { .. }
-            | Refusal::StaleTerm { .. }
-            | Refusal::NotStored(_) => "",
-            Refusal::Missing { path }
-            | Refusal::OutOfRange { path, .. }
-            | Refusal::BadName { path, .. }
-            | Refusal::Duplicate { path, .. }
-            | Refusal::TooMany { path, .. }
-            | Refusal::Unknown { path, .. }
-            | Refusal::Unreachable { path, .. }
-            | Refusal::UnknownName { path, .. }
-            | Refusal::NoUsableEngine { path, .. }
-            | Refusal::BelowUse { path, .. }
-            | Refusal::ClassInUse { path, .. }
-            | Refusal::BeyondRule { path, .. } => path,
+            RejectReason::Unreadable(_)
+            | RejectReason::TooLong { .. }
+            | RejectReason::DigestDiffers
+            | RejectReason::WrongBase { .. }
+            | RejectReason::NotNewer { .. }
+            | RejectReason::Conflicting { .. }
+            | RejectReason::Superseded { .. }
+            | RejectReason::StaleTerm { .. }
+            | RejectReason::NotStored(_) => "",
+            RejectReason::Missing { path }
+            | RejectReason::OutOfRange { path, .. }
+            | RejectReason::BadName { path, .. }
+            | RejectReason::Duplicate { path, .. }
+            | RejectReason::TooMany { path, .. }
+            | RejectReason::Unknown { path, .. }
+            | RejectReason::Unreachable { path, .. }
+            | RejectReason::UnknownName { path, .. }
+            | RejectReason::NoUsableEngine { path, .. }
+            | RejectReason::BelowUse { path, .. }
+            | RejectReason::ClassInUse { path, .. }
+            | RejectReason::BeyondRule { path, .. } => path,
         }
     }
 
     /// As it goes on the stream.
-    pub fn told(&self) -> schema::Refusal {
+    pub fn to_message(&self) -> schema::Refusal {
         schema::Refusal { code: self.code().into(), path: self.path().into(), reason: self.to_string() }
     }
 }
 
 /// Whether an answer of this code speaks against the version itself, rather than against the way in which it was offered.
-pub fn code_of_content(code: &str) -> bool {
+pub fn concerns_content(code: &str) -> bool {
     !matches!(code, "wrong-base" | "not-newer" | "conflicting" | "superseded" | "stale-term")
 }
 
@@ -234,46 +234,48 @@
     }
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Unreadable(why) => write!(f, "cannot be read: {why}"),
-            Refusal::TooLong { bytes, most } => write!(f, "is {bytes} bytes long, {most} are allowed"),
-            Refusal::DigestDiffers => write!(f, "its content is not the one that its digest names"),
-            Refusal::WrongBase { base, in_force } => {
+            RejectReason::Unreadable(why) => write!(f, "cannot be read: {why}"),
+            RejectReason::TooLong { bytes, most } => write!(f, "is {bytes} bytes long, {most} are allowed"),
+            RejectReason::DigestDiffers => write!(f, "its content is not the one that its digest names"),
+            RejectReason::WrongBase { base, in_force } => {
                 write!(f, "is a change to version {base}, and version {in_force} is in force")
             }
-            Refusal::NotNewer { offered, in_force } => {
+            RejectReason::NotNewer { offered, in_force } => {
                 write!(f, "version {offered} is not newer than version {in_force}, which is in force")
             }
-            Refusal::Conflicting { number } => {
+            RejectReason::Conflicting { number } => {
                 write!(f, "another version {number} is in force: two services number their own versions")
             }
-            Refusal::Superseded { by } => write!(f, "version {by} came before this one was in force"),
-            Refusal::StaleTerm { term: 0, .. } => write!(f, "it names no term, so no owner stands behind it"),
-            Refusal::StaleTerm { term, seen } => {
+            RejectReason::Superseded { by } => write!(f, "version {by} came before this one was in force"),
+            RejectReason::StaleTerm { term: 0, .. } => {
+                write!(f, "it names no term, so no owner stands behind it")
+            }
+            RejectReason::StaleTerm { term, seen } => {
                 write!(f, "it is of term {term}, and an owner of term {seen} was seen")
             }
-            Refusal::NotStored(why) => write!(f, "could not be stored: {why}"),
-            Refusal::Missing { path } => write!(f, "'{path}' is missing"),
-            Refusal::OutOfRange { path, value, least, most } => {
+            RejectReason::NotStored(why) => write!(f, "could not be stored: {why}"),
+            RejectReason::Missing { path } => write!(f, "'{path}' is missing"),
+            RejectReason::OutOfRange { path, value, least, most } => {
                 write!(f, "'{path}' is {value}, not a number from {least} to {most}")
             }
-            Refusal::BadName { path, name } => write!(f, "'{path}' is '{name}', which is no name"),
-            Refusal::Duplicate { path, name } => write!(f, "'{path}': '{name}' stands there already"),
-            Refusal::TooMany { path, entries, most } => {
+            RejectReason::BadName { path, name } => write!(f, "'{path}' is '{name}', which is no name"),
+            RejectReason::Duplicate { path, name } => write!(f, "'{path}': '{name}' stands there already"),
+            RejectReason::TooMany { path, entries, most } => {
                 write!(f, "'{path}' has {entries} entries, {most} are allowed")
             }
-            Refusal::Unknown { path, value } => {
+            RejectReason::Unknown { path, value } => {
                 write!(f, "'{path}' is {value}, which this build does not know")
             }
-            Refusal::Unreachable { path, behind } => {
+            RejectReason::Unreachable { path, behind } => {
                 write!(f, "'{path}' is never reached: '{behind}' holds for all that it names")
             }
-            Refusal::UnknownName { path, kind, name } => {
+            RejectReason::UnknownName { path, kind, name } => {
                 write!(f, "'{path}': '{name}' is no {kind} of this proxy")
             }
-            Refusal::NoUsableEngine { path, class, draining, unlisted } => {
+            RejectReason::NoUsableEngine { path, class, draining, unlisted } => {
                 write!(f, "'{path}' would leave class '{class}' without an engine that takes work")?;
                 if !draining.is_empty() {
                     write!(f, "; draining: {}", listed(draining))?;
@@ -283,17 +285,17 @@
                 }
                 Ok(())
             }
-            Refusal::BelowUse { path, limit, in_use } => {
+            RejectReason::BelowUse { path, limit, in_use } => {
                 write!(f, "'{path}' is {limit}, below the {in_use} in use")
             }
-            Refusal::ClassInUse { path, class, open } => {
+            RejectReason::ClassInUse { path, class, open } => {
                 write!(f, "'{path}' drops class '{class}', which has {open} requests open")
             }
-            Refusal::BeyondRule { path, value, rule } => {
+            RejectReason::BeyondRule { path, value, rule } => {
                 write!(f, "'{path}' is {value}, more than the {rule} that the platform allows")
             }
         }
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for RejectReason {}
--- a/crates/config/src/rollout.rs
+++ b/crates/config/src/rollout.rs
@@ -11,22 +11,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use crate::refusal::code_of_content;
+use crate::reject_reason::concerns_content;
 use crate::schema::entry::State;
 use crate::schema::{Plan, Progress, Refusal, Version};
 
 /// A proxy that has not answered an offer after this many milliseconds counts as if it had turned it down.
-pub const ANSWER_WITHIN: f64 = 10_000.0;
+pub const ANSWER_TIMEOUT: f64 = 10_000.0;
 /// A proxy that left after it took a version, and is not back after this many milliseconds, counts the same.
-pub const BACK_WITHIN: f64 = 10_000.0;
+pub const RECONNECT_TIMEOUT: f64 = 10_000.0;
 /// Worsening must be so many standard errors wide.
-const ERRORS: f64 = 3.0;
+const SIGNIFICANT_STANDARD_ERRORS: f64 = 3.0;
 /// The part of all proxies that may turn a version down once it goes to all.
-const ODD_ONES: f64 = 0.05;
+const MAX_REJECTED_SHARE: f64 = 0.05;
 /// Requests to count before figures are compared, where the plan does not say.
-const LEAST_REQUESTS: u64 = 100;
+const DEFAULT_LEAST_REQUESTS: u64 = 100;
 /// Proxies remembered that are not connected.
-const REMEMBERED: usize = 10_000;
+const MAX_DISCONNECTED: usize = 10_000;
 
 /// What the embedder tells.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
         rolls_back_to: u64,
     },
     /// A proxy has opened a stream.
-    Hello {
+    Connected {
         /// Its name.
         proxy: String,
         /// The stream; streams' numbers rise.
@@ -56,7 +56,7 @@
         age: f64,
     },
     /// A stream has ended.
-    Left {
+    Disconnected {
         /// The proxy.
         proxy: String,
         /// The stream.
@@ -74,7 +74,7 @@
         refusal: Option<Refusal>,
     },
     /// A proxy tells what became of its requests since its start.
-    Figures {
+    RequestCounts {
         /// The proxy.
         proxy: String,
         /// The stream.
@@ -107,7 +107,7 @@
         base: u64,
     },
     /// A version's state has changed; to be stored.
-    State {
+    StateChanged {
         /// The version.
         number: u64,
         /// Its state.
@@ -118,9 +118,9 @@
     /// Publish the content of version `to` (0: an empty document) as the next version, to all at once.
     RollBack {
         /// The version that was halted.
-        of: u64,
+        halted: u64,
         /// The version whose content comes back.
-        to: u64,
+        restored: u64,
         /// Why.
         why: String,
     },
@@ -128,17 +128,17 @@
 
 /// How far a rollout is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
-    First = 0,
-    Share = 1,
-    All = 2,
+enum Stage {
+    Canary = 0,
+    Partial = 1,
+    Full = 2,
 }
 
 #[derive(Debug)]
-struct Rolling {
+struct VersionRollout {
     plan: Plan,
     state: State,
-    step: Step,
+    stage: Stage,
     /// It brings back an earlier version.
     back: bool,
     /// The proxies that get it before all do.
@@ -176,7 +176,7 @@
 
 /// What is known of a proxy.
 #[derive(Clone, Debug, Default)]
-pub struct Proxy {
+pub struct ProxyStatus {
     /// Its stream, while it is connected.
     pub stream: Option<u64>,
     /// Its build.
@@ -184,13 +184,13 @@
     /// The version in force; 0: none.
     pub in_force: u64,
     /// Since when, as far as this service has seen.
-    pub since: f64,
+    pub in_force_since: f64,
     /// The offer that is not answered: nonce, version, when.
     pub offered: Option<(u64, u64, f64)>,
     /// The last refusal, and of which version.
-    pub refused: Option<(u64, Refusal)>,
+    pub rejected: Option<(u64, Refusal)>,
     /// When it was last heard of.
-    pub heard: f64,
+    pub last_seen: f64,
     /// It has a version in force that this service never published.
     pub ahead: bool,
     /// Its counts when it told of them last, and under which version.
@@ -202,8 +202,8 @@
 /// All rollouts of a service.
 #[derive(Debug, Default)]
 pub struct Rollout {
-    versions: BTreeMap<u64, Rolling>,
-    proxies: BTreeMap<String, Proxy>,
+    versions: BTreeMap<u64, VersionRollout>,
+    proxies: BTreeMap<String, ProxyStatus>,
     next_nonce: u64,
     /// The highest number that any proxy has in force.
     highest_seen: u64,
@@ -216,7 +216,9 @@
         let mut rollout = Rollout::default();
         for (number, plan, state, rolls_back_to) in stored {
             let (back, resumed) = (rolls_back_to > 0, now);
-            rollout.versions.insert(number, Rolling { back, resumed, ..Rolling::new(plan, state) });
+            rollout
+                .versions
+                .insert(number, VersionRollout { back, resumed, ..VersionRollout::new(plan, state) });
         }
         rollout
     }
@@ -232,7 +234,7 @@
         let (on, off) = (version.on, version.off);
         Some(Progress {
             number: *number,
-            step: version.step as u32,
+            step: version.stage as u32,
             chosen: version.chosen.iter().cloned().collect(),
             against: version.against.iter().map(|(name, why)| (name.clone(), why.clone())).collect(),
             counts: vec![on.served, on.unserved, off.served, off.unserved],
@@ -245,10 +247,10 @@
         if version.state != State::Rolling {
             return;
         }
-        version.step = match progress.step {
-            0 => Step::First,
-            1 => Step::Share,
-            _ => Step::All,
+        version.stage = match progress.step {
+            0 => Stage::Canary,
+            1 => Stage::Partial,
+            _ => Stage::Full,
         };
         version.chosen = progress.chosen.into_iter().collect();
         version.against = progress.against.into_iter().collect();
@@ -270,7 +272,7 @@
     }
 
     /// What is known of the proxies, by name.
-    pub fn proxies(&self) -> &BTreeMap<String, Proxy> {
+    pub fn proxies(&self) -> &BTreeMap<String, ProxyStatus> {
         &self.proxies
     }
 
@@ -281,7 +283,7 @@
 
     /// The newest version before `number` that was offered to all; 0: none.
     pub fn complete_before(&self, number: u64) -> u64 {
-        let complete = |(_, version): &(&u64, &Rolling)| version.state == State::Complete;
+        let complete = |(_, version): &(&u64, &VersionRollout)| version.state == State::Complete;
         self.versions.range(..number).rev().find(complete).map_or(0, |(number, _)| *number)
     }
 
@@ -298,27 +300,32 @@
                 for (older, version) in self.versions.iter_mut().filter(|(_, it)| it.state == State::Rolling)
                 {
                     version.state = State::Overtaken;
-                    out.push(Action::State { number: *older, state: State::Overtaken, why: String::new() });
+                    out.push(Action::StateChanged {
+                        number: *older,
+                        state: State::Overtaken,
+                        why: String::new(),
+                    });
                 }
                 // What brings back the old is for all at once: the proxies that suffer must not wait for a share. And
                 // nothing halts it: it would be rolled back in turn, for good.
                 let back = rolls_back_to > 0;
                 let plan = if back { Plan::default() } else { plan };
-                self.versions.insert(number, Rolling { back, ..Rolling::new(plan, State::Rolling) });
+                self.versions
+                    .insert(number, VersionRollout { back, ..VersionRollout::new(plan, State::Rolling) });
             }
-            Event::Hello { proxy, stream, in_force, known, build, age } => {
+            Event::Connected { proxy, stream, in_force, known, build, age } => {
                 self.hello(now - age.max(0.0), now, proxy, stream, in_force, known, build);
             }
-            Event::Left { proxy, stream } => {
+            Event::Disconnected { proxy, stream } => {
                 if let Some(known) = self.proxies.get_mut(&proxy).filter(|it| it.stream == Some(stream)) {
-                    (known.stream, known.offered, known.told, known.heard) = (None, None, None, now);
+                    (known.stream, known.offered, known.told, known.last_seen) = (None, None, None, now);
                 }
                 self.forget_some();
             }
             Event::Answered { proxy, stream, nonce, refusal } => {
                 self.answered(now, &proxy, stream, nonce, refusal);
             }
-            Event::Figures { proxy, stream, served, unserved, number } => {
+            Event::RequestCounts { proxy, stream, served, unserved, number } => {
                 self.figures(now, &proxy, stream, Counts { served, unserved }, number);
             }
             Event::Tick => {}
@@ -345,28 +352,28 @@
         self.highest_seen = self.highest_seen.max(number);
         let proxy = self.proxies.entry(name).or_default();
         // A restarted proxy may take what it turned down: only what it looked like then spoke against it.
-        *proxy = Proxy {
+        *proxy = ProxyStatus {
             stream: Some(stream),
             build,
             in_force: number,
-            since,
-            heard: now,
+            in_force_since: since,
+            last_seen: now,
             ahead: number > 0 && !known,
-            refused: proxy.refused.take(),
-            ..Proxy::default()
+            rejected: proxy.rejected.take(),
+            ..ProxyStatus::default()
         };
     }
 
     fn answered(&mut self, now: f64, name: &str, stream: u64, nonce: u64, refusal: Option<Refusal>) {
         let Some(proxy) = self.proxies.get_mut(name).filter(|it| it.stream == Some(stream)) else { return };
-        proxy.heard = now;
+        proxy.last_seen = now;
         let Some((_, number, _)) = proxy.offered.filter(|(offered, ..)| *offered == nonce) else { return };
         proxy.offered = None;
         let Some(refusal) = refusal else {
-            (proxy.in_force, proxy.since, proxy.ahead) = (number, now, false);
+            (proxy.in_force, proxy.in_force_since, proxy.ahead) = (number, now, false);
             return;
         };
-        let of_content = code_of_content(&refusal.code);
+        let of_content = concerns_content(&refusal.code);
         // A change to a version that is not there is offered again as a whole; all else is settled.
         if refusal.code == "wrong-base" {
             proxy.in_force = 0;
@@ -374,7 +381,7 @@
             proxy.passed_over = proxy.passed_over.max(number);
         }
         let reason = format!("{name}: {}", refusal.reason);
-        proxy.refused = Some((number, refusal));
+        proxy.rejected = Some((number, refusal));
         if of_content {
             if let Some(version) = self.versions.get_mut(&number) {
                 version.against.insert(name.to_owned(), reason);
@@ -384,7 +391,7 @@
 
     fn figures(&mut self, now: f64, name: &str, stream: u64, counts: Counts, number: u64) {
         let Some(proxy) = self.proxies.get_mut(name).filter(|it| it.stream == Some(stream)) else { return };
-        proxy.heard = now;
+        proxy.last_seen = now;
         let before = proxy.told.replace((counts, number));
         // Only what lies between two tellings under one version is that version's doing.
         let Some((before, _)) = before.filter(|(_, under)| *under == number) else { return };
@@ -409,16 +416,16 @@
         self.versions.insert(number, version);
     }
 
-    fn advance_one(&mut self, now: f64, number: u64, version: &mut Rolling, out: &mut Vec<Action>) {
-        if version.step != Step::All {
+    fn advance_one(&mut self, now: f64, number: u64, version: &mut VersionRollout, out: &mut Vec<Action>) {
+        if version.stage != Stage::Full {
             self.count_silent(now, number, version);
         }
         let here = self.proxies.values().filter(|it| it.stream.is_some()).count();
         let allowed = version.plan.refusals.unwrap_or(1).max(1) as usize;
         // One proxy of hundreds that is not like the others does not stop a version that has held on a share of them.
-        let allowed = match version.step {
-            Step::First | Step::Share => allowed,
-            Step::All => allowed.max((here as f64 * ODD_ONES).ceil() as usize),
+        let allowed = match version.stage {
+            Stage::Canary | Stage::Partial => allowed,
+            Stage::Full => allowed.max((here as f64 * MAX_REJECTED_SHARE).ceil() as usize),
         };
         let why = match version.against.len() >= allowed {
             true => version.against.values().next().cloned(),
@@ -426,43 +433,45 @@
         };
         if let Some(why) = why.filter(|_| !version.back) {
             version.state = State::Halted;
-            out.push(Action::State { number, state: State::Halted, why: why.clone() });
+            out.push(Action::StateChanged { number, state: State::Halted, why: why.clone() });
             // Also where no proxy has it: one may have taken it and not have come to say so.
-            out.push(Action::RollBack { of: number, to: self.complete_before(number), why });
+            out.push(Action::RollBack { halted: number, restored: self.complete_before(number), why });
             return;
         }
         loop {
-            match version.step {
-                Step::All => {
+            match version.stage {
+                Stage::Full => {
                     let mut here = self.proxies.values().filter(|it| it.stream.is_some());
                     // That all of nobody have it proves nothing: neither behind a start or a change of owner, when nobody
                     // has come yet, nor once the last proxy has left.
-                    let awaited = now - version.resumed < BACK_WITHIN;
+                    let awaited = now - version.resumed < RECONNECT_TIMEOUT;
                     let somebody = self.proxies.is_empty() || here.clone().next().is_some();
                     let all = here.all(|proxy| settled(now, number, version, proxy));
                     if version.back || !awaited && somebody && all {
                         version.state = State::Complete;
-                        out.push(Action::State { number, state: State::Complete, why: String::new() });
+                        out.push(Action::StateChanged { number, state: State::Complete, why: String::new() });
                     }
                     return;
                 }
-                Step::First | Step::Share => {
+                Stage::Canary | Stage::Partial => {
                     self.choose(now, number, version);
                     if !self.held(now, number, version) {
                         return;
                     }
-                    version.step = if version.step == Step::First { Step::Share } else { Step::All };
+                    version.stage = if version.stage == Stage::Canary { Stage::Partial } else { Stage::Full };
                 }
             }
         }
     }
 
     /// Counts proxies against the version that were offered it, or took it, and are silent.
-    fn count_silent(&self, now: f64, number: u64, version: &mut Rolling) {
+    fn count_silent(&self, now: f64, number: u64, version: &mut VersionRollout) {
         for (name, proxy) in &self.proxies {
             let unanswered =
-                proxy.offered.is_some_and(|(_, offered, at)| offered == number && now - at >= ANSWER_WITHIN);
-            let lost = proxy.stream.is_none() && proxy.in_force == number && now - proxy.heard >= BACK_WITHIN;
+                proxy.offered.is_some_and(|(_, offered, at)| offered == number && now - at >= ANSWER_TIMEOUT);
+            let lost = proxy.stream.is_none()
+                && proxy.in_force == number
+                && now - proxy.last_seen >= RECONNECT_TIMEOUT;
             let why = match (unanswered, lost) {
                 (true, _) => "does not answer",
                 (_, true) => "left after it took the version",
@@ -474,36 +483,38 @@
 
     /// Fills the step's proxies up from those that are connected, by a lot that differs from version to version: not
     /// always the same proxies go first.
-    fn choose(&self, now: f64, number: u64, version: &mut Rolling) {
+    fn choose(&self, now: f64, number: u64, version: &mut VersionRollout) {
         // Those that have it are of the step: a service that starts anew goes on with them.
         let have = self.proxies.iter().filter(|(_, it)| it.in_force == number);
         version.chosen.extend(have.map(|(name, _)| name.clone()));
         let connected = |name: &str| self.proxies.get(name).is_some_and(|it| it.stream.is_some());
         let all = self.proxies.iter().filter(|(_, it)| it.stream.is_some()).count();
-        let wanted = match version.step {
-            Step::First => version.plan.first as usize,
-            Step::Share => (version.plan.share * all as f64).ceil() as usize,
-            Step::All => 0,
+        let wanted = match version.stage {
+            Stage::Canary => version.plan.first as usize,
+            Stage::Partial => (version.plan.share * all as f64).ceil() as usize,
+            Stage::Full => 0,
         };
         // Those of the step that this service has not met yet are on their way to it.
-        let awaited = |name: &str| now - version.resumed < BACK_WITHIN && !self.proxies.contains_key(name);
+        let awaited =
+            |name: &str| now - version.resumed < RECONNECT_TIMEOUT && !self.proxies.contains_key(name);
         let present = version.chosen.iter().filter(|name| connected(name) || awaited(name)).count();
-        let fresh = |(name, it): &(&String, &Proxy)| it.stream.is_some() && !version.chosen.contains(*name);
+        let fresh =
+            |(name, it): &(&String, &ProxyStatus)| it.stream.is_some() && !version.chosen.contains(*name);
         let mut fresh: Vec<&String> = self.proxies.iter().filter(fresh).map(|(name, _)| name).collect();
-        fresh.sort_by_key(|name| lot(number, name));
+        fresh.sort_by_key(|name| selection_rank(number, name));
         let more: Vec<String> = fresh.into_iter().take(wanted.saturating_sub(present)).cloned().collect();
         version.chosen.extend(more);
     }
 
     /// Whether the step has held: all its proxies that are connected have had the version in force for long enough.
-    fn held(&self, now: f64, number: u64, version: &Rolling) -> bool {
-        let skipped = match version.step {
-            Step::First => version.plan.first == 0,
-            Step::Share => version.plan.share <= 0.0,
-            Step::All => true,
+    fn held(&self, now: f64, number: u64, version: &VersionRollout) -> bool {
+        let skipped = match version.stage {
+            Stage::Canary => version.plan.first == 0,
+            Stage::Partial => version.plan.share <= 0.0,
+            Stage::Full => true,
         };
         let unmet = version.chosen.iter().any(|name| !self.proxies.contains_key(name));
-        if !skipped && unmet && now - version.resumed < BACK_WITHIN {
+        if !skipped && unmet && now - version.resumed < RECONNECT_TIMEOUT {
             return false;
         }
         let mut connected = version.chosen.iter().filter_map(|name| self.proxies.get(name));
@@ -516,9 +527,9 @@
 
     /// The version that a proxy should have.
     fn wanted(&self, name: &str) -> u64 {
-        let gets = |(_, version): &(&u64, &Rolling)| match version.state {
+        let gets = |(_, version): &(&u64, &VersionRollout)| match version.state {
             State::Complete => true,
-            State::Rolling => version.step == Step::All || version.chosen.contains(name),
+            State::Rolling => version.stage == Stage::Full || version.chosen.contains(name),
             State::Halted | State::Overtaken => false,
         };
         self.versions.iter().rev().find(gets).map_or(0, |(number, _)| *number)
@@ -548,10 +559,10 @@
 
     /// Bounds what is remembered of proxies that do not come back.
     fn forget_some(&mut self) {
-        let away = |proxies: &BTreeMap<String, Proxy>| {
+        let away = |proxies: &BTreeMap<String, ProxyStatus>| {
             let away = proxies.iter().filter(|(_, it)| it.stream.is_none());
-            let longest = away.clone().min_by(|a, b| a.1.heard.total_cmp(&b.1.heard));
-            (away.count() > REMEMBERED).then(|| longest.map(|(name, _)| name.clone())).flatten()
+            let longest = away.clone().min_by(|a, b| a.1.last_seen.total_cmp(&b.1.last_seen));
+            (away.count() > MAX_DISCONNECTED).then(|| longest.map(|(name, _)| name.clone())).flatten()
         };
         if let Some(name) = away(&self.proxies) {
             self.proxies.remove(&name);
@@ -560,24 +571,24 @@
 }
 
 /// A proxy's lot in the rollout of a version: those with the lowest go first.
-pub fn lot(number: u64, proxy: &str) -> u64 {
+pub fn selection_rank(number: u64, proxy: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (number, proxy).hash(&mut hasher);
     hasher.finish()
 }
 
 /// Whether a proxy is done with the version: it has it in force for as long as a step must hold, or needs no offer.
-fn settled(now: f64, number: u64, version: &Rolling, proxy: &Proxy) -> bool {
-    let held = proxy.in_force == number && now - proxy.since >= version.plan.hold_ms as f64;
+fn settled(now: f64, number: u64, version: &VersionRollout, proxy: &ProxyStatus) -> bool {
+    let held = proxy.in_force == number && now - proxy.in_force_since >= version.plan.hold_ms as f64;
     held || proxy.passed_over >= number || proxy.in_force > number
 }
 
-impl Rolling {
+impl VersionRollout {
     fn new(plan: Plan, state: State) -> Self {
-        Rolling {
+        VersionRollout {
             plan,
             state,
-            step: Step::First,
+            stage: Stage::Canary,
             back: false,
             chosen: BTreeSet::new(),
             against: BTreeMap::new(),
@@ -589,12 +600,12 @@
 
     /// Whether the proxies on the version serve less than the others, by more than the plan allows and than chance.
     fn worse(&self) -> Option<String> {
-        let least = self.plan.least_requests.unwrap_or(LEAST_REQUESTS).max(1);
+        let least = self.plan.least_requests.unwrap_or(DEFAULT_LEAST_REQUESTS).max(1);
         if self.plan.worse_by <= 0.0 || self.on.all() < least || self.off.all() < least {
             return None;
         }
         let by = self.on.share() - self.off.share();
-        let chance = ERRORS * (self.on.variance() + self.off.variance()).sqrt();
+        let chance = SIGNIFICANT_STANDARD_ERRORS * (self.on.variance() + self.off.variance()).sqrt();
         (by > self.plan.worse_by && by > chance).then(|| {
             let percent = |share: f64| share * 100.0;
             format!(
@@ -636,7 +647,7 @@
             let in_force = (number > 0).then(|| Version { number, digest: vec![1] });
             let known = self.rollout.state(number).is_some();
             let (proxy, build) = (name(proxy), "b".into());
-            self.tell(Event::Hello { proxy, stream, in_force, known, build, age: 0.0 })
+            self.tell(Event::Connected { proxy, stream, in_force, known, build, age: 0.0 })
         }
 
         fn publish(&mut self, number: u64, plan: Plan) -> Vec<Action> {
@@ -698,7 +709,7 @@
         let mut fleet = Fleet::new(1);
         let offered = fleet.publish(1, hold);
         fleet.answer(offered, None);
-        fleet.tell(Event::Left { proxy: name(0), stream: 0 });
+        fleet.tell(Event::Disconnected { proxy: name(0), stream: 0 });
         fleet.now = 120_000.0;
         fleet.tell(Event::Tick);
         assert_eq!(fleet.rollout.state(1), Some(State::Rolling));
@@ -739,7 +750,7 @@
             let have = progress.chosen.contains(&name(proxy)) && name(proxy) != chosen[1];
             let (in_force, build) = (have.then(|| Version { number: 1, digest: vec![1] }), "b".into());
             let (proxy, age) = (name(proxy), 900.0);
-            next.tell(Event::Hello { proxy, stream: 0, in_force, known: true, build, age });
+            next.tell(Event::Connected { proxy, stream: 0, in_force, known: true, build, age });
         }
         let before = next.rollout.progress().unwrap();
         assert_eq!((before.step, before.against.len()), (1, 1), "no step back, nothing forgotten");
@@ -757,7 +768,10 @@
         fleet.answer(all, None);
         let first = fleet.publish(2, staged());
         let halted = fleet.answer(first, Some("no-usable-engine"));
-        assert!(halted.iter().any(|it| matches!(it, Action::RollBack { of: 2, to: 1, .. })), "{halted:?}");
+        assert!(
+            halted.iter().any(|it| matches!(it, Action::RollBack { halted: 2, restored: 1, .. })),
+            "{halted:?}"
+        );
         assert_eq!(fleet.rollout.state(2), Some(State::Halted));
         assert_eq!(offers(&fleet.tell(Event::Tick), 2), 0);
         let back = fleet.tell(Event::Published { number: 3, plan: staged(), rolls_back_to: 1 });
@@ -778,11 +792,14 @@
             let (proxy, stream, nonce) = (proxy.clone(), *stream, *nonce);
             if leaves {
                 fleet.tell(Event::Answered { proxy: proxy.clone(), stream, nonce, refusal: None });
-                fleet.tell(Event::Left { proxy, stream });
+                fleet.tell(Event::Disconnected { proxy, stream });
             }
-            fleet.now = ANSWER_WITHIN.max(BACK_WITHIN);
+            fleet.now = ANSWER_TIMEOUT.max(RECONNECT_TIMEOUT);
             assert!(
-                fleet.tell(Event::Tick).iter().any(|it| matches!(it, Action::RollBack { of: 1, to: 0, .. }))
+                fleet
+                    .tell(Event::Tick)
+                    .iter()
+                    .any(|it| matches!(it, Action::RollBack { halted: 1, restored: 0, .. }))
             );
         }
     }
@@ -812,13 +829,13 @@
                     let on = fleet.rollout.proxies()[&name(proxy)].in_force;
                     let unserved = if on == 1 { unserved } else { served / 20 };
                     let (proxy, stream, number) = (name(proxy), proxy, on);
-                    seen.extend(fleet.tell(Event::Figures { proxy, stream, served, unserved, number }));
+                    seen.extend(fleet.tell(Event::RequestCounts { proxy, stream, served, unserved, number }));
                 }
                 seen
             };
             told(&mut fleet, 0, 0);
             let seen = told(&mut fleet, 1_000, unserved);
-            let halted = seen.iter().any(|it| matches!(it, Action::RollBack { of: 1, .. }));
+            let halted = seen.iter().any(|it| matches!(it, Action::RollBack { halted: 1, .. }));
             assert_eq!(halted, halts, "{unserved} of 1,000 not served");
         }
     }
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -6,37 +6,39 @@
 use prost_reflect::text_format::FormatOptions;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
-use crate::{Document, Refusal};
+use crate::{Document, RejectReason};
 
 static SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/schema.bin"));
 
 /// The schema's entry of a message. The schema is compiled in; that it can be read is tested.
-fn descriptor(name: &str) -> Result<MessageDescriptor, Refusal> {
+fn descriptor(name: &str) -> Result<MessageDescriptor, RejectReason> {
     static POOL: OnceLock<Option<DescriptorPool>> = OnceLock::new();
     let pool = POOL.get_or_init(|| DescriptorPool::decode(SCHEMA).ok());
     pool.as_ref()
         .and_then(|pool| pool.get_message_by_name(&format!("gaugestep.config.v1.{name}")))
-        .ok_or_else(|| Refusal::Unreadable(format!("this build's schema has no {name} that can be read")))
+        .ok_or_else(|| {
+            RejectReason::Unreadable(format!("this build's schema has no {name} that can be read"))
+        })
 }
 
 /// Reads a message of this name from protobuf text format. Fields that the schema does not have are errors, with their
 /// place.
-pub fn read<M: prost::Message + Default>(name: &str, text: &str) -> Result<M, Refusal> {
-    let unreadable = |error: String| Refusal::Unreadable(error);
+pub fn read<M: prost::Message + Default>(name: &str, text: &str) -> Result<M, RejectReason> {
+    let unreadable = |error: String| RejectReason::Unreadable(error);
     let dynamic = DynamicMessage::parse_text_format(descriptor(name)?, text)
         .map_err(|error| unreadable(error.to_string()))?;
     M::decode(dynamic.encode_to_vec().as_slice()).map_err(|error| unreadable(error.to_string()))
 }
 
 /// Reads a document.
-pub fn parse(text: &str) -> Result<Document, Refusal> {
+pub fn parse(text: &str) -> Result<Document, RejectReason> {
     read("Document", text)
 }
 
 /// Writes a document so that [`parse`] reads the same.
-pub fn print(document: &Document) -> Result<String, Refusal> {
+pub fn print(document: &Document) -> Result<String, RejectReason> {
     let dynamic = DynamicMessage::decode(descriptor("Document")?, document.encode_to_vec().as_slice())
-        .map_err(|error| Refusal::Unreadable(error.to_string()))?;
+        .map_err(|error| RejectReason::Unreadable(error.to_string()))?;
     Ok(dynamic.to_text_format_with_options(&FormatOptions::new().pretty(true)))
 }
 
--- a/crates/config/tests/ledger.rs
+++ b/crates/config/tests/version_tracker.rs
@@ -1,27 +1,27 @@
-//! The ledger under random interleavings: what is in force was always checked whole, every offer gets exactly one
+//! The tracker under random interleavings: what is in force was always checked whole, every offer gets exactly one
 //! answer, versions never fall, and what was acknowledged survives a crash at any point.
 
 use std::collections::BTreeMap;
 
-use gaugestep_config::ledger::{Action, Event, Ledger, OfferId, Taken};
-use gaugestep_config::live::{Class, Engine, Live, Platform, State};
+use gaugestep_config::proxy_state::{Class, Engine, EngineState, PlatformLimits, ProxyState};
 use gaugestep_config::schema::offer::Content;
 use gaugestep_config::schema::{Limits, Offer, Route, Target, target::Which};
-use gaugestep_config::{Document, Refusal, check, delta, live, version};
+use gaugestep_config::version_tracker::{AcceptedVersion, Action, Event, OfferId, VersionTracker};
+use gaugestep_config::{Document, RejectReason, check, delta, proxy_state, version};
 use proptest::prelude::*;
 use prost::Message as _;
 
-fn engine(name: &str, state: State) -> Engine {
+fn engine(name: &str, state: EngineState) -> Engine {
     Engine { name: name.into(), kind: "k".into(), zone: "z".into(), cell: 0, state }
 }
 
-fn live(draining: bool, open: u64) -> Live {
-    let state = if draining { State::Draining } else { State::Up };
-    Live {
-        engines: Some(vec![engine("s-0", State::Up), engine("s-1", state)]),
+fn proxy(draining: bool, open: u64) -> ProxyState {
+    let state = if draining { EngineState::Draining } else { EngineState::Up };
+    ProxyState {
+        engines: Some(vec![engine("s-0", EngineState::Up), engine("s-1", state)]),
         classes: vec![Class { name: "load".into(), open }],
         open,
-        platform: Platform { tenants: vec![], max_open: 1_000, max_attempts: 4, retries: None },
+        platform: PlatformLimits { tenants: vec![], max_open: 1_000, max_attempts: 4, retries: None },
     }
 }
 
@@ -71,8 +71,8 @@
 
 /// The embedder, its store and the checks.
 struct World {
-    ledger: Ledger,
-    live: Live,
+    tracker: VersionTracker,
+    proxy: ProxyState,
     stream: u64,
     nonce: u64,
     number: u64,
@@ -91,17 +91,18 @@
 
 impl World {
     fn tell(&mut self, event: Event) {
-        let was = self.ledger.in_force().map(|it| it.document.clone()).unwrap_or_default();
-        let actions = self.ledger.handle(0.0, event, &self.live);
+        let was = self.tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
+        let actions = self.tracker.handle(0.0, event, &self.proxy);
         for action in actions {
             match action {
                 Action::Apply(document) => {
-                    let sound =
-                        check::check(&document).is_empty() && live::check(&document, &self.live).is_empty();
+                    let sound = check::check(&document).is_empty()
+                        && proxy_state::check(&document, &self.proxy).is_empty();
                     let known = self.offered.values().flatten().any(|it| *it == *document);
                     // A document that was in force, or none at all, may come back as it was.
                     let again = *document == was || *document == Document::default() || {
-                        let taken = self.current.as_ref().map(|bytes| Taken::decode(bytes).unwrap());
+                        let taken =
+                            self.current.as_ref().map(|bytes| AcceptedVersion::decode(bytes).unwrap());
                         taken.is_some_and(|taken| taken.document == *document)
                     };
                     assert!(sound && known || again, "in force without a check: {document:?}");
@@ -110,7 +111,7 @@
                 Action::Answer(id, number, refusal) => {
                     *self.answers.entry(id).or_default() += 1;
                     if refusal.is_none() {
-                        let current = Taken::decode(self.current.as_ref().unwrap()).unwrap();
+                        let current = AcceptedVersion::decode(self.current.as_ref().unwrap()).unwrap();
                         assert_eq!(
                             current.version.number, number,
                             "acknowledged, and a start would not find it"
@@ -122,7 +123,7 @@
                 store => self.storing.push(store),
             }
         }
-        let in_force = self.ledger.in_force().map(|it| it.document.clone()).unwrap_or_default();
+        let in_force = self.tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
         assert_eq!(in_force, self.applied, "half applied");
     }
 
@@ -157,12 +158,12 @@
         self.offered.entry(number).or_default().push(document.clone());
         self.nonce += 1;
         let mut told = version(number, &document);
-        let in_force = self.ledger.in_force();
+        let in_force = self.tracker.in_force();
         let base = in_force.map_or(0, |taken| taken.version.number);
         let old = in_force.map(|taken| taken.document.clone()).unwrap_or_default();
         let content = match form {
-            0 => Content::Delta(delta::between(base, &old, &document)),
-            1 => Content::Delta(delta::between(base + 1, &old, &document)),
+            0 => Content::Delta(delta::diff(base, &old, &document)),
+            1 => Content::Delta(delta::diff(base + 1, &old, &document)),
             _ => Content::Snapshot(document),
         };
         if form == 2 {
@@ -194,20 +195,20 @@
         let kept: Vec<Result<Vec<u8>, String>> =
             [&self.current, &self.previous].into_iter().flatten().map(|bytes| Ok(bytes.clone())).collect();
         // The list has not come yet when a proxy starts, and nothing is open.
-        let start = Live { engines: None, ..live(false, 0) };
-        let (ledger, refused) = Ledger::recover(0.0, kept, &start);
+        let start = ProxyState { engines: None, ..proxy(false, 0) };
+        let (tracker, refused) = VersionTracker::recover(0.0, kept, &start);
         assert!(refused.is_empty(), "{refused:?}");
-        let found = ledger.in_force().map_or(0, |taken| taken.version.number);
+        let found = tracker.in_force().map_or(0, |taken| taken.version.number);
         assert!(
             found >= self.acknowledged,
             "what was acknowledged is what a start finds, or what came behind it"
         );
         self.acknowledged = found;
-        self.applied = ledger.in_force().map(|it| it.document.clone()).unwrap_or_default();
-        self.ledger = ledger;
+        self.applied = tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
+        self.tracker = tracker;
         self.answers.retain(|_, answers| *answers > 0);
         self.stream += 1;
-        self.live = live(false, 0);
+        self.proxy = proxy(false, 0);
     }
 }
 
@@ -217,8 +218,8 @@
     #[test]
     fn whatever_comes_in_whatever_order_the_ledger_keeps_its_word(steps in prop::collection::vec(step(), 1..60)) {
         let mut world = World {
-            ledger: Ledger::new(),
-            live: live(false, 0),
+            tracker: VersionTracker::new(),
+            proxy: proxy(false, 0),
             stream: 0,
             nonce: 0,
             number: 1,
@@ -235,10 +236,10 @@
             match step {
                 Step::Offer { ahead, which, form } => world.offer(ahead, which, form),
                 Step::EndStore { fails } => world.end_store(fails),
-                Step::Drain(draining) => world.live = live(draining, world.live.open),
+                Step::Drain(draining) => world.proxy = proxy(draining, world.proxy.open),
                 Step::Open(open) => {
-                    let draining = world.live.engines.as_ref().is_some_and(|it| it[1].state == State::Draining);
-                    world.live = live(draining, open);
+                    let draining = world.proxy.engines.as_ref().is_some_and(|it| it[1].state == EngineState::Draining);
+                    world.proxy = proxy(draining, open);
                 }
                 Step::Reconnect => world.reconnect(),
                 Step::Crash { stored } => world.crash(stored),
@@ -258,16 +259,17 @@
 #[test]
 fn a_spoilt_last_good_leaves_the_one_before() {
     let document = document(1, 4);
-    let good = Taken { version: version(4, &document), document };
+    let good = AcceptedVersion { version: version(4, &document), document };
     let whole = good.encode();
     for cut in 0..whole.len() {
         let stored = [Ok(whole[..cut].to_vec()), Ok(whole.clone())];
-        let (ledger, refused) = Ledger::recover(0.0, stored, &live(false, 0));
-        assert_eq!(ledger.in_force(), Some(&good), "cut at byte {cut}");
+        let (tracker, refused) = VersionTracker::recover(0.0, stored, &proxy(false, 0));
+        assert_eq!(tracker.in_force(), Some(&good), "cut at byte {cut}");
         assert_eq!(refused.len(), 1);
     }
-    let (ledger, refused) = Ledger::recover(0.0, [Ok(vec![0xff; 9]), Err("gone".into())], &live(false, 0));
-    assert!(ledger.in_force().is_none());
+    let (tracker, refused) =
+        VersionTracker::recover(0.0, [Ok(vec![0xff; 9]), Err("gone".into())], &proxy(false, 0));
+    assert!(tracker.in_force().is_none());
     assert_eq!(refused.iter().map(|(_, refusal)| refusal.code()).collect::<Vec<_>>(), ["unreadable"; 2]);
 }
 
@@ -288,8 +290,8 @@
         let Ok(offer) = Offer::decode(&whole[..cut]) else { continue };
         // All but the last field may be there: then it is the version itself, whole.
         let all = offer.content.is_some() && offer.version.is_some();
-        let mut ledger = Ledger::new();
-        let actions = ledger.handle(0.0, Event::Offered(0, Box::new(offer)), &live(false, 0));
+        let mut tracker = VersionTracker::new();
+        let actions = tracker.handle(0.0, Event::Offered(0, Box::new(offer)), &proxy(false, 0));
         match &actions[..] {
             [Action::Answer(_, _, Some(_))] => messages += 1,
             [Action::Stage(3, _)] if all => {}
@@ -302,7 +304,7 @@
 /// The drain notice that comes between the first check and the taking.
 #[test]
 fn an_engine_that_drains_while_the_version_is_stored_has_it_refused() {
-    let mut ledger = Ledger::new();
+    let mut tracker = VersionTracker::new();
     let document = document(2, 1);
     let offer = Offer {
         version: Some(version(1, &document)),
@@ -311,10 +313,13 @@
         rolls_back_to: 0,
         term: 1,
     };
-    let begun = ledger.handle(0.0, Event::Offered(0, Box::new(offer)), &live(false, 0));
+    let begun = tracker.handle(0.0, Event::Offered(0, Box::new(offer)), &proxy(false, 0));
     assert!(matches!(begun[..], [Action::Stage(1, _)]), "{begun:?}");
-    let ended = ledger.handle(1.0, Event::Staged(1, Ok(())), &live(true, 0));
+    let ended = tracker.handle(1.0, Event::Staged(1, Ok(())), &proxy(true, 0));
     let [Action::Answer(_, 1, Some(refusal))] = &ended[..] else { panic!("{ended:?}") };
-    assert!(matches!(refusal, Refusal::NoUsableEngine { draining, .. } if draining == &["s-1"]), "{refusal}");
-    assert!(ledger.in_force().is_none());
+    assert!(
+        matches!(refusal, RejectReason::NoUsableEngine { draining, .. } if draining == &["s-1"]),
+        "{refusal}"
+    );
+    assert!(tracker.in_force().is_none());
 }
--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -13,7 +13,7 @@
 use rustls_pki_types::ServerName;
 
 use crate::transport::framing;
-use crate::transport::tls::{self, ClientKeys, Files};
+use crate::transport::tls::{self, ClientTls, TlsFiles};
 
 /// How long one try may take, and how long a call is tried at all while nobody can carry it out.
 const WITHIN: Duration = Duration::from_secs(5);
@@ -28,7 +28,7 @@
     /// Their addresses for operators, tried in turn.
     pub addresses: Vec<SocketAddr>,
     /// Keys, and the name that their certificates carry.
-    pub keys: Option<(Files, String)>,
+    pub keys: Option<(TlsFiles, String)>,
 }
 
 trait Talk: io::Read + io::Write {}
@@ -40,7 +40,7 @@
     /// again only if `again` says that this does no harm.
     pub fn call(&self, what: &call::What, again: bool) -> Result<reply::What, String> {
         for address in &self.addresses {
-            tls::allowed(*address, self.keys.is_some())?;
+            tls::check_address_allowed(*address, self.keys.is_some())?;
         }
         let (began, mut turns) = (Instant::now(), self.addresses.iter().cycle().copied());
         let mut next = turns.next();
@@ -56,7 +56,7 @@
             match self.talk(what, address, one) {
                 Ok(Some(reply::What::Error(error))) => return Err(error),
                 Ok(Some(reply::What::Owner(owner)))
-                    if tls::allowed_text(&owner.operators, self.keys.is_some()) =>
+                    if tls::is_address_allowed(&owner.operators, self.keys.is_some()) =>
                 {
                     last = format!(
                         "member {} at {} owns it, and cannot be reached",
@@ -111,7 +111,7 @@
         socket.set_read_timeout(Some(within))?;
         socket.set_write_timeout(Some(within))?;
         let Some((files, name)) = &self.keys else { return Ok(Box::new(socket)) };
-        let config = ClientKeys::connect(files.clone()).map_err(io::Error::other)?.now();
+        let config = ClientTls::load(files.clone()).map_err(io::Error::other)?.current();
         let name = ServerName::try_from(name.clone()).map_err(wrong)?;
         let tls = ClientConnection::new(Arc::clone(&config), name).map_err(wrong)?;
         Ok(Box::new(StreamOwned::new(tls, socket)))
@@ -126,7 +126,7 @@
     let mut input = Vec::new();
     let mut chunk = [0; 16 * 1024];
     loop {
-        if let Some((body, _)) = framing::first(&input).map_err(wrong)? {
+        if let Some((body, _)) = framing::split_first(&input).map_err(wrong)? {
             let message = FromService::decode(body).map_err(wrong)?;
             return match message.said {
                 Some(from_service::Said::Reply(reply)) => Ok(reply),
--- a/crates/control-plane/src/cli/commands.rs
+++ b/crates/control-plane/src/cli/commands.rs
@@ -6,13 +6,13 @@
 
 use crate::cli::admin_client::Service;
 use crate::read_file;
-use crate::transport::tls::Files;
+use crate::transport::tls::TlsFiles;
 use clap::Args;
 use gaugestep_config::schema::entry::State;
 use gaugestep_config::schema::{
     Entry, Fleet, List, Plan, Publish, Rollback, Show, Shown, Status, call, reply,
 };
-use gaugestep_config::{Document, check, digest, short, text};
+use gaugestep_config::{Document, check, digest, short_digest, text};
 use serde_json::{Value, json};
 
 /// Between looks at a rollout.
@@ -66,7 +66,7 @@
         let files = match (&self.certificate, &self.key, &self.authority) {
             (Some(certificate), Some(key), Some(authority)) => {
                 let (certificate, key, authority) = (certificate.clone(), key.clone(), authority.clone());
-                Some((Files { certificate, key, authority }, self.service_name.clone()))
+                Some((TlsFiles { certificate, key, authority }, self.service_name.clone()))
             }
             _ => None,
         };
@@ -186,7 +186,7 @@
 fn published(out: &Out, told: reply::What) -> Done {
     let reply::What::Published(published) = told else { return Err(unexpected()) };
     let version = published.version.unwrap_or_default();
-    let digest = short(&version.digest);
+    let digest = short_digest(&version.digest);
     out.print(&json!({"version": version.number, "digest": digest}), || {
         format!("published version {} ({digest})\n", version.number)
     });
@@ -212,7 +212,7 @@
 fn told(entry: &Entry) -> Value {
     let version = entry.version.clone().unwrap_or_default();
     json!({
-        "version": version.number, "digest": short(&version.digest), "published_ms": entry.published_ms,
+        "version": version.number, "digest": short_digest(&version.digest), "published_ms": entry.published_ms,
         "author": entry.author, "note": entry.note, "rolls_back_to": entry.rolls_back_to, "state": state(entry),
         "halted_for": entry.halted_for,
     })
@@ -225,7 +225,7 @@
         ("", _) => entry.note.clone(),
         (why, _) => format!("halted: {why}"),
     };
-    let digest = short(&version.digest);
+    let digest = short_digest(&version.digest);
     format!("{:>6}  {digest}  {:<9}  {:<16}  {why}\n", version.number, state(entry), entry.author)
 }
 
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -1,6 +1,6 @@
-//! A proxy's side of the stream of versions: a shell round the [`Ledger`], which decides.
+//! A proxy's side of the stream of versions: a shell round the [`VersionTracker`], which decides.
 //!
-//! One coroutine holds the stream to a service; a thread of its own stores, as that blocks. Both tell the ledger what
+//! One coroutine holds the stream to a service; a thread of its own stores, as that blocks. Both tell the tracker what
 //! happens and carry out what it wants done, one at a time. Whatever goes wrong here, the proxy goes on under the
 //! version in force. What is said for the fleet goes through the [`Receiver`], which refuses old owners; which service is
 //! the owner's is found by [`Seek`].
@@ -14,13 +14,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use gaugestep_config::ledger::{Action, Event, Fate, Ledger, OfferId};
-use gaugestep_config::live::Live;
+use gaugestep_config::proxy_state::ProxyState;
 use gaugestep_config::schema::{
     Answer, Charter, Duty, Figures, FromClient, FromService, Hello, Offer, Seated, Seen, Welcome,
     from_client, from_service,
 };
-use gaugestep_config::{Document, LONGEST_DOCUMENT, PROTOCOL, Refusal, schema, short};
+use gaugestep_config::version_tracker::{Action, Event, OfferId, VersionStatus, VersionTracker};
+use gaugestep_config::{Document, MAX_DOCUMENT_LENGTH, PROTOCOL, RejectReason, schema, short_digest};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
 use gaugestep_leadership::receiver::{self, Receiver as Terms, Refused};
@@ -32,8 +32,8 @@
 use may::net::TcpStream;
 
 use crate::transport::backoff::Backoff;
-use crate::transport::connection::{Channel, STACK_WORDS};
-use crate::transport::tls::{self, ClientKeys, Files};
+use crate::transport::connection::{FramedConnection, STACK_WORDS};
+use crate::transport::tls::{self, ClientTls, TlsFiles};
 use crate::{clock, failpoints, lock};
 use prost::Message as _;
 
@@ -53,16 +53,16 @@
 const TERMS_FOLDER: &str = "terms";
 
 /// What the proxy does for a version.
-pub trait Host: Send + Sync + 'static {
+pub trait ProxyHandle: Send + Sync + 'static {
     /// Calls `then` with the proxy as it runs, which does not change until that has returned: no list of engines, no
     /// new settings come in between. Requests may come and go.
-    fn held(&self, then: &mut dyn FnMut(&Live));
-    /// The document is in force from now on; called from within [`Host::held`].
+    fn with_state(&self, then: &mut dyn FnMut(&ProxyState));
+    /// The document is in force from now on; called from within [`ProxyHandle::with_state`].
     fn apply(&self, document: &Document);
     /// Requests since the start: served, refused, failed.
-    fn counted(&self) -> (u64, u64, u64);
+    fn request_counts(&self) -> (u64, u64, u64);
     /// The proxy has this seat for so many milliseconds from now on; none: it goes by what else it knows.
-    fn seated(&self, seat: Option<(Place, f64)>);
+    fn assign_ordinal(&self, seat: Option<(Place, f64)>);
 }
 
 /// How to follow a service.
@@ -77,14 +77,14 @@
     /// The folder of the last good version.
     pub state: PathBuf,
     /// Keys, and the name that the service's certificate carries.
-    pub keys: Option<(Files, String)>,
+    pub keys: Option<(TlsFiles, String)>,
     /// For the waits between tries.
     pub seed: u64,
 }
 
 impl Settings {
     /// As an operator's file has them; the error is one plain line.
-    pub fn of(told: &schema::Control, proxy: &str, build: &str, seed: u64) -> Result<Self, String> {
+    pub fn from_config(told: &schema::Control, proxy: &str, build: &str, seed: u64) -> Result<Self, String> {
         let address = |text: &String| -> Result<SocketAddr, String> {
             text.parse().map_err(|_| format!("'control.services' names '{text}', no address"))
         };
@@ -98,10 +98,10 @@
         let keys = match &told.keys {
             None => None,
             Some(_) if told.service_name.is_empty() => return Err("'control.service_name' is missing".into()),
-            Some(files) => Some((Files::of(files)?, told.service_name.clone())),
+            Some(files) => Some((TlsFiles::from_config(files)?, told.service_name.clone())),
         };
         for address in &services {
-            tls::allowed(*address, keys.is_some())?;
+            tls::check_address_allowed(*address, keys.is_some())?;
         }
         let (proxy, build, state) = (proxy.to_owned(), build.to_owned(), PathBuf::from(&told.state));
         Ok(Settings { proxy, build, services, state, keys, seed })
@@ -128,7 +128,7 @@
 
 /// What the stream's coroutine shares with the thread that stores.
 struct Desk {
-    ledger: Ledger,
+    tracker: VersionTracker,
     /// The stream that is open, and what is to be said on it.
     stream: u64,
     out: VecDeque<Answer>,
@@ -146,10 +146,10 @@
 }
 
 /// A proxy that follows a service.
-pub struct Follower {
+pub struct ConfigSubscriber {
     settings: Settings,
-    keys: Option<ClientKeys>,
-    host: Arc<dyn Host>,
+    keys: Option<ClientTls>,
+    host: Arc<dyn ProxyHandle>,
     desk: Mutex<Desk>,
     jobs: Mutex<Sender<Job>>,
     started: Instant,
@@ -170,12 +170,12 @@
     BTreeMap::new()
 }
 
-impl Follower {
+impl ConfigSubscriber {
     /// Takes the last good version, if there is one, and begins to follow. An error is one plain line.
-    pub fn start(settings: Settings, host: Arc<dyn Host>) -> Result<Arc<Self>, String> {
-        let keys = settings.keys.as_ref().map(|(files, _)| ClientKeys::connect(files.clone())).transpose()?;
+    pub fn start(settings: Settings, host: Arc<dyn ProxyHandle>) -> Result<Arc<Self>, String> {
+        let keys = settings.keys.as_ref().map(|(files, _)| ClientTls::load(files.clone())).transpose()?;
         let (jobs, work) = channel();
-        let slots = Slots::open(&settings.state, LONGEST_DOCUMENT + AROUND);
+        let slots = Slots::open(&settings.state, MAX_DOCUMENT_LENGTH + AROUND);
         let slots = match slots {
             Ok(slots) => Some(slots),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
@@ -186,26 +186,26 @@
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let drawn = settings.seed ^ since.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
         // Also where a predecessor still holds it.
-        let stored = peek(&settings.state, LONGEST_DOCUMENT + AROUND);
-        let mut ledger = Ledger::new();
-        host.held(&mut |live| {
-            let (recovered, refused) = Ledger::recover(0.0, stored.iter().cloned(), live);
+        let stored = peek(&settings.state, MAX_DOCUMENT_LENGTH + AROUND);
+        let mut tracker = VersionTracker::new();
+        host.with_state(&mut |proxy| {
+            let (recovered, refused) = VersionTracker::recover(0.0, stored.iter().cloned(), proxy);
             for (place, refusal) in refused {
                 let which = if place == 0 { "the last good version" } else { "the one before it" };
                 tracing::error!(path = refusal.path(), "{which} cannot be used: {refusal}");
             }
             if let Some(taken) = recovered.in_force() {
-                let (version, digest) = (taken.version.number, short(&taken.version.digest));
+                let (version, digest) = (taken.version.number, short_digest(&taken.version.digest));
                 tracing::info!(version, digest, "starts on the last good version");
                 host.apply(&taken.document);
             }
-            ledger = recovered;
+            tracker = recovered;
         });
-        let follower = Arc::new(Follower {
+        let follower = Arc::new(ConfigSubscriber {
             keys,
             host,
             desk: Mutex::new(Desk {
-                ledger,
+                tracker,
                 stream: 0,
                 out: VecDeque::new(),
                 waker: None,
@@ -250,13 +250,13 @@
     }
 
     /// What operators are told.
-    pub fn figures(&self) -> serde_json::Value {
+    pub fn status_json(&self) -> serde_json::Value {
         let mut weak = Vec::new();
-        self.host.held(&mut |live| weak = lock(&self.desk).ledger.weak(live));
+        self.host.with_state(&mut |proxy| weak = lock(&self.desk).tracker.routes_without_engines(proxy));
         let desk = lock(&self.desk);
-        let in_force = desk.ledger.in_force();
-        let last_refusal = desk.ledger.entries().filter_map(|entry| match &entry.fate {
-            Fate::Refused(refusal) => Some(serde_json::json!({
+        let in_force = desk.tracker.in_force();
+        let last_refusal = desk.tracker.records().filter_map(|entry| match &entry.status {
+            VersionStatus::Rejected(refusal) => Some(serde_json::json!({
                 "version": entry.number, "code": refusal.code(), "path": refusal.path(),
                 "reason": refusal.to_string(),
             })),
@@ -264,8 +264,8 @@
         });
         serde_json::json!({
             "version": in_force.map_or(0, |taken| taken.version.number),
-            "digest": in_force.map_or_else(String::new, |taken| short(&taken.version.digest)),
-            "age_s": in_force.map(|_| ((self.now() - desk.ledger.since()) / 1e3).round()),
+            "digest": in_force.map_or_else(String::new, |taken| short_digest(&taken.version.digest)),
+            "age_s": in_force.map(|_| ((self.now() - desk.tracker.in_force_since()) / 1e3).round()),
             "connected": self.connected.load(Ordering::Relaxed),
             "refused": self.refused.load(Ordering::Relaxed),
             "term": desk.terms.term(VERSIONS),
@@ -286,20 +286,20 @@
     }
 
     /// The version in force, its age, and whether a service is there, in a few words.
-    pub fn standing(&self) -> String {
+    pub fn status_line(&self) -> String {
         let desk = lock(&self.desk);
         let service = if self.connected.load(Ordering::Relaxed) { "following" } else { "no service" };
-        match desk.ledger.in_force() {
+        match desk.tracker.in_force() {
             None => format!("no version, {service}"),
             Some(taken) => {
-                let age = (self.now() - desk.ledger.since()) / 1e3;
+                let age = (self.now() - desk.tracker.in_force_since()) / 1e3;
                 format!("version {}, in force for {age:.0} s, {service}", taken.version.number)
             }
         }
     }
 
     /// Whether another process has the proxy's name.
-    pub fn displaced(&self) -> bool {
+    pub fn name_is_superseded(&self) -> bool {
         lock(&self.desk).displaced.is_some()
     }
 
@@ -334,10 +334,10 @@
                 receiver::Action::Refuse(Said::Offer(stream, offer), refused) => {
                     let number = offer.version.as_ref().map_or(0, |it| it.number);
                     let refusal = match refused {
-                        Refused::Stale { term, seen } => Refusal::StaleTerm { term, seen },
-                        Refused::NoTerm => Refusal::StaleTerm { term: 0, seen: 0 },
-                        Refused::NotKept(why) => Refusal::NotStored(why),
-                        Refused::Full => Refusal::NotStored(refused.to_string()),
+                        Refused::Stale { term, seen } => RejectReason::StaleTerm { term, seen },
+                        Refused::NoTerm => RejectReason::StaleTerm { term: 0, seen: 0 },
+                        Refused::NotKept(why) => RejectReason::NotStored(why),
+                        Refused::Full => RejectReason::NotStored(refused.to_string()),
                     };
                     let id = OfferId { stream, nonce: offer.nonce };
                     self.answer(&mut lock(&self.desk), id, number, Some(refusal));
@@ -383,16 +383,16 @@
         } else {
             tracing::warn!(duty = SEATS, term, epoch, "no seat any more");
         }
-        self.host.seated(held.map(|(place, until)| (place, until - now)));
+        self.host.assign_ordinal(held.map(|(place, until)| (place, until - now)));
     }
 
-    /// Tells the ledger of something, and carries out what it wants done.
+    /// Tells the tracker of something, and carries out what it wants done.
     fn tell(&self, event: Event) {
         let mut event = Some(event);
-        self.host.held(&mut |live| {
+        self.host.with_state(&mut |proxy| {
             let Some(event) = event.take() else { return };
             let mut desk = lock(&self.desk);
-            for action in desk.ledger.handle(self.now(), event, live) {
+            for action in desk.tracker.handle(self.now(), event, proxy) {
                 match action {
                     Action::Apply(document) => self.host.apply(&document),
                     Action::Stage(version, bytes) => self.work(Job::Stage(version, bytes)),
@@ -403,10 +403,16 @@
         });
     }
 
-    fn answer(&self, desk: &mut Desk, id: OfferId, version: u64, refusal: Option<gaugestep_config::Refusal>) {
+    fn answer(
+        &self,
+        desk: &mut Desk,
+        id: OfferId,
+        version: u64,
+        refusal: Option<gaugestep_config::RejectReason>,
+    ) {
         match &refusal {
             None => {
-                let digest = desk.ledger.in_force().map(|taken| short(&taken.version.digest));
+                let digest = desk.tracker.in_force().map(|taken| short_digest(&taken.version.digest));
                 tracing::info!(version, digest, nonce = id.nonce, "version in force");
             }
             Some(refusal) => {
@@ -417,7 +423,7 @@
         }
         // What came on a stream that has ended is answered by the next hello.
         if id.stream == desk.stream {
-            let refusal = refusal.map(|refusal| refusal.told());
+            let refusal = refusal.map(|refusal| refusal.to_message());
             desk.out.push_back(Answer { nonce: id.nonce, number: version, refusal });
             if let Some(waker) = &desk.waker {
                 waker.wakeup();
@@ -440,10 +446,10 @@
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
             };
             if let Some(keys) = &self.keys {
-                keys.look();
+                keys.reload_if_changed();
             }
             if slots.is_none() {
-                slots = Slots::open(&self.settings.state, LONGEST_DOCUMENT + AROUND).ok();
+                slots = Slots::open(&self.settings.state, MAX_DOCUMENT_LENGTH + AROUND).ok();
             }
             let held = slots.as_ref().ok_or_else(|| "another process holds the store".to_owned());
             match job {
@@ -507,7 +513,7 @@
             let moves = lock(&self.desk).seek.ended();
             // To an owner that was named and not tried yet there is nothing to wait for but the others' lots.
             let held = if was { began.elapsed().as_secs_f64() * 1e3 } else { 0.0 };
-            let wait = backoff.ended(if moves { f64::INFINITY } else { held });
+            let wait = backoff.next_delay(if moves { f64::INFINITY } else { held });
             tracing::info!(%service, wait_ms = wait as u64, "the stream of versions ended: {error}");
             task::sleep(Duration::from_secs_f64(wait / 1e3));
         }
@@ -544,13 +550,13 @@
     fn stream(&self, service: SocketAddr, stream: u64) -> io::Result<()> {
         let socket = TcpStream::connect_timeout(&service, CONNECT_WITHIN)?;
         let name = self.settings.keys.as_ref().map(|(_, name)| name.as_str());
-        let keys = self.keys.as_ref().map(ClientKeys::now).zip(name);
-        let mut channel = Channel::connected(socket, keys)?;
+        let keys = self.keys.as_ref().map(ClientTls::current).zip(name);
+        let mut channel = FramedConnection::from_connected(socket, keys)?;
         {
             let mut desk = lock(&self.desk);
             desk.waker = Some(channel.waker());
-            let in_force = desk.ledger.in_force().map(|taken| taken.version.clone());
-            let age_ms = (self.now() - desk.ledger.since()).max(0.0) as u64;
+            let in_force = desk.tracker.in_force().map(|taken| taken.version.clone());
+            let age_ms = (self.now() - desk.tracker.in_force_since()).max(0.0) as u64;
             let (proxy, build) = (self.settings.proxy.clone(), self.settings.build.clone());
             let seen = desk.terms.terms().iter();
             let hello = Hello {
@@ -570,7 +576,7 @@
         let mut welcome = false;
         loop {
             let closed = channel.pump()?;
-            while let Some(message) = channel.take::<FromService>()? {
+            while let Some(message) = channel.next_message::<FromService>()? {
                 heard = Instant::now();
                 match message.said {
                     Some(from_service::Said::Welcome(told)) => {
@@ -621,8 +627,8 @@
             }
             if welcome && told.elapsed() >= FIGURES_EVERY {
                 (told, fresh) = (Instant::now(), true);
-                let (succeeded, declined, aborted) = self.host.counted();
-                let number = lock(&self.desk).ledger.in_force().map_or(0, |taken| taken.version.number);
+                let (succeeded, declined, aborted) = self.host.request_counts();
+                let number = lock(&self.desk).tracker.in_force().map_or(0, |taken| taken.version.number);
                 let asked_ms = clock::now() as u64;
                 let figures = Figures { succeeded, declined, aborted, number, asked_ms };
                 channel.send(&FromClient { said: Some(from_client::Said::Figures(figures)) })?;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! What is decided is decided in `gaugestep-config`; here are the shells that do its I/O: [`server`] keeps versions and
 //! talks to proxies and operators, [`client`] is a proxy's side, [`cli::admin_client`] an operator's command's. All talk over a
-//! [`transport::connection::Channel`]: messages behind their length, over TLS where there are [`transport::tls`].
+//! [`transport::connection::FramedConnection`]: messages behind their length, over TLS where there are [`transport::tls`].
 
 pub mod cli;
 pub mod client;
--- a/crates/control-plane/src/raft/driver.rs
+++ b/crates/control-plane/src/raft/driver.rs
@@ -151,7 +151,7 @@
                 if keys.elapsed() >= Duration::from_secs(1) {
                     keys = Instant::now();
                     if let Some((keys, _)) = self.group.keys() {
-                        keys.look();
+                        keys.reload_if_changed();
                     }
                 }
             }
--- a/crates/control-plane/src/raft/replica.rs
+++ b/crates/control-plane/src/raft/replica.rs
@@ -21,7 +21,7 @@
 use crate::raft::driver::Node;
 use crate::raft::recovery::Opened;
 use crate::raft::transport::{self, Links};
-use crate::transport::tls::{ClientKeys, Files};
+use crate::transport::tls::{ClientTls, TlsFiles};
 use crate::{clock, lock};
 
 /// A store that failed is opened anew after this time.
@@ -41,7 +41,7 @@
     /// The store is used although it is a copy or older than its seal, and whoever used it is gone for good.
     pub restored: bool,
     /// Keys with which it dials others, and the name that theirs carry.
-    pub keys: Option<(Files, String)>,
+    pub keys: Option<(TlsFiles, String)>,
     /// For lots.
     pub seed: u64,
 }
@@ -84,7 +84,7 @@
     jobs: Mutex<Sender<Job>>,
     /// The streams to the others.
     pub links: Links,
-    keys: Option<(ClientKeys, String)>,
+    keys: Option<(ClientTls, String)>,
     /// What other members have heard of, until the keeper of seats takes it.
     present: Mutex<Vec<schema::Present>>,
 }
@@ -99,8 +99,7 @@
     /// be told of changes is there.
     pub fn open(settings: Settings) -> Result<(Arc<Self>, Start), String> {
         let keys = settings.keys.as_ref();
-        let keys =
-            keys.map(|(files, name)| Ok::<_, String>((ClientKeys::connect(files.clone())?, name.clone())));
+        let keys = keys.map(|(files, name)| Ok::<_, String>((ClientTls::load(files.clone())?, name.clone())));
         let keys = keys.transpose()?;
         let opened = Opened::open(&settings, None)?;
         let nonce = settings.seed | 1;
@@ -292,7 +291,7 @@
 
     // What the streams between members need.
 
-    pub(crate) fn keys(&self) -> Option<(&ClientKeys, &str)> {
+    pub(crate) fn keys(&self) -> Option<(&ClientTls, &str)> {
         self.keys.as_ref().map(|(keys, name)| (keys, name.as_str()))
     }
 
--- a/crates/control-plane/src/raft/transport.rs
+++ b/crates/control-plane/src/raft/transport.rs
@@ -23,8 +23,8 @@
 use crate::lock;
 use crate::raft::replica::Group;
 use crate::transport::backoff::Backoff;
-use crate::transport::connection::{Channel, STACK_WORDS};
-use crate::transport::tls::ClientKeys;
+use crate::transport::connection::{FramedConnection, STACK_WORDS};
+use crate::transport::tls::ClientTls;
 
 /// A member that cannot be reached within this time is given up for now; one that is silent for so long too.
 const CONNECT_WITHIN: Duration = Duration::from_millis(1_000);
@@ -130,15 +130,15 @@
             tracing::info!(member, "the stream to a member ended: {why}");
             told = why;
         }
-        let wait = backoff.ended(began.elapsed().as_secs_f64() * 1e3).min(DIAL_AGAIN);
+        let wait = backoff.next_delay(began.elapsed().as_secs_f64() * 1e3).min(DIAL_AGAIN);
         task::sleep(Duration::from_secs_f64(wait / 1e3));
     }
 }
 
 fn talk(group: &Arc<Group>, member: u64, address: SocketAddr) -> io::Result<()> {
     let socket = TcpStream::connect_timeout(&address, CONNECT_WITHIN)?;
-    let keys = group.keys().map(|(keys, name)| (ClientKeys::now(keys), name));
-    let mut channel = Channel::connected(socket, keys)?;
+    let keys = group.keys().map(|(keys, name)| (ClientTls::current(keys), name));
+    let mut channel = FramedConnection::from_connected(socket, keys)?;
     if let Some(link) = lock(&group.links.0).get_mut(&member) {
         link.waker = Some(channel.waker());
     }
@@ -149,7 +149,7 @@
     let mut pieces: VecDeque<Piece> = VecDeque::new();
     loop {
         let closed = channel.pump()?;
-        while let Some(message) = channel.take::<FromService>()? {
+        while let Some(message) = channel.next_message::<FromService>()? {
             let Some(from_service::Said::PeerWelcome(told)) = message.said else {
                 return Err(io::Error::other("a message that is not due"));
             };
@@ -177,7 +177,7 @@
             send(&mut channel, Peer { said: Some(Said::Ping(Ping {})) })?;
         }
         // What has left is with the kernel: a peer that does not read lets only this much wait.
-        while channel.flushed() {
+        while channel.is_flushed() {
             if let Some(piece) = pieces.pop_front() {
                 send(&mut channel, Peer { said: Some(Said::Piece(piece)) })?;
             } else {
@@ -195,7 +195,7 @@
     }
 }
 
-fn send(channel: &mut Channel, peer: Peer) -> io::Result<()> {
+fn send(channel: &mut FramedConnection, peer: Peer) -> io::Result<()> {
     channel.send(&FromClient { said: Some(from_client::Said::Peer(peer)) })
 }
 
--- a/crates/control-plane/src/server/admin.rs
+++ b/crates/control-plane/src/server/admin.rs
@@ -14,7 +14,7 @@
 
 use crate::raft::replica::Tell;
 use crate::server::{Line, NAME, SILENCE, Service};
-use crate::transport::connection::Channel;
+use crate::transport::connection::FramedConnection;
 use crate::{clock, lock};
 
 /// Operators' calls open together.
@@ -37,7 +37,7 @@
 impl Service {
     /// An operator's connection: one call, one reply.
     pub(crate) fn operator(&self, stream: TcpStream) -> io::Result<()> {
-        let mut channel = Channel::accepted(stream, self.operators_keys())?;
+        let mut channel = FramedConnection::from_accepted(stream, self.operators_keys())?;
         let line = {
             let mut inner = lock(&self.inner);
             if inner.calls >= CALLS {
@@ -57,13 +57,13 @@
         ended
     }
 
-    fn answer(&self, channel: &mut Channel) -> io::Result<()> {
+    fn answer(&self, channel: &mut FramedConnection) -> io::Result<()> {
         let began = Instant::now();
         let mut answered = false;
         loop {
             let closed = channel.pump()?;
             if !answered {
-                if let Some(message) = channel.take::<FromClient>()? {
+                if let Some(message) = channel.next_message::<FromClient>()? {
                     let Some(from_client::Said::Call(call)) = message.said else {
                         return Err(io::Error::other("no call"));
                     };
@@ -279,7 +279,7 @@
         }
         let inner = lock(&self.inner);
         let now = clock::now();
-        let proxy = |(name, proxy): (&String, &gaugestep_config::rollout::Proxy)| {
+        let proxy = |(name, proxy): (&String, &gaugestep_config::rollout::ProxyStatus)| {
             let (incarnation, name_term) = inner.names.holder(name).unwrap_or_default();
             Proxy {
                 name: name.clone(),
@@ -287,9 +287,9 @@
                 build: proxy.build.clone(),
                 in_force: proxy.in_force,
                 offered: proxy.offered.map_or(0, |(_, number, _)| number),
-                refusal: proxy.refused.as_ref().map(|(_, refusal)| refusal.clone()),
-                refused: proxy.refused.as_ref().map_or(0, |(number, _)| *number),
-                heard_ms: (now - proxy.heard).max(0.0) as u64,
+                refusal: proxy.rejected.as_ref().map(|(_, refusal)| refusal.clone()),
+                refused: proxy.rejected.as_ref().map_or(0, |(number, _)| *number),
+                heard_ms: (now - proxy.last_seen).max(0.0) as u64,
                 ahead: proxy.ahead,
                 incarnation,
                 name_term,
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -30,8 +30,8 @@
 use crate::raft::replica::{self, Group};
 use crate::raft::transport::Incoming;
 use crate::server::roster_service::Seating;
-use crate::transport::connection::{Channel, STACK_WORDS};
-use crate::transport::tls::{self, Files, ServerKeys};
+use crate::transport::connection::{FramedConnection, STACK_WORDS};
+use crate::transport::tls::{self, ServerTls, TlsFiles};
 use crate::{clock, lock};
 
 /// A peer that has not said who it is within this time, or has been silent for so long, is closed.
@@ -57,7 +57,7 @@
     /// The file in which versions are kept.
     pub store: PathBuf,
     /// Keys for proxies and for operators.
-    pub keys: Option<(Files, Files)>,
+    pub keys: Option<(TlsFiles, TlsFiles)>,
     /// Versions kept at least.
     pub keep: usize,
     /// Streams open together.
@@ -84,9 +84,9 @@
                 return Err("'operators_authority' is missing".into());
             }
             Some(files) => {
-                let proxies = Files::of(files)?;
+                let proxies = TlsFiles::from_config(files)?;
                 let authority = PathBuf::from(&told.operators_authority);
-                Some((proxies.clone(), Files { authority, ..proxies }))
+                Some((proxies.clone(), TlsFiles { authority, ..proxies }))
             }
         };
         if told.store.is_empty() {
@@ -94,7 +94,7 @@
         }
         let (listen, operators) = (address("listen", &told.listen)?, address("operators", &told.operators)?);
         for address in [listen, operators] {
-            tls::allowed(address, keys.is_some())?;
+            tls::check_address_allowed(address, keys.is_some())?;
         }
         let group = told.group.clone().unwrap_or_default();
         if keys.is_some() && told.group.is_some() && group.service_name.is_empty() {
@@ -183,7 +183,7 @@
     pub(crate) keep: usize,
     pub(crate) restored: bool,
     streams: usize,
-    keys: Option<(ServerKeys, ServerKeys)>,
+    keys: Option<(ServerTls, ServerTls)>,
     this: Weak<Service>,
 }
 
@@ -200,7 +200,7 @@
         })?;
         let keys = match settings.keys {
             None => None,
-            Some((proxies, operators)) => Some((ServerKeys::serve(proxies)?, ServerKeys::serve(operators)?)),
+            Some((proxies, operators)) => Some((ServerTls::load(proxies)?, ServerTls::load(operators)?)),
         };
         let service = Arc::new_cyclic(|this| Service {
             this: this.clone(),
@@ -229,8 +229,8 @@
                 loop {
                     std::thread::sleep(KEYS_EVERY);
                     if let Some((proxies, operators)) = &looking.keys {
-                        proxies.look();
-                        operators.look();
+                        proxies.reload_if_changed();
+                        operators.reload_if_changed();
                     }
                 }
             };
@@ -246,7 +246,7 @@
 
     /// Keys for operators' connections.
     pub(crate) fn operators_keys(&self) -> Option<Arc<rustls::ServerConfig>> {
-        self.keys.as_ref().map(|(_, operators)| operators.now())
+        self.keys.as_ref().map(|(_, operators)| operators.current())
     }
 
     /// Looks whether this service stood still, whatever it does first when it goes on.
@@ -304,8 +304,8 @@
 
     /// A stream of a proxy or of another member, until it ends.
     fn stream(&self, stream: TcpStream) -> io::Result<()> {
-        let keys = self.keys.as_ref().map(|(proxies, _)| proxies.now());
-        let mut channel = Channel::accepted(stream, keys)?;
+        let keys = self.keys.as_ref().map(|(proxies, _)| proxies.current());
+        let mut channel = FramedConnection::from_accepted(stream, keys)?;
         let number = {
             let mut inner = lock(&self.inner);
             if inner.lines.len() >= self.streams {
@@ -323,19 +323,19 @@
             let held = inner.names.holds(&hello.proxy, number);
             inner.names.left(clock::now(), number);
             if held {
-                self.drive(&mut inner, Event::Left { proxy: hello.proxy, stream: number });
+                self.drive(&mut inner, Event::Disconnected { proxy: hello.proxy, stream: number });
             }
         }
         ended
     }
 
-    fn talk(&self, channel: &mut Channel, stream: u64) -> io::Result<()> {
+    fn talk(&self, channel: &mut FramedConnection, stream: u64) -> io::Result<()> {
         let (began, mut heard) = (Instant::now(), Instant::now());
         let mut proxy: Option<String> = None;
         let mut peer: Option<Incoming> = None;
         loop {
             let closed = channel.pump()?;
-            while let Some(message) = channel.take::<FromClient>()? {
+            while let Some(message) = channel.next_message::<FromClient>()? {
                 heard = Instant::now();
                 match (message.said, &proxy, &mut peer) {
                     (Some(from_client::Said::Hello(hello)), None, None) => {
@@ -373,7 +373,7 @@
                         if inner.names.holds(&proxy, stream) {
                             self.drive(
                                 &mut inner,
-                                Event::Figures { proxy, stream, served, unserved, number },
+                                Event::RequestCounts { proxy, stream, served, unserved, number },
                             );
                         }
                         self.vouched(&inner, stream);
@@ -424,9 +424,9 @@
     }
 
     /// Guards each place against whoever holds another's key.
-    fn certified(&self, channel: &Channel, name: Option<&str>) -> io::Result<()> {
-        let Some(certificate) = channel.peer() else { return Ok(()) };
-        match name.is_some_and(|name| tls::carries(certificate, name)) {
+    fn certified(&self, channel: &FramedConnection, name: Option<&str>) -> io::Result<()> {
+        let Some(certificate) = channel.peer_certificate() else { return Ok(()) };
+        match name.is_some_and(|name| tls::certificate_is_valid_for(certificate, name)) {
             true => Ok(()),
             false => {
                 let name = name.unwrap_or_default();
@@ -435,7 +435,7 @@
         }
     }
 
-    fn hello(&self, channel: &mut Channel, stream: u64, mut hello: Hello) -> io::Result<()> {
+    fn hello(&self, channel: &mut FramedConnection, stream: u64, mut hello: Hello) -> io::Result<()> {
         let named = !hello.proxy.is_empty() && hello.proxy.len() <= NAME && hello.build.len() <= NAME;
         if hello.protocol != PROTOCOL || !named || hello.seen.len() > gaugestep_leadership::charter::DUTIES {
             return Err(io::Error::other("a hello that this build does not understand"));
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -8,7 +8,7 @@
 use gaugestep_config::schema::entry::State;
 use gaugestep_config::schema::offer::Content;
 use gaugestep_config::schema::{Act, Answer, NewState, NewVersion, Offer, Plan, Progress, from_service};
-use gaugestep_config::{delta, short};
+use gaugestep_config::{delta, short_digest};
 use gaugestep_leadership::charter::{Change, Charter, Held, Outcome, RAISED_BY, number};
 use gaugestep_leadership::gate::Gate;
 use gaugestep_leadership::names::Given;
@@ -36,8 +36,11 @@
                     let entry =
                         self.group.charter(|it| it.versions.get(number).map(|held| held.entry.clone()));
                     let Some(entry) = entry else { continue };
-                    let digest =
-                        entry.version.as_ref().map(|version| short(&version.digest)).unwrap_or_default();
+                    let digest = entry
+                        .version
+                        .as_ref()
+                        .map(|version| short_digest(&version.digest))
+                        .unwrap_or_default();
                     let (term, rolls_back_to) = (inner.acting, entry.rolls_back_to);
                     tracing::info!(version = number, digest, term, rolls_back_to, "published");
                     let plan = entry.plan.unwrap_or_default();
@@ -115,7 +118,7 @@
         });
         let age = hello.age_ms as f64 + (clock::now() - at);
         let (proxy, in_force, build) = (hello.proxy, hello.in_force, hello.build);
-        self.drive(inner, Event::Hello { proxy, stream, in_force, known, build, age });
+        self.drive(inner, Event::Connected { proxy, stream, in_force, known, build, age });
     }
 
     /// Gives a name back to a process whose successor has gone for good.
@@ -208,13 +211,13 @@
                 line.say(from_service::Said::Offer(offer));
             }
             // Whatever was on its way when a version was published is overtaken by that very act.
-            Action::State { state: State::Overtaken, .. } => {}
-            Action::State { number, state, why } => {
+            Action::StateChanged { state: State::Overtaken, .. } => {}
+            Action::StateChanged { number, state, why } => {
                 tracing::info!(version = number, state = state.as_str_name(), why, term, "rollout");
                 let new = NewState { number, state: state as i32, halted_for: why };
                 self.act(term, What::State(new));
             }
-            Action::RollBack { of, to, why } => {
+            Action::RollBack { halted: of, restored: to, why } => {
                 tracing::error!(version = of, to, why, term, "rolled back");
                 let document =
                     self.group.charter(|it| it.versions.get(&to).map(|held| (*held.document).clone()));
@@ -304,7 +307,7 @@
 
 /// An offer of a version: as changes to what the proxy has in force, where that is shorter.
 fn offer(held: &Held, base: Option<&Held>, nonce: u64, term: u64) -> Offer {
-    let changes = base.map(|base| delta::between(number(&base.entry), &base.document, &held.document));
+    let changes = base.map(|base| delta::diff(number(&base.entry), &base.document, &held.document));
     let changes = changes.filter(|changes| changes.encoded_len() < held.document.encoded_len());
     let content = match changes {
         Some(changes) => Content::Delta(changes),
--- a/crates/control-plane/src/transport/connection.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -14,12 +14,12 @@
 use crate::transport::framing;
 
 /// Bytes that may wait for a peer that does not read: a message, and what else is due meanwhile.
-const MOST_WAITING: usize = 2 * framing::LONGEST;
+const MAX_UNSENT: usize = 2 * framing::MAX_MESSAGE_LENGTH;
 /// Words of a channel's coroutine's stack (512 KB): the handshake of TLS runs on it.
 pub const STACK_WORDS: usize = 64 * 1024;
 
 /// The connection.
-pub struct Channel {
+pub struct FramedConnection {
     stream: TcpStream,
     tls: Option<Box<Connection>>,
     /// Bytes to be written, where there is no TLS; with it, they wait within.
@@ -34,15 +34,15 @@
     io::Error::new(io::ErrorKind::InvalidData, error.to_string())
 }
 
-impl Channel {
+impl FramedConnection {
     /// A channel over a connection that was accepted.
-    pub fn accepted(stream: TcpStream, keys: Option<Arc<ServerConfig>>) -> io::Result<Self> {
+    pub fn from_accepted(stream: TcpStream, keys: Option<Arc<ServerConfig>>) -> io::Result<Self> {
         let tls = keys.map(ServerConnection::new).transpose().map_err(wrong)?;
         Self::over(stream, tls.map(Connection::from))
     }
 
     /// A channel over a connection to a service whose certificate must carry this name.
-    pub fn connected(stream: TcpStream, keys: Option<(Arc<ClientConfig>, &str)>) -> io::Result<Self> {
+    pub fn from_connected(stream: TcpStream, keys: Option<(Arc<ClientConfig>, &str)>) -> io::Result<Self> {
         let tls = match keys {
             None => None,
             Some((config, name)) => {
@@ -57,9 +57,9 @@
         stream.set_nodelay(true)?;
         let mut tls = tls.map(Box::new);
         if let Some(tls) = &mut tls {
-            tls.set_buffer_limit(Some(MOST_WAITING));
+            tls.set_buffer_limit(Some(MAX_UNSENT));
         }
-        Ok(Channel { stream, tls, out: Outbox::default(), input: Vec::new(), at: 0 })
+        Ok(FramedConnection { stream, tls, out: Outbox::default(), input: Vec::new(), at: 0 })
     }
 
     /// Wakes the coroutine that waits for the channel.
@@ -68,12 +68,12 @@
     }
 
     /// The certificate that the peer has shown, once the handshake is over.
-    pub fn peer(&self) -> Option<&CertificateDer<'static>> {
+    pub fn peer_certificate(&self) -> Option<&CertificateDer<'static>> {
         self.tls.as_ref()?.peer_certificates()?.first()
     }
 
     /// Whether a handshake is still under way.
-    pub fn shaking_hands(&self) -> bool {
+    pub fn is_handshaking(&self) -> bool {
         self.tls.as_ref().is_some_and(|tls| tls.is_handshaking())
     }
 
@@ -82,7 +82,7 @@
         let bytes = framing::encode(message);
         let late = || io::Error::new(io::ErrorKind::TimedOut, "the peer does not read");
         let room = match &mut self.tls {
-            None if self.out.waiting() + bytes.len() > MOST_WAITING => false,
+            None if self.out.waiting() + bytes.len() > MAX_UNSENT => false,
             None => {
                 self.out.buffer().extend_from_slice(&bytes);
                 true
@@ -93,7 +93,7 @@
     }
 
     /// Whether all that was sent has left.
-    pub fn flushed(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         match &self.tls {
             None => self.out.waiting() == 0,
             Some(tls) => !tls.wants_write(),
@@ -127,7 +127,7 @@
 
     /// What has come may be this long before it must have been taken.
     fn room(&self) -> bool {
-        self.input.len() - self.at <= framing::LONGEST
+        self.input.len() - self.at <= framing::MAX_MESSAGE_LENGTH
     }
 
     fn read_plain(&mut self) -> io::Result<bool> {
@@ -170,8 +170,8 @@
     }
 
     /// The next whole message that has come.
-    pub fn take<M: Message + Default>(&mut self) -> io::Result<Option<M>> {
-        let Some((body, taken)) = framing::first(&self.input[self.at..]).map_err(wrong)? else {
+    pub fn next_message<M: Message + Default>(&mut self) -> io::Result<Option<M>> {
+        let Some((body, taken)) = framing::split_first(&self.input[self.at..]).map_err(wrong)? else {
             self.input.drain(..self.at);
             self.at = 0;
             if self.input.is_empty() {
--- a/crates/control-plane/src/transport/tls.rs
+++ b/crates/control-plane/src/transport/tls.rs
@@ -17,7 +17,7 @@
 
 /// Keys as files.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Files {
+pub struct TlsFiles {
     /// The certificate, with those that lead to its authority.
     pub certificate: PathBuf,
     /// Its key.
@@ -26,9 +26,9 @@
     pub authority: PathBuf,
 }
 
-impl Files {
+impl TlsFiles {
     /// As an operator's file names them.
-    pub fn of(keys: &schema::Keys) -> Result<Self, String> {
+    pub fn from_config(keys: &schema::Keys) -> Result<Self, String> {
         for (field, path) in
             [("certificate", &keys.certificate), ("key", &keys.key), ("authority", &keys.authority)]
         {
@@ -37,7 +37,7 @@
             }
         }
         let path = |text: &String| PathBuf::from(text);
-        Ok(Files {
+        Ok(TlsFiles {
             certificate: path(&keys.certificate),
             key: path(&keys.key),
             authority: path(&keys.authority),
@@ -50,7 +50,7 @@
             .map(|path| fs::metadata(path).and_then(|told| told.modified()).ok())
     }
 
-    fn read(&self) -> Result<Read, String> {
+    fn read(&self) -> Result<LoadedKeys, String> {
         let failed = |path: &PathBuf, error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
         let certificates = |path: &PathBuf| {
             let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
@@ -64,11 +64,11 @@
             return Err(failed(&self.authority, &"holds no certificate"));
         }
         let key = PrivateKeyDer::from_pem_file(&self.key).map_err(|error| failed(&self.key, &error))?;
-        Ok(Read { certificates: certificates(&self.certificate)?, key, roots: Arc::new(roots) })
+        Ok(LoadedKeys { certificates: certificates(&self.certificate)?, key, roots: Arc::new(roots) })
     }
 }
 
-struct Read {
+struct LoadedKeys {
     certificates: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
     roots: Arc<RootCertStore>,
@@ -78,7 +78,7 @@
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-fn server(read: Read) -> Result<Arc<ServerConfig>, String> {
+fn server(read: LoadedKeys) -> Result<Arc<ServerConfig>, String> {
     let verifier = WebPkiClientVerifier::builder_with_provider(read.roots, provider())
         .build()
         .map_err(|error| error.to_string())?;
@@ -91,7 +91,7 @@
         .map_err(|error| error.to_string())
 }
 
-fn client(read: Read) -> Result<Arc<ClientConfig>, String> {
+fn client(read: LoadedKeys) -> Result<Arc<ClientConfig>, String> {
     ClientConfig::builder_with_provider(provider())
         .with_safe_default_protocol_versions()
         .and_then(|builder| {
@@ -102,35 +102,35 @@
 }
 
 /// What has been read of files, with their times then.
-struct Kept<T> {
+struct LoadedConfig<T> {
     config: Arc<T>,
     changed: [Option<SystemTime>; 3],
 }
 
 /// A configuration that follows its files.
-pub struct Following<T> {
-    files: Files,
-    make: fn(Read) -> Result<Arc<T>, String>,
-    kept: Mutex<Kept<T>>,
+pub struct ReloadingConfig<T> {
+    files: TlsFiles,
+    make: fn(LoadedKeys) -> Result<Arc<T>, String>,
+    kept: Mutex<LoadedConfig<T>>,
 }
 
-impl<T> Following<T> {
-    fn start(files: Files, make: fn(Read) -> Result<Arc<T>, String>) -> Result<Self, String> {
+impl<T> ReloadingConfig<T> {
+    fn start(files: TlsFiles, make: fn(LoadedKeys) -> Result<Arc<T>, String>) -> Result<Self, String> {
         let changed = files.changed();
         let config = files.read().and_then(make)?;
-        Ok(Following { files, make, kept: Mutex::new(Kept { config, changed }) })
+        Ok(ReloadingConfig { files, make, kept: Mutex::new(LoadedConfig { config, changed }) })
     }
 
     /// Reads the files anew if they have changed. What cannot be used is told, and the old keys stay. Reads files: not
     /// for coroutines.
-    pub fn look(&self) {
+    pub fn reload_if_changed(&self) {
         let changed = self.files.changed();
         if lock(&self.kept).changed == changed {
             return;
         }
         match self.files.read().and_then(self.make) {
             Ok(config) => {
-                *lock(&self.kept) = Kept { config, changed };
+                *lock(&self.kept) = LoadedConfig { config, changed };
                 tracing::info!(certificate = %self.files.certificate.display(), "took new keys");
             }
             // Key and certificate are replaced one behind the other: the next look finds both.
@@ -139,32 +139,32 @@
     }
 
     /// The configuration for the next stream.
-    pub fn now(&self) -> Arc<T> {
+    pub fn current(&self) -> Arc<T> {
         lock(&self.kept).config.clone()
     }
 }
 
 /// A service's keys.
-pub type ServerKeys = Following<ServerConfig>;
+pub type ServerTls = ReloadingConfig<ServerConfig>;
 /// A proxy's or an operator's keys.
-pub type ClientKeys = Following<ClientConfig>;
+pub type ClientTls = ReloadingConfig<ClientConfig>;
 
-impl ServerKeys {
+impl ServerTls {
     /// Reads the keys of a service, which asks its peers for theirs.
-    pub fn serve(files: Files) -> Result<Self, String> {
-        Following::start(files, server)
+    pub fn load(files: TlsFiles) -> Result<Self, String> {
+        ReloadingConfig::start(files, server)
     }
 }
 
-impl ClientKeys {
+impl ClientTls {
     /// Reads the keys of a client.
-    pub fn connect(files: Files) -> Result<Self, String> {
-        Following::start(files, client)
+    pub fn load(files: TlsFiles) -> Result<Self, String> {
+        ReloadingConfig::start(files, client)
     }
 }
 
 /// Without keys everybody is believed, so only the machine itself may be talked to.
-pub fn allowed(address: SocketAddr, keys: bool) -> Result<(), String> {
+pub fn check_address_allowed(address: SocketAddr, keys: bool) -> Result<(), String> {
     match keys || address.ip().is_loopback() {
         true => Ok(()),
         false => Err(format!("{address}: without keys only loopback addresses are allowed")),
@@ -172,12 +172,12 @@
 }
 
 /// The same of an address that a service names.
-pub fn allowed_text(address: &str, keys: bool) -> bool {
-    address.parse().is_ok_and(|address| allowed(address, keys).is_ok())
+pub fn is_address_allowed(address: &str, keys: bool) -> bool {
+    address.parse().is_ok_and(|address| check_address_allowed(address, keys).is_ok())
 }
 
 /// Whether a peer's certificate carries this name.
-pub fn carries(certificate: &CertificateDer<'_>, name: &str) -> bool {
+pub fn certificate_is_valid_for(certificate: &CertificateDer<'_>, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else { return false };
     webpki::EndEntityCert::try_from(certificate)
         .is_ok_and(|certificate| certificate.verify_is_valid_for_subject_name(&name).is_ok())
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -1,4 +1,4 @@
-//! What a version of the operators' configuration does to the proxy that runs, and how the proxy looks to the ledger that
+//! What a version of the operators' configuration does to the proxy that runs, and how the proxy looks to the version tracker that
 //! checks versions. What may be taken is decided in `gaugestep-config`; here it is carried out.
 
 use std::collections::BTreeMap;
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 
 use gaugestep_config::Document;
-use gaugestep_config::live::{self, Engine, Live, Platform, State};
+use gaugestep_config::proxy_state::{self, Engine, EngineState, PlatformLimits, ProxyState};
 use gaugestep_config::schema::logging::Level;
-use gaugestep_control_plane::client::subscriber::Host;
+use gaugestep_control_plane::client::subscriber::ProxyHandle;
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{AttemptBudget, EngineId, Place, Readiness, Route, TenantId};
 
@@ -70,10 +70,10 @@
     /// Puts the platform's file and the document in force together. Called with [`Gateway::changes`] held.
     fn settle(&self) {
         let (told, document) = (lock(&self.told), lock(&self.document).clone());
-        let counts = live::effective(&document, &platform(&told));
+        let counts = proxy_state::effective_config(&document, &platform(&told));
         let mut settings = told.settings.clone();
         let mut names = told.names.clone();
-        let served = |name: &String| live::serves(&document, name);
+        let served = |name: &String| proxy_state::serves(&document, name);
         let kept =
             names.classes.iter().zip(std::mem::take(&mut settings.classes)).filter(|(name, _)| served(name));
         (names.classes, settings.classes) = kept.map(|(name, class)| (name.clone(), class)).unzip();
@@ -110,22 +110,22 @@
         let engines: Vec<Engine> = listed.iter().map(|(name, listed)| engine(name, listed)).collect();
         let class = |name: &String| classes.iter().find(|class| class.name == *name).map(|class| class.id);
         let tenant = |name: &String| tenants.iter().position(|other| other == name).map(TenantId);
-        let route = |route: &live::Resolved| Route {
+        let route = |route: &proxy_state::ResolvedRoute| Route {
             classes: (!route.classes.is_empty()).then(|| route.classes.iter().filter_map(class).collect()),
             tenants: (!route.tenants.is_empty()).then(|| route.tenants.iter().filter_map(tenant).collect()),
             engines: route.engines.as_ref().map(|engines| {
                 engines.iter().filter_map(|(name, weight)| Some((*numbers.get(name)?, *weight))).collect()
             }),
         };
-        live::resolve(document, &engines).iter().map(route).collect()
+        proxy_state::resolve(document, &engines).iter().map(route).collect()
     }
 }
 
 /// What the platform's file and the rule allow.
-fn platform(told: &Told) -> Platform {
+fn platform(told: &Told) -> PlatformLimits {
     let quota = |quota: f64| (quota > 0.0).then_some(quota);
     let tenants = told.names.tenants.iter().zip(&told.settings.tenants);
-    Platform {
+    PlatformLimits {
         tenants: tenants.map(|(name, tenant)| (name.clone(), quota(tenant.quota_per_s))).collect(),
         max_open: told.max_open as u64,
         max_attempts: told.settings.max_attempts as u64,
@@ -134,7 +134,7 @@
 }
 
 fn engine(name: &str, listed: &Listed) -> Engine {
-    let state = if listed.readiness == Readiness::Up { State::Up } else { State::Draining };
+    let state = if listed.readiness == Readiness::Up { EngineState::Up } else { EngineState::Draining };
     Engine {
         name: name.into(),
         kind: listed.kind.clone(),
@@ -162,23 +162,26 @@
     (!all.is_empty()).then(|| all.join(","))
 }
 
-impl Host for Versioned {
-    fn held(&self, then: &mut dyn FnMut(&Live)) {
+impl ProxyHandle for Versioned {
+    fn with_state(&self, then: &mut dyn FnMut(&ProxyState)) {
         let _changes = lock(&self.gateway.changes);
         let told = lock(&self.told);
         let open = self.gateway.classes.open();
         let count = |name: &String| open.iter().find(|(other, _)| other == name).map_or(0, |(_, open)| *open);
-        let classes =
-            told.names.classes.iter().map(|name| live::Class { name: name.clone(), open: count(name) });
+        let classes = told
+            .names
+            .classes
+            .iter()
+            .map(|name| proxy_state::Class { name: name.clone(), open: count(name) });
         let listed = self.roster.databases();
-        let live = Live {
+        let state = ProxyState {
             engines: listed.map(|all| all.iter().map(|(name, listed)| engine(name, listed)).collect()),
             classes: classes.collect(),
             open: self.gateway.open.load(Ordering::Relaxed) as u64,
             platform: platform(&told),
         };
         drop(told);
-        then(&live);
+        then(&state);
     }
 
     fn apply(&self, document: &Document) {
@@ -187,13 +190,13 @@
         (self.set_log)(directives(document));
     }
 
-    fn seated(&self, seat: Option<(Place, f64)>) {
+    fn assign_ordinal(&self, seat: Option<(Place, f64)>) {
         let _changes = lock(&self.gateway.changes);
         let (place, left) = seat.unwrap_or((Place::Name(0), 0.0));
         self.gateway.facade.seated(place, left);
     }
 
-    fn counted(&self) -> (u64, u64, u64) {
+    fn request_counts(&self) -> (u64, u64, u64) {
         self.gateway.classes.totals()
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -128,7 +128,7 @@
     if let Some(control) = control {
         let build = env!("CARGO_PKG_VERSION");
         let settings =
-            gaugestep_control_plane::client::subscriber::Settings::of(&control, &name, build, seed)?;
+            gaugestep_control_plane::client::subscriber::Settings::from_config(&control, &name, build, seed)?;
         server.follow(settings)?;
     }
     if let Some(address) = management {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-use gaugestep_control_plane::client::subscriber::{self, Follower};
+use gaugestep_control_plane::client::subscriber::{self, ConfigSubscriber};
 use gaugestep_dispatch::Settings;
 use may::io::{CoIo, WaitIo as _, WaitIoWaker};
 
@@ -74,7 +74,7 @@
     pub reloads: (AtomicU64, AtomicU64),
     versioned: Arc<Versioned>,
     /// What follows a control service, where an operator has named one.
-    follower: OnceLock<Arc<Follower>>,
+    follower: OnceLock<Arc<ConfigSubscriber>>,
 }
 
 impl Server {
@@ -178,7 +178,7 @@
 
     /// Follows a control service from now on; first of all the last good version is taken.
     pub fn follow(&self, settings: subscriber::Settings) -> Result<(), String> {
-        let follower = Follower::start(settings, self.versioned.clone())?;
+        let follower = ConfigSubscriber::start(settings, self.versioned.clone())?;
         let _ = self.follower.set(follower);
         Ok(())
     }
@@ -188,13 +188,13 @@
     pub fn standing(&self) -> String {
         match self.follower.get() {
             None => "ready\n".into(),
-            Some(follower) => format!("ready; {}\n", follower.standing()),
+            Some(follower) => format!("ready; {}\n", follower.status_line()),
         }
     }
 
     /// Whether another process has taken the proxy's name: this one serves on, and gets no versions any more.
     pub fn displaced(&self) -> bool {
-        self.follower.get().is_some_and(|follower| follower.displaced())
+        self.follower.get().is_some_and(|follower| follower.name_is_superseded())
     }
 
     /// Whether new clients may come.
@@ -219,7 +219,7 @@
             "sighup_rejected": rejected.load(Ordering::Relaxed),
         });
         if let Some(follower) = self.follower.get() {
-            figures["configuration"] = follower.figures();
+            figures["configuration"] = follower.status_json();
         }
         figures
     }
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -11,7 +11,7 @@
     DutyState, Fleet as Told, FromClient, HandOver, List, ListDuties, ListMembers, ListSeats, Member, Plan,
     Publish, Status, call, from_client, reply,
 };
-use gaugestep_config::{short, text};
+use gaugestep_config::{short_digest, text};
 use gaugestep_control_plane::cli::admin_client::Service;
 use gaugestep_testbed::duties::Record;
 use gaugestep_testbed::faults::{Fault, Schedule};
@@ -141,7 +141,7 @@
         };
         let one = |entry: gaugestep_config::schema::Entry| {
             let version = entry.version.unwrap_or_default();
-            (version.number, short(&version.digest), entry.key)
+            (version.number, short_digest(&version.digest), entry.key)
         };
         told.entries.into_iter().map(one).collect()
     }
@@ -305,7 +305,7 @@
         match self.call(call::What::Publish(publish))? {
             reply::What::Published(told) => {
                 let version = told.version.unwrap_or_default();
-                Ok((version.number, short(&version.digest)))
+                Ok((version.number, short_digest(&version.digest)))
             }
             other => Err(format!("{other:?}")),
         }
@@ -570,7 +570,7 @@
                         service.call(&call::What::Publish(publish.clone()), true)
                     {
                         let version = told.version.unwrap_or_default();
-                        let (number, digest) = (version.number, short(&version.digest));
+                        let (number, digest) = (version.number, short_digest(&version.digest));
                         records.push(Record::Acknowledged { key, number, digest });
                         break;
                     }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use gaugestep_config::rollout::lot;
+use gaugestep_config::rollout::selection_rank;
 use gaugestep_config::schema::{Hello, Plan, Seen, call};
 use gaugestep_testbed::duties::{Breach, judge};
 use gaugestep_testbed::faults::Schedule;
@@ -117,7 +117,7 @@
     // By its lot in version 2 one proxy goes first, two more second, one last. The third and the last know no class
     // `lookup`, and turn down a document that names it.
     let mut names: Vec<String> = (0..4).map(|at| format!("n{at}")).collect();
-    names.sort_by_key(|name| lot(2, name));
+    names.sort_by_key(|name| selection_rank(2, name));
     let change = |at| if at < 2 { ("", "") } else { ("\"lookup\"", "\"look-up\"") };
     let started = names.iter().enumerate();
     let mut proxies: Vec<Proxy> =
