--- a/crates/control-plane/src/raft/driver.rs
+++ b/crates/control-plane/src/raft/driver.rs
@@ -151,7 +151,7 @@
                 if keys.elapsed() >= Duration::from_secs(1) {
                     keys = Instant::now();
                     if let Some((keys, _)) = self.group.client_keys() {
-                        keys.look();
+                        keys.reload_if_changed();
                     }
                 }
             }
