--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -15,7 +15,7 @@
 
 use gaugestep_config::schema::{List, Publish, Status, call};
 use gaugestep_config::text;
-use gaugestep_control_plane::cli::admin_client::Service;
+use gaugestep_control_plane::cli::admin_client::AdminClient;
 use gaugestep_testbed::process::Process;
 use group::{Group, wait};
 use subscriber::{median, subscribers};
@@ -55,7 +55,7 @@
 /// Publish to acknowledged by all, in milliseconds; from the moment at which the call is made.
 fn published(listen: SocketAddr, operators: SocketAddr, count: usize) -> (f64, f64) {
     let heard = subscribers(listen, count);
-    let service = Service { addresses: vec![operators], keys: None };
+    let service = AdminClient { addresses: vec![operators], keys: None };
     let mut spans = Vec::new();
     for round in 0..20u64 {
         let publish = Publish {
@@ -88,7 +88,7 @@
     let mut command = Command::new(program);
     command.args(["serve", "--config"]).arg(&config).stdout(Stdio::null()).stderr(Stdio::null());
     let _process = Process::start(&mut command).unwrap();
-    let service = Service { addresses: vec![operators], keys: None };
+    let service = AdminClient { addresses: vec![operators], keys: None };
     wait("the earlier build starts", || service.call(&call::What::List(List { most: 1 }), true).is_ok());
     Some(published(listen, operators, count))
 }
--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -24,17 +24,17 @@
 
 /// The services as a command reaches them.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub struct AdminClient {
     /// Their addresses for operators, tried in turn.
     pub addresses: Vec<SocketAddr>,
     /// Keys, and the name that their certificates carry.
     pub keys: Option<(Files, String)>,
 }
 
-trait Talk: io::Read + io::Write {}
-impl<T: io::Read + io::Write> Talk for T {}
+trait ReadWrite: io::Read + io::Write {}
+impl<T: io::Read + io::Write> ReadWrite for T {}
 
-impl Service {
+impl AdminClient {
     /// Calls, follows to whoever can carry it out, and waits for the reply; an error is one plain line, the service's own
     /// among them. Where nobody can, that is said within some seconds. What may have been carried out unheard is tried
     /// again only if `again` says that this does no harm.
@@ -105,7 +105,7 @@
         ask().map(|reply: Reply| reply.what).map_err(|error| (true, error))
     }
 
-    fn connect(&self, address: SocketAddr, within: Duration) -> io::Result<Box<dyn Talk>> {
+    fn connect(&self, address: SocketAddr, within: Duration) -> io::Result<Box<dyn ReadWrite>> {
         let socket = TcpStream::connect_timeout(&address, within)?;
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(within))?;
@@ -122,7 +122,7 @@
     io::Error::new(io::ErrorKind::InvalidData, error.to_string())
 }
 
-fn read(stream: &mut dyn Talk) -> io::Result<Reply> {
+fn read(stream: &mut dyn ReadWrite) -> io::Result<Reply> {
     let mut input = Vec::new();
     let mut chunk = [0; 16 * 1024];
     loop {
--- a/crates/control-plane/src/cli/commands.rs
+++ b/crates/control-plane/src/cli/commands.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use crate::cli::admin_client::Service;
-use crate::read_file;
+use crate::cli::admin_client::AdminClient;
+use crate::read_text_file;
 use crate::transport::tls::Files;
 use clap::Args;
 use gaugestep_config::schema::entry::State;
@@ -70,7 +70,7 @@
             }
             _ => None,
         };
-        Service { addresses: self.service.clone(), keys: files }.call(&what, !once)
+        AdminClient { addresses: self.service.clone(), keys: files }.call(&what, !once)
     }
 
     fn shown(&self, number: u64) -> Result<Shown, String> {
@@ -134,7 +134,7 @@
 }
 
 fn read(path: &Path) -> Result<Document, String> {
-    read_file("Document", path)
+    read_text_file("Document", path)
 }
 
 /// Says whether a document can be used.
--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::cli::commands::{Connect, Out, PublishArgs};
 use crate::cli::group_commands::NewMember;
-use crate::server::{Service, Settings};
+use crate::server::{ControlServer, Settings};
 use clap::{CommandFactory as _, Parser, Subcommand};
 use gaugestep_config::schema;
 
@@ -215,8 +215,8 @@
 
 fn serve(path: &std::path::Path, restored: bool, json: bool) -> Result<(), String> {
     use signal_hook::consts::{SIGINT, SIGTERM};
-    let told: schema::Service = crate::read_file("Service", path)?;
-    let settings = Settings::of(&told).map_err(|error| format!("{}: {error}", path.display()))?;
+    let told: schema::Service = crate::read_text_file("Service", path)?;
+    let settings = Settings::from_schema(&told).map_err(|error| format!("{}: {error}", path.display()))?;
     let settings = Settings { restored, ..settings };
     let filter = std::env::var("GAUGESTEP_LOG")
         .ok()
@@ -233,10 +233,10 @@
     let seed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let seed = seed.map_or(1, |since| since.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40);
     let (listen, operators) = (settings.listen, settings.operators);
-    let service = Service::start(settings, seed)?;
+    let service = ControlServer::start(settings, seed)?;
     tracing::info!(%listen, %operators, "serving");
     let signal = signals.forever().next();
     service.hand_all_over(HANDED_WITHIN);
-    tracing::info!(signal, "done");
+    tracing::info!(signal, "stopped");
     Ok(())
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -18,7 +18,7 @@
 use gaugestep_coroutine_io::lock;
 
 /// Reads a message of this name from a file of protobuf text format; the error is one plain line that names the file.
-pub fn read_file<M: prost::Message + Default>(name: &str, path: &Path) -> Result<M, String> {
+pub fn read_text_file<M: prost::Message + Default>(name: &str, path: &Path) -> Result<M, String> {
     let told = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     text::read(name, &told).map_err(|error| format!("{}: {error}", path.display()))
 }
--- a/crates/control-plane/src/server/admin.rs
+++ b/crates/control-plane/src/server/admin.rs
@@ -13,7 +13,7 @@
 use may::net::TcpStream;
 
 use crate::raft::replica::Tell;
-use crate::server::{Line, NAME, SILENCE, Service};
+use crate::server::{ControlServer, NAME, SILENCE, Session};
 use crate::transport::connection::Channel;
 use crate::{clock, lock};
 
@@ -34,7 +34,7 @@
     reply(reply::What::Later(why.into()))
 }
 
-impl Service {
+impl ControlServer {
     /// An operator's connection: one call, one reply.
     pub(crate) fn operator(&self, stream: TcpStream) -> io::Result<()> {
         let mut channel = Channel::accepted(stream, self.operators_keys())?;
@@ -47,7 +47,7 @@
             inner.next_stream += 1;
             let number = inner.next_stream;
             // So that its clock is looked at.
-            inner.lines.insert(number, Line::new(channel.waker()));
+            inner.lines.insert(number, Session::new(channel.waker()));
             number
         };
         let ended = self.answer(&mut channel);
@@ -167,7 +167,7 @@
         if let Some(why) = self.outranked(term) {
             return error(why);
         }
-        self.stood_still(&mut lock(&self.inner), clock::now());
+        self.check_suspension(&mut lock(&self.inner), clock::now());
         let stood = lock(&self.doubt).stood().filter(|_| self.group.alone());
         if let Some(stood) = stood {
             return later(format!(
@@ -228,7 +228,7 @@
         for duty in owned {
             let (Some(term), Some(to)) = (self.group.acts(&duty), self.heir(0)) else { continue };
             let tell = tell.clone();
-            tracing::info!(duty, term, to, "hands a duty over before the end");
+            tracing::info!(role = duty, term, to, "handing over a role before shutdown");
             self.group.hand_over(&duty, term, to, Box::new(move |outcome| drop(tell.send(outcome))));
             wait += 1;
         }
@@ -249,9 +249,9 @@
         lock(&self.doubt).vouched();
         let inner = lock(&self.inner);
         let near = |seen: &u64| seen.saturating_sub(term) <= RAISED_BY;
-        let above = inner.lines.values().map(Line::seen).filter(near).max().unwrap_or(0).max(term);
+        let above = inner.lines.values().map(Session::seen).filter(near).max().unwrap_or(0).max(term);
         drop(inner);
-        tracing::warn!(duty, term, above, "an operator has this service take over");
+        tracing::warn!(role = duty, term, above, "an operator forces a takeover");
         self.agree(Act { duty: duty.into(), term, what: Some(What::Raise(above)), ..Act::default() })
     }
 
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -29,7 +29,7 @@
 
 use crate::raft::replica::{self, Group};
 use crate::raft::transport::Incoming;
-use crate::server::roster_service::Seating;
+use crate::server::roster_service::RosterState;
 use crate::transport::connection::{Channel, STACK_WORDS};
 use crate::transport::tls::{self, Files, ServerKeys};
 use crate::{clock, lock};
@@ -74,30 +74,31 @@
 
 impl Settings {
     /// As the service's file has them; the error is one plain line.
-    pub fn of(told: &schema::Service) -> Result<Self, String> {
+    pub fn from_schema(config: &schema::Service) -> Result<Self, String> {
         let address = |field: &str, text: &str| -> Result<SocketAddr, String> {
             text.parse().map_err(|_| format!("'{field}' is '{text}', no address"))
         };
-        let keys = match &told.keys {
+        let keys = match &config.keys {
             None => None,
-            Some(_) if told.operators_authority.is_empty() => {
+            Some(_) if config.operators_authority.is_empty() => {
                 return Err("'operators_authority' is missing".into());
             }
             Some(files) => {
                 let proxies = Files::of(files)?;
-                let authority = PathBuf::from(&told.operators_authority);
+                let authority = PathBuf::from(&config.operators_authority);
                 Some((proxies.clone(), Files { authority, ..proxies }))
             }
         };
-        if told.store.is_empty() {
+        if config.store.is_empty() {
             return Err("'store' is missing".into());
         }
-        let (listen, operators) = (address("listen", &told.listen)?, address("operators", &told.operators)?);
+        let (listen, operators) =
+            (address("listen", &config.listen)?, address("operators", &config.operators)?);
         for address in [listen, operators] {
             tls::allowed(address, keys.is_some())?;
         }
-        let group = told.group.clone().unwrap_or_default();
-        if keys.is_some() && told.group.is_some() && group.service_name.is_empty() {
+        let group = config.group.clone().unwrap_or_default();
+        if keys.is_some() && config.group.is_some() && group.service_name.is_empty() {
             return Err("'group.service_name' is missing".into());
         }
         let shown = |field: &str, own: SocketAddr, text: &str| -> Result<String, String> {
@@ -115,20 +116,20 @@
         Ok(Settings {
             listen,
             operators,
-            store: PathBuf::from(&told.store),
+            store: PathBuf::from(&config.store),
             member,
             joins: group.joins,
             service_name: group.service_name,
             restored: false,
             keys,
-            keep: told.keep.unwrap_or(100).max(1) as usize,
-            streams: told.streams.unwrap_or(4_096).max(1) as usize,
+            keep: config.keep.unwrap_or(100).max(1) as usize,
+            streams: config.streams.unwrap_or(4_096).max(1) as usize,
         })
     }
 }
 
 /// What a stream's coroutine is to send, and who speaks on it.
-pub(crate) struct Line {
+pub(crate) struct Session {
     pub(crate) out: VecDeque<FromService>,
     pub(crate) waker: Waker,
     /// The proxy's hello, kept up with what it answered since, and when it came.
@@ -139,12 +140,12 @@
     pub(crate) end: Option<&'static str>,
 }
 
-impl Line {
+impl Session {
     pub(crate) fn new(waker: Waker) -> Self {
-        Line { out: VecDeque::new(), waker, hello: None, asked: 0, end: None }
+        Session { out: VecDeque::new(), waker, hello: None, asked: 0, end: None }
     }
 
-    pub(crate) fn say(&mut self, said: from_service::Said) {
+    pub(crate) fn send(&mut self, said: from_service::Said) {
         self.out.push_back(FromService { said: Some(said) });
         self.waker.wakeup();
     }
@@ -161,7 +162,7 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Inner {
+pub(crate) struct ServerState {
     /// Decides who is offered what, while this service owns the versions.
     pub(crate) rollout: Rollout,
     /// The term under which it does.
@@ -169,25 +170,25 @@
     /// Holds offers of a step back until the next owner would know of it.
     pub(crate) gate: Gate<Action>,
     pub(crate) names: Names,
-    pub(crate) lines: BTreeMap<u64, Line>,
+    pub(crate) lines: BTreeMap<u64, Session>,
     pub(crate) next_stream: u64,
     pub(crate) calls: usize,
-    pub(crate) seating: Seating,
+    pub(crate) seating: RosterState,
 }
 
 /// A service that runs.
-pub struct Service {
-    pub(crate) inner: Mutex<Inner>,
+pub struct ControlServer {
+    pub(crate) inner: Mutex<ServerState>,
     pub(crate) group: Arc<Group>,
     pub(crate) doubt: Mutex<Doubt>,
     pub(crate) keep: usize,
     pub(crate) restored: bool,
     streams: usize,
     keys: Option<(ServerKeys, ServerKeys)>,
-    this: Weak<Service>,
+    this: Weak<ControlServer>,
 }
 
-impl Service {
+impl ControlServer {
     /// Opens the store and the listeners and begins to serve. An error is one plain line.
     pub fn start(settings: Settings, seed: u64) -> Result<Arc<Self>, String> {
         let (group, go) = Group::open(replica::Settings {
@@ -202,7 +203,7 @@
             None => None,
             Some((proxies, operators)) => Some((ServerKeys::serve(proxies)?, ServerKeys::serve(operators)?)),
         };
-        let service = Arc::new_cyclic(|this| Service {
+        let service = Arc::new_cyclic(|this| ControlServer {
             this: this.clone(),
             inner: Mutex::default(),
             group,
@@ -240,7 +241,7 @@
     }
 
     /// This service, for what ends later.
-    pub(crate) fn itself(&self) -> Weak<Service> {
+    pub(crate) fn itself(&self) -> Weak<ControlServer> {
         self.this.clone()
     }
 
@@ -250,10 +251,10 @@
     }
 
     /// Looks whether this service stood still, whatever it does first when it goes on.
-    pub(crate) fn stood_still(&self, inner: &mut Inner, now: f64) {
+    pub(crate) fn check_suspension(&self, inner: &mut ServerState, now: f64) {
         if lock(&self.doubt).tick(now, STOOD_STILL, !inner.names.is_empty()) {
             // Whoever was connected may follow another by now: what it has seen is told by a hello.
-            tracing::warn!("stood still for longer than a lease: proxies are to come anew");
+            tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
             for line in inner.lines.values_mut().filter(|line| line.hello.is_some()) {
                 line.end = Some("this service stood still");
             }
@@ -265,7 +266,7 @@
             task::sleep(LOOK);
             let now = clock::now();
             let mut inner = lock(&self.inner);
-            self.stood_still(&mut inner, now);
+            self.check_suspension(&mut inner, now);
             self.look(&mut inner);
             self.drive(&mut inner, Event::Tick);
             self.promote(&mut inner, now);
@@ -281,7 +282,7 @@
             let (stream, peer) = match listener.accept() {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    tracing::warn!("cannot accept: {error}");
+                    tracing::warn!("cannot accept a connection: {error}");
                     task::sleep(PAUSE);
                     continue;
                 }
@@ -293,11 +294,11 @@
                     false => service.operator(stream),
                 };
                 if let Err(error) = ended {
-                    tracing::info!(%peer, "a stream ended: {error}");
+                    tracing::info!(%peer, "connection closed: {error}");
                 }
             });
             if let Err(error) = spawned {
-                tracing::error!("no coroutine for a stream: {error}");
+                tracing::error!("cannot start a coroutine for a connection: {error}");
             }
         }
     }
@@ -313,7 +314,7 @@
             }
             inner.next_stream += 1;
             let number = inner.next_stream;
-            inner.lines.insert(number, Line::new(channel.waker()));
+            inner.lines.insert(number, Session::new(channel.waker()));
             number
         };
         let ended = self.talk(&mut channel, number);
@@ -416,7 +417,7 @@
 
     /// A proxy tells its figures, and so has heard this service's welcome: it follows no later owner. A hello proves less, as
     /// one may have waited while this service stood still.
-    fn vouched(&self, inner: &Inner, stream: u64) {
+    fn vouched(&self, inner: &ServerState, stream: u64) {
         let term = self.group.charter(|charter| charter.owner(VERSIONS).1);
         if inner.lines.get(&stream).is_some_and(|line| line.end.is_none() && line.seen() <= term) {
             lock(&self.doubt).vouched();
@@ -456,7 +457,7 @@
             incarnation,
             seen = seen(&hello),
             build = hello.build,
-            "a proxy is here"
+            "proxy connected"
         );
         if let Some(line) = inner.lines.get_mut(&stream) {
             line.hello = Some((hello, now));
@@ -466,18 +467,19 @@
         match given {
             Given::Yours { term, displaced } => {
                 if let Some(line) = displaced.and_then(|old| inner.lines.get_mut(&old)) {
-                    tracing::warn!(
-                        proxy,
-                        name_term = term,
-                        by = incarnation,
-                        "a proxy's name has a new owner"
-                    );
-                    line.say(from_service::Said::Displaced(Displaced { name_term: term, by: incarnation }));
+                    tracing::warn!(proxy, name_term = term, by = incarnation, "proxy identity superseded");
+                    line.send(from_service::Said::Displaced(Displaced { name_term: term, by: incarnation }));
                 }
                 self.present(&mut inner, stream);
             }
             Given::Displaced { term, by } => {
-                tracing::warn!(proxy, name_term = term, by, incarnation, "a proxy's name is another's");
+                tracing::warn!(
+                    proxy,
+                    name_term = term,
+                    by,
+                    incarnation,
+                    "proxy identity is held by another process"
+                );
                 let displaced = Displaced { name_term: term, by };
                 channel.send(&FromService { said: Some(from_service::Said::Displaced(displaced)) })?;
             }
@@ -486,7 +488,7 @@
     }
 
     /// What a proxy is told of who it speaks to.
-    pub(crate) fn welcome(&self, inner: &Inner, stream: u64) -> Welcome {
+    pub(crate) fn welcome(&self, inner: &ServerState, stream: u64) -> Welcome {
         let own = self.group.number();
         let (owner, term) = self.group.charter(|charter| charter.owner(VERSIONS));
         let owner = match inner.acting {
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -15,7 +15,7 @@
 use gaugestep_leadership::{SEATS, VERSIONS};
 use prost::Message as _;
 
-use crate::server::{Inner, Line, Service};
+use crate::server::{ControlServer, ServerState, Session};
 use crate::{clock, lock};
 
 /// Milliseconds of Unix time.
@@ -23,7 +23,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Service {
+impl ControlServer {
     /// Something that is agreed on has changed, or somebody's lease.
     pub(crate) fn changed(&self, changes: &[Change]) {
         let mut inner = lock(&self.inner);
@@ -39,7 +39,7 @@
                     let digest =
                         entry.version.as_ref().map(|version| short(&version.digest)).unwrap_or_default();
                     let (term, rolls_back_to) = (inner.acting, entry.rolls_back_to);
-                    tracing::info!(version = number, digest, term, rolls_back_to, "published");
+                    tracing::info!(version = number, digest, term, rolls_back_to, "version published");
                     let plan = entry.plan.unwrap_or_default();
                     self.drive(&mut inner, Event::Published { number: *number, plan, rolls_back_to });
                 }
@@ -55,7 +55,7 @@
     }
 
     /// Looks whether this service owns the versions at this moment.
-    pub(crate) fn look(&self, inner: &mut Inner) {
+    pub(crate) fn look(&self, inner: &mut ServerState) {
         let acts = self.group.acts(VERSIONS);
         if acts == inner.acting {
             return;
@@ -64,14 +64,14 @@
         inner.rollout = Rollout::default();
         inner.gate = Gate::default();
         match acts {
-            None => tracing::warn!(duty = VERSIONS, "does not act any more"),
+            None => tracing::warn!(role = VERSIONS, "lease lost"),
             Some(term) => self.begin(inner, term),
         }
         self.welcome_all(inner);
     }
 
     /// Goes on where the last owner stood.
-    fn begin(&self, inner: &mut Inner, term: u64) {
+    fn begin(&self, inner: &mut ServerState, term: u64) {
         let (versions, duty) = self.group.charter(|charter| {
             let versions = charter.versions.values().map(|held| {
                 let entry = &held.entry;
@@ -81,8 +81,8 @@
         });
         inner.rollout = Rollout::recover(clock::now(), versions);
         let progress = Progress::decode(duty.state.as_slice()).unwrap_or_default();
-        let (version, step, against) = (progress.number, progress.step, progress.against.len());
-        tracing::info!(duty = VERSIONS, term, version, step, against, "acts");
+        let (version, step, rejections) = (progress.number, progress.step, progress.against.len());
+        tracing::info!(role = VERSIONS, term, version, step, rejections, "lease acquired");
         inner.gate = Gate::begin(duty.order, progress.clone());
         inner.rollout.resume(progress);
         let streams: Vec<u64> = inner.lines.keys().copied().collect();
@@ -92,7 +92,7 @@
     }
 
     /// Tells the rollout of a proxy that is here, if it is its name's owner and has seen nobody later than this service.
-    pub(crate) fn present(&self, inner: &mut Inner, stream: u64) {
+    pub(crate) fn present(&self, inner: &mut ServerState, stream: u64) {
         let Some(line) = inner.lines.get(&stream) else { return };
         let Some((hello, at)) = line.hello.clone() else { return };
         if !inner.names.holds(&hello.proxy, stream) {
@@ -100,7 +100,7 @@
         }
         let (seen, term) = (line.seen(), inner.acting.unwrap_or(0));
         if seen > term && inner.acting.is_some() && !crate::failpoints::out("owner") {
-            tracing::warn!(proxy = hello.proxy, seen, term, "a proxy has seen a later owner");
+            tracing::warn!(proxy = hello.proxy, seen, term, "the proxy has seen a newer term");
             if self.restored && seen - term <= RAISED_BY {
                 // The operator said that whoever used the store before is gone for good.
                 let what = Some(What::Raise(seen));
@@ -119,7 +119,7 @@
     }
 
     /// Gives a name back to a process whose successor has gone for good.
-    pub(crate) fn promote(&self, inner: &mut Inner, now: f64) {
+    pub(crate) fn promote(&self, inner: &mut ServerState, now: f64) {
         let displaced: Vec<u64> = inner.names.displaced().map(|(stream, ..)| stream).collect();
         for stream in displaced {
             let Some((hello, _)) = inner.lines.get(&stream).and_then(|line| line.hello.clone()) else {
@@ -131,7 +131,7 @@
             {
                 let welcome = self.welcome(inner, stream);
                 if let Some(line) = inner.lines.get_mut(&stream) {
-                    line.say(from_service::Said::Welcome(welcome));
+                    line.send(from_service::Said::Welcome(welcome));
                 }
                 self.present(inner, stream);
             }
@@ -139,13 +139,13 @@
     }
 
     /// Tells all proxies who owns the versions.
-    fn welcome_all(&self, inner: &mut Inner) {
+    fn welcome_all(&self, inner: &mut ServerState) {
         let streams: Vec<u64> =
             inner.lines.iter().filter(|(_, line)| line.hello.is_some()).map(|(stream, _)| *stream).collect();
         for stream in streams {
             let welcome = self.welcome(inner, stream);
             if let Some(line) = inner.lines.get_mut(&stream) {
-                line.say(from_service::Said::Welcome(welcome));
+                line.send(from_service::Said::Welcome(welcome));
             }
         }
     }
@@ -156,7 +156,7 @@
         let mut inner = lock(&self.inner);
         match &refusal {
             None => {
-                tracing::info!(proxy, version = number, nonce, "in force");
+                tracing::info!(proxy, version = number, nonce, "version in force");
                 let version = self.group.charter(|it| it.versions.get(&number)?.entry.version.clone());
                 let term = inner.acting;
                 if let Some((hello, at)) = inner.lines.get_mut(&stream).and_then(|line| line.hello.as_mut()) {
@@ -171,14 +171,22 @@
             }
             Some(refusal) => {
                 let (code, path) = (&refusal.code, &refusal.path);
-                tracing::warn!(proxy, version = number, nonce, code, path, "refused: {}", refusal.reason);
+                tracing::warn!(
+                    proxy,
+                    version = number,
+                    nonce,
+                    code,
+                    path,
+                    "version rejected: {}",
+                    refusal.reason
+                );
             }
         }
         self.drive(&mut inner, Event::Answered { proxy: proxy.into(), stream, nonce, refusal });
     }
 
     /// Tells the rollout of something, and carries out what it wants done. Nothing while another service drives it.
-    pub(crate) fn drive(&self, inner: &mut Inner, event: Event) {
+    pub(crate) fn drive(&self, inner: &mut ServerState, event: Event) {
         let Some(term) = inner.acting else { return };
         let now = clock::now();
         let actions = inner.rollout.handle(now, event);
@@ -192,7 +200,7 @@
         }
     }
 
-    fn carry_out(&self, inner: &mut Inner, term: u64, action: Action) {
+    fn carry_out(&self, inner: &mut ServerState, term: u64, action: Action) {
         match action {
             Action::Offer { proxy, stream, nonce, number, base } => {
                 // The polite half: its own lease, at the last moment.
@@ -204,13 +212,27 @@
                     Some(offer(held, charter.versions.get(&base), nonce, term))
                 });
                 let (Some(offer), Some(line)) = (offer, inner.lines.get_mut(&stream)) else { return };
-                tracing::info!(proxy, version = number, nonce, base, duty = VERSIONS, term, "offered");
-                line.say(from_service::Said::Offer(offer));
+                tracing::info!(
+                    proxy,
+                    version = number,
+                    nonce,
+                    base,
+                    role = VERSIONS,
+                    term,
+                    "version offered"
+                );
+                line.send(from_service::Said::Offer(offer));
             }
             // Whatever was on its way when a version was published is overtaken by that very act.
             Action::State { state: State::Overtaken, .. } => {}
             Action::State { number, state, why } => {
-                tracing::info!(version = number, state = state.as_str_name(), why, term, "rollout");
+                tracing::info!(
+                    version = number,
+                    state = state.as_str_name(),
+                    why,
+                    term,
+                    "rollout state changed"
+                );
                 let new = NewState { number, state: state as i32, halted_for: why };
                 self.act(term, What::State(new));
             }
@@ -239,23 +261,31 @@
             act,
             Box::new(|outcome| {
                 if let Err(why) | Ok(Outcome::Refused(why)) = outcome {
-                    tracing::warn!("an act for the versions was not agreed on: {why}");
+                    tracing::warn!("a command for the versions was not committed: {why}");
                 }
             }),
         );
     }
 
     /// Has it agreed how far the rollout is, where that has changed.
-    fn tell_progress(&self, inner: &mut Inner, now: f64, term: u64) {
+    fn tell_progress(&self, inner: &mut ServerState, now: f64, term: u64) {
         let progress = inner.rollout.progress();
         let Some(keep) = inner.gate.look(now, progress) else { return };
         let (order, service) = (keep.order, self.itself());
         let told = Progress::decode(keep.state.as_slice()).unwrap_or_default();
         let act = Act { duty: VERSIONS.into(), term, what: Some(What::Keep(keep)), ..Act::default() };
         let tell = move |outcome| {
-            let (version, step, against) = (told.number, told.step, told.against.len());
+            let (version, step, rejections) = (told.number, told.step, told.against.len());
             let done = outcome == Ok(Outcome::Done);
-            tracing::info!(duty = VERSIONS, term, version, step, against, done, "progress agreed");
+            tracing::info!(
+                role = VERSIONS,
+                term,
+                version,
+                step,
+                rejections,
+                done,
+                "rollout progress committed"
+            );
             if let Some(service) = service.upgrade() {
                 service.kept(term, order, done);
             }
@@ -276,7 +306,7 @@
 
     /// A publication with the least number that it may have, and with the versions that are kept however old: what a rollback
     /// would bring back, and what proxies have in force.
-    pub(crate) fn numbered(&self, inner: &Inner, new: NewVersion) -> NewVersion {
+    pub(crate) fn numbered(&self, inner: &ServerState, new: NewVersion) -> NewVersion {
         let newest = self.group.charter(Charter::newest);
         let mut needed: Vec<u64> = inner.rollout.proxies().values().map(|proxy| proxy.in_force).collect();
         needed.push(inner.rollout.complete_before(newest + 1));
@@ -289,7 +319,7 @@
     /// Why nothing may be published under this term: the proxies follow a later owner.
     pub(crate) fn outranked(&self, term: u64) -> Option<String> {
         let inner = lock(&self.inner);
-        let seen = inner.lines.values().filter(|line| line.hello.is_some()).map(Line::seen);
+        let seen = inner.lines.values().filter(|line| line.hello.is_some()).map(Session::seen);
         let (later, others): (Vec<u64>, Vec<u64>) = seen.partition(|seen| *seen > term);
         let highest = later.iter().max()?;
         // One odd proxy of many does not stop a fleet from being changed.
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -10,7 +10,7 @@
 use gaugestep_subsetting::roster::{Keeper, Roster};
 use prost::Message as _;
 
-use crate::server::{Inner, Service};
+use crate::server::{ControlServer, ServerState};
 use crate::{clock, lock};
 
 /// How often members tell the owner whom they hear, in milliseconds.
@@ -18,7 +18,7 @@
 
 /// What a service knows of seats.
 #[derive(Default)]
-pub(crate) struct Seating {
+pub(crate) struct RosterState {
     /// The term under which this service keeps the roster, and the keeper.
     keeping: Option<(u64, Keeper)>,
     told_at: f64,
@@ -29,7 +29,7 @@
     Roster { epoch: told.epoch, names: told.proxies }
 }
 
-impl Service {
+impl ControlServer {
     /// The duty as it is agreed on: its term and the roster; none while no operator has declared it.
     fn agreed(&self) -> Option<(schema::Duty, Roster)> {
         let duty = self.group.charter(|charter| charter.duties.get(SEATS).cloned())?;
@@ -38,17 +38,17 @@
     }
 
     /// Looks at the clock: tells whom this service hears, and keeps the roster if it is its own.
-    pub(crate) fn keep_seats(&self, inner: &mut Inner, now: f64) {
+    pub(crate) fn keep_seats(&self, inner: &mut ServerState, now: f64) {
         let acts = self.group.acts(SEATS);
         if acts != inner.seating.keeping.as_ref().map(|(term, ..)| *term) {
             inner.seating.keeping = None;
             match (acts, self.agreed()) {
                 (Some(term), Some((_, roster))) => {
                     let (epoch, seats) = (roster.epoch, roster.names.len());
-                    tracing::info!(duty = SEATS, term, epoch, seats, "acts");
+                    tracing::info!(role = SEATS, term, epoch, seats, "lease acquired");
                     inner.seating.keeping = Some((term, Keeper::resume(now, roster)));
                 }
-                _ => tracing::warn!(duty = SEATS, "does not act any more"),
+                _ => tracing::warn!(role = SEATS, "lease lost"),
             }
         }
         let owner = self.group.charter(|charter| charter.owner(SEATS).0);
@@ -77,7 +77,7 @@
         let service = self.itself();
         let tell = move |outcome| {
             let done = outcome == Ok(Outcome::Done);
-            tracing::info!(duty = SEATS, term, epoch, seats, done, "roster agreed");
+            tracing::info!(role = SEATS, term, epoch, seats, done, "roster committed");
             let Some(service) = service.upgrade() else { return };
             let there = service.agreed().is_some_and(|(_, roster)| roster == next);
             let mut inner = lock(&service.inner);
@@ -100,19 +100,19 @@
     }
 
     /// What a proxy is told of its seat: nothing while another process has the name.
-    pub(crate) fn seated(&self, inner: &Inner, stream: u64) -> Option<Seated> {
+    pub(crate) fn seated(&self, inner: &ServerState, stream: u64) -> Option<Seated> {
         seated(inner, stream, &self.told()?)
     }
 
     /// Tells all proxies of their seats.
-    pub(crate) fn seat_all(&self, inner: &mut Inner) {
+    pub(crate) fn seat_all(&self, inner: &mut ServerState) {
         // Read once for all of them, as the lines are locked meanwhile.
         let Some(told) = self.told() else { return };
         let streams: Vec<u64> = inner.lines.keys().copied().collect();
         for stream in streams {
             let seated = seated(inner, stream, &told);
             if let (Some(seated), Some(line)) = (seated, inner.lines.get_mut(&stream)) {
-                line.say(from_service::Said::Seated(seated));
+                line.send(from_service::Said::Seated(seated));
             }
         }
     }
@@ -125,7 +125,7 @@
     }
 }
 
-fn seated(inner: &Inner, stream: u64, (duty, roster): &(schema::Duty, Roster)) -> Option<Seated> {
+fn seated(inner: &ServerState, stream: u64, (duty, roster): &(schema::Duty, Roster)) -> Option<Seated> {
     let line = inner.lines.get(&stream)?;
     let (hello, _) = line.hello.as_ref().filter(|(hello, _)| inner.names.holds(&hello.proxy, stream))?;
     let seat = roster.seat(&hello.proxy).map(|(seat, _)| seat);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -161,7 +161,7 @@
 
 /// What an operator's file says of a control service.
 fn control(path: &Path) -> Result<Option<Control>, String> {
-    let told: Operator = gaugestep_control_plane::read_file("Operator", path)?;
+    let told: Operator = gaugestep_control_plane::read_text_file("Operator", path)?;
     Ok(told.control)
 }
 
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -12,7 +12,7 @@
     Publish, Status, call, from_client, reply,
 };
 use gaugestep_config::{short, text};
-use gaugestep_control_plane::cli::admin_client::Service;
+use gaugestep_control_plane::cli::admin_client::AdminClient;
 use gaugestep_testbed::duties::Record;
 use gaugestep_testbed::faults::{Fault, Schedule};
 use gaugestep_testbed::network::{Link, Network, Way};
@@ -116,7 +116,7 @@
 
     /// Calls this one, and whomever it names.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
-        Service { addresses: vec![self.operators], keys: None }.call(&what, true)
+        AdminClient { addresses: vec![self.operators], keys: None }.call(&what, true)
     }
 
     /// Names by seat, as it knows them; none while no roster is kept.
@@ -198,8 +198,11 @@
     }
 
     /// These services, as a command reaches them.
-    pub fn service(&self, numbers: &[u64]) -> Service {
-        Service { addresses: numbers.iter().map(|number| self.node(*number).operators).collect(), keys: None }
+    pub fn service(&self, numbers: &[u64]) -> AdminClient {
+        AdminClient {
+            addresses: numbers.iter().map(|number| self.node(*number).operators).collect(),
+            keys: None,
+        }
     }
 
     /// Calls any service that runs, and whomever it names.
@@ -476,8 +479,8 @@
             for line in read(&node.log()) {
                 let term = line["term"].as_u64().unwrap_or(0);
                 match line["message"].as_str() {
-                    Some("acts") => {
-                        let duty = line["duty"].as_str().unwrap_or_default().to_owned();
+                    Some("lease acquired") => {
+                        let duty = line["role"].as_str().unwrap_or_default().to_owned();
                         records.push(Record::Acts { service: service.clone(), duty, term });
                     }
                     Some("stale act refused") => records.push(Record::Refused { at: service.clone(), term }),
@@ -549,7 +552,7 @@
 
 impl Publisher {
     /// Publishes a document of its own every so often, each until it is answered.
-    pub fn start(service: Service, every: Duration) -> Self {
+    pub fn start(service: AdminClient, every: Duration) -> Self {
         let ends = std::sync::Arc::new(AtomicBool::new(false));
         let end = ends.clone();
         let thread = std::thread::spawn(move || {
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -94,7 +94,7 @@
     let listen: Vec<String> = services.iter().map(|service| service.listen.clone()).collect();
     assert_eq!(operator.control.unwrap().services, listen);
     for (at, service) in services.iter().enumerate() {
-        let settings = gaugestep_control_plane::server::Settings::of(service).unwrap();
+        let settings = gaugestep_control_plane::server::Settings::from_schema(service).unwrap();
         assert_eq!((settings.member.number, settings.joins), (at as u64 + 1, at > 0));
     }
 }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -129,17 +129,20 @@
     let staged = group.published("limits { max_open: 12 } classes: \"lookup\"", "b", plan);
     assert_eq!(staged, 2);
     let second_step = |line: Option<serde_json::Value>| {
-        line.is_some_and(|it| it["version"] == 2 && it["step"] == 1 && it["against"] == 1)
+        line.is_some_and(|it| it["version"] == 2 && it["step"] == 1 && it["rejections"] == 1)
     };
     wait("the second step is taken, and one refusal agreed on", || {
-        version(&proxies[1]) == Some(2) && second_step(group.said(old, "progress agreed"))
+        version(&proxies[1]) == Some(2) && second_step(group.said(old, "rollout progress committed"))
     });
     group.node_mut(old).stop();
     // The one that refused is gone for good: nobody but the old owner's progress tells of it.
     proxies.remove(2).kill();
     let (next, next_term) = group.owner_but(old);
     assert!(next_term > old_term);
-    assert!(second_step(group.said(next, "acts")), "it goes on in the second step, with the refusal counted");
+    assert!(
+        second_step(group.said(next, "lease acquired")),
+        "it goes on in the second step, with the refusal counted"
+    );
     // The last step brings the second refusal, of two that halt it.
     wait("it is halted", || group.state(staged) == "HALTED");
     let back = staged + 1;
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -103,7 +103,7 @@
     until("the service takes its new keys", || control.log().matches("took new keys").count() >= 2);
     let second = control.publish("limits { max_open: 22 }", &[]);
     until("the second is in force", || in_force(&proxy) == second);
-    assert_eq!(control.log().matches("a proxy is here").count(), 1, "over the stream that was open");
+    assert_eq!(control.log().matches("proxy connected").count(), 1, "over the stream that was open");
     let kept = tempfile::tempdir().unwrap();
     let newcomer = self::proxy(&control, &kept, "n0");
     until("a newcomer follows with the new keys", || in_force(&newcomer) == second);
