--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -17,7 +17,7 @@
 use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
 use prost::Message as _;
 
-use crate::server::{Inner, Line, Service};
+use crate::server::{ControlServer, ServerState, Session};
 use crate::{clock, lock};
 
 /// Milliseconds of Unix time.
@@ -25,7 +25,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Service {
+impl ControlServer {
     /// Something that is agreed on has changed, or somebody's lease.
     pub(crate) fn changed(&self, changes: &[StateChange]) {
         let mut inner = lock(&self.inner);
@@ -44,7 +44,7 @@
                         .map(|version| short_digest(&version.digest))
                         .unwrap_or_default();
                     let (term, rolls_back_to) = (inner.acting, entry.rolls_back_to);
-                    tracing::info!(version = number, digest, term, rolls_back_to, "published");
+                    tracing::info!(version = number, digest, term, rolls_back_to, "version published");
                     let plan = entry.plan.unwrap_or_default();
                     self.drive(&mut inner, Event::Published { number: *number, plan, rolls_back_to });
                 }
@@ -66,7 +66,7 @@
     }
 
     /// Looks whether this service owns the versions at this moment.
-    pub(crate) fn look(&self, inner: &mut Inner) {
+    pub(crate) fn look(&self, inner: &mut ServerState) {
         let acts = self.group.acting_term(CONFIGURATION_ROLE);
         if acts == inner.acting {
             return;
@@ -75,14 +75,14 @@
         inner.rollout = Rollout::default();
         inner.gate = CheckpointBarrier::default();
         match acts {
-            None => tracing::warn!(duty = CONFIGURATION_ROLE, "does not act any more"),
+            None => tracing::warn!(role = CONFIGURATION_ROLE, "lease lost"),
             Some(term) => self.begin(inner, term),
         }
         self.welcome_all(inner);
     }
 
     /// Goes on where the last owner stood.
-    fn begin(&self, inner: &mut Inner, term: u64) {
+    fn begin(&self, inner: &mut ServerState, term: u64) {
         let (versions, duty) = self.group.with_state(|charter| {
             let versions = charter.versions.values().map(|held| {
                 let entry = &held.entry;
@@ -92,8 +92,8 @@
         });
         inner.rollout = Rollout::recover(clock::now(), versions);
         let progress = Progress::decode(duty.state.as_slice()).unwrap_or_default();
-        let (version, step, against) = (progress.number, progress.step, progress.against.len());
-        tracing::info!(duty = CONFIGURATION_ROLE, term, version, step, against, "acts");
+        let (version, step, rejections) = (progress.number, progress.step, progress.against.len());
+        tracing::info!(role = CONFIGURATION_ROLE, term, version, step, rejections, "lease acquired");
         inner.gate = CheckpointBarrier::resume(duty.order, progress.clone());
         inner.rollout.resume(progress);
         let streams: Vec<u64> = inner.lines.keys().copied().collect();
@@ -103,7 +103,7 @@
     }
 
     /// Tells the rollout of a proxy that is here, if it is its name's owner and has seen nobody later than this service.
-    pub(crate) fn present(&self, inner: &mut Inner, stream: u64) {
+    pub(crate) fn present(&self, inner: &mut ServerState, stream: u64) {
         let Some(line) = inner.lines.get(&stream) else { return };
         let Some((hello, at)) = line.hello.clone() else { return };
         if !inner.names.is_holder(&hello.proxy, stream) {
@@ -111,7 +111,7 @@
         }
         let (seen, term) = (line.seen(), inner.acting.unwrap_or(0));
         if seen > term && inner.acting.is_some() && !crate::failpoints::is_check_disabled("owner") {
-            tracing::warn!(proxy = hello.proxy, seen, term, "a proxy has seen a later owner");
+            tracing::warn!(proxy = hello.proxy, seen, term, "the proxy has seen a newer term");
             if self.restored && seen - term <= MAX_TERM_RAISE {
                 // The operator said that whoever used the store before is gone for good.
                 let what = Some(What::Raise(seen));
@@ -130,7 +130,7 @@
     }
 
     /// Gives a name back to a process whose successor has gone for good.
-    pub(crate) fn promote(&self, inner: &mut Inner, now: f64) {
+    pub(crate) fn promote(&self, inner: &mut ServerState, now: f64) {
         let displaced: Vec<u64> = inner.names.superseded().map(|(stream, ..)| stream).collect();
         for stream in displaced {
             let Some((hello, _)) = inner.lines.get(&stream).and_then(|line| line.hello.clone()) else {
@@ -143,7 +143,7 @@
             {
                 let welcome = self.welcome(inner, stream);
                 if let Some(line) = inner.lines.get_mut(&stream) {
-                    line.say(from_service::Said::Welcome(welcome));
+                    line.send(from_service::Said::Welcome(welcome));
                 }
                 self.present(inner, stream);
             }
@@ -151,13 +151,13 @@
     }
 
     /// Tells all proxies who owns the versions.
-    fn welcome_all(&self, inner: &mut Inner) {
+    fn welcome_all(&self, inner: &mut ServerState) {
         let streams: Vec<u64> =
             inner.lines.iter().filter(|(_, line)| line.hello.is_some()).map(|(stream, _)| *stream).collect();
         for stream in streams {
             let welcome = self.welcome(inner, stream);
             if let Some(line) = inner.lines.get_mut(&stream) {
-                line.say(from_service::Said::Welcome(welcome));
+                line.send(from_service::Said::Welcome(welcome));
             }
         }
     }
@@ -168,7 +168,7 @@
         let mut inner = lock(&self.inner);
         match &refusal {
             None => {
-                tracing::info!(proxy, version = number, nonce, "in force");
+                tracing::info!(proxy, version = number, nonce, "version in force");
                 let version = self.group.with_state(|it| it.versions.get(&number)?.entry.version.clone());
                 let term = inner.acting;
                 if let Some((hello, at)) = inner.lines.get_mut(&stream).and_then(|line| line.hello.as_mut()) {
@@ -183,14 +183,22 @@
             }
             Some(refusal) => {
                 let (code, path) = (&refusal.code, &refusal.path);
-                tracing::warn!(proxy, version = number, nonce, code, path, "refused: {}", refusal.reason);
+                tracing::warn!(
+                    proxy,
+                    version = number,
+                    nonce,
+                    code,
+                    path,
+                    "version rejected: {}",
+                    refusal.reason
+                );
             }
         }
         self.drive(&mut inner, Event::Answered { proxy: proxy.into(), stream, nonce, refusal });
     }
 
     /// Tells the rollout of something, and carries out what it wants done. Nothing while another service drives it.
-    pub(crate) fn drive(&self, inner: &mut Inner, event: Event) {
+    pub(crate) fn drive(&self, inner: &mut ServerState, event: Event) {
         let Some(term) = inner.acting else { return };
         let now = clock::now();
         let actions = inner.rollout.handle(now, event);
@@ -204,7 +212,7 @@
         }
     }
 
-    fn carry_out(&self, inner: &mut Inner, term: u64, action: Action) {
+    fn carry_out(&self, inner: &mut ServerState, term: u64, action: Action) {
         match action {
             Action::Offer { proxy, stream, nonce, number, base } => {
                 // The polite half: its own lease, at the last moment.
@@ -221,16 +229,22 @@
                     version = number,
                     nonce,
                     base,
-                    duty = CONFIGURATION_ROLE,
+                    role = CONFIGURATION_ROLE,
                     term,
-                    "offered"
+                    "version offered"
                 );
-                line.say(from_service::Said::Offer(offer));
+                line.send(from_service::Said::Offer(offer));
             }
             // Whatever was on its way when a version was published is overtaken by that very act.
             Action::StateChanged { state: State::Overtaken, .. } => {}
             Action::StateChanged { number, state, why } => {
-                tracing::info!(version = number, state = state.as_str_name(), why, term, "rollout");
+                tracing::info!(
+                    version = number,
+                    state = state.as_str_name(),
+                    why,
+                    term,
+                    "rollout state changed"
+                );
                 let new = NewState { number, state: state as i32, halted_for: why };
                 self.act(term, What::State(new));
             }
@@ -259,14 +273,14 @@
             act,
             Box::new(|outcome| {
                 if let Err(why) | Ok(Outcome::Rejected(why)) = outcome {
-                    tracing::warn!("an act for the versions was not agreed on: {why}");
+                    tracing::warn!("a command for the versions was not committed: {why}");
                 }
             }),
         );
     }
 
     /// Has it agreed how far the rollout is, where that has changed.
-    fn tell_progress(&self, inner: &mut Inner, now: f64, term: u64) {
+    fn tell_progress(&self, inner: &mut ServerState, now: f64, term: u64) {
         let progress = inner.rollout.progress();
         let Some(keep) = inner.gate.checkpoint(now, progress) else { return };
         let (order, service) = (keep.order, self.itself());
@@ -274,9 +288,17 @@
         let act =
             Act { duty: CONFIGURATION_ROLE.into(), term, what: Some(What::Keep(keep)), ..Act::default() };
         let tell = move |outcome| {
-            let (version, step, against) = (told.number, told.step, told.against.len());
+            let (version, step, rejections) = (told.number, told.step, told.against.len());
             let done = outcome == Ok(Outcome::Applied);
-            tracing::info!(duty = CONFIGURATION_ROLE, term, version, step, against, done, "progress agreed");
+            tracing::info!(
+                role = CONFIGURATION_ROLE,
+                term,
+                version,
+                step,
+                rejections,
+                done,
+                "rollout progress committed"
+            );
             if let Some(service) = service.upgrade() {
                 service.kept(term, order, done);
             }
@@ -297,7 +319,7 @@
 
     /// A publication with the least number that it may have, and with the versions that are kept however old: what a rollback
     /// would bring back, and what proxies have in force.
-    pub(crate) fn numbered(&self, inner: &Inner, new: NewVersion) -> NewVersion {
+    pub(crate) fn numbered(&self, inner: &ServerState, new: NewVersion) -> NewVersion {
         let newest = self.group.with_state(GroupState::newest_version);
         let mut needed: Vec<u64> = inner.rollout.proxies().values().map(|proxy| proxy.in_force).collect();
         needed.push(inner.rollout.complete_before(newest + 1));
@@ -310,7 +332,7 @@
     /// Why nothing may be published under this term: the proxies follow a later owner.
     pub(crate) fn outranked(&self, term: u64) -> Option<String> {
         let inner = lock(&self.inner);
-        let seen = inner.lines.values().filter(|line| line.hello.is_some()).map(Line::seen);
+        let seen = inner.lines.values().filter(|line| line.hello.is_some()).map(Session::seen);
         let (later, others): (Vec<u64>, Vec<u64>) = seen.partition(|seen| *seen > term);
         let highest = later.iter().max()?;
         // One odd proxy of many does not stop a fleet from being changed.
