--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -28,15 +28,15 @@
 /// One request arrives, is sent and served, at one of 100 dispatchers with 60 engines.
 fn pick() -> f64 {
     let settings = Settings { dispatchers: 100, ..settings(vec![class(Effect::Safe, 1.0)]) };
-    let mut desk = Desk { dispatcher: Dispatcher::new(settings, 7).unwrap(), now: 0.0 };
-    desk.tell(Event::EngineList((0..60).map(entry).collect()));
+    let mut harness = Harness { dispatcher: Dispatcher::new(settings, 7).unwrap(), now: 0.0 };
+    harness.handle(Event::EngineList((0..60).map(entry).collect()));
     let mut number = 0;
     micros(4_000, || {
         number += 1;
-        desk.now += 20.0;
-        let sent = sends(&desk.arrive(request(number, 0, desk.now + 10_000.0)));
+        harness.now += 20.0;
+        let sent = sends(&harness.arrive(request(number, 0, harness.now + 10_000.0)));
         if let Some(engine) = sent.first() {
-            desk.end(number, 0, *engine, Outcome::Served, 15.0);
+            harness.end(number, 0, *engine, Outcome::Served, 15.0);
         }
     })
 }
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -85,19 +85,19 @@
     /// What a repeat would do.
     pub effect: Effect,
     /// The worth of an answer within the aim.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that an answer after the aim keeps.
-    pub late_share: f64,
+    pub late_fraction: f64,
     /// An answer within this time is worth the full amount.
-    pub aim: Millis,
+    pub target_latency: Millis,
     /// The aim grows by this times the true work over the threads.
-    pub aim_stretch: f64,
+    pub target_stretch: f64,
     /// Threads that a query runs on.
     pub threads: f64,
     /// True if requests of one key must run in turn.
     pub ordered: bool,
     /// True if it holds its tables on its engine while it runs.
-    pub holds_tables: bool,
+    pub locks_tables: bool,
     /// True if it stands still while a load holds its tables.
     pub waits_for_loads: bool,
     /// The only zones it may be sent to, if it is bound.
@@ -124,13 +124,13 @@
 
 /// The budget for attempts beyond a request's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptBudget {
+pub struct RetryBudgetSettings {
     /// Further attempts allowed in any span, however light the traffic.
-    pub free: f64,
+    pub min_retries: f64,
     /// Further attempts allowed for each request accepted in the span.
     pub ratio: f64,
     /// The span.
-    pub span: Millis,
+    pub window: Millis,
 }
 
 /// Where requests of some classes and tenants may go.
@@ -164,27 +164,27 @@
     /// Attempts allowed for one request.
     pub max_attempts: usize,
     /// True if two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub concurrent_attempts: bool,
     /// True if attempts may be cancelled.
-    pub cancelling: bool,
+    pub cancellation: bool,
     /// True if the engines heed a memory grant.
-    pub grants: bool,
+    pub memory_grants: bool,
     /// True if queries wait in line on an engine whose memory is granted, rather than run with less.
-    pub memory_line: bool,
+    pub memory_queueing: bool,
     /// True if the engines heed a priority.
     pub priorities: bool,
     /// What a request beyond its tenant's share is worth, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Points lost for attempts that cross zones, as a share of first tries.
     pub cross_zone_price: f64,
     /// A final answer this long after the deadline still counts.
     pub answer_slack: Millis,
     /// What a freshly started engine can bear.
-    pub cold: ColdSettings,
+    pub slow_start: ColdSettings,
     /// How long a key rests after an attempt that might still be running.
     pub order_pause: Millis,
     /// The budget of further attempts, if one is stated.
-    pub budget: Option<AttemptBudget>,
+    pub retry_budget: Option<RetryBudgetSettings>,
     /// The longest wait before a retry that clients honour; 0 if they are not told.
     pub max_retry_after: Millis,
     /// Where requests may go: the first route that holds for one decides; without any, all engines are alike.
@@ -214,11 +214,11 @@
         }
         let times = [
             ("answer_slack", settings.answer_slack),
-            ("cold.warm_within", settings.cold.warm_within),
-            ("cold.span", settings.cold.span),
+            ("cold.warm_within", settings.slow_start.warm_within),
+            ("cold.span", settings.slow_start.span),
             ("order_pause", settings.order_pause),
             ("max_retry_after", settings.max_retry_after),
-            ("budget.span", settings.budget.map_or(0.0, |budget| budget.span)),
+            ("budget.span", settings.retry_budget.map_or(0.0, |budget| budget.window)),
         ];
         for (field, value) in times {
             if !time(value) {
@@ -228,14 +228,18 @@
         if settings.dispatchers == 0 {
             return fail("dispatchers", "must be 1 or more");
         }
-        if !(0.0..=1.0).contains(&settings.cold.share) {
+        if !(0.0..=1.0).contains(&settings.slow_start.share) {
             return fail("cold.share", "must lie between 0 and 1");
         }
-        if !time(settings.cold.multiple) {
+        if !time(settings.slow_start.multiple) {
             return fail("cold.multiple", "must be finite and 0 or more");
         }
         for class in &settings.classes {
-            if !time(class.aim) || !time(class.aim_stretch) || !time(class.worth) || !time(class.late_share) {
+            if !time(class.target_latency)
+                || !time(class.target_stretch)
+                || !time(class.priority_weight)
+                || !time(class.late_fraction)
+            {
                 return fail("classes", "must have finite aims and worths of 0 or more");
             }
             if !class.threads.is_finite() || class.threads <= 0.0 {
@@ -294,7 +298,7 @@
     /// Whether it takes work.
     pub readiness: Readiness,
     /// When it last started, if that was not long ago.
-    pub started: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Its key, the same at every dispatcher, as `gaugestep_subsetting::key` makes it of its name.
     pub key: u64,
 }
@@ -316,7 +320,7 @@
     /// Its tenant, at sites that have any.
     pub tenant: TenantId,
     /// When the client gives up.
-    pub due: Millis,
+    pub deadline: Millis,
     /// A guess of its work on one thread; 0 if none is given.
     pub estimate: Millis,
     /// A guess of the memory that it needs; 0 if none is given.
@@ -333,9 +337,9 @@
     /// It was served.
     Served,
     /// The engine sent an error; it may have run.
-    Errored,
+    Failed,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer came in time; it may still be running.
     TimedOut,
     /// No connection; it never ran.
@@ -345,15 +349,15 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// True if this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         match self {
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => true,
-            Outcome::Served | Outcome::Errored | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => true,
+            Outcome::Served | Outcome::Failed | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
                 false
             }
         }
@@ -373,7 +377,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Queries that it holds.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Queries that wait for memory.
     pub queued: Option<f64>,
     /// How busy its cores are, 0 to 1.
@@ -405,7 +409,7 @@
 
 /// What a note says about a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ProgressReport {
     /// The share done, roughly.
     Done(f64),
     /// It spills; so many MB are missing.
@@ -424,50 +428,52 @@
     /// Changed lines of the list.
     EngineChanges(Vec<EngineEntry>),
     /// A request from a client.
-    Arrived(NewRequest),
+    Request(NewRequest),
     /// An attempt ended.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// The answer of a streamed request has started: attempt and client are on their own.
     Streaming(RequestId, AttemptNo),
     /// A note on a running attempt.
-    Noted(RequestId, AttemptNo, Note),
+    Progress(RequestId, AttemptNo, ProgressReport),
     /// The client left, or the answer is overdue.
     ClientGone(RequestId),
     /// The dispatcher will end: its requests are due by then at the latest.
     ClosingBy(Millis),
     /// The dispatcher has a place by a roster until then, and by its settings from then on.
-    Seated(Place, Millis),
+    PositionAssigned(Place, Millis),
     /// New settings. A class keeps its place as long as a request of it is open; other rules come under another place.
-    Retuned(Box<Settings>),
+    SettingsUpdated(Box<Settings>),
     /// A probe came back.
-    Probed(EngineId, Outcome, Option<LoadReport>),
+    ProbeResult(EngineId, Outcome, Option<LoadReport>),
     /// A timer came due.
     Timer(TimerId),
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// Its attempts failed or were turned away, and no further one may be made.
-    Tried,
+    AttemptsFailed,
     /// Its time ran out while no engine had room for it.
-    Waited,
+    QueueTimeout,
     /// By what answers of its class tell, its run does not fit into the time that is left, or would earn nothing.
     TooLong,
     /// Too many requests are open, and it is worth least for its work.
-    Crowded,
+    Overloaded,
 }
 
-impl Refusal {
+impl RejectReason {
     /// The reason in words, for people who use clients.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Refusal::Tried => "attempts on engines failed, and no further one is allowed",
-            Refusal::Waited => "no engine had room before the time ran out",
-            Refusal::TooLong => {
+            RejectReason::AttemptsFailed => "attempts on engines failed, and no further one is allowed",
+            RejectReason::QueueTimeout => "no engine had room before the time ran out",
+            RejectReason::TooLong => {
                 "runs of this class take longer than the time that is left, or than is wanted"
             }
-            Refusal::Crowded => "too many requests are open, and others are worth more for their work",
+            RejectReason::Overloaded => {
+                "too many requests are open, and others are worth more for their work"
+            }
         }
     }
 }
@@ -490,13 +496,13 @@
         attempt: AttemptNo,
     },
     /// Final answer: declined, a retry does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the client should stay away; 0 gives no advice.
         retry_after: Millis,
         /// Why it is refused.
-        reason: Refusal,
+        reason: RejectReason,
     },
     /// Final answer: failed, nothing promised about the effect.
     Fail {
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -1,9 +1,9 @@
 //! All decisions of a dispatcher. Its events and actions are in [`crate::interface`].
 //!
-//! A request's path: `arrived` books it, `serve_waiting` ranks what waits by worth per work and gives each an
+//! A request's path: `on_request` books it, `serve_waiting` ranks what waits by worth per work and gives each an
 //! engine with room (`place`), or leaves it waiting; `tick` watches what runs: past its class's tau
 //! (`choose_tau`) it is cut and waits again for its one relaunch on another engine, which runs to its end;
-//! `ended` learns from each outcome and passes on, retries (`further_attempt`) or answers.
+//! `on_attempt_ended` learns from each outcome and passes on, retries (`further_attempt`) or answers.
 //! What cannot be served in time is refused; every request gets one final answer before its deadline.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -12,8 +12,10 @@
 use gaugestep_subsetting::turn::{Allowance, Budget, spread};
 
 use crate::interface::*;
-use crate::requests::{Attempt, Class, KeyLine, Request};
-use crate::stats::{BINS, Held, Level, Mean, bin_of, held_by_all, product_limit, remember, since, unseen};
+use crate::requests::{Attempt, Class, OrderedQueue, Request};
+use crate::stats::{
+    BINS, InFlightLoad, Level, Mean, bin_of, held_by_all, product_limit, remember, since, unseen,
+};
 
 /// ms that a timer or an outcome may come late; half the usual slack for answers.
 const TICK: Millis = 10.0;
@@ -115,7 +117,7 @@
     strikes: u32,
     struck_at: Millis,
     barred_until: Millis,
-    held: Held,
+    held: InFlightLoad,
 }
 
 /// The decisions of one dispatcher.
@@ -126,14 +128,14 @@
     classes: Vec<Class>,
     engines: BTreeMap<EngineId, Engine>,
     requests: BTreeMap<RequestId, Request>,
-    lines: BTreeMap<OrderKey, KeyLine>,
+    lines: BTreeMap<OrderKey, OrderedQueue>,
     /// Requests of late of each tenant, as the weight of a forgetting mean.
     tenants: Vec<Mean>,
     accepted: VecDeque<Millis>,
     further: VecDeque<Millis>,
     density: Mean,
     /// What queries in flight take up, weighted by their time there.
-    usual: Held,
+    usual: InFlightLoad,
     /// The engines that reported last, this dispatcher's subset, and those of it that are drawn from for now.
     heard: VecDeque<EngineId>,
     subset: Subset,
@@ -167,7 +169,7 @@
             accepted: VecDeque::new(),
             further: VecDeque::new(),
             density: Mean::default(),
-            usual: Held::default(),
+            usual: InFlightLoad::default(),
             heard: VecDeque::new(),
             subset: Subset::default(),
             own: (Vec::new(), 0.0),
@@ -183,7 +185,7 @@
     }
 
     /// Takes one event and adds what is to be done to `out`. While much is open, what waits is not looked at
-    /// for each event, which took more than a core: [`Dispatcher::settle`] must follow soon.
+    /// for each event, which took more than a core: [`Dispatcher::run_pending`] must follow soon.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.subset.place != Some(self.stands()) {
@@ -192,21 +194,23 @@
         match event {
             Event::EngineList(entries) => self.engines_listed(entries, true),
             Event::EngineChanges(entries) => self.engines_listed(entries, false),
-            Event::Arrived(new) => self.arrived(new),
-            Event::Ended(end) => self.ended(end, out),
+            Event::Request(new) => self.on_request(new),
+            Event::AttemptEnded(end) => self.on_attempt_ended(end, out),
             // The stream is the client's from here on.
             Event::Streaming(id, _) => {
                 self.requests.entry(id).and_modify(|request| request.finished = true);
             }
-            Event::Noted(id, attempt, note) => {
-                self.noted(&id, attempt, note);
+            Event::Progress(id, attempt, note) => {
+                self.on_progress(&id, attempt, note);
                 self.look_at(&id, out);
             }
             Event::ClientGone(id) => self.finish(&id, out),
-            Event::ClosingBy(at) => self.requests.values_mut().for_each(|it| it.new.due = it.new.due.min(at)),
-            Event::Retuned(settings) => self.retuned(*settings),
-            Event::Seated(place, until) => self.seated = (place, until),
-            Event::Probed(engine, _, load) => self.reported(engine, load),
+            Event::ClosingBy(at) => {
+                self.requests.values_mut().for_each(|it| it.new.deadline = it.new.deadline.min(at))
+            }
+            Event::SettingsUpdated(settings) => self.update_settings(*settings),
+            Event::PositionAssigned(place, until) => self.seated = (place, until),
+            Event::ProbeResult(engine, _, load) => self.reported(engine, load),
             Event::Timer(_) => self.tick(out),
         }
         self.unsettled = self.requests.len() > FEW;
@@ -216,7 +220,7 @@
     }
 
     /// Places what waits, if events since the last call left that open.
-    pub fn settle(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub fn run_pending(&mut self, now: Millis, out: &mut Vec<Action>) {
         if std::mem::take(&mut self.unsettled) {
             self.now = self.now.max(now);
             self.serve(out);
@@ -266,16 +270,16 @@
         let loads = curve.iter().map(|&(tau, area, survival)| (area + this.rerun * survival, tau));
         let best = loads.min_by(|a, b| a.0.total_cmp(&b.0));
         // Once all stragglers are cut little of the tail is seen: cutting stops only when it gains nothing.
-        let wanted = if this.tau.is_some() { 1.0 } else { MIN_GAIN };
+        let wanted = if this.timeout.is_some() { 1.0 } else { MIN_GAIN };
         let tau = best.filter(|(load, _)| *load < mean * wanted).map(|(_, tau)| tau);
         let tau =
-            tau.filter(|_| ends.iter().sum::<u32>() as usize >= MIN_OUTCOMES && self.settings.cancelling);
-        if tau.is_some() != this.tau.is_some() {
+            tau.filter(|_| ends.iter().sum::<u32>() as usize >= MIN_OUTCOMES && self.settings.cancellation);
+        if tau.is_some() != this.timeout.is_some() {
             let told =
                 tau.map_or("nothing is cut".into(), |tau| format!("cuts past {tau:.2} times the estimate"));
             out.push(Action::Log(format!("class {class}: {told}")));
         }
-        this.tau = tau;
+        this.timeout = tau;
     }
 
     /// How long an attempt has run, and runs on, over its estimate and its engine's slowness: crowding and
@@ -287,7 +291,7 @@
     /// The attempt to cut, if the request's run has passed tau and a relaunch may and should follow.
     fn cut_due(&self, request: &Request) -> Option<usize> {
         let class = &self.classes[request.new.class.0];
-        let tau = class.tau?;
+        let tau = class.timeout?;
         let (index, attempt) = request.live().next()?;
         if request.finished || request.never_cut || attempt.cut || request.cut_before(index) {
             return None;
@@ -297,7 +301,7 @@
         // A class bound to places or groups may have no other engine to go to.
         let other = |engine: &Engine| engine.entry.engine != attempt.engine && self.healthy(engine);
         let elsewhere = self.engines.values().any(|engine| other(engine) && self.permitted(request, engine));
-        if !elsewhere || request.new.due - self.now < rerun || !self.further_attempt(request, true) {
+        if !elsewhere || request.new.deadline - self.now < rerun || !self.further_attempt(request, true) {
             return None;
         }
         // A note weighs the time left against a rerun, as Theorem 2 does for the class: what ends sooner goes
@@ -315,7 +319,7 @@
     fn hopeless_run(&self, request: &Request) -> bool {
         let safe = self.settings.classes[request.new.class.0].effect == Effect::Safe;
         let left = request.live().next().and_then(|(_, attempt)| attempt.left());
-        safe && left.is_some_and(|left| self.now + left / HOPELESS > request.new.due)
+        safe && left.is_some_and(|left| self.now + left / HOPELESS > request.new.deadline)
     }
 
     /// Looks at all that runs: cuts, and answers what is overdue.
@@ -368,7 +372,7 @@
 
     /// The time-out at the deadline answers for what runs; this guards against its coming late.
     fn answer_by(&self, request: &Request) -> Millis {
-        request.new.due - if request.live().next().is_some() { 0.0 } else { 2.0 * TICK }
+        request.new.deadline - if request.live().next().is_some() { 0.0 } else { 2.0 * TICK }
     }
 
     /// When the next timer is due: to cut, to answer, to place what waits, or to learn tau anew.
@@ -376,7 +380,7 @@
         let mut next = f64::INFINITY;
         let slow: BTreeMap<EngineId, f64> = self.engines.keys().map(|id| (*id, self.slowness(*id))).collect();
         for request in self.requests.values().filter(|request| !request.finished) {
-            let tau = self.classes[request.new.class.0].tau.unwrap_or(f64::INFINITY);
+            let tau = self.classes[request.new.class.0].timeout.unwrap_or(f64::INFINITY);
             let at = request.live().find(|(_, attempt)| !attempt.cut).map_or(self.now + RETRY, |(_, run)| {
                 run.sent + tau * self.nominal(&request.new) * slow.get(&run.engine).unwrap_or(&1.0) + 0.5
             });
@@ -393,11 +397,11 @@
         if tried == 0 {
             return true;
         }
-        let copies = self.settings.second_copies && request.live().all(|(_, attempt)| attempt.cut);
+        let copies = self.settings.concurrent_attempts && request.live().all(|(_, attempt)| attempt.cut);
         let alone = request.live().next().is_none() || after_cancel || copies;
         let repeatable = self.now < self.repeat_until(request, tried);
         // What fails on several engines fails by itself: more tries would only take the ration.
-        let failed = request.attempts.iter().filter(|at| at.ended == Some(Outcome::Errored)).count();
+        let failed = request.attempts.iter().filter(|at| at.ended == Some(Outcome::Failed)).count();
         failed < ERRORS_OUT && tried < request.most && alone && repeatable && self.budget_left()
     }
 
@@ -414,20 +418,20 @@
 
     /// Whether the budget has room for one further attempt in the window that ends now.
     fn budget_left(&self) -> bool {
-        let Some(budget) = self.settings.budget else { return true };
+        let Some(budget) = self.settings.retry_budget else { return true };
         // The window of attempts is taken a little longer than that of requests, to be safe at its edges.
-        let made = since(&self.further, self.now - budget.span - TICK);
-        let taken = since(&self.accepted, self.now - budget.span + TICK);
-        (made + 1) as f64 <= budget.free + budget.ratio * taken as f64
+        let made = since(&self.further, self.now - budget.window - TICK);
+        let taken = since(&self.accepted, self.now - budget.window + TICK);
+        (made + 1) as f64 <= budget.min_retries + budget.ratio * taken as f64
     }
 
     // Requests: arrival, outcomes, answers.
 
-    fn arrived(&mut self, new: NewRequest) {
+    fn on_request(&mut self, new: NewRequest) {
         if self.requests.contains_key(&new.id) || new.class.0 >= self.classes.len() {
             return;
         }
-        let span = self.settings.budget.map_or(0.0, |budget| budget.span + 2.0 * TICK);
+        let span = self.settings.retry_budget.map_or(0.0, |budget| budget.window + 2.0 * TICK);
         self.accepted.push_back(self.now);
         for times in [&mut self.accepted, &mut self.further] {
             while times.front().is_some_and(|at| self.now - at > span) {
@@ -439,17 +443,17 @@
         }
         let work = self.nominal(&new) * self.settings.classes[new.class.0].threads;
         self.classes[new.class.0].work.add(work, self.now, CLASS_HORIZON);
-        let within = self.within_share(new.tenant);
+        let in_quota = self.within_share(new.tenant);
         let never_cut = self.random.rand_float() < UNCUT_SHARE;
         let (arrived, most, attempts) = (self.now, self.settings.max_attempts.max(1), Vec::new());
-        let request = Request { arrived, within, never_cut, finished: false, most, attempts, new };
+        let request = Request { arrived, in_quota, never_cut, finished: false, most, attempts, new };
         let density = self.rank(&request);
         self.density.add(density.max(1e-9).ln(), self.now, CLASS_HORIZON);
         self.requests.insert(request.new.id.clone(), request);
     }
 
     /// Takes new settings: what is known of a class goes with its rules.
-    fn retuned(&mut self, settings: Settings) {
+    fn update_settings(&mut self, settings: Settings) {
         let (old, new) = (&self.settings.classes, &settings.classes);
         for (_, class) in self.classes.iter_mut().enumerate().filter(|(at, _)| old.get(*at) != new.get(*at)) {
             *class = Class::default();
@@ -474,7 +478,7 @@
         new.key.clone().filter(|_| self.settings.classes[new.class.0].ordered)
     }
 
-    fn ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
+    fn on_attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         self.reported(end.engine, end.load);
         let Some(request) = self.requests.get_mut(&end.id) else { return };
         let Some(attempt) = request.attempts.get_mut(end.attempt.0) else { return };
@@ -495,7 +499,7 @@
         if request.finished {
             self.forget_if_over(&end.id);
         } else if request.live().next().is_none() {
-            let overdue = end.outcome == Outcome::TimedOut || self.now >= request.new.due;
+            let overdue = end.outcome == Outcome::TimedOut || self.now >= request.new.deadline;
             if overdue || !self.further_attempt(request, false) {
                 self.answer(&end.id, out);
             }
@@ -522,7 +526,7 @@
                 remember(&mut class.runs, (bin_of(ratio), end.outcome == Outcome::Served), WINDOW);
             }
         }
-        let failed = |at: &&Attempt| end.outcome == Outcome::Served && at.ended == Some(Outcome::Errored);
+        let failed = |at: &&Attempt| end.outcome == Outcome::Served && at.ended == Some(Outcome::Failed);
         for erred in request.attempts.iter().filter(failed) {
             self.engines.entry(erred.engine).and_modify(|it| it.blame.add(1.0, now, ENGINE_HORIZON));
         }
@@ -552,9 +556,9 @@
             }
             // A connection that breaks now and then is the network's doing; failures in a row, with no answer
             // between, are the engine's. This guards against dead, failing and full engines.
-            Outcome::ConnectFailed | Outcome::Reset | Outcome::Full | Outcome::Errored => {
+            Outcome::ConnectFailed | Outcome::Reset | Outcome::Rejected | Outcome::Failed => {
                 let strikes = match end.outcome {
-                    Outcome::Full => STRIKES_OUT,
+                    Outcome::Rejected => STRIKES_OUT,
                     Outcome::ConnectFailed => 2,
                     _ => u32::from(now - engine.struck_at >= STRIKE_EVERY),
                 };
@@ -571,18 +575,18 @@
                     }
                 }
             }
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
-    fn noted(&mut self, id: &RequestId, attempt: AttemptNo, note: Note) {
+    fn on_progress(&mut self, id: &RequestId, attempt: AttemptNo, note: ProgressReport) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let class = &mut self.classes[request.new.class.0];
         let Some(attempt) = request.attempts.get_mut(attempt.0) else { return };
         match note {
-            Note::Done(share) => attempt.done = Some((share.clamp(0.0, 1.0), self.now)),
-            Note::Spills(_) => class.memory.set((class.memory.log + 0.03).min(1.0)),
-            Note::WaitsForMemory | Note::WaitsForLoad => {}
+            ProgressReport::Done(share) => attempt.done = Some((share.clamp(0.0, 1.0), self.now)),
+            ProgressReport::Spills(_) => class.memory.set((class.memory.log + 0.03).min(1.0)),
+            ProgressReport::WaitsForMemory | ProgressReport::WaitsForLoad => {}
         }
     }
 
@@ -594,15 +598,15 @@
             Effect::Keyed(..) | Effect::Unsafe => !request.may_have_run(),
         };
         let reason = match request.attempts.is_empty() {
-            false => Refusal::Tried,
-            true if self.now >= self.answer_by(request) => Refusal::Waited,
-            true if self.too_late(request) => Refusal::TooLong,
-            true => Refusal::Crowded,
+            false => RejectReason::AttemptsFailed,
+            true if self.now >= self.answer_by(request) => RejectReason::QueueTimeout,
+            true if self.too_late(request) => RejectReason::TooLong,
+            true => RejectReason::Overloaded,
         };
         self.unserved += 1;
         let (id_out, retry_after) = (id.clone(), self.settings.max_retry_after);
         out.push(match harmless {
-            true => Action::Refuse { id: id_out, retry_after, reason },
+            true => Action::Reject { id: id_out, retry_after, reason },
             false => Action::Fail { id: id_out },
         });
         self.finish(id, out);
@@ -612,7 +616,7 @@
     fn finish(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.finished = true;
-        if self.settings.cancelling {
+        if self.settings.cancellation {
             for (index, _) in request.live().filter(|(_, attempt)| !attempt.cut) {
                 out.push(Action::Cancel { id: id.clone(), attempt: AttemptNo(index) });
             }
@@ -656,13 +660,14 @@
     fn rank(&self, request: &Request) -> f64 {
         let told = &self.settings.classes[request.new.class.0];
         let alone = self.alone(&request.new);
-        let aim = (request.arrived + told.aim + told.aim_stretch * alone).min(request.new.due);
-        let late = if self.now + self.expected_run(&request.new) > aim { told.late_share } else { 1.0 };
+        let aim =
+            (request.arrived + told.target_latency + told.target_stretch * alone).min(request.new.deadline);
+        let late = if self.now + self.expected_run(&request.new) > aim { told.late_fraction } else { 1.0 };
         // The head of a key's line works for all behind it.
         let line = self.key_of(&request.new).and_then(|key| self.lines.get(&key));
         let behind = line.map_or(1.0, |line| line.queue.len().max(1) as f64);
-        let tenant = request.within + (1.0 - request.within) * self.settings.over_share_worth;
-        told.worth * late * tenant * behind / (alone * told.threads)
+        let tenant = request.in_quota + (1.0 - request.in_quota) * self.settings.over_quota_weight;
+        told.priority_weight * late * tenant * behind / (alone * told.threads)
     }
 
     /// Priority by rank against the usual rank.
@@ -673,7 +678,8 @@
 
     /// Whether the request can earn nothing any more, as half its usual run no longer fits.
     fn too_late(&self, request: &Request) -> bool {
-        self.rank(request) <= 0.0 || self.now + self.expected_run(&request.new) / HOPELESS > request.new.due
+        self.rank(request) <= 0.0
+            || self.now + self.expected_run(&request.new) / HOPELESS > request.new.deadline
     }
 
     /// Sends what waits, best first, as long as engines have room.
@@ -732,7 +738,7 @@
 
     /// Books on each engine what this dispatcher has out there, and what reports tell of the whole fleet.
     fn book_held(&mut self) {
-        self.engines.values_mut().for_each(|engine| engine.held = Held::default());
+        self.engines.values_mut().for_each(|engine| engine.held = InFlightLoad::default());
         if self.now >= self.own.1 {
             self.own = (self.own(|_| true), self.now + BAR_FIRST);
         }
@@ -779,10 +785,10 @@
     }
 
     /// What one run of the request takes up; memory with its margin.
-    fn needs(&self, new: &NewRequest) -> Held {
+    fn needs(&self, new: &NewRequest) -> InFlightLoad {
         let threads = self.settings.classes[new.class.0].threads;
         let memory = new.memory_mb * self.classes[new.class.0].memory.factor * GRANT_MARGIN;
-        Held { queries: 1.0, threads, memory }
+        InFlightLoad { queries: 1.0, threads, memory }
     }
 
     // Placement.
@@ -794,7 +800,7 @@
         let needs = self.needs(&request.new);
         let room = THREADS_PER_CORE * (1.0 + URGENT_ROOM * f64::from(priority));
         // Of loads on the same tables an engine runs one at a time: the others would stand still there.
-        let holds = |new: &NewRequest| self.settings.classes[new.class.0].holds_tables;
+        let holds = |new: &NewRequest| self.settings.classes[new.class.0].locks_tables;
         let same = |other: &&Request| holds(&other.new) && other.new.tables == request.new.tables;
         let loads = holds(&request.new).then(|| self.requests.values().filter(same)).into_iter().flatten();
         let taken: Vec<EngineId> = loads.flat_map(Request::live).map(|(_, at)| at.engine).collect();
@@ -817,8 +823,8 @@
             let memory = here.memory + others * alike.memory / alike.queries + needs.memory;
             let load = threads / (machine.cores * self.warmth(engine)) * self.slowness(engine_id);
             // The most urgent are small, and go first where a line for memory forms.
-            let passes = usize::from(priority) == PRIORITY_STEPS.len() && self.settings.memory_line;
-            let fill = if self.settings.memory_line { MEMORY_FILL } else { TRIMMED_FILL };
+            let passes = usize::from(priority) == PRIORITY_STEPS.len() && self.settings.memory_queueing;
+            let fill = if self.settings.memory_queueing { MEMORY_FILL } else { TRIMMED_FILL };
             let filled = machine.memory_mb > 0.0 && memory > machine.memory_mb * fill;
             let crowded = load > room || (filled && !passes);
             if crowded && (here.queries >= 1.0 || others >= 0.5) {
@@ -911,8 +917,8 @@
             engine.held.add(needs, 1.0);
             engine.allowance.sent(work);
         }
-        if self.settings.grants || self.settings.priorities {
-            let memory_mb = if self.settings.grants { needs.memory } else { 0.0 };
+        if self.settings.memory_grants || self.settings.priorities {
+            let memory_mb = if self.settings.memory_grants { needs.memory } else { 0.0 };
             out.push(Action::SetTerms { id: id.clone(), memory_mb, priority });
         }
         out.push(Action::Send { id: id.clone(), engine: engine_id });
@@ -936,9 +942,9 @@
             // An engine that turns up later has just started, whatever the list says of it.
             let fresh = (!whole).then_some(self.now);
             let new = |cold_since| Engine { entry, cold_since, ..Engine::default() };
-            let engine = self.engines.entry(entry.engine).or_insert_with(|| new(entry.started.or(fresh)));
-            if entry.started.is_some() && entry.started != engine.entry.started {
-                *engine = new(entry.started);
+            let engine = self.engines.entry(entry.engine).or_insert_with(|| new(entry.started_at.or(fresh)));
+            if entry.started_at.is_some() && entry.started_at != engine.entry.started_at {
+                *engine = new(entry.started_at);
             }
             engine.entry = entry;
         }
@@ -947,7 +953,7 @@
     }
 
     fn reported(&mut self, engine: EngineId, load: Option<LoadReport>) {
-        let Some(held) = load.and_then(|load| load.held) else { return };
+        let Some(held) = load.and_then(|load| load.in_flight) else { return };
         let own =
             self.requests.values().flat_map(Request::live).filter(|(_, at)| at.engine == engine).count();
         // What waits for memory there takes up neither cores nor memory yet.
@@ -966,7 +972,7 @@
     }
 
     /// How many engines that take work are left alone at this time.
-    pub fn avoided(&mut self, now: Millis) -> usize {
+    pub fn ejected_count(&mut self, now: Millis) -> usize {
         self.now = self.now.max(now);
         let up = self.engines.values().filter(|engine| engine.entry.readiness == Readiness::Up);
         up.filter(|engine| !self.healthy(engine)).count()
@@ -980,14 +986,14 @@
 
     /// The share of its capacity that an engine has by now, at the least.
     fn warmth(&self, engine: &Engine) -> f64 {
-        engine.cold_since.map_or(1.0, |since| self.settings.cold.warmth(self.now - since))
+        engine.cold_since.map_or(1.0, |since| self.settings.slow_start.warmth(self.now - since))
     }
 
     /// Whether a cold engine can take one more request of the class, by this dispatcher's rights there.
     fn cold_room(&mut self, engine_id: EngineId, class: ClassId) -> bool {
         let Some(engine) = self.engines.get(&engine_id) else { return false };
         let Some(since) = engine.cold_since else { return true };
-        let budget = Budget { cores: self.machine(engine).cores, cold: self.settings.cold };
+        let budget = Budget { cores: self.machine(engine).cores, cold: self.settings.slow_start };
         let works: Vec<f64> = (0..self.classes.len()).map(|it| self.usual_work(ClassId(it))).collect();
         let (work, stand, age) = (works[class.0], self.subset.stands(engine_id.0), self.now - since);
         let engine = self.engines.get_mut(&engine_id);
--- a/crates/dispatch/src/requests.rs
+++ b/crates/dispatch/src/requests.rs
@@ -28,7 +28,7 @@
     pub new: NewRequest,
     pub arrived: Millis,
     /// The part of it taken to be within its tenant's share.
-    pub within: f64,
+    pub in_quota: f64,
     pub never_cut: bool,
     pub finished: bool,
     /// Attempts that it may have at most, by the settings that it came under.
@@ -68,7 +68,7 @@
 
 /// Requests of one key, in turn.
 #[derive(Default)]
-pub struct KeyLine {
+pub struct OrderedQueue {
     pub queue: VecDeque<RequestId>,
     pub rests_until: Millis,
 }
@@ -81,7 +81,7 @@
     /// Times of reruns.
     pub reruns: Mean,
     /// Past this a first run is cut; none where nothing is.
-    pub tau: Option<f64>,
+    pub timeout: Option<f64>,
     /// Mean rerun, in the histogram's unit.
     pub rerun: f64,
     /// True over estimated work, and true work over `UNKNOWN_WORK`.
--- a/crates/dispatch/src/stats.rs
+++ b/crates/dispatch/src/stats.rs
@@ -132,7 +132,7 @@
 
 /// What queries take up.
 #[derive(Clone, Copy, Default)]
-pub struct Held {
+pub struct InFlightLoad {
     /// Queries.
     pub queries: f64,
     /// Their threads.
@@ -141,9 +141,9 @@
     pub memory: f64,
 }
 
-impl Held {
+impl InFlightLoad {
     /// Adds another so many times.
-    pub fn add(&mut self, other: Held, times: f64) {
+    pub fn add(&mut self, other: InFlightLoad, times: f64) {
         self.queries += other.queries * times;
         self.threads += other.threads * times;
         self.memory += other.memory * times;
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -7,13 +7,13 @@
 pub fn class(effect: Effect, threads: f64) -> ClassSettings {
     ClassSettings {
         effect,
-        worth: 1.0,
-        late_share: 0.5,
-        aim: 4_000.0,
-        aim_stretch: 2.0,
+        priority_weight: 1.0,
+        late_fraction: 0.5,
+        target_latency: 4_000.0,
+        target_stretch: 2.0,
         threads,
         ordered: false,
-        holds_tables: false,
+        locks_tables: false,
         waits_for_loads: false,
         zones: None,
         machines: None,
@@ -30,17 +30,17 @@
         zone: ZoneId(0),
         max_open: 20_000,
         max_attempts: 4,
-        second_copies: false,
-        cancelling: true,
-        memory_line: false,
-        grants: true,
+        concurrent_attempts: false,
+        cancellation: true,
+        memory_queueing: false,
+        memory_grants: true,
         priorities: true,
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         cross_zone_price: 0.0,
         answer_slack: 20.0,
-        cold: ColdSettings { share: 0.3, warm_within: 14_000.0, multiple: 3.0, span: 1_500.0 },
+        slow_start: ColdSettings { share: 0.3, warm_within: 14_000.0, multiple: 3.0, span: 1_500.0 },
         order_pause: 500.0,
-        budget: None,
+        retry_budget: None,
         max_retry_after: 500.0,
         routes: vec![],
     }
@@ -53,7 +53,7 @@
         machine: MachineId(0),
         cell: CellId(0),
         readiness: Readiness::Up,
-        started: None,
+        started_at: None,
         key: gaugestep_subsetting::key(&engine.to_string()),
     }
 }
@@ -62,12 +62,12 @@
     RequestId(format!("request-{number:08}").into())
 }
 
-pub fn request(number: u32, class: usize, due: Millis) -> NewRequest {
+pub fn request(number: u32, class: usize, deadline: Millis) -> NewRequest {
     NewRequest {
         id: id(number),
         class: ClassId(class),
         tenant: TenantId(0),
-        due,
+        deadline,
         estimate: 1_000.0,
         memory_mb: 100.0,
         tables: TablesId(0),
@@ -76,37 +76,37 @@
 }
 
 /// A dispatcher with a clock, for tests that step through events.
-pub struct Desk {
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Millis,
 }
 
-impl Desk {
-    pub fn new(settings: Settings, engines: u32) -> Desk {
-        let mut desk = Desk { dispatcher: Dispatcher::new(settings, 7).unwrap(), now: 0.0 };
-        desk.tell(Event::EngineList((0..engines).map(entry).collect()));
-        desk
+impl Harness {
+    pub fn new(settings: Settings, engines: u32) -> Harness {
+        let mut harness = Harness { dispatcher: Dispatcher::new(settings, 7).unwrap(), now: 0.0 };
+        harness.handle(Event::EngineList((0..engines).map(entry).collect()));
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, event, &mut actions);
         actions
     }
 
     /// Lets the clock run in steps of the module's timer and gathers what it does.
-    pub fn wait(&mut self, span: Millis) -> Vec<Action> {
+    pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 10.0).min(end);
-            actions.extend(self.tell(Event::Timer(TimerId(0))));
+            actions.extend(self.handle(Event::Timer(TimerId(0))));
         }
         actions
     }
 
     pub fn arrive(&mut self, new: NewRequest) -> Vec<Action> {
-        self.tell(Event::Arrived(new))
+        self.handle(Event::Request(new))
     }
 
     pub fn end(
@@ -117,7 +117,7 @@
         outcome: Outcome,
         elapsed: f64,
     ) -> Vec<Action> {
-        self.tell(Event::Ended(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id: id(number),
             attempt: AttemptNo(attempt),
             engine,
@@ -152,8 +152,8 @@
     actions.iter().filter(|action| matches!(action, Action::Cancel { .. })).count()
 }
 
-pub fn refusals(actions: &[Action]) -> usize {
-    actions.iter().filter(|action| matches!(action, Action::Refuse { .. })).count()
+pub fn rejections(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count()
 }
 
 pub fn failures(actions: &[Action]) -> usize {
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -34,39 +34,43 @@
     let mut played = Played { work: BTreeMap::new(), light: 0, heavy: 0 };
     for seed in 0..DISPATCHERS {
         let settings = Settings { dispatchers: told as usize, place: place(seed), ..settings.clone() };
-        let mut desk = Desk { dispatcher: Dispatcher::new(settings, seed).unwrap(), now: start };
+        let mut harness = Harness { dispatcher: Dispatcher::new(settings, seed).unwrap(), now: start };
         let late = skew * (seed % 3) as f64 / 2.0;
-        desk.tell(Event::EngineList(vec![EngineEntry { started: Some(start + late - 10.0), ..entry(0) }]));
+        harness.handle(Event::EngineList(vec![EngineEntry {
+            started_at: Some(start + late - 10.0),
+            ..entry(0)
+        }]));
         let mut random = oorandom::Rand64::new(u128::from(seed) + 1_000);
         let mut running: Vec<(Millis, u32)> = Vec::new();
         // Each request's work and number, by its id.
         let mut requests = BTreeMap::new();
         let mut number = 0;
         let mut step = 0;
-        while desk.now < start + length {
+        while harness.now < start + length {
             let mut actions = Vec::new();
             for (work, chance) in [(LIGHT, STEP / 200.0), (HEAVY, STEP / 1_000.0)] {
                 if random.rand_float() < chance {
                     number += 1;
                     requests.insert(id(number), (work, number));
                     let class = usize::from(work == HEAVY);
-                    let new = NewRequest { estimate: work, ..request(number, class, desk.now + 10_000.0) };
-                    actions.extend(desk.arrive(new));
+                    let new = NewRequest { estimate: work, ..request(number, class, harness.now + 10_000.0) };
+                    actions.extend(harness.arrive(new));
                 }
             }
-            let (done, going): (Vec<_>, Vec<_>) = running.into_iter().partition(|(end, _)| *end <= desk.now);
+            let (done, going): (Vec<_>, Vec<_>) =
+                running.into_iter().partition(|(end, _)| *end <= harness.now);
             running = going;
             for (_, ended) in done {
-                actions.extend(desk.end(ended, 0, EngineId(0), Outcome::Served, requests[&id(ended)].0));
+                actions.extend(harness.end(ended, 0, EngineId(0), Outcome::Served, requests[&id(ended)].0));
             }
-            actions.extend(desk.wait(STEP));
+            actions.extend(harness.advance(STEP));
             for action in actions {
                 if let Action::Send { id: sent, engine: EngineId(0) } = action {
                     let (work, number) = requests[&sent];
                     *played.work.entry(step).or_default() += work;
                     let count = if work == HEAVY { &mut played.heavy } else { &mut played.light };
                     *count += 1;
-                    running.push((desk.now + work, number));
+                    running.push((harness.now + work, number));
                 }
             }
             step += 1;
@@ -79,7 +83,7 @@
 /// of 8 cores at the start, in 1.5 s. The part that is allowed for chance is not used.
 fn worst(played: &Played) -> f64 {
     let window = (1_500.0 / STEP) as u64;
-    let budget = Budget { cores: 8.0, cold: settings(vec![class(Effect::Safe, 1.0)]).cold };
+    let budget = Budget { cores: 8.0, cold: settings(vec![class(Effect::Safe, 1.0)]).slow_start };
     let last = played.work.keys().last().copied().unwrap_or(0);
     let sums = (0..=last).map(|first| {
         let sent: Millis = played.work.range(first..first + window).map(|(_, work)| work).sum();
@@ -89,7 +93,7 @@
 }
 
 fn mean(played: &Played, length: Millis) -> f64 {
-    let budget = Budget { cores: 8.0, cold: settings(vec![class(Effect::Safe, 1.0)]).cold };
+    let budget = Budget { cores: 8.0, cold: settings(vec![class(Effect::Safe, 1.0)]).slow_start };
     played.work.values().sum::<Millis>() / budget.gathered(length)
 }
 
@@ -142,25 +146,25 @@
         let place = Place::seat(seat as u32, DISPATCHERS as u32).unwrap();
         let settings = settings(vec![class(Effect::Safe, 1.0)]);
         let settings = Settings { dispatchers: DISPATCHERS as usize, place, ..settings };
-        let mut desk = Desk { dispatcher: Dispatcher::new(settings, seat).unwrap(), now: 0.0 };
-        desk.tell(Event::EngineList(vec![entry(0)]));
-        assert_eq!(desk.arrive(request(0, 0, 60_000.0)).len(), 3);
+        let mut harness = Harness { dispatcher: Dispatcher::new(settings, seat).unwrap(), now: 0.0 };
+        harness.handle(Event::EngineList(vec![entry(0)]));
+        assert_eq!(harness.arrive(request(0, 0, 60_000.0)).len(), 3);
         let refused = AttemptEnd {
             id: id(0),
             attempt: AttemptNo(0),
             engine: EngineId(0),
-            outcome: Outcome::Full,
+            outcome: Outcome::Rejected,
             finished: true,
             elapsed: 1.0,
             cost: None,
             load: None,
         };
-        desk.tell(Event::Ended(refused));
-        desk.arrive(request(1, 0, 60_000.0));
-        while !desk.wait(5.0).iter().any(|action| matches!(action, Action::Send { .. })) {
-            assert!(desk.now < 10_000.0);
+        harness.handle(Event::AttemptEnded(refused));
+        harness.arrive(request(1, 0, 60_000.0));
+        while !harness.advance(5.0).iter().any(|action| matches!(action, Action::Send { .. })) {
+            assert!(harness.now < 10_000.0);
         }
-        back.push(desk.now);
+        back.push(harness.now);
     }
     let within = |from: f64| back.iter().filter(|at| (from..from + 50.0).contains(*at)).count();
     let most = (0..100).map(|at| within(f64::from(at) * 10.0)).max().unwrap();
--- a/crates/dispatch/tests/random.rs
+++ b/crates/dispatch/tests/random.rs
@@ -16,7 +16,7 @@
 
 struct Seen {
     class: usize,
-    due: Millis,
+    deadline: Millis,
     key: Option<OrderKey>,
     sent: Vec<Sent>,
     answered: bool,
@@ -32,7 +32,7 @@
     site.tenants = vec![TenantSettings { quota_per_s: 20.0 }, TenantSettings { quota_per_s: 5.0 }];
     site.dispatchers = 2;
     site.max_attempts = 3;
-    site.budget = Some(AttemptBudget { free: 2.0, ratio: 0.1, span: 5_000.0 });
+    site.retry_budget = Some(RetryBudgetSettings { min_retries: 2.0, ratio: 0.1, window: 5_000.0 });
     site
 }
 
@@ -86,14 +86,14 @@
             if let Some(key) = &key {
                 order.entry(key.clone()).or_default().push(new.id.clone());
             }
-            seen.insert(new.id.clone(), Seen { class, due, key, sent: vec![], answered: false });
-            Event::Arrived(new)
+            seen.insert(new.id.clone(), Seen { class, deadline: due, key, sent: vec![], answered: false });
+            Event::Request(new)
         } else if pick < 60 && !out.is_empty() {
             let (id, index) = out[random.rand_range(0..out.len() as u64) as usize].clone();
             let this = seen.get_mut(&id).unwrap();
             let outcome = match random.rand_range(0..10) {
-                0 => Outcome::Errored,
-                1 => Outcome::Full,
+                0 => Outcome::Failed,
+                1 => Outcome::Rejected,
                 2 => Outcome::Reset,
                 3 => Outcome::ConnectFailed,
                 4 => Outcome::Cancelled,
@@ -106,7 +106,7 @@
             {
                 rests.insert(key.clone(), now + site.order_pause);
             }
-            Event::Ended(AttemptEnd {
+            Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: AttemptNo(index),
                 engine: this.sent[index].engine,
@@ -124,7 +124,7 @@
             Event::EngineChanges(vec![EngineEntry { readiness, ..place(engine) }])
         } else if pick < 70 && !out.is_empty() {
             let (id, index) = out[0].clone();
-            Event::Noted(id, AttemptNo(index), Note::Done(random.rand_float()))
+            Event::Progress(id, AttemptNo(index), ProgressReport::Done(random.rand_float()))
         } else {
             now += random.rand_range(1..120) as f64;
             timer = timer.map(|at: f64| at.max(now - 5.0));
@@ -168,10 +168,10 @@
                     }
                     seen.get_mut(&id).unwrap().sent.push(Sent { engine, at: now, outcome: None });
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } if seen[&id].answered => {
+                Action::Reject { id, .. } | Action::Fail { id } if seen[&id].answered => {
                     panic!("two answers for {id:?}");
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let this = seen.get_mut(&id).unwrap();
                     assert!(matches!(this.class, 0 | 3) || !this.sent.iter().any(ran), "a false promise");
                     this.answered = true;
@@ -187,7 +187,7 @@
         }
         if timer.is_none_or(|at| at > now) {
             for (id, this) in &seen {
-                assert!(this.answered || now <= this.due + 140.0, "{id:?} was lost");
+                assert!(this.answered || now <= this.deadline + 140.0, "{id:?} was lost");
             }
         }
     }
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -10,7 +10,7 @@
 use gaugestep_config::schema::logging::Level;
 use gaugestep_control_plane::client::subscriber::Host;
 use gaugestep_dispatch::Settings;
-use gaugestep_dispatch::interface::{AttemptBudget, EngineId, Place, Readiness, Route, TenantId};
+use gaugestep_dispatch::interface::{EngineId, Place, Readiness, RetryBudgetSettings, Route, TenantId};
 
 use crate::class_registry::Class;
 use crate::config::Names;
@@ -87,8 +87,12 @@
         }
         settings.max_open = settings.max_open.min(counts.max_open as usize);
         settings.max_attempts = counts.max_attempts as usize;
-        let span = settings.budget.map_or(SPAN, |budget| budget.span);
-        settings.budget = counts.retries.map(|(ratio, free)| AttemptBudget { free, ratio, span });
+        let span = settings.retry_budget.map_or(SPAN, |budget| budget.window);
+        settings.retry_budget = counts.retries.map(|(ratio, free)| RetryBudgetSettings {
+            min_retries: free,
+            ratio,
+            window: span,
+        });
         let max_open = told.max_open.min(counts.max_open as usize);
         drop(told);
         self.gateway.max_open.store(max_open, Ordering::Relaxed);
@@ -129,7 +133,7 @@
         tenants: tenants.map(|(name, tenant)| (name.clone(), quota(tenant.quota_per_s))).collect(),
         max_open: told.max_open as u64,
         max_attempts: told.settings.max_attempts as u64,
-        retries: told.settings.budget.map(|budget| (budget.ratio, budget.free)),
+        retries: told.settings.retry_budget.map(|budget| (budget.ratio, budget.min_retries)),
     }
 }
 
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -170,7 +170,7 @@
             machine: MachineId(place(&names.machines, "flavor").unwrap_or(usize::MAX)),
             cell: CellId(cell),
             readiness,
-            started: started.map(|at| self.gateway.facade.at_unix(at)),
+            started_at: started.map(|at| self.gateway.facade.at_unix(at)),
             key: gaugestep_subsetting::key(name),
         })
     }
--- a/crates/proxy/src/downstream/postgres.rs
+++ b/crates/proxy/src/downstream/postgres.rs
@@ -473,7 +473,7 @@
             Answer::Served(pages) => message::result(out, &running.word, &pages),
             Answer::Refused(backoff, reason) => {
                 let text = format!("refused, nothing was done: backoff={:.0}", backoff.max(0.0));
-                message::error_with_hint(out, false, "53000", &text, Some(reason.words()));
+                message::error_with_hint(out, false, "53000", &text, Some(reason.description()));
             }
             Answer::Duplicate => message::error(out, false, "42710", "a request with this 'rid' is open"),
             Answer::Failed => message::error(out, false, "58000", "failed: the statement may have run"),
@@ -695,7 +695,7 @@
             id: request_id(fields.rid),
             class: class.id,
             tenant: TenantId(tenant),
-            due: read_at + fields.budget - ANSWER_WAY.min(fields.budget / 2.0),
+            deadline: read_at + fields.budget - ANSWER_WAY.min(fields.budget / 2.0),
             estimate: fields.est,
             memory_mb: fields.space,
             tables: TablesId(fields::table_group(statement).unwrap_or(0)),
--- a/crates/proxy/src/facade.rs
+++ b/crates/proxy/src/facade.rs
@@ -24,7 +24,7 @@
     /// The module gives what runs another priority.
     Priority(u8),
     /// The module's final answer: refused; milliseconds to stay away.
-    Refuse(Millis, Refusal),
+    Refuse(Millis, RejectReason),
     /// The module's final answer: failed.
     Fail,
     /// The deadline has come while this attempt was out.
@@ -54,7 +54,7 @@
     /// Make this attempt, then [`Facade::report`] its end.
     Send(Sending),
     /// Refuse it; the client should stay away for so many milliseconds.
-    Refuse(Millis, Refusal),
+    Refuse(Millis, RejectReason),
     /// Fail it.
     Fail,
     /// Nothing was taken: a request with this id is open.
@@ -219,19 +219,19 @@
         if inner.requests.contains_key(&id) {
             return Step::Duplicate;
         }
-        new.due = new.due.min(inner.closing_by);
+        new.deadline = new.deadline.min(inner.closing_by);
         let entry = Entry {
             post: mailbox.address(),
-            due: new.due,
+            due: new.deadline,
             over: false,
             out: None,
             sent: 0,
             most: inner.max_attempts,
             priority: 1,
         };
-        inner.alarms.insert((micros(new.due), Alarm::Deadline(id.clone())));
+        inner.alarms.insert((micros(new.deadline), Alarm::Deadline(id.clone())));
         inner.requests.insert(id.clone(), entry);
-        self.feed(inner, Some(Event::Arrived(new)));
+        self.feed(inner, Some(Event::Request(new)));
         self.wait(&id, mailbox)
     }
 
@@ -249,7 +249,7 @@
         }
         self.feed(
             inner,
-            Some(Event::Ended(AttemptEnd {
+            Some(Event::AttemptEnded(AttemptEnd {
                 id: id.clone(),
                 attempt,
                 engine,
@@ -264,8 +264,8 @@
     }
 
     /// Passes on what an engine tells of a running attempt.
-    pub fn noted(&self, id: &RequestId, attempt: AttemptNo, note: Note) {
-        self.feed(lock(&self.inner), Some(Event::Noted(id.clone(), attempt, note)));
+    pub fn noted(&self, id: &RequestId, attempt: AttemptNo, note: ProgressReport) {
+        self.feed(lock(&self.inner), Some(Event::Progress(id.clone(), attempt, note)));
     }
 
     /// The client has left: nothing is owed any more. What runs is called off by letter.
@@ -287,20 +287,20 @@
 
     /// How many engines are listed and left alone for now.
     pub fn avoided(&self) -> usize {
-        lock(&self.inner).dispatcher.avoided(self.now())
+        lock(&self.inner).dispatcher.ejected_count(self.now())
     }
 
     /// New settings. What is open stays under the rules that it came under.
     pub fn retune(&self, settings: Settings) {
         let mut inner = lock(&self.inner);
         (inner.max_attempts, inner.priorities) = (settings.max_attempts.max(1), settings.priorities);
-        self.feed(inner, Some(Event::Retuned(Box::new(settings))));
+        self.feed(inner, Some(Event::SettingsUpdated(Box::new(settings))));
     }
 
     /// The dispatcher has this place for so long, and the one of its settings from then on.
     pub fn seated(&self, place: Place, left: Millis) {
         let until = self.now() + left;
-        self.feed(lock(&self.inner), Some(Event::Seated(place, until)));
+        self.feed(lock(&self.inner), Some(Event::PositionAssigned(place, until)));
     }
 
     /// The proxy will end: every request, taken or yet to come, is due by then at the latest.
@@ -371,7 +371,7 @@
                     // The module may have sent it just before: that attempt is owed an end.
                     while let Some(sending) = self.unstarted(id) {
                         tracing::debug!(attempt = sending.0, "called off before it was sent");
-                        let end = AttemptReport { outcome: Outcome::Moot, cost: None, load: None };
+                        let end = AttemptReport { outcome: Outcome::NotSent, cost: None, load: None };
                         self.report(id, end, mailbox);
                     }
                     return Step::Over;
@@ -396,7 +396,7 @@
                 Some(event) => inner.dispatcher.handle(now, event, &mut actions),
                 None if now - inner.settled.0 >= SETTLE_EVERY => {
                     inner.settled.0 = now;
-                    inner.dispatcher.settle(now, &mut actions);
+                    inner.dispatcher.run_pending(now, &mut actions);
                 }
                 None => break,
             }
@@ -449,11 +449,11 @@
                         if let Some(entry) = entry {
                             entry.sent += 1;
                         }
-                        return Some(Event::Ended(AttemptEnd {
+                        return Some(Event::AttemptEnded(AttemptEnd {
                             id,
                             attempt,
                             engine,
-                            outcome: Outcome::Moot,
+                            outcome: Outcome::NotSent,
                             finished,
                             elapsed: 0.0,
                             cost: None,
@@ -468,7 +468,7 @@
                     let _ = entry.post.send(Letter::Cancel(attempt));
                 }
             }
-            Action::Refuse { id, retry_after, reason } => {
+            Action::Reject { id, retry_after, reason } => {
                 Self::answer(inner, &id, Letter::Refuse(retry_after, reason));
             }
             Action::Fail { id } => Self::answer(inner, &id, Letter::Fail),
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -6,7 +6,7 @@
 use std::fmt::Debug;
 use std::sync::Arc;
 
-use gaugestep_dispatch::interface::{Cost, LoadReport, NewRequest, Note, Refusal};
+use gaugestep_dispatch::interface::{Cost, LoadReport, NewRequest, ProgressReport, RejectReason};
 
 use crate::class_registry::Class;
 use crate::facade::Letter;
@@ -43,7 +43,7 @@
     /// Served.
     Served(Pages),
     /// It never ran, or may be repeated: the client may come again, after so many milliseconds.
-    Refused(f64, Refusal),
+    Refused(f64, RejectReason),
     /// Failed; nothing is promised.
     Failed,
     /// Not taken: its id is that of a request which is open.
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub enum News {
     /// A note while it runs.
-    Note(Note),
+    Note(ProgressReport),
     /// Its end.
     Ended(AttemptEnding),
 }
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -97,7 +97,7 @@
         if self.query.client.gone() {
             return self.left(sending);
         }
-        let left = milliseconds(self.query.new.due - facade.now());
+        let left = milliseconds(self.query.new.deadline - facade.now());
         let handle = self.gateway.lines.send(sending, self.query, left, self.mailbox.address());
         let give_up = |ending: Ending| {
             handle.cancel();
--- a/crates/proxy/src/termination.rs
+++ b/crates/proxy/src/termination.rs
@@ -46,10 +46,10 @@
     pub fn outcome(self) -> Outcome {
         match self {
             Ending::Served => Outcome::Served,
-            Ending::Shed | Ending::Late => Outcome::Full,
-            Ending::Fault => Outcome::Errored,
+            Ending::Shed | Ending::Late => Outcome::Rejected,
+            Ending::Fault => Outcome::Failed,
             Ending::DialRefused | Ending::DialTimedOut | Ending::NeverWritten => Outcome::ConnectFailed,
-            Ending::NotDialled | Ending::ClientLeft | Ending::TooLate => Outcome::Moot,
+            Ending::NotDialled | Ending::ClientLeft | Ending::TooLate => Outcome::NotSent,
             Ending::Reset | Ending::Closed | Ending::Silent | Ending::Garbled => Outcome::Reset,
             Ending::Cancelled => Outcome::Cancelled,
             Ending::Deadline => Outcome::TimedOut,
--- a/crates/proxy/src/upstream/line_protocol.rs
+++ b/crates/proxy/src/upstream/line_protocol.rs
@@ -11,7 +11,9 @@
 use std::sync::{Arc, Mutex, OnceLock, Weak};
 use std::time::{Duration, Instant};
 
-use gaugestep_dispatch::interface::{AttemptNo, Cost, EngineId, LoadReport, Note, Readiness, RequestId};
+use gaugestep_dispatch::interface::{
+    AttemptNo, Cost, EngineId, LoadReport, ProgressReport, Readiness, RequestId,
+};
 use may::io::WaitIo as _;
 use may::net::TcpStream;
 
@@ -659,7 +661,7 @@
         for (name, value) in self.field("use")?.split(';').filter_map(|pair| pair.split_once(':')) {
             let value = value.parse().ok().filter(|number| (0.0..=MOST).contains(number));
             match name {
-                "rif" | "inflight" => load.held = value,
+                "rif" | "inflight" => load.in_flight = value,
                 "q" | "queue" => load.queued = value,
                 "busy" | "util" => load.busy = value,
                 "x0" => load.memory = value,
@@ -674,13 +676,13 @@
         Some(Cost { work, memory_mb: self.number("rss").unwrap_or(0.0) })
     }
 
-    fn note(&self) -> Option<Note> {
+    fn note(&self) -> Option<ProgressReport> {
         let amount = self.number("datum").unwrap_or(0.0);
         match self.field("detail")? {
-            "done" => Some(Note::Done(amount)),
-            "spills" => Some(Note::Spills(amount)),
-            "waits" if amount == 2.0 => Some(Note::WaitsForLoad),
-            "waits" => Some(Note::WaitsForMemory),
+            "done" => Some(ProgressReport::Done(amount)),
+            "spills" => Some(ProgressReport::Spills(amount)),
+            "waits" if amount == 2.0 => Some(ProgressReport::WaitsForLoad),
+            "waits" => Some(ProgressReport::WaitsForMemory),
             _ => None,
         }
     }
@@ -696,7 +698,7 @@
         let ending = match answer.word {
             "INFO" => {
                 if let Some(note) = answer.note() {
-                    call.runs |= matches!(note, Note::Done(share) if share > 0.0);
+                    call.runs |= matches!(note, ProgressReport::Done(share) if share > 0.0);
                     let _ = call.post.send(Letter::Back(call.attempt, News::Note(note)));
                 }
                 return Ok(());
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -48,13 +48,13 @@
         };
         classes.push(ClassSettings {
             effect,
-            worth: real(class, "importance", 1.0)?,
-            late_share: real(class, "late_share", 0.0)?,
-            aim: real(class, "aim_ms", 0.0)?,
-            aim_stretch: real(class, "aim_stretch", 0.0)?,
+            priority_weight: real(class, "importance", 1.0)?,
+            late_fraction: real(class, "late_share", 0.0)?,
+            target_latency: real(class, "aim_ms", 0.0)?,
+            target_stretch: real(class, "aim_stretch", 0.0)?,
             threads: of_class("class_threads").and_then(Value::as_f64).unwrap_or(1.0),
             ordered: flag(class, "keep_order"),
-            holds_tables: of_class("writes_tables").and_then(Value::as_bool).unwrap_or(false),
+            locks_tables: of_class("writes_tables").and_then(Value::as_bool).unwrap_or(false),
             waits_for_loads: of_class("waits_for_loads").and_then(Value::as_bool).unwrap_or(false),
             zones: places(class, "areas_open").map(|all| all.into_iter().map(ZoneId).collect()),
             machines: places(class, "served_on").map(|all| all.into_iter().map(MachineId).collect()),
@@ -72,10 +72,10 @@
     }
     let budget = match rules.get("ratio_span_ms") {
         None | Some(Value::Null) => None,
-        Some(_) => Some(AttemptBudget {
-            free: real(rules, "budget_free", 0.0)?,
+        Some(_) => Some(RetryBudgetSettings {
+            min_retries: real(rules, "budget_free", 0.0)?,
             ratio: real(rules, "further_ratio", 0.0)?,
-            span: real(rules, "ratio_span_ms", 0.0)?,
+            window: real(rules, "ratio_span_ms", 0.0)?,
         }),
     };
     Ok(Settings {
@@ -87,22 +87,22 @@
         zone: ZoneId(real(json, "zone", 0.0)? as usize),
         max_open: real(limits, "max_open", f64::MAX)? as usize,
         max_attempts: real(limits, "max_attempts", 1.0)? as usize,
-        second_copies: flag(limits, "second_copies"),
-        cancelling: flag(limits, "cancelling"),
-        memory_line: family["out_of_memory"].as_str() == Some("queue"),
-        grants: flag(family, "takes_grants"),
+        concurrent_attempts: flag(limits, "second_copies"),
+        cancellation: flag(limits, "cancelling"),
+        memory_queueing: family["out_of_memory"].as_str() == Some("queue"),
+        memory_grants: flag(family, "takes_grants"),
         priorities: flag(family, "lanes_count"),
-        over_share_worth: real(json, "over_share_worth", 1.0)?,
+        over_quota_weight: real(json, "over_share_worth", 1.0)?,
         cross_zone_price: real(&json["prices"], "cross_zone", 0.0)?,
         answer_slack: real(rules, "answer_slack_ms", 0.0)?,
-        cold: ColdSettings {
+        slow_start: ColdSettings {
             share: real(rules, "cold_share", 1.0)?,
             warm_within: real(rules, "warm_within_ms", 0.0)?,
             multiple: real(rules, "tip_multiple", 0.0)?,
             span: real(rules, "overload_for_ms", 0.0)?,
         },
         order_pause: real(rules, "order_pause_ms", 0.0)?,
-        budget,
+        retry_budget: budget,
         max_retry_after: match flag(limits, "retry_after") {
             true => real(limits, "max_retry_after_ms", 0.0)?,
             false => 0.0,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -119,13 +119,13 @@
 fn outcome(code: u64) -> Result<Outcome> {
     Ok(match code {
         200 => Outcome::Served,
-        502 => Outcome::Errored,
-        429 => Outcome::Full,
+        502 => Outcome::Failed,
+        429 => Outcome::Rejected,
         408 => Outcome::TimedOut,
         521 => Outcome::ConnectFailed,
         520 => Outcome::Reset,
         444 => Outcome::Cancelled,
-        409 => Outcome::Moot,
+        409 => Outcome::NotSent,
         other => return Err(format!("unknown verdict {other}")),
     })
 }
@@ -145,7 +145,7 @@
         for (name, value) in self.report.iter().zip(row.split(',')) {
             let value = Some(number("load", value)?);
             match name.as_str() {
-                "rif" => report.held = value,
+                "rif" => report.in_flight = value,
                 "q" => report.queued = value,
                 "busy" => report.busy = value,
                 "x0" => report.memory = value,
@@ -221,7 +221,7 @@
                 let mut actions = Vec::new();
                 for id in std::mem::take(&mut self.touched) {
                     let Some(instance) = self.instances.get_mut(&id) else { continue };
-                    instance.dispatcher.settle(now, &mut actions);
+                    instance.dispatcher.run_pending(now, &mut actions);
                     for action in actions.drain(..) {
                         print(id, &action, &mut self.reply);
                     }
@@ -256,7 +256,7 @@
                 "D" => Readiness::Gone,
                 other => return Err(format!("unknown readiness '{other}'")),
             },
-            started: Some(fields.number_or("online_since_ms", 0.0)?).filter(|at| *at > 0.0),
+            started_at: Some(fields.number_or("online_since_ms", 0.0)?).filter(|at| *at > 0.0),
         };
         self.lists.entry(bank).or_default().push(entry);
         self.open_list = (left > 1).then_some((bank, left - 1));
@@ -311,11 +311,11 @@
                 if class >= instance.classes {
                     return Err(format!("field 'category' is {class}, which is no class"));
                 }
-                Event::Arrived(NewRequest {
+                Event::Request(NewRequest {
                     id: fields.request()?,
                     class: ClassId(class),
                     tenant: TenantId(fields.whole_or("owner", 0)? as usize),
-                    due: fields.number("due_ms")?,
+                    deadline: fields.number("due_ms")?,
                     estimate: fields.number_or("estimate_ms", 0.0)?,
                     memory_mb: fields.number_or("ram_mb", 0.0)?,
                     tables: TablesId(fields.number_or("source_set", 0.0)? as u64),
@@ -324,11 +324,11 @@
             }
             "sampled" => {
                 let outcome = outcome(fields.whole("verdict")?)?;
-                Event::Probed(fields.engine()?, outcome, instance.load(fields)?)
+                Event::ProbeResult(fields.engine()?, outcome, instance.load(fields)?)
             }
             "timer" => Event::Timer(TimerId(fields.whole("handle")?)),
             "streaming" => Event::Streaming(fields.request()?, fields.attempt()?),
-            "reply" => Event::Ended(AttemptEnd {
+            "reply" => Event::AttemptEnded(AttemptEnd {
                 id: fields.request()?,
                 attempt: fields.attempt()?,
                 engine: fields.engine()?,
@@ -341,13 +341,13 @@
             "progress" => {
                 let amount = fields.number_or("amount", 0.0)?;
                 let note = match fields.whole("sort")? {
-                    1 => Note::Done(amount),
-                    2 => Note::Spills(amount),
-                    3 if amount == 2.0 => Note::WaitsForLoad,
-                    3 => Note::WaitsForMemory,
+                    1 => ProgressReport::Done(amount),
+                    2 => ProgressReport::Spills(amount),
+                    3 if amount == 2.0 => ProgressReport::WaitsForLoad,
+                    3 => ProgressReport::WaitsForMemory,
                     _ => return Ok(()),
                 };
-                Event::Noted(fields.request()?, fields.attempt()?, note)
+                Event::Progress(fields.request()?, fields.attempt()?, note)
             }
             "client_gone" => Event::ClientGone(fields.request()?),
             // Dispatchers here send each other nothing.
@@ -388,7 +388,7 @@
         Action::Cancel { id: RequestId(req), attempt } => {
             writeln!(reply, "cancel dispatcher_id={id} req={req} send_no={}", attempt.0)
         }
-        Action::Refuse { id: RequestId(req), retry_after, .. } => {
+        Action::Reject { id: RequestId(req), retry_after, .. } => {
             writeln!(reply, "bounce dispatcher_id={id} req={req} wait_ms={retry_after:.3}")
         }
         Action::Fail { id: RequestId(req) } => {
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -94,7 +94,7 @@
         (Action::Send { id: id(), engine: EngineId(4) }, "forward dispatcher_id=1 req=r node=4\n"),
         (Action::Cancel { id: id(), attempt: AttemptNo(2) }, "cancel dispatcher_id=1 req=r send_no=2\n"),
         (
-            Action::Refuse { id: id(), retry_after: 250.0, reason: Refusal::Waited },
+            Action::Reject { id: id(), retry_after: 250.0, reason: RejectReason::QueueTimeout },
             "bounce dispatcher_id=1 req=r wait_ms=250.000\n",
         ),
         (Action::Fail { id: id() }, "respond_error dispatcher_id=1 req=r\n"),
@@ -130,9 +130,11 @@
         serde_json::from_str(r#"{"services": [{"effect": "keyed", "group": "cell", "window_ms": 9}]}"#);
     let read = settings(&json.unwrap()).unwrap();
     assert_eq!(read.classes[0].effect, Effect::Keyed(DedupGroup::Cell, 9.0));
-    assert_eq!(read.classes[0].aim_stretch, 0.0);
-    assert_eq!((read.budget, read.order_pause, read.tenants.len()), (None, 0.0, 0));
-    assert!(!read.cancelling && !read.second_copies && !read.grants && !read.classes[0].ordered);
+    assert_eq!(read.classes[0].target_stretch, 0.0);
+    assert_eq!((read.retry_budget, read.order_pause, read.tenants.len()), (None, 0.0, 0));
+    assert!(
+        !read.cancellation && !read.concurrent_attempts && !read.memory_grants && !read.classes[0].ordered
+    );
 }
 
 #[test]
