--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -198,7 +198,8 @@
         self.socket.write_all(&framed(message)).unwrap();
     }
 
-    fn next(&mut self) -> FromClient {
+    /// The next message of the proxy.
+    pub fn next(&mut self) -> FromClient {
         let mut head = [0; 4];
         self.socket.read_exact(&mut head).expect("the stream stays open");
         let mut body = vec![0; u32::from_be_bytes(head) as usize];
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -38,6 +38,7 @@
     config: PathBuf,
     operator: Option<PathBuf>,
     log: Option<PathBuf>,
+    log_filter: Option<String>,
     out: &'static str,
 }
 
@@ -52,6 +53,8 @@
     pub operator: Option<PathBuf>,
     /// Where its log goes, as JSON lines.
     pub log: Option<PathBuf>,
+    /// The log filter of its environment (`GAUGESTEP_LOG`), in place of the test's own.
+    pub log_filter: Option<String>,
     /// Checks that are taken out of it.
     pub out: &'static str,
     /// A last change to the configuration's text.
@@ -70,6 +73,7 @@
             listener: None,
             operator: None,
             log: None,
+            log_filter: None,
             out: "",
             change,
         }
@@ -89,6 +93,7 @@
             config,
             operator: self.operator,
             log: self.log,
+            log_filter: self.log_filter,
             out: self.out,
         };
         proxy.spawn(self.listener);
@@ -109,6 +114,9 @@
             let log = std::fs::OpenOptions::new().append(true).create(true).open(log).unwrap();
             command.stderr(log).env("GAUGESTEP_TEST_MORE", "--log-json");
         }
+        if let Some(filter) = &self.log_filter {
+            command.env("GAUGESTEP_LOG", filter);
+        }
         match listener {
             None => command.arg(r#"exec "$0" serve $GAUGESTEP_TEST_MORE"#),
             Some(listener) => {
--- /dev/null
+++ b/tests/compatibility/control_api.rs
@@ -0,0 +1,131 @@
+//! Operators' commands with `--json`: keys and values of what they print, and their exit codes.
+
+use serde_json::Value;
+
+use crate::control::{Control, Engine, until};
+use crate::golden;
+use crate::proxy::{Launch, Proxy};
+
+/// Keys whose values differ between runs.
+const VARYING: [&str; 13] = [
+    "published_ms",
+    "heard_ms",
+    "held_ms",
+    "process",
+    "build",
+    "listen",
+    "operators",
+    "term",
+    "name_term",
+    "epoch",
+    "changes",
+    "halted_for",
+    "reason",
+];
+
+/// Commands and what each of them printed.
+struct Transcript<'a> {
+    control: &'a Control,
+    text: String,
+}
+
+impl Transcript<'_> {
+    /// Runs a command with `--json`. Files among the arguments are shown by name alone.
+    fn run(&mut self, arguments: &[&str]) {
+        let (code, output, error) = self.control.run(&[&["--json"], arguments].concat());
+        let shown: Vec<&str> =
+            arguments.iter().map(|argument| argument.rsplit('/').next().unwrap()).collect();
+        self.text +=
+            &format!("$ {}\nexit code {code}, stderr {} line(s)\n", shown.join(" "), error.lines().count());
+        // A watch prints a line for each state that it happens to see: only the last one is certain.
+        let output = output.replace(&self.control.folder.path().display().to_string(), "FOLDER");
+        if let Some(last) = output.lines().last() {
+            let mut value: Value = serde_json::from_str(last).unwrap();
+            hide_notes_of_the_service(&mut value);
+            self.text += &golden::pretty(&golden::without_varying(&value, &VARYING));
+            self.text.push('\n');
+        }
+    }
+}
+
+/// Replaces the notes that the service writes by itself, which are prose.
+fn hide_notes_of_the_service(value: &mut Value) {
+    for entry in value.as_array_mut().into_iter().flatten() {
+        if entry["author"] == "gaugestep-control" {
+            assert_ne!(entry["note"], "");
+            entry["note"] = "<prose>".into();
+        }
+    }
+}
+
+/// Waits until the proxy has a version in force and its rollout is over.
+fn wait_until_complete(control: &Control, proxy: &Proxy, version: u64) {
+    until("the version is in force", || in_force(proxy) == Some(version));
+    until("the rollout is complete", || control.json(&["show", &version.to_string()])["state"] == "complete");
+}
+
+fn in_force(proxy: &Proxy) -> Option<u64> {
+    proxy.figure("/configuration/version")
+}
+
+#[test]
+fn json_output_of_commands_stays() {
+    let (control, folder) = (Control::start(), tempfile::tempdir().unwrap());
+    let operator = Some(control.operator(&folder.path().join("n0")));
+    let engine = Engine::new();
+    let proxy = Launch { operator, ..Launch::new(&[&engine.database]) }.start();
+    until("the proxy is known", || control.proxy("n0")["connected"] == true);
+    let first = control.file("first.textproto", r#"limits { max_open: 500 } logging { level: INFO }"#);
+    let second = control.file("second.textproto", r#"limits { max_open: 600 }"#);
+    let rejected = control.file("rejected.textproto", r#"classes: "unknown""#);
+    let faulty = control.file("faulty.textproto", r#"limits { max_open: 0 }"#);
+
+    let mut transcript = Transcript { control: &control, text: String::new() };
+    transcript.run(&["list"]);
+    transcript.run(&["show"]);
+    transcript.run(&["publish", &first, "--note", "the first", "--author", "a", "--once", "key-1"]);
+    wait_until_complete(&control, &proxy, 1);
+    transcript.run(&["publish", &first, "--once", "key-1"]);
+    transcript.run(&["publish", &second, "--expect", "7"]);
+    transcript.run(&["publish", &faulty]);
+    transcript.run(&["publish", &second, "--share", "2"]);
+    transcript.run(&["publish", &second, "--worse-by", "2"]);
+    transcript.run(&["publish", &second, "--hold", "-1"]);
+    transcript.run(&["publish", &second, "--refusals", "0"]);
+    transcript.run(&["publish", &second, "--expect", "1"]);
+    wait_until_complete(&control, &proxy, 2);
+    transcript.run(&["watch", "2"]);
+    transcript.run(&["diff", "1", "2"]);
+    transcript.run(&["diff", "2", "2"]);
+    transcript.run(&["rollback", "1", "--note", "back"]);
+    wait_until_complete(&control, &proxy, 3);
+    transcript.run(&["rollback", "99"]);
+    transcript.run(&["publish", &rejected]);
+    until("the version is rejected", || proxy.figure("/configuration/last_refusal/version") == Some(4));
+    wait_until_complete(&control, &proxy, 5);
+    until("nothing is on its way", || {
+        control.proxy("n0")["in_force"] == 5 && control.proxy("n0")["offered"] == 0
+    });
+    transcript.run(&["watch", "4"]);
+    transcript.run(&["list"]);
+    transcript.run(&["list", "--most", "1"]);
+    transcript.run(&["show", "1"]);
+    transcript.run(&["show", "99"]);
+    transcript.run(&["status"]);
+    transcript.run(&["status", "--proxy", "n0"]);
+    transcript.run(&["status", "--proxy", "nobody"]);
+    transcript.run(&["members"]);
+    transcript.run(&["members", "add", "1", "127.0.0.1:1", "127.0.0.1:2"]);
+    transcript.run(&["members", "remove", "9"]);
+    transcript.run(&["seats"]);
+    transcript.run(&["declare", "seats"]);
+    until("the roster has the proxy", || control.json(&["seats"])["proxies"][0] == "n0");
+    transcript.run(&["seats"]);
+    transcript.run(&["duties"]);
+    transcript.run(&["hand-over"]);
+    transcript.run(&["hand-over", "unknown", "--to", "3"]);
+    transcript.run(&["take-over", "versions"]);
+    transcript.run(&["validate", &first]);
+    transcript.run(&["validate", &faulty]);
+    golden::assert_matches("control_json.txt", &transcript.text);
+}
--- /dev/null
+++ b/tests/compatibility/downstream.rs
@@ -0,0 +1,235 @@
+//! The PostgreSQL protocol as clients see it: messages byte for byte, error codes with their texts and hints.
+
+use std::io::{Read as _, Write as _};
+use std::net::{Shutdown, TcpStream};
+
+use crate::control::Engine;
+use crate::golden;
+use crate::proxy::{Database, PATIENCE, Proxy, query};
+
+const PROTOCOL_3: u32 = 3 << 16;
+const TLS_REQUEST: u32 = 80_877_103;
+const GSS_REQUEST: u32 = 80_877_104;
+const CANCEL_REQUEST: u32 = 80_877_102;
+
+/// A first message: its length, a code and what follows that.
+fn first_message(code: u32, body: &[u8]) -> Vec<u8> {
+    let length = 8 + body.len() as u32;
+    [&length.to_be_bytes()[..], &code.to_be_bytes(), body].concat()
+}
+
+fn message(kind: u8, body: &[u8]) -> Vec<u8> {
+    let length = 4 + body.len() as u32;
+    [&[kind][..], &length.to_be_bytes(), body].concat()
+}
+
+fn simple_query(text: &str) -> Vec<u8> {
+    message(b'Q', &[text.as_bytes(), &[0]].concat())
+}
+
+fn session_start() -> Vec<u8> {
+    first_message(PROTOCOL_3, b"user\0app\0database\0dw\0\0")
+}
+
+/// A connection of a client that reads messages as they are.
+struct RawClient(TcpStream);
+
+impl RawClient {
+    fn connect(proxy: &Proxy) -> Self {
+        let socket = TcpStream::connect(proxy.address).unwrap();
+        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        RawClient(socket)
+    }
+
+    /// A session that is ready for queries.
+    fn session(proxy: &Proxy) -> Self {
+        let mut client = Self::connect(proxy);
+        client.send(&session_start());
+        client.messages();
+        client
+    }
+
+    fn send(&mut self, bytes: &[u8]) {
+        self.0.write_all(bytes).unwrap();
+    }
+
+    /// All messages up to the next ReadyForQuery or the end of the connection, a line each.
+    fn messages(&mut self) -> String {
+        let mut told = String::new();
+        loop {
+            let mut kind = [0];
+            if self.0.read(&mut kind).unwrap() == 0 {
+                return told + "  end of connection\n";
+            }
+            let mut length = [0; 4];
+            self.0.read_exact(&mut length).unwrap();
+            let mut body = vec![0; u32::from_be_bytes(length) as usize - 4];
+            self.0.read_exact(&mut body).unwrap();
+            told += &match kind[0] {
+                b'K' => format!("  K {} random bytes\n", body.len()),
+                kind => format!("  {} {}\n", char::from(kind), body.escape_ascii()),
+            };
+            if kind[0] == b'Z' {
+                return told;
+            }
+        }
+    }
+}
+
+#[test]
+fn answers_to_first_messages_stay() {
+    let proxy = Proxy::start(&[]);
+    let cases: [(&str, Vec<u8>); 10] = [
+        ("session", session_start()),
+        ("session of a minor version", first_message(PROTOCOL_3 + 2, b"user\0app\0\0")),
+        ("version 2", first_message(2 << 16, b"user\0app\0\0")),
+        ("length 7", vec![0, 0, 0, 7, 0, 3, 0]),
+        ("length 10001", 10_001u32.to_be_bytes().to_vec()),
+        ("no terminator", first_message(PROTOCOL_3, b"user")),
+        ("short cancel request", first_message(CANCEL_REQUEST, b"1234")),
+        ("cancel request of nobody", first_message(CANCEL_REQUEST, b"12345678")),
+        ("cancel request that is too long", first_message(CANCEL_REQUEST, b"123456789")),
+        ("too many requests for encryption", first_message(TLS_REQUEST, b"").repeat(3)),
+    ];
+    let mut told = String::new();
+    for (name, bytes) in cases {
+        let mut client = RawClient::connect(&proxy);
+        client.send(&bytes);
+        if name.contains("encryption") {
+            let mut answers = [0; 2];
+            client.0.read_exact(&mut answers).unwrap();
+            told += &format!("  {}\n", answers.escape_ascii());
+        }
+        told += &format!("{name}\n{}", client.messages());
+    }
+    let mut client = RawClient::connect(&proxy);
+    for code in [GSS_REQUEST, TLS_REQUEST] {
+        client.send(&first_message(code, b""));
+        let mut answer = [0];
+        client.0.read_exact(&mut answer).unwrap();
+        told += &format!("encryption {code}: {}\n", answer.escape_ascii());
+    }
+    client.send(&session_start());
+    told += &client.messages();
+    golden::assert_matches("downstream_start.txt", &told);
+}
+
+#[test]
+fn answers_to_messages_of_a_session_stay() {
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine.database]);
+    let fields = |fields: &str| simple_query(&format!("/* {fields} */ SELECT a FROM sales_17.orders"));
+    let rid = "rid=00000000000000a1";
+    let cases: [(&str, Vec<u8>); 29] = [
+        ("empty query", simple_query(" ; ")),
+        ("served", simple_query(&query("lookup", 1, 15_000))),
+        ("served update", simple_query(&query("load", 2, 15_000).replace("SELECT a FROM", "UPDATE"))),
+        ("served insert", simple_query(&query("load", 2, 15_000).replace("SELECT a FROM", "INSERT INTO"))),
+        ("no comment", simple_query("SELECT 1")),
+        ("open comment", simple_query("/* method=lookup")),
+        ("empty comment", simple_query("/* */ SELECT 1")),
+        ("no pair", fields("method")),
+        ("bad request id", fields("method=lookup,rid=1,budget=5")),
+        ("no budget", fields(&format!("method=lookup,{rid}"))),
+        ("budget 0", fields(&format!("method=lookup,{rid},budget=0"))),
+        ("budget too long", fields(&format!("method=lookup,{rid},budget=3600001"))),
+        ("budget not finite", fields(&format!("method=lookup,{rid},budget=inf"))),
+        ("estimate below 0", fields(&format!("method=lookup,{rid},budget=50,est=-1"))),
+        ("memory no number", fields(&format!("method=lookup,{rid},budget=50,space=NaN"))),
+        ("unknown class", fields(&format!("method=none,{rid},budget=50"))),
+        ("unknown tenant", fields(&format!("method=lookup,{rid},budget=50,acct=none"))),
+        ("unknown field", fields(&format!("method=lookup,{rid},budget=5000,later=1"))),
+        ("no statement", simple_query(&format!("/* method=lookup,{rid},budget=50 */ "))),
+        ("fields not UTF-8", message(b'Q', b"/* \xff */ SELECT 1\0")),
+        ("statement not UTF-8", message(b'Q', b"/* method=lookup,rid=00000000000000a1,budget=50 */ \xff\0")),
+        ("query without end", message(b'Q', b"SELECT 1")),
+        ("query with zeros", message(b'Q', b"SELECT\x001\0")),
+        (
+            "extended query",
+            [message(b'P', b"\0SELECT 1\0\0\0"), message(b'B', b""), message(b'S', b"")].concat(),
+        ),
+        ("function call", message(b'F', b"\0\0\0\0")),
+        ("sync", message(b'S', b"")),
+        ("copy data", message(b'd', b"a")),
+        ("length below 4", b"Q\0\0\0\x03".to_vec()),
+        ("too long", b"Q\x7f\xff\xff\xff".to_vec()),
+    ];
+    let mut told = String::new();
+    for (name, bytes) in cases {
+        let mut client = RawClient::session(&proxy);
+        client.send(&bytes);
+        told += &format!("{name}\n{}", client.messages());
+    }
+    let mut client = RawClient::session(&proxy);
+    client.send(&message(b'X', b""));
+    told += &format!("terminate\n{}", client.messages());
+    golden::assert_matches("downstream_session.txt", &told);
+}
+
+/// What becomes of requests that a database does not answer as it should.
+#[test]
+fn answers_to_requests_that_fail_stay() {
+    let mut told = String::new();
+    for (class, word) in [("load", "FAULT"), ("load", "SHED"), ("lookup", "SHED"), ("load", "GONE")] {
+        let database = Database::new();
+        let proxy = Proxy::start(&[&database]);
+        let mut client = RawClient::session(&proxy);
+        client.send(&simple_query(&query(class, 1, 900)));
+        let mut lines = database.accept();
+        let serve = lines.command();
+        match word {
+            "GONE" => drop(lines),
+            word => lines.say(&serve[1], word, "-", ""),
+        }
+        drop(database);
+        told += &format!("{class}, {word}\n{}", client.messages());
+    }
+    // Silence up to the deadline.
+    let database = Database::new();
+    let proxy = Proxy::start(&[&database]);
+    for class in ["lookup", "load"] {
+        let mut client = RawClient::session(&proxy);
+        client.send(&simple_query(&query(class, 2, 600)));
+        told += &format!("{class}, silence\n{}", client.messages());
+    }
+    // No engine at all.
+    let proxy = Proxy::start(&[]);
+    let mut client = RawClient::session(&proxy);
+    client.send(&simple_query(&query("lookup", 3, 300)));
+    told += &format!("lookup, no engine\n{}", client.messages());
+    golden::assert_matches("downstream_failures.txt", &told);
+}
+
+/// The same request id twice, a cancel request, a client that closes its side, and a proxy that drains.
+#[test]
+fn answers_to_what_clients_do_beside_a_query_stay() {
+    let database = Database::new();
+    let proxy = Proxy::start(&[&database]);
+    let mut busy = proxy.client();
+    busy.send(&query("lookup", 1, 15_000));
+    let mut lines = database.accept();
+    assert_eq!(lines.command()[0], "serve");
+    let mut told = String::new();
+    let mut duplicate = RawClient::session(&proxy);
+    duplicate.send(&simple_query(&query("lookup", 1, 15_000)));
+    told += &format!("duplicate request id\n{}", duplicate.messages());
+    drop(busy.call_off());
+    told += &format!("canceled by request: {}\n", busy.answer());
+
+    let mut half_closed = RawClient::session(&proxy);
+    half_closed.send(&simple_query(&query("lookup", 2, 15_000)));
+    half_closed.0.shutdown(Shutdown::Write).unwrap();
+    told += &format!("client closes its side\n{}", half_closed.messages());
+
+    let mut leaving = RawClient::session(&proxy);
+    leaving.send(&[simple_query(&query("lookup", 3, 15_000)), message(b'X', b"")].concat());
+    told += &format!("client terminates\n{}", leaving.messages());
+
+    assert_eq!(proxy.call("PUT", "/ops/drain/start").0, 200);
+    let mut idle = RawClient(busy.socket.try_clone().unwrap());
+    told += &format!("idle session of a drained proxy\n{}", idle.messages());
+    let mut late = RawClient::connect(&proxy);
+    late.send(&session_start());
+    told += &format!("new session of a drained proxy\n{}", late.messages());
+    golden::assert_matches("downstream_cancellation.txt", &told);
+}
--- /dev/null
+++ b/tests/compatibility/main.rs
@@ -0,0 +1,30 @@
+//! Pins what the outside sees of the programs: command lines, exit codes, wire protocols, JSON, schema and log filters.
+//!
+//! Each test compares what a program does with a golden file in `tests/golden/`. A missing or differing file is a
+//! failure. To write the files anew from the programs as they are, run
+//!
+//! ```text
+//! GAUGESTEP_WRITE_GOLDEN=1 cargo test --test compatibility
+//! ```
+//!
+//! and review the difference: a changed golden file is a changed interface. Values that differ between runs (ports,
+//! times, random keys, versions of the build) are replaced by a placeholder before they are compared. Prose for people
+//! (help texts, log messages, start-up errors) is not pinned; names, codes, keys and answers to peers are.
+
+#[path = "../common/control.rs"]
+mod control;
+#[path = "../common/proxy.rs"]
+mod proxy;
+
+mod administration;
+mod command_line;
+mod control_api;
+mod deploy_file;
+mod downstream;
+mod golden;
+mod log_filters;
+mod rejection_codes;
+mod schema;
+mod simulator_wire;
+mod startup_errors;
+mod upstream;
--- /dev/null
+++ b/tests/compatibility/rejection_codes.rs
@@ -0,0 +1,94 @@
+//! The control stream: codes and field paths of the answers to versions that a proxy rejects.
+
+use gaugestep_config::schema::{Offer, from_client};
+use gaugestep_config::{Document, text, version};
+
+use crate::control::{StandIn, Stream, offer, offering, operator, until};
+use crate::golden;
+use crate::proxy::{Database, Launch, query};
+
+/// What is offered, and what becomes of it, as it stands in a golden file.
+struct Offers {
+    stream: Stream,
+    nonce: u64,
+    text: String,
+}
+
+impl Offers {
+    /// Offers a version and notes the answer.
+    fn offer(&mut self, name: &str, offered: Offer) {
+        self.nonce += 1;
+        self.stream.say(&offering(Offer { nonce: self.nonce, ..offered }));
+        let answer = loop {
+            if let Some(from_client::Said::Answer(answer)) = self.stream.next().said {
+                break answer;
+            }
+        };
+        assert_eq!(answer.nonce, self.nonce);
+        let told = answer.refusal.map_or("accepted".into(), |rejection| {
+            assert!(!rejection.reason.is_empty() && rejection.reason.lines().count() == 1);
+            format!("{} at '{}'", rejection.code, rejection.path)
+        });
+        self.text += &format!("{name}: {told}\n");
+    }
+
+    /// Offers a document under the next number.
+    fn document(&mut self, document: &str) {
+        self.offer(document, offer(100 + self.nonce, 0, document));
+    }
+}
+
+#[test]
+fn rejections_keep_codes_and_paths() {
+    let (service, folder) = (StandIn::new(), tempfile::tempdir().unwrap());
+    let (database, draining) = (Database::new(), Database::new());
+    let address = service.0.local_addr().unwrap();
+    let operator = Some(operator(folder.path(), address, &folder.path().join("n0"), ""));
+    let both = format!("{},{}", database.member("s-0", "SERVING"), draining.member("s-1", "DRAINING"));
+    let first = database.member("s-0", "SERVING");
+    let change = |config: String| config.replace(&first, &both);
+    let proxy = Launch { operator, change: &change, ..Launch::new(&[&database]) }.start();
+    let stream = service.accept();
+    assert_eq!(stream.hello.protocol, 1);
+    let mut offers = Offers { stream, nonce: 0, text: String::new() };
+
+    let sound = || offer(5, 0, "limits { max_open: 50 }");
+    offers.offer("no content", Offer { content: None, ..sound() });
+    offers.offer("no version", Offer { version: None, ..sound() });
+    let mut other_digest = sound();
+    other_digest.version.as_mut().unwrap().digest[0] ^= 1;
+    offers.offer("another digest", other_digest);
+    offers.offer("no term", Offer { term: 0, ..sound() });
+    offers.offer("sound", sound());
+    offers.offer("the same again", sound());
+    let mut older = sound();
+    older.version.as_mut().unwrap().number = 4;
+    offers.offer("an older one", older);
+    let other: Document = text::parse("limits { max_open: 51 }").unwrap();
+    offers.offer("the same number for another", Offer { version: Some(version(5, &other)), ..sound() });
+
+    offers.document(r#"routes { name: "a" }"#);
+    offers.document(r#"limits { max_open: 0 }"#);
+    offers.document(r#"limits { max_open: 2000 }"#);
+    offers.document(r#"limits { max_attempts: 9 }"#);
+    offers.document(r#"retries { ratio: 0.9 }"#);
+    offers.document(r#"retries { free: 100 }"#);
+    offers.document(r#"tenants { name: "acme" quota_per_s: 1000 }"#);
+    offers.document(r#"tenants { name: "none" quota_per_s: 1 }"#);
+    offers.document(r#"classes: "none""#);
+    offers.document(r#"proxies: "none""#);
+    offers.document(r#"routes { name: "a" classes: "none" targets { cell: 0 } }"#);
+    offers.document(r#"routes { name: "a" tenants: "none" targets { cell: 0 } }"#);
+    offers.document(r#"routes { name: "a" classes: "lookup" targets { engine: "s-9" } }"#);
+    offers.document(r#"routes { name: "a" classes: "lookup" targets { engine: "s-1" } }"#);
+    offers.document(r#"routes { name: "a" classes: "lookup" targets { kind: "none" } }"#);
+    offers.document(r#"routes { name: "a" classes: "lookup" targets { zone: "none" } }"#);
+
+    let (mut one, mut two) = (proxy.client(), proxy.client());
+    one.send(&query("lookup", 1, 60_000));
+    two.send(&query("lookup", 2, 60_000));
+    until("both requests are open", || proxy.figure("/outstanding") == Some(2));
+    offers.document(r#"limits { max_open: 1 }"#);
+    offers.document(r#"classes: "load""#);
+    golden::assert_matches("rejections.txt", &offers.text);
+}
