--- a/crates/log-filter/src/lib.rs
+++ b/crates/log-filter/src/lib.rs
@@ -2,52 +2,143 @@
 //! Keeps the log filters of operators working when modules move.
 //!
 //! `GAUGESTEP_LOG` and `logging.parts` of a published document name log targets. A target is the path of the module that
-//! writes the line, so it changes when a module is moved or renamed. [`expand`] adds to each directive that names a module
-//! by an earlier path the same directive for its present one. Directives are otherwise passed on as they are.
+//! writes the line, so it changes when a module is moved or renamed. [`expand`] adds to the directives that name modules by
+//! earlier paths the same directives for their present ones. Nothing else of a filter is changed.
 
 /// A module that was moved, by the log targets it had and has.
 struct MovedModule {
-    /// The path that operators may still name.
-    former: &'static str,
     /// The path under which its lines are written today, or a prefix that all modules it was split into share.
     current: &'static str,
+    /// The paths that operators may still name.
+    former: &'static [&'static str],
 }
 
-const fn moved(former: &'static str, current: &'static str) -> MovedModule {
-    MovedModule { former, current }
+const fn moved(current: &'static str, former: &'static [&'static str]) -> MovedModule {
+    MovedModule { current, former }
 }
 
-/// Every module that ever wrote log lines under another path, in alphabetical order of the former path.
-const MOVED_MODULES: &[MovedModule] = &[moved("gaugestep_coio::task", "gaugestep_coroutine_io::task")];
+/// Every module whose log target has changed, in alphabetical order of the present path.
+const MOVED_MODULES: &[MovedModule] = &[
+    moved(
+        "gaugestep_control_plane::cli",
+        &["gaugestep_control::cli", "gaugestep_control::commands", "gaugestep_control::group_commands"],
+    ),
+    moved("gaugestep_control_plane::cli::admin_client", &["gaugestep_control::call"]),
+    moved("gaugestep_control_plane::client", &["gaugestep_control::follow"]),
+    moved("gaugestep_control_plane::raft::codec", &["gaugestep_control::raft_wire"]),
+    moved("gaugestep_control_plane::raft::driver", &["gaugestep_control::node"]),
+    moved("gaugestep_control_plane::raft::recovery", &["gaugestep_control::opened"]),
+    moved("gaugestep_control_plane::raft::replica", &["gaugestep_control::group"]),
+    moved("gaugestep_control_plane::raft::storage", &["gaugestep_control::raft_log"]),
+    moved("gaugestep_control_plane::raft::transport", &["gaugestep_control::peers"]),
+    moved("gaugestep_control_plane::server", &["gaugestep_control::service"]),
+    moved("gaugestep_control_plane::server::admin", &["gaugestep_control::calls"]),
+    moved("gaugestep_control_plane::server::rollout_driver", &["gaugestep_control::driving"]),
+    moved("gaugestep_control_plane::server::roster_service", &["gaugestep_control::seating"]),
+    moved("gaugestep_control_plane::transport::connection", &["gaugestep_control::channel"]),
+    moved("gaugestep_control_plane::transport::framing", &["gaugestep_control::frame"]),
+    moved("gaugestep_control_plane::transport::tls", &["gaugestep_control::keys"]),
+    moved("gaugestep_coroutine_io::task", &["gaugestep_coio::task"]),
+    moved("gaugestep_proxy::admin", &["gaugestep::net::ops"]),
+    moved("gaugestep_proxy::class_registry", &["gaugestep::net::classes"]),
+    moved("gaugestep_proxy::config_applier", &["gaugestep::net::versions"]),
+    moved("gaugestep_proxy::discovery", &["gaugestep::net::coordinator"]),
+    moved(
+        "gaugestep_proxy::downstream",
+        &[
+            "gaugestep::net::front",
+            "gaugestep::net::front::fields",
+            "gaugestep::net::front::message",
+            "gaugestep::net::front::pg",
+        ],
+    ),
+    moved("gaugestep_proxy::facade", &["gaugestep::facade"]),
+    moved("gaugestep_proxy::request_lifecycle", &["gaugestep::net::relay"]),
+    moved("gaugestep_proxy::server", &["gaugestep::net::server"]),
+    moved("gaugestep_proxy::termination", &["gaugestep::net::ending"]),
+    moved("gaugestep_proxy::upstream", &["gaugestep::net::back", "gaugestep::net::back::lines"]),
+];
 
-/// Returns the directives of a filter, with those that name a former path repeated for the present one.
+/// Returns the directives of a filter, followed by those that former paths stand for under present paths.
 ///
-/// `directives` is a list separated by commas, as [`EnvFilter`] takes it. A directive holds for every target that begins
-/// with the one it names, and the most specific directive wins; both stay true of former paths. Where directives for a
-/// former path and for the present one meet, the latter wins.
+/// `directives` is a list separated by commas, as [`EnvFilter`] takes it. There a directive holds for every target that
+/// begins with the one it names, and the most specific directive wins. Both stay true of former paths: a module is at the
+/// level that it would have had under its former path. A directive that names a module by its present path wins over one
+/// by a former path.
 ///
 /// [`EnvFilter`]: https://docs.rs/tracing-subscriber/latest/tracing_subscriber/filter/struct.EnvFilter.html
 #[must_use]
 pub fn expand(directives: &str) -> String {
-    let given: Vec<&str> = directives.split(',').collect();
-    // A later directive replaces an earlier one for the same target, so the most specific former path comes last.
-    let mut by_length = given.clone();
-    by_length.sort_by_key(|directive| target_of(directive).len());
-    let translated = by_length.into_iter().flat_map(translations);
-    translated.chain(given.iter().map(|directive| (*directive).to_owned())).collect::<Vec<_>>().join(",")
-}
-
-/// The same directive for the present path of each module that it holds for by its former path only.
-fn translations(directive: &str) -> impl Iterator<Item = String> {
-    let target = target_of(directive);
-    let rest = &directive[target.len()..];
-    let target = target.trim();
-    let applies =
-        move |module: &&MovedModule| module.former.starts_with(target) && !module.current.starts_with(target);
-    MOVED_MODULES.iter().filter(applies).map(move |module| format!("{}{rest}", module.current))
-}
-
-/// The part of a directive that names the target: what stands before a span or a level.
-fn target_of(directive: &str) -> &str {
-    directive.split(['[', '=']).next().unwrap_or_default()
+    let given: Vec<Directive> = directives.split(',').map(Directive::parse).collect();
+    let mut expanded = Vec::new();
+    // Outer modules come before the ones within them, as paths are in alphabetical order.
+    let mut renamed: Vec<&MovedModule> = Vec::new();
+    for module in MOVED_MODULES {
+        let matching = most_specific_last(&given, |target| module.is_named_by_former_path(target));
+        let inner = renamed.iter().any(|outer| is_within(module.current, outer.current));
+        if matching.is_empty() && inner {
+            expanded.push(unchanged_level(module, &given));
+        }
+        if !matching.is_empty() {
+            renamed.push(module);
+        }
+        expanded.extend(matching.iter().map(|directive| format!("{}{}", module.current, directive.rest)));
+    }
+    expanded.extend(given.iter().map(|directive| format!("{}{}", directive.target, directive.rest)));
+    expanded.join(",")
+}
+
+/// One directive of a filter.
+struct Directive<'a> {
+    /// What stands before a span or a level.
+    target: &'a str,
+    /// The span, if there is one, and the level.
+    rest: &'a str,
+}
+
+impl<'a> Directive<'a> {
+    fn parse(text: &'a str) -> Self {
+        let (target, rest) = text.split_at(text.find(['[', '=']).unwrap_or(text.len()));
+        Directive { target, rest }
+    }
+
+    /// Whether it is a level that holds for all targets.
+    fn is_bare_level(&self) -> bool {
+        const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
+        self.rest.is_empty() && LEVELS.iter().any(|level| self.target.trim().eq_ignore_ascii_case(level))
+    }
+}
+
+impl MovedModule {
+    /// Whether a directive for `target` held for this module before it was moved, and does not do so by itself any more.
+    fn is_named_by_former_path(&self, target: &str) -> bool {
+        self.former.iter().any(|path| path.starts_with(target)) && !self.current.starts_with(target)
+    }
+}
+
+/// Whether `module` lies within `outer`.
+fn is_within(module: &str, outer: &str) -> bool {
+    module.strip_prefix(outer).is_some_and(|rest| rest.starts_with("::"))
+}
+
+/// The directives whose target is accepted, so that a later one replaces the less specific ones before it.
+fn most_specific_last<'a>(
+    given: &'a [Directive<'a>],
+    accepts: impl Fn(&str) -> bool,
+) -> Vec<&'a Directive<'a>> {
+    let mut matching: Vec<&Directive> =
+        given.iter().filter(|directive| accepts(directive.target.trim())).collect();
+    matching.sort_by_key(|directive| directive.target.len());
+    matching
+}
+
+/// A directive that keeps `module` at the level that it has without the directive for the module around it.
+fn unchanged_level(module: &MovedModule, given: &[Directive]) -> String {
+    let by_path =
+        most_specific_last(given, |target| !target.is_empty() && module.current.starts_with(target));
+    if let Some(directive) = by_path.last() {
+        return format!("{}{}", module.current, directive.rest);
+    }
+    let bare_level = given.iter().rev().find(|directive| directive.is_bare_level());
+    format!("{}={}", module.current, bare_level.map_or("off", |directive| directive.target.trim()))
 }
--- a/crates/log-filter/tests/expand.rs
+++ b/crates/log-filter/tests/expand.rs
@@ -78,3 +78,28 @@
         assert_eq!(expand(filter), filter);
     }
 }
+
+#[test]
+fn a_directive_for_a_moved_module_does_not_reach_modules_that_now_lie_within_it() {
+    let service = "gaugestep_control_plane::server";
+    for (filter, admin_level) in [
+        ("gaugestep_control::service=info", "off"),
+        ("warn,gaugestep_control::service=info", "warn"),
+        ("gaugestep_control=debug,gaugestep_control::service=info", "debug"),
+    ] {
+        let expanded = expand(filter);
+        assert!(expanded.contains(&format!("{service}=info")), "{expanded}");
+        assert!(expanded.contains(&format!("{service}::admin={admin_level}")), "{expanded}");
+    }
+    let expanded = expand("gaugestep_control::service=info,gaugestep_control::calls=trace");
+    assert!(expanded.contains(&format!("{service}::admin=trace")), "{expanded}");
+    assert!(!expanded.contains(&format!("{service}::admin=off")), "{expanded}");
+}
+
+#[test]
+fn several_former_paths_of_one_module_are_all_accepted() {
+    for former in ["gaugestep::net", "gaugestep::net::front", "gaugestep::net::front::pg"] {
+        let expanded = expand(&format!("{former}=debug"));
+        assert!(expanded.contains("gaugestep_proxy::downstream=debug"), "{expanded}");
+    }
+}
