--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -31,12 +31,13 @@
 mod slot_file;
 
 use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::process::{Command, Stdio};
 
 use gaugestep_config::schema::{Charter, HandOver, Offer, Plan, call};
 use gaugestep_config::text;
 use gaugestep_duty::{SEATS, VERSIONS};
 use gaugestep_lab::duties::judge;
+use gaugestep_lab::process::Process;
 use gaugestep_store::versions::Versions;
 use prost::Message as _;
 
@@ -206,14 +207,22 @@
 
 /// Starts a control service on this store, which it must refuse with exit code 1 and one line: the line.
 fn refusal_of(store: &Path) -> String {
-    let config = store.with_file_name("control.textproto");
+    let (config, log) = (store.with_file_name("control.textproto"), store.with_file_name("log"));
     let (listen, operators) = (free_address(), free_address());
     let store = store.display().to_string();
     std::fs::write(&config, format!("listen: \"{listen}\" operators: \"{operators}\" store: {store:?}"))
         .unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_gaugestep-control"));
-    let (code, _, error) = control::told(command.args(["serve", "--config"]).arg(&config));
-    assert_eq!((code, error.lines().count()), (1, 1), "{error}");
+    command.args(["serve", "--config"]).arg(&config);
+    command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).unwrap());
+    let mut process = Process::start(&mut command).unwrap();
+    let mut exit = None;
+    wait("a control service refuses the store", || {
+        exit = process.ended().unwrap();
+        exit.is_some()
+    });
+    let error = std::fs::read_to_string(&log).unwrap();
+    assert_eq!((exit.and_then(|it| it.code()), error.lines().count()), (Some(1), 1), "{error}");
     error
 }
 
