--- a/crates/proxy/src/class_registry.rs
+++ b/crates/proxy/src/class_registry.rs
@@ -1,4 +1,4 @@
-//! The classes and tenants by the names of the protocol, and what operators are told of them.
+//! The classes and tenants by the names of the protocol, and what operators are to_json of them.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,11 +12,11 @@
 
 /// What became of the requests of one class since the start.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct ClassCounts {
     open: AtomicU64,
     succeeded: AtomicU64,
-    declined: AtomicU64,
-    aborted: AtomicU64,
+    rejected: AtomicU64,
+    failed: AtomicU64,
 }
 
 /// A class under one set of rules; a request keeps it until it ends.
@@ -26,44 +26,44 @@
     pub id: ClassId,
     /// The protocol's name.
     pub name: String,
-    counts: Arc<Counts>,
+    counts: Arc<ClassCounts>,
 }
 
 impl Class {
-    /// Counts a request that is taken.
-    pub fn opened(&self) {
+    /// ClassCounts a request that is taken.
+    pub fn request_opened(&self) {
         self.counts.open.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that was taken and has its answer.
-    pub fn closed(&self) {
+    /// ClassCounts a request that was taken and has its answer.
+    pub fn request_closed(&self) {
         self.counts.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Counts a request served.
+    /// ClassCounts a request served.
     pub fn succeeded(&self) {
         self.counts.succeeded.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request refused.
-    pub fn declined(&self) {
-        self.counts.declined.fetch_add(1, Ordering::Relaxed);
+    /// ClassCounts a request refused.
+    pub fn rejected(&self) {
+        self.counts.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request failed.
-    pub fn aborted(&self) {
-        self.counts.aborted.fetch_add(1, Ordering::Relaxed);
+    /// ClassCounts a request failed.
+    pub fn failed(&self) {
+        self.counts.failed.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// The classes and tenants of the settings in force.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct ActiveClasses {
     classes: Vec<Arc<Class>>,
     tenants: Vec<String>,
 }
 
-impl Book {
+impl ActiveClasses {
     /// The class of this name.
     pub fn class(&self, name: &str) -> Option<&Arc<Class>> {
         self.classes.iter().find(|class| class.name == name)
@@ -83,32 +83,32 @@
 
 #[derive(Default)]
 struct State {
-    book: Arc<Book>,
+    active: Arc<ActiveClasses>,
     slots: Vec<Slot>,
     /// By name, for good: operators read them after a class has gone, and only they name classes.
-    counts: BTreeMap<String, Arc<Counts>>,
+    counts: BTreeMap<String, Arc<ClassCounts>>,
 }
 
 /// All classes, also those that have gone and still have requests open.
 #[derive(Default)]
-pub struct Classes(Mutex<State>);
+pub struct ClassRegistry(Mutex<State>);
 
-impl Classes {
-    /// The book in force.
-    pub fn book(&self) -> Arc<Book> {
-        lock(&self.0).book.clone()
+impl ClassRegistry {
+    /// The active in force.
+    pub fn active(&self) -> Arc<ActiveClasses> {
+        lock(&self.0).active.clone()
     }
 
     /// Takes new settings: `apply` gets them with the classes at the module's places. A class whose rules change
     /// becomes another one. Guards open requests, which end under the rules that they came under; the place of a
     /// class that has gone is used again once its last request has ended.
-    pub fn take(&self, names: &Names, mut settings: Settings, apply: impl FnOnce(Settings, &[Arc<Class>])) {
+    pub fn update(&self, names: &Names, mut settings: Settings, apply: impl FnOnce(Settings, &[Arc<Class>])) {
         let mut state = lock(&self.0);
-        let State { book, slots, counts } = &mut *state;
+        let State { active, slots, counts } = &mut *state;
         let mut classes = Vec::with_capacity(names.classes.len());
         for (name, rules) in names.classes.iter().zip(std::mem::take(&mut settings.classes)) {
             let same = |class: &&Arc<Class>| class.name == *name && slots[class.id.0].rules == rules;
-            if let Some(class) = book.classes.iter().find(same) {
+            if let Some(class) = active.classes.iter().find(same) {
                 classes.push(class.clone());
                 continue;
             }
@@ -125,36 +125,36 @@
         }
         settings.classes = slots.iter().map(|slot| slot.rules.clone()).collect();
         apply(settings, &classes);
-        *book = Arc::new(Book { classes, tenants: names.tenants.clone() });
+        *active = Arc::new(ActiveClasses { classes, tenants: names.tenants.clone() });
     }
 
     /// The classes by name, with their requests that are open.
-    pub fn open(&self) -> Vec<(String, u64)> {
+    pub fn open_requests(&self) -> Vec<(String, u64)> {
         let state = lock(&self.0);
-        let open = |counts: &Counts| counts.open.load(Ordering::Relaxed);
+        let open = |counts: &ClassCounts| counts.open.load(Ordering::Relaxed);
         state.counts.iter().map(|(name, counts)| (name.clone(), open(counts))).collect()
     }
 
     /// Requests since the start, over all classes: served, refused, failed.
     pub fn totals(&self) -> (u64, u64, u64) {
         let state = lock(&self.0);
-        let sum = |of: fn(&Counts) -> &AtomicU64| {
+        let sum = |of: fn(&ClassCounts) -> &AtomicU64| {
             state.counts.values().map(|counts| of(counts).load(Ordering::Relaxed)).sum()
         };
-        (sum(|it| &it.succeeded), sum(|it| &it.declined), sum(|it| &it.aborted))
+        (sum(|it| &it.succeeded), sum(|it| &it.rejected), sum(|it| &it.failed))
     }
 
     /// The counts of each class.
-    pub fn counted(&self) -> serde_json::Value {
+    pub fn counts_json(&self) -> serde_json::Value {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let told = |counts: &Counts| {
+        let to_json = |counts: &ClassCounts| {
             serde_json::json!({
                 "succeeded": read(&counts.succeeded),
-                "declined": read(&counts.declined),
-                "aborted": read(&counts.aborted),
+                "declined": read(&counts.rejected),
+                "aborted": read(&counts.failed),
             })
         };
         let state = lock(&self.0);
-        state.counts.iter().map(|(name, counts)| (name.clone(), told(counts))).collect()
+        state.counts.iter().map(|(name, counts)| (name.clone(), to_json(counts))).collect()
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -29,7 +29,7 @@
 /// The names that the protocol uses, in the order of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes of requests.
+    /// ClassRegistry of requests.
     pub classes: Vec<String>,
     /// Tenants; may be empty.
     pub tenants: Vec<String>,
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -18,7 +18,7 @@
 use crate::config::Names;
 use crate::discovery::{Listed, Roster};
 use crate::lock;
-use crate::request_lifecycle::Gateway;
+use crate::request_lifecycle::RequestHandler;
 
 /// The span of a ration of further attempts, in milliseconds, where the platform names none.
 const SPAN: f64 = 5_000.0;
@@ -40,7 +40,7 @@
 
 /// The proxy as versions see it.
 pub struct Versioned {
-    gateway: Arc<Gateway>,
+    handler: Arc<RequestHandler>,
     roster: Arc<Roster>,
     told: Mutex<Told>,
     document: Mutex<Document>,
@@ -49,9 +49,14 @@
 
 impl Versioned {
     /// The proxy under the platform's own file alone. It looks at its routes anew whenever the list changes.
-    pub fn start(gateway: Arc<Gateway>, roster: Arc<Roster>, told: Told, set_log: SetLog) -> Arc<Self> {
+    pub fn start(
+        handler: Arc<RequestHandler>,
+        roster: Arc<Roster>,
+        told: Told,
+        set_log: SetLog,
+    ) -> Arc<Self> {
         let document = Mutex::default();
-        let this = Arc::new(Versioned { gateway, roster, told: Mutex::new(told), document, set_log });
+        let this = Arc::new(Versioned { handler, roster, told: Mutex::new(told), document, set_log });
         let looking = Arc::downgrade(&this);
         this.roster.on_change(Box::new(move || {
             if let Some(this) = looking.upgrade() {
@@ -63,13 +68,13 @@
         this
     }
 
-    /// The platform's own file has changed. Called with [`Gateway::changes`] held.
+    /// The platform's own file has changed. Called with [`RequestHandler::update_lock`] held.
     pub fn retell(&self, told: Told) {
         *lock(&self.told) = told;
         self.settle();
     }
 
-    /// Puts the platform's file and the document in force together. Called with [`Gateway::changes`] held.
+    /// Puts the platform's file and the document in force together. Called with [`RequestHandler::update_lock`] held.
     fn settle(&self) {
         let (told, document) = (lock(&self.told), lock(&self.document).clone());
         let counts = proxy_state::effective_config(&document, &platform(&told));
@@ -97,11 +102,11 @@
         });
         let max_open = told.max_open.min(counts.max_open as usize);
         drop(told);
-        self.gateway.max_open.store(max_open, Ordering::Relaxed);
+        self.handler.max_open.store(max_open, Ordering::Relaxed);
         let tenants = names.tenants.clone();
-        self.gateway.classes.take(&names, settings, |mut settings, classes| {
+        self.handler.classes.update(&names, settings, |mut settings, classes| {
             settings.routes = self.routes(&document, classes, &tenants);
-            self.gateway.facade.retune(settings);
+            self.handler.facade.update_settings(settings);
         });
     }
 
@@ -170,9 +175,9 @@
 
 impl ProxyHandle for Versioned {
     fn with_state(&self, then: &mut dyn FnMut(&ProxyState)) {
-        let _changes = lock(&self.gateway.changes);
+        let _changes = lock(&self.handler.update_lock);
         let told = lock(&self.told);
-        let open = self.gateway.classes.open();
+        let open = self.handler.classes.open_requests();
         let count = |name: &String| open.iter().find(|(other, _)| other == name).map_or(0, |(_, open)| *open);
         let classes = told
             .names
@@ -183,7 +188,7 @@
         let state = ProxyState {
             engines: listed.map(|all| all.iter().map(|(name, listed)| engine(name, listed)).collect()),
             classes: classes.collect(),
-            open: self.gateway.open.load(Ordering::Relaxed) as u64,
+            open: self.handler.open.load(Ordering::Relaxed) as u64,
             platform: platform(&told),
         };
         drop(told);
@@ -197,12 +202,12 @@
     }
 
     fn assign_ordinal(&self, seat: Option<(FleetPosition, f64)>) {
-        let _changes = lock(&self.gateway.changes);
+        let _changes = lock(&self.handler.update_lock);
         let (place, left) = seat.unwrap_or((FleetPosition::NameKey(0), 0.0));
-        self.gateway.facade.seated(place, left);
+        self.handler.facade.set_fleet_position(place, left);
     }
 
     fn request_counts(&self) -> (u64, u64, u64) {
-        self.gateway.classes.totals()
+        self.handler.classes.totals()
     }
 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 use may::net::TcpStream;
 use serde_json::Value;
 
-use crate::request_lifecycle::Gateway;
+use crate::request_lifecycle::RequestHandler;
 use crate::{lock, task};
 
 /// A comment comes each second: silence for longer means that the connection is dead.
@@ -27,7 +27,7 @@
 
 /// The list of databases as the coordinator tells it.
 pub struct Roster {
-    gateway: Arc<Gateway>,
+    handler: Arc<RequestHandler>,
     known: Mutex<Known>,
     place: Mutex<Place>,
     /// Before the coordinator is called anew.
@@ -71,10 +71,10 @@
     /// A roster that knows nothing yet and will follow the coordinator at `address`.
     ///
     /// `spread` stretches the pause before it is called anew, by the proxy's place: all proxies lose it at one moment.
-    pub fn new(gateway: Arc<Gateway>, address: Option<SocketAddr>, spread: f64) -> Self {
+    pub fn new(handler: Arc<RequestHandler>, address: Option<SocketAddr>, spread: f64) -> Self {
         let place = Mutex::new(Place { address, open: None });
         let pause = PAUSE.mul_f64(spread);
-        Roster { gateway, known: Mutex::default(), place, pause, changed: OnceLock::new() }
+        Roster { handler, known: Mutex::default(), place, pause, changed: OnceLock::new() }
     }
 
     /// How many databases are listed.
@@ -89,7 +89,7 @@
         (known.index > 0).then_some(all)
     }
 
-    /// Has `then` called whenever the list has changed, with [`Gateway::changes`] held.
+    /// Has `then` called whenever the list has changed, with [`RequestHandler::update_lock`] held.
     pub fn on_change(&self, then: Box<dyn Fn() + Send + Sync>) {
         let _ = self.changed.set(then);
     }
@@ -118,7 +118,7 @@
 
     /// Applies one event. What cannot be read is logged and passed over.
     fn apply(&self, event: &Value) {
-        let _changes = lock(&self.gateway.changes);
+        let _changes = lock(&self.handler.update_lock);
         let endpoints = &event["endpoints"];
         let whole = endpoints["complete"].as_bool().unwrap_or(false);
         let Some(members) = endpoints["members"].as_array() else {
@@ -134,10 +134,10 @@
         if whole {
             let engines: Vec<EngineId> = entries.iter().map(|entry| entry.engine).collect();
             lock(&self.known).engines.retain(|_, listed| engines.contains(&listed.engine));
-            self.gateway.lines.only(&engines);
+            self.handler.upstream_pool.only(&engines);
         }
         tracing::info!(whole, members = entries.len(), "databases listed");
-        self.gateway.facade.engines(entries, whole);
+        self.handler.facade.update_engines(entries, whole);
         if let Some(then) = self.changed.get() {
             then();
         }
@@ -156,8 +156,8 @@
         let cell = member["cell"].as_u64().unwrap_or(0);
         let (zone, kind) = (text("locality"), text("flavor"));
         let engine = self.number(name, Listed { engine: EngineId(0), zone, kind, cell, readiness })?;
-        self.gateway.lines.listed(engine, address, readiness);
-        let names = &self.gateway.names;
+        self.handler.upstream_pool.listed(engine, address, readiness);
+        let names = &self.handler.names;
         let place = |names: &[String], key: &str| {
             let name = member[key].as_str();
             names.iter().position(|other| Some(other.as_str()) == name)
@@ -170,7 +170,7 @@
             machine: MachineId(place(&names.machines, "flavor").unwrap_or(usize::MAX)),
             cell: CellId(cell),
             readiness,
-            started_at: started.map(|at| self.gateway.facade.at_unix(at)),
+            started_at: started.map(|at| self.handler.facade.at_unix(at)),
             key: gaugestep_subsetting::key(name),
         })
     }
--- a/crates/proxy/src/downstream/fields.rs
+++ b/crates/proxy/src/downstream/fields.rs
@@ -2,7 +2,7 @@
 
 /// The fields of one request, in the buffer that they were read into.
 #[derive(Debug, Default, PartialEq)]
-pub struct Fields<'a> {
+pub struct RequestFields<'a> {
     /// The class.
     pub method: &'a str,
     /// The request's id.
@@ -18,13 +18,13 @@
 }
 
 /// The longest time that a client may wait, in milliseconds.
-const LONGEST_BUDGET: f64 = 3_600_000.0;
+const MAX_BUDGET_MS: f64 = 3_600_000.0;
 
 /// The most work, in milliseconds, and the most memory, in MB, that an estimate may name: more is no estimate.
-const MOST: f64 = 1e9;
+const MAX_ESTIMATE: f64 = 1e9;
 
 /// Takes the comment off a query: its fields and the statement behind it.
-pub fn split(query: &[u8]) -> Result<(Fields<'_>, &[u8]), String> {
+pub fn parse(query: &[u8]) -> Result<(RequestFields<'_>, &[u8]), String> {
     let query = query.trim_ascii_start();
     let comment =
         query.strip_prefix(b"/*").ok_or("a comment with the fields must stand ahead of the statement")?;
@@ -34,12 +34,12 @@
         .ok_or("the comment with the fields does not end")?;
     let statement = comment[end + 2..].trim_ascii_start();
     let text = std::str::from_utf8(&comment[..end]).map_err(|_| "the fields are not UTF-8")?;
-    let (mut fields, mut has_budget) = (Fields::default(), false);
+    let (mut fields, mut has_budget) = (RequestFields::default(), false);
     for pair in text.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or_else(|| format!("'{pair}' is no name=value pair"))?;
         let number = || match value.parse::<f64>() {
-            Ok(number) if (0.0..=MOST).contains(&number) => Ok(number),
-            _ => Err(format!("field '{name}' is '{value}', not a number from 0 to {MOST}")),
+            Ok(number) if (0.0..=MAX_ESTIMATE).contains(&number) => Ok(number),
+            _ => Err(format!("field '{name}' is '{value}', not a number from 0 to {MAX_ESTIMATE}")),
         };
         match name {
             "method" => fields.method = value,
@@ -56,7 +56,7 @@
     if !id {
         return Err(format!("field 'rid' is '{}', not 16 hex digits", fields.rid));
     }
-    if !has_budget || fields.budget <= 0.0 || fields.budget > LONGEST_BUDGET {
+    if !has_budget || fields.budget <= 0.0 || fields.budget > MAX_BUDGET_MS {
         return Err("field 'budget' must be a time above 0".into());
     }
     if statement.is_empty() {
@@ -73,10 +73,10 @@
 /// schema. Strings, comments and the schema `staging` do not count; a schema behind a word that a table
 /// follows counts more than one elsewhere.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
-    let mut scan = Scan { text: statement, at: 0 };
+    let mut scanner = NameScanner { text: statement, at: 0 };
     let (mut found, mut after_word) = (None, false);
-    while let Some(name) = scan.name() {
-        let schema = scan.text.get(scan.at) == Some(&b'.');
+    while let Some(name) = scanner.next_name() {
+        let schema = scanner.text.get(scanner.at) == Some(&b'.');
         let group = schema.then(|| group_of(name)).flatten();
         if after_word && group.is_some() {
             return group;
@@ -98,14 +98,14 @@
 }
 
 /// Walks over a statement from name to name.
-struct Scan<'a> {
+struct NameScanner<'a> {
     text: &'a [u8],
     at: usize,
 }
 
-impl<'a> Scan<'a> {
+impl<'a> NameScanner<'a> {
     /// The next name outside strings and comments; `at` then stands behind it.
-    fn name(&mut self) -> Option<&'a [u8]> {
+    fn next_name(&mut self) -> Option<&'a [u8]> {
         loop {
             let rest = &self.text[self.at..];
             match *rest {
--- a/crates/proxy/src/facade.rs
+++ b/crates/proxy/src/facade.rs
@@ -1,6 +1,6 @@
 //! The decision module in blocking style: [`Facade::pick`], [`Facade::report`] and [`Facade::tick`].
 //!
-//! The facade owns the dispatcher, its clock and its timers, and turns the module's actions into letters to
+//! The facade owns the dispatcher, its clock and its timers, and turns the module's actions into events to
 //! the coroutines concerned. Each request has one [`Mailbox`]; whatever reaches its coroutine comes through it.
 //! Nothing is decided here.
 
@@ -14,30 +14,30 @@
 use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
 use may::sync::mpsc::{Receiver, Sender, channel};
 
-/// What reaches a request's coroutine. `Back` is whatever the databases' side has to say of an attempt.
+/// What reaches a request's coroutine. `Upstream` is whatever the databases' side has to say of an attempt.
 #[derive(Debug)]
-pub enum Letter<Back> {
+pub enum RequestEvent<Upstream> {
     /// The module sends the request to an engine.
-    Send(Sending),
+    Send(AttemptOrder),
     /// The module calls an attempt off.
     Cancel(AttemptNo),
     /// The module gives what runs another priority.
     Priority(u8),
     /// The module's final answer: refused; milliseconds to stay away.
-    Refuse(Millis, RejectReason),
+    Reject(Millis, RejectReason),
     /// The module's final answer: failed.
     Fail,
     /// The deadline has come while this attempt was out.
     Deadline(AttemptNo),
     /// The client has left.
     ClientGone,
-    /// News of an attempt from the databases' side.
-    Back(AttemptNo, Back),
+    /// UpstreamEvent of an attempt from the databases' side.
+    Upstream(AttemptNo, Upstream),
 }
 
 /// One attempt that the module wants made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sending {
+pub struct AttemptOrder {
     /// Where to.
     pub engine: EngineId,
     /// Its number.
@@ -50,17 +50,17 @@
 
 /// What a request's coroutine has to do next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
+pub enum NextStep {
     /// Make this attempt, then [`Facade::report`] its end.
-    Send(Sending),
+    Send(AttemptOrder),
     /// Refuse it; the client should stay away for so many milliseconds.
-    Refuse(Millis, RejectReason),
+    Reject(Millis, RejectReason),
     /// Fail it.
     Fail,
     /// Nothing was taken: a request with this id is open.
     Duplicate,
     /// Nothing: the request is over.
-    Over,
+    Finished,
 }
 
 /// How an attempt ended, in the module's terms.
@@ -74,53 +74,53 @@
     pub load: Option<LoadReport>,
 }
 
-/// The receiving end of a request's letters.
-pub struct Mailbox<Back> {
-    letters: Receiver<Letter<Back>>,
-    post: Sender<Letter<Back>>,
+/// The receiving end of a request's events.
+pub struct Mailbox<Upstream> {
+    events: Receiver<RequestEvent<Upstream>>,
+    sender: Sender<RequestEvent<Upstream>>,
 }
 
-impl<Back> Mailbox<Back> {
+impl<Upstream> Mailbox<Upstream> {
     /// An empty mailbox.
     pub fn new() -> Self {
-        let (post, letters) = channel();
-        Mailbox { letters, post }
+        let (sender, events) = channel();
+        Mailbox { events, sender }
     }
 
     /// An address to write to it.
-    pub fn address(&self) -> Sender<Letter<Back>> {
-        self.post.clone()
+    pub fn sender(&self) -> Sender<RequestEvent<Upstream>> {
+        self.sender.clone()
     }
 
     /// The final answer that may still lie here. Guards against losing a request: the module can answer while the
-    /// letter before that answer, such as the deadline, is still being dealt with.
-    fn last_word(&self) -> Step {
-        while let Ok(letter) = self.letters.try_recv() {
-            match letter {
-                Letter::Refuse(backoff, reason) => return Step::Refuse(backoff, reason),
-                Letter::Fail => return Step::Fail,
+    /// event before that answer, such as the deadline, is still being dealt with.
+    fn drain_for_answer(&self) -> NextStep {
+        while let Ok(event) = self.events.try_recv() {
+            match event {
+                RequestEvent::Reject(backoff, reason) => return NextStep::Reject(backoff, reason),
+                RequestEvent::Fail => return NextStep::Fail,
                 _ => {}
             }
         }
-        Step::Over
+        NextStep::Finished
     }
 
-    /// Blocks the coroutine until a letter comes.
-    pub fn next(&self) -> Letter<Back> {
+    /// Blocks the coroutine until a event comes.
+    pub fn next(&self) -> RequestEvent<Upstream> {
         // The mailbox holds a sender of its own, so the channel cannot close under it.
-        self.letters.recv().unwrap_or(Letter::ClientGone)
+        self.events.recv().unwrap_or(RequestEvent::ClientGone)
     }
 }
 
 /// Milliseconds between two times that the module looks at all that waits, while much is open.
-const SETTLE_EVERY: Millis = 1.0;
+const PENDING_RUN_INTERVAL: Millis = 1.0;
 
 /// Microseconds after which the ticker looks again, whatever it was told.
-const LONGEST_WAIT: u64 = 1_000_000;
+const MAX_TICKER_WAIT_US: u64 = 1_000_000;
 
 /// A request as the facade keeps it.
-struct Entry<Back> {
-    post: Sender<Letter<Back>>,
+struct RequestEntry<Upstream> {
+    events: Sender<RequestEvent<Upstream>>,
     due: Millis,
     /// Answered, or left by its client.
     over: bool,
@@ -136,12 +136,12 @@
 enum Alarm {
     Deadline(RequestId),
     Timer(TimerId),
-    Settle,
+    RunPending,
 }
 
-struct Inner<Back> {
+struct Inner<Upstream> {
     dispatcher: Dispatcher,
-    requests: BTreeMap<RequestId, Entry<Back>>,
+    requests: BTreeMap<RequestId, RequestEntry<Upstream>>,
     /// Microseconds of the clock, and what is due then. A request's deadline goes with it: a client may name one that
     /// lies an hour ahead.
     alarms: BTreeSet<(u64, Alarm)>,
@@ -154,7 +154,7 @@
     priorities: bool,
 }
 
-impl<Back> Inner<Back> {
+impl<Upstream> Inner<Upstream> {
     /// Forgets a request and its deadline.
     fn remove(&mut self, id: &RequestId) {
         if let Some(entry) = self.requests.remove(id) {
@@ -169,8 +169,8 @@
 }
 
 /// The dispatcher, its clock and its timers.
-pub struct Facade<Back> {
-    inner: Mutex<Inner<Back>>,
+pub struct Facade<Upstream> {
+    inner: Mutex<Inner<Upstream>>,
     started: Instant,
     /// Unix time of the clock's zero, in milliseconds.
     epoch: Millis,
@@ -178,7 +178,7 @@
     ticker: Mutex<(Option<Thread>, u64)>,
 }
 
-impl<Back> Facade<Back> {
+impl<Upstream> Facade<Upstream> {
     /// A facade of a new dispatcher whose clock starts now.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let (max_attempts, priorities) = (settings.max_attempts.max(1), settings.priorities);
@@ -212,16 +212,16 @@
     }
 
     /// Hands a new request to the module and blocks until there is something to do for it.
-    pub fn pick(&self, mut new: NewRequest, mailbox: &Mailbox<Back>) -> Step {
+    pub fn pick(&self, mut new: NewRequest, mailbox: &Mailbox<Upstream>) -> NextStep {
         let id = new.id.clone();
         let mut inner = lock(&self.inner);
         // Guards the request that is open: its answer would go to whoever names its id.
         if inner.requests.contains_key(&id) {
-            return Step::Duplicate;
+            return NextStep::Duplicate;
         }
         new.deadline = new.deadline.min(inner.closing_by);
-        let entry = Entry {
-            post: mailbox.address(),
+        let entry = RequestEntry {
+            events: mailbox.sender(),
             due: new.deadline,
             over: false,
             out: None,
@@ -231,23 +231,23 @@
         };
         inner.alarms.insert((micros(new.deadline), Alarm::Deadline(id.clone())));
         inner.requests.insert(id.clone(), entry);
-        self.feed(inner, Some(Event::Request(new)));
-        self.wait(&id, mailbox)
+        self.dispatch(inner, Some(Event::Request(new)));
+        self.wait_for_step(&id, mailbox)
     }
 
     /// Tells the module how an attempt ended and blocks until there is something further to do.
-    pub fn report(&self, id: &RequestId, end: AttemptReport, mailbox: &Mailbox<Back>) -> Step {
+    pub fn report(&self, id: &RequestId, end: AttemptReport, mailbox: &Mailbox<Upstream>) -> NextStep {
         let now = self.now();
         let mut inner = lock(&self.inner);
-        let Some(entry) = inner.requests.get_mut(id) else { return Step::Over };
-        let Some((attempt, engine, sent)) = entry.out.take() else { return Step::Over };
-        let over_before = entry.over;
+        let Some(entry) = inner.requests.get_mut(id) else { return NextStep::Finished };
+        let Some((attempt, engine, sent)) = entry.out.take() else { return NextStep::Finished };
+        let was_finished = entry.over;
         entry.over |= end.outcome == Outcome::Served;
         let over = entry.over;
         if over {
             inner.remove(id);
         }
-        self.feed(
+        self.dispatch(
             inner,
             Some(Event::AttemptEnded(AttemptEnd {
                 id: id.clone(),
@@ -260,15 +260,15 @@
                 load: end.load,
             })),
         );
-        if over || over_before { mailbox.last_word() } else { self.wait(id, mailbox) }
+        if over || was_finished { mailbox.drain_for_answer() } else { self.wait_for_step(id, mailbox) }
     }
 
     /// Passes on what an engine tells of a running attempt.
-    pub fn noted(&self, id: &RequestId, attempt: AttemptNo, note: ProgressReport) {
-        self.feed(lock(&self.inner), Some(Event::Progress(id.clone(), attempt, note)));
+    pub fn on_progress(&self, id: &RequestId, attempt: AttemptNo, report: ProgressReport) {
+        self.dispatch(lock(&self.inner), Some(Event::Progress(id.clone(), attempt, report)));
     }
 
-    /// The client has left: nothing is owed any more. What runs is called off by letter.
+    /// The client has left: nothing is owed any more. What runs is called off by event.
     pub fn client_gone(&self, id: &RequestId) {
         let mut inner = lock(&self.inner);
         let Some(entry) = inner.requests.get_mut(id) else { return };
@@ -276,31 +276,31 @@
         if entry.out.is_none() {
             inner.remove(id);
         }
-        self.feed(inner, Some(Event::ClientGone(id.clone())));
+        self.dispatch(inner, Some(Event::ClientGone(id.clone())));
     }
 
     /// Tells of the list of engines, or of changes to it.
-    pub fn engines(&self, entries: Vec<EngineEntry>, whole: bool) {
-        let event = if whole { Event::EngineList(entries) } else { Event::EngineChanges(entries) };
-        self.feed(lock(&self.inner), Some(event));
+    pub fn update_engines(&self, entries: Vec<EngineEntry>, complete: bool) {
+        let event = if complete { Event::EngineList(entries) } else { Event::EngineChanges(entries) };
+        self.dispatch(lock(&self.inner), Some(event));
     }
 
     /// How many engines are listed and left alone for now.
-    pub fn avoided(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         lock(&self.inner).dispatcher.ejected_count(self.now())
     }
 
     /// New settings. What is open stays under the rules that it came under.
-    pub fn retune(&self, settings: Settings) {
+    pub fn update_settings(&self, settings: Settings) {
         let mut inner = lock(&self.inner);
         (inner.max_attempts, inner.priorities) = (settings.max_attempts.max(1), settings.priorities);
-        self.feed(inner, Some(Event::SettingsUpdated(Box::new(settings))));
+        self.dispatch(inner, Some(Event::SettingsUpdated(Box::new(settings))));
     }
 
     /// The dispatcher has this place for so long, and the one of its settings from then on.
-    pub fn seated(&self, place: FleetPosition, left: Millis) {
+    pub fn set_fleet_position(&self, place: FleetPosition, left: Millis) {
         let until = self.now() + left;
-        self.feed(lock(&self.inner), Some(Event::PositionAssigned(place, until)));
+        self.dispatch(lock(&self.inner), Some(Event::PositionAssigned(place, until)));
     }
 
     /// The proxy will end: every request, taken or yet to come, is due by then at the latest.
@@ -313,7 +313,7 @@
             alarms.insert((micros(at), Alarm::Deadline(id.clone())));
             entry.due = at;
         }
-        self.feed(inner, Some(Event::ClosingBy(at)));
+        self.dispatch(inner, Some(Event::ClosingBy(at)));
     }
 
     /// Fires what is due.
@@ -326,15 +326,15 @@
             }
             let Some((_, alarm)) = inner.alarms.pop_first() else { return };
             match alarm {
-                Alarm::Timer(timer) => self.feed(inner, Some(Event::Timer(timer))),
-                Alarm::Settle => {
-                    inner.settled = (now - SETTLE_EVERY, false);
-                    self.feed(inner, None);
+                Alarm::Timer(timer) => self.dispatch(inner, Some(Event::Timer(timer))),
+                Alarm::RunPending => {
+                    inner.settled = (now - PENDING_RUN_INTERVAL, false);
+                    self.dispatch(inner, None);
                 }
                 Alarm::Deadline(id) => {
                     let Some(entry) = inner.requests.get(&id) else { continue };
                     if let Some((attempt, ..)) = entry.out.filter(|_| !entry.over) {
-                        let _ = entry.post.send(Letter::Deadline(attempt));
+                        let _ = entry.events.send(RequestEvent::Deadline(attempt));
                     }
                 }
             }
@@ -352,7 +352,7 @@
             ticker.1 = next;
             drop(ticker);
             if next > now {
-                let wait = (next - now).min(LONGEST_WAIT);
+                let wait = (next - now).min(MAX_TICKER_WAIT_US);
                 std::thread::park_timeout(Duration::from_micros(wait));
             }
             self.tick();
@@ -360,56 +360,59 @@
     }
 
     /// Blocks until the module has something to do for a request of which nothing is out.
-    fn wait(&self, id: &RequestId, mailbox: &Mailbox<Back>) -> Step {
+    fn wait_for_step(&self, id: &RequestId, mailbox: &Mailbox<Upstream>) -> NextStep {
         loop {
             match mailbox.next() {
-                Letter::Send(sending) => return Step::Send(sending),
-                Letter::Refuse(backoff, reason) => return Step::Refuse(backoff, reason),
-                Letter::Fail => return Step::Fail,
-                Letter::ClientGone => {
+                RequestEvent::Send(order) => return NextStep::Send(order),
+                RequestEvent::Reject(backoff, reason) => return NextStep::Reject(backoff, reason),
+                RequestEvent::Fail => return NextStep::Fail,
+                RequestEvent::ClientGone => {
                     self.client_gone(id);
                     // The module may have sent it just before: that attempt is owed an end.
-                    while let Some(sending) = self.unstarted(id) {
-                        tracing::debug!(attempt = sending.0, "called off before it was sent");
+                    while let Some(order) = self.unsent_attempt(id) {
+                        tracing::debug!(attempt = order.0, "attempt cancelled before it was sent");
                         let end = AttemptReport { outcome: Outcome::NotSent, cost: None, load: None };
                         self.report(id, end, mailbox);
                     }
-                    return Step::Over;
+                    return NextStep::Finished;
                 }
                 // What is left of attempts that have ended.
-                Letter::Cancel(_) | Letter::Priority(_) | Letter::Deadline(_) | Letter::Back(..) => {}
+                RequestEvent::Cancel(_)
+                | RequestEvent::Priority(_)
+                | RequestEvent::Deadline(_)
+                | RequestEvent::Upstream(..) => {}
             }
         }
     }
 
-    fn unstarted(&self, id: &RequestId) -> Option<AttemptNo> {
+    fn unsent_attempt(&self, id: &RequestId) -> Option<AttemptNo> {
         lock(&self.inner).requests.get(id).and_then(|entry| entry.out).map(|(attempt, ..)| attempt)
     }
 
     /// Hands an event to the module and carries out its actions; then lets go of the lock and logs.
-    fn feed(&self, mut inner: MutexGuard<'_, Inner<Back>>, event: Option<Event>) {
+    fn dispatch(&self, mut inner: MutexGuard<'_, Inner<Upstream>>, event: Option<Event>) {
         let now = self.now();
         let mut events = VecDeque::from_iter(event);
         let mut actions = Vec::new();
         loop {
             match events.pop_front() {
                 Some(event) => inner.dispatcher.handle(now, event, &mut actions),
-                None if now - inner.settled.0 >= SETTLE_EVERY => {
+                None if now - inner.settled.0 >= PENDING_RUN_INTERVAL => {
                     inner.settled.0 = now;
                     inner.dispatcher.run_pending(now, &mut actions);
                 }
                 None => break,
             }
             for action in actions.drain(..) {
-                if let Some(moot) = self.carry_out(&mut inner, now, action) {
-                    events.push_back(moot);
+                if let Some(not_sent) = self.apply_action(&mut inner, now, action) {
+                    events.push_back(not_sent);
                 }
             }
         }
         if inner.settled.0 < now && !inner.settled.1 {
             inner.settled.1 = true;
-            let at = micros(inner.settled.0 + SETTLE_EVERY);
-            inner.alarms.insert((at, Alarm::Settle));
+            let at = micros(inner.settled.0 + PENDING_RUN_INTERVAL);
+            inner.alarms.insert((at, Alarm::RunPending));
         }
         let next = inner.next();
         let logs = std::mem::take(&mut inner.logs);
@@ -427,11 +430,11 @@
     }
 
     /// Carries out one action; the event is the end of an attempt that could not be sent at all.
-    fn carry_out(&self, inner: &mut Inner<Back>, now: Millis, action: Action) -> Option<Event> {
+    fn apply_action(&self, inner: &mut Inner<Upstream>, now: Millis, action: Action) -> Option<Event> {
         match action {
             Action::Send { id, engine } => {
                 let entry = inner.requests.get_mut(&id);
-                let sendable = |entry: &Entry<Back>| {
+                let sendable = |entry: &RequestEntry<Upstream>| {
                     !entry.over && entry.out.is_none() && entry.sent < entry.most && now < entry.due
                 };
                 let attempt = AttemptNo(entry.as_ref().map_or(0, |entry| entry.sent));
@@ -441,8 +444,13 @@
                         entry.out = Some((attempt, engine, now));
                         let priority = inner.priorities.then_some(entry.priority);
                         let until = inner.dispatcher.sendable_until(&id);
-                        let left = until.is_finite().then(|| milliseconds(until - now));
-                        let _ = entry.post.send(Letter::Send(Sending { engine, attempt, priority, left }));
+                        let left = until.is_finite().then(|| to_duration(until - now));
+                        let _ = entry.events.send(RequestEvent::Send(AttemptOrder {
+                            engine,
+                            attempt,
+                            priority,
+                            left,
+                        }));
                     }
                     entry => {
                         let finished = entry.as_ref().is_none_or(|entry| entry.over);
@@ -465,17 +473,17 @@
             Action::Cancel { id, attempt } => {
                 let entry = inner.requests.get(&id);
                 if let Some(entry) = entry.filter(|entry| entry.out.is_some_and(|(out, ..)| out == attempt)) {
-                    let _ = entry.post.send(Letter::Cancel(attempt));
+                    let _ = entry.events.send(RequestEvent::Cancel(attempt));
                 }
             }
             Action::Reject { id, retry_after, reason } => {
-                Self::answer(inner, &id, Letter::Refuse(retry_after, reason));
+                Self::answer(inner, &id, RequestEvent::Reject(retry_after, reason));
             }
-            Action::Fail { id } => Self::answer(inner, &id, Letter::Fail),
+            Action::Fail { id } => Self::answer(inner, &id, RequestEvent::Fail),
             Action::SetTerms { id, priority, .. } => {
                 if let Some(entry) = inner.requests.get_mut(&id) {
                     if entry.out.is_some() && entry.priority != priority {
-                        let _ = entry.post.send(Letter::Priority(priority));
+                        let _ = entry.events.send(RequestEvent::Priority(priority));
                     }
                     entry.priority = priority;
                 }
@@ -488,10 +496,10 @@
         None
     }
 
-    fn answer(inner: &mut Inner<Back>, id: &RequestId, letter: Letter<Back>) {
+    fn answer(inner: &mut Inner<Upstream>, id: &RequestId, event: RequestEvent<Upstream>) {
         let Some(entry) = inner.requests.get_mut(id).filter(|entry| !entry.over) else { return };
         entry.over = true;
-        let _ = entry.post.send(letter);
+        let _ = entry.events.send(event);
         if entry.out.is_none() {
             inner.remove(id);
         }
@@ -499,7 +507,7 @@
 }
 
 /// A time that lasts so long, or none.
-pub fn milliseconds(time: Millis) -> Duration {
+pub fn to_duration(time: Millis) -> Duration {
     Duration::from_secs_f64(time.max(0.0) / 1e3)
 }
 
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -1,6 +1,6 @@
 //! A request on its way through the proxy.
 //!
-//! The client's side yields a [`Query`] and takes an [`Answer`]; the databases' side gets a [`Query`] and yields [`News`].
+//! The client's side yields a [`Query`] and takes an [`Answer`]; the databases' side gets a [`Query`] and yields [`UpstreamEvent`].
 //! Neither knows the other: [`crate::request_lifecycle`] stands between them and asks the facade what to do.
 
 use std::fmt::Debug;
@@ -9,16 +9,16 @@
 use gaugestep_dispatch::interface::{Cost, LoadReport, NewRequest, ProgressReport, RejectReason};
 
 use crate::class_registry::Class;
-use crate::facade::Letter;
-use crate::termination::Ending;
+use crate::facade::RequestEvent;
+use crate::termination::Termination;
 
 /// Who waits for a request's answer, as can be asked at any moment.
 pub trait Client: Debug + Send + Sync {
     /// Whether it has closed its connection or called the request off, also if nobody else has noticed yet.
-    fn gone(&self) -> bool;
+    fn has_left(&self) -> bool;
 
     /// Whether something has come from outside that is still to be heard and may be what calls the request off.
-    fn unheard(&self) -> bool;
+    fn has_unread_input(&self) -> bool;
 }
 
 /// A client's request, whatever front it came through.
@@ -43,7 +43,7 @@
     /// Served.
     Served(Pages),
     /// It never ran, or may be repeated: the client may come again, after so many milliseconds.
-    Refused(f64, RejectReason),
+    Rejected(f64, RejectReason),
     /// Failed; nothing is promised.
     Failed,
     /// Not taken: its id is that of a request which is open.
@@ -52,18 +52,18 @@
 
 /// What the databases' side tells of an attempt.
 #[derive(Debug)]
-pub enum News {
-    /// A note while it runs.
-    Note(ProgressReport),
+pub enum UpstreamEvent {
+    /// It reported progress.
+    Progress(ProgressReport),
     /// Its end.
-    Ended(AttemptEnding),
+    Ended(AttemptResult),
 }
 
 /// The end of an attempt.
 #[derive(Debug)]
-pub struct AttemptEnding {
+pub struct AttemptResult {
     /// How it ended.
-    pub ending: Ending,
+    pub termination: Termination,
     /// What it needed, where that was told.
     pub cost: Option<Cost>,
     /// The database's load, where that was told.
@@ -72,13 +72,13 @@
     pub pages: Pages,
 }
 
-impl From<Ending> for AttemptEnding {
-    fn from(ending: Ending) -> Self {
-        AttemptEnding { ending, cost: None, load: None, pages: Pages::new() }
+impl From<Termination> for AttemptResult {
+    fn from(termination: Termination) -> Self {
+        AttemptResult { termination, cost: None, load: None, pages: Pages::new() }
     }
 }
 
-/// A letter to a request's coroutine, and the address it is sent to.
-pub type Mail = Letter<News>;
-/// Where such letters go.
-pub type Post = may::sync::mpsc::Sender<Mail>;
+/// What a request's coroutine receives through its mailbox.
+pub type LifecycleEvent = RequestEvent<UpstreamEvent>;
+/// The sending end of a request's mailbox.
+pub type EventSender = may::sync::mpsc::Sender<LifecycleEvent>;
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -3,71 +3,76 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-use crate::class_registry::{Class, Classes};
+use crate::class_registry::{Class, ClassRegistry};
 use crate::config::Names;
-use crate::facade::{AttemptReport, Facade, Letter, Mailbox, Sending, Step, milliseconds};
-use crate::query::{Answer, AttemptEnding, Mail, News, Pages, Query};
-use crate::termination::Ending;
+use crate::facade::{AttemptOrder, AttemptReport, Facade, Mailbox, NextStep, RequestEvent, to_duration};
+use crate::query::{Answer, AttemptResult, Pages, Query, UpstreamEvent};
+use crate::termination::Termination;
 use crate::upstream::line_protocol::Lines;
 
 /// What all requests share.
-pub struct Gateway {
+pub struct RequestHandler {
     /// The module.
-    pub facade: Facade<News>,
+    pub facade: Facade<UpstreamEvent>,
     /// The databases.
-    pub lines: Arc<Lines>,
+    pub upstream_pool: Arc<Lines>,
     /// The names of places and machines.
     pub names: Names,
     /// The classes and tenants.
-    pub classes: Classes,
+    pub classes: ClassRegistry,
     /// Requests that may be open together.
     pub max_open: AtomicUsize,
     /// Held while the list of engines or the settings change, so that a version is checked against a proxy that stays
     /// as it is until the version is in force.
-    pub changes: Mutex<()>,
+    pub update_lock: Mutex<()>,
     /// Requests that are taken and not yet answered in full.
     pub open: AtomicUsize,
 }
 
-impl Gateway {
+impl RequestHandler {
     /// Counts a request as open until the returned guard is dropped.
-    pub fn opened(self: &Arc<Self>, class: &Arc<Class>) -> Open {
+    pub fn track_open(self: &Arc<Self>, class: &Arc<Class>) -> OpenRequestGuard {
         self.open.fetch_add(1, Ordering::Relaxed);
-        class.opened();
-        Open(self.clone(), class.clone())
+        class.request_opened();
+        OpenRequestGuard(self.clone(), class.clone())
     }
 }
 
 /// Counts one open request.
-pub struct Open(Arc<Gateway>, Arc<Class>);
+pub struct OpenRequestGuard(Arc<RequestHandler>, Arc<Class>);
 
-impl Drop for Open {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
-        self.1.closed();
+        self.1.request_closed();
     }
 }
 
 /// Sees a request through; `answer` gets the one final answer, unless the client leaves before it.
-pub fn relay(gateway: &Gateway, query: Query, mailbox: &Mailbox<News>, answer: impl FnOnce(Answer)) {
+pub fn handle_request(
+    handler: &RequestHandler,
+    query: Query,
+    mailbox: &Mailbox<UpstreamEvent>,
+    answer: impl FnOnce(Answer),
+) {
     let query = Arc::new(query);
-    let mut request = Request { gateway, query: &query, mailbox, answer: Some(answer) };
-    let mut step = gateway.facade.pick(query.new.clone(), mailbox);
+    let mut request = Request { handler, query: &query, mailbox, answer: Some(answer) };
+    let mut next_step = handler.facade.pick(query.new.clone(), mailbox);
     loop {
-        step = match step {
-            Step::Send(sending) => request.attempt(sending),
-            Step::Refuse(backoff, reason) => return request.answer(Answer::Refused(backoff, reason)),
-            Step::Fail => return request.answer(Answer::Failed),
-            Step::Duplicate => return request.answer(Answer::Duplicate),
-            Step::Over => return,
+        next_step = match next_step {
+            NextStep::Send(order) => request.attempt(order),
+            NextStep::Reject(backoff, reason) => return request.answer(Answer::Rejected(backoff, reason)),
+            NextStep::Fail => return request.answer(Answer::Failed),
+            NextStep::Duplicate => return request.answer(Answer::Duplicate),
+            NextStep::Finished => return,
         }
     }
 }
 
 struct Request<'a, F> {
-    gateway: &'a Gateway,
+    handler: &'a RequestHandler,
     query: &'a Arc<Query>,
-    mailbox: &'a Mailbox<News>,
+    mailbox: &'a Mailbox<UpstreamEvent>,
     answer: Option<F>,
 }
 
@@ -78,78 +83,92 @@
         let (id, class) = (&*self.query.new.id.0, self.query.new.class.0);
         match answer {
             Answer::Served(_) => self.query.class.succeeded(),
-            Answer::Refused(_, reason) => {
-                tracing::debug!(id, class, ?reason, "refused");
-                self.query.class.declined();
+            Answer::Rejected(_, reason) => {
+                tracing::debug!(id, class, ?reason, "rejected");
+                self.query.class.rejected();
             }
             Answer::Failed | Answer::Duplicate => {
                 tracing::debug!(id, class, "failed");
-                self.query.class.aborted();
+                self.query.class.failed();
             }
         }
         give(answer);
     }
 
     /// Makes one attempt and reports its end.
-    fn attempt(&mut self, sending: Sending) -> Step {
-        let facade = &self.gateway.facade;
+    fn attempt(&mut self, order: AttemptOrder) -> NextStep {
+        let facade = &self.handler.facade;
         let id = &self.query.new.id;
-        if self.query.client.gone() {
-            return self.left(sending);
+        if self.query.client.has_left() {
+            return self.abandon(order);
         }
-        let left = milliseconds(self.query.new.deadline - facade.now());
-        let handle = self.gateway.lines.send(sending, self.query, left, self.mailbox.address());
-        let give_up = |ending: Ending| {
+        let left = to_duration(self.query.new.deadline - facade.now());
+        let handle = self.handler.upstream_pool.send(order, self.query, left, self.mailbox.sender());
+        let cancel_attempt = |termination: Termination| {
             handle.cancel();
-            AttemptEnding::from(ending)
+            AttemptResult::from(termination)
         };
         let end = loop {
-            let letter: Mail = self.mailbox.next();
-            match letter {
-                Letter::Cancel(attempt) if attempt == sending.attempt => break give_up(Ending::Cancelled),
-                Letter::Deadline(attempt) if attempt == sending.attempt => break give_up(Ending::Deadline),
-                Letter::Priority(priority) => handle.weigh(priority),
-                Letter::Back(attempt, news) if attempt == sending.attempt => match news {
-                    News::Note(note) => {
-                        tracing::debug!(id = &*id.0, engine = sending.engine.0, ?note, "noted");
-                        facade.noted(id, attempt, note);
+            let event = self.mailbox.next();
+            match event {
+                RequestEvent::Cancel(attempt) if attempt == order.attempt => {
+                    break cancel_attempt(Termination::Cancelled);
+                }
+                RequestEvent::Deadline(attempt) if attempt == order.attempt => {
+                    break cancel_attempt(Termination::Deadline);
+                }
+                RequestEvent::Priority(priority) => handle.weigh(priority),
+                RequestEvent::Upstream(attempt, upstream_event) if attempt == order.attempt => {
+                    match upstream_event {
+                        UpstreamEvent::Progress(report) => {
+                            tracing::debug!(
+                                id = &*id.0,
+                                engine = order.engine.0,
+                                ?report,
+                                "progress reported"
+                            );
+                            facade.on_progress(id, attempt, report);
+                        }
+                        UpstreamEvent::Ended(end) => break end,
                     }
-                    News::Ended(end) => break end,
-                },
-                Letter::Refuse(backoff, reason) => self.answer(Answer::Refused(backoff, reason)),
-                Letter::Fail => self.answer(Answer::Failed),
-                Letter::ClientGone => {
+                }
+                RequestEvent::Reject(backoff, reason) => self.answer(Answer::Rejected(backoff, reason)),
+                RequestEvent::Fail => self.answer(Answer::Failed),
+                RequestEvent::ClientGone => {
                     self.answer = None;
                     facade.client_gone(id);
                 }
                 // What is left of attempts before; one attempt is out at a time.
-                Letter::Send(_) | Letter::Cancel(_) | Letter::Deadline(_) | Letter::Back(..) => {}
+                RequestEvent::Send(_)
+                | RequestEvent::Cancel(_)
+                | RequestEvent::Deadline(_)
+                | RequestEvent::Upstream(..) => {}
             }
         };
-        let AttemptEnding { ending, cost, load, pages } = end;
+        let AttemptResult { termination, cost, load, pages } = end;
         tracing::debug!(
             id = &*id.0,
             class = self.query.new.class.0,
-            engine = sending.engine.0,
-            attempt = sending.attempt.0,
-            ?ending,
-            "ended"
+            engine = order.engine.0,
+            attempt = order.attempt.0,
+            ?termination,
+            "attempt ended"
         );
-        match ending {
-            Ending::Served => self.served(pages),
-            Ending::ClientLeft => return self.left(sending),
+        match termination {
+            Termination::Served => self.served(pages),
+            Termination::ClientLeft => return self.abandon(order),
             _ => {}
         }
-        facade.report(id, AttemptReport { outcome: ending.outcome(), cost, load }, self.mailbox)
+        facade.report(id, AttemptReport { outcome: termination.outcome(), cost, load }, self.mailbox)
     }
 
     /// Ends an attempt that was not made, as its client has left before.
-    fn left(&mut self, sending: Sending) -> Step {
-        let (facade, id) = (&self.gateway.facade, &self.query.new.id);
-        tracing::debug!(id = &*id.0, attempt = sending.attempt.0, "the client left before it was sent");
+    fn abandon(&mut self, order: AttemptOrder) -> NextStep {
+        let (facade, id) = (&self.handler.facade, &self.query.new.id);
+        tracing::debug!(id = &*id.0, attempt = order.attempt.0, "client left before the attempt was sent");
         self.answer = None;
         facade.client_gone(id);
-        let outcome = Ending::ClientLeft.outcome();
+        let outcome = Termination::ClientLeft.outcome();
         facade.report(id, AttemptReport { outcome, cost: None, load: None }, self.mailbox)
     }
 
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -11,13 +11,13 @@
 use gaugestep_dispatch::Settings;
 use may::io::{CoIo, WaitIo as _, WaitIoWaker};
 
-use crate::class_registry::Classes;
+use crate::class_registry::ClassRegistry;
 use crate::config::{Config, Limits};
 use crate::config_applier::{SetLog, Told, Versioned};
 use crate::discovery::Roster;
-use crate::downstream::postgres::{Front, Leave};
-use crate::facade::{Facade, milliseconds};
-use crate::request_lifecycle::Gateway;
+use crate::downstream::postgres::{SessionEnd, SessionManager};
+use crate::facade::{Facade, to_duration};
+use crate::request_lifecycle::RequestHandler;
 use crate::upstream::line_protocol::Lines;
 use crate::{lock, task};
 
@@ -58,8 +58,8 @@
 
 /// A proxy that serves.
 pub struct Server {
-    gateway: Arc<Gateway>,
-    front: Arc<Front>,
+    handler: Arc<RequestHandler>,
+    session_manager: Arc<SessionManager>,
     roster: Arc<Roster>,
     stop: Arc<AtomicBool>,
     listener: WaitIoWaker,
@@ -103,26 +103,26 @@
             max_open: config.limits.max_open,
         };
         let facade = Facade::new(settings, config.seed).map_err(|error| error.to_string())?;
-        let classes = Classes::default();
-        classes.take(&config.names, told.settings.clone(), |_, _| {});
-        let gateway = Arc::new(Gateway {
+        let classes = ClassRegistry::default();
+        classes.update(&config.names, told.settings.clone(), |_, _| {});
+        let handler = Arc::new(RequestHandler {
             facade,
-            lines: Arc::new(Lines::new(config.limits, budget)),
+            upstream_pool: Arc::new(Lines::new(config.limits, budget)),
             names: config.names,
             classes,
             open: AtomicUsize::new(0),
             max_open: AtomicUsize::new(config.limits.max_open),
-            changes: Mutex::new(()),
+            update_lock: Mutex::new(()),
         });
-        let roster = Arc::new(Roster::new(gateway.clone(), config.coordinator, spread));
+        let roster = Arc::new(Roster::new(handler.clone(), config.coordinator, spread));
         roster.know(config.known_index, &config.known);
-        let versioned = Versioned::start(gateway.clone(), roster.clone(), told, set_log);
+        let versioned = Versioned::start(handler.clone(), roster.clone(), told, set_log);
         let listener = CoIo::new(listener).map_err(|error| io::Error::from(error).to_string())?;
         let listener = Arc::new(listener);
-        let front = Arc::new(Front::new(gateway.clone(), config.seed, longest, &listener));
+        let session_manager = Arc::new(SessionManager::new(handler.clone(), config.seed, longest, &listener));
         let server = Server {
-            gateway: gateway.clone(),
-            front: front.clone(),
+            handler: handler.clone(),
+            session_manager: session_manager.clone(),
             roster: roster.clone(),
             stop: Arc::new(AtomicBool::new(false)),
             listener: listener.waker(),
@@ -141,24 +141,24 @@
         let start = |name, task: Box<dyn FnOnce() + Send>| {
             task::spawn(name, task).map_err(|error| format!("cannot start a coroutine: {error}"))
         };
-        let ticking = gateway.clone();
+        let ticking = handler.clone();
         // A thread and no coroutine, for the reason that `task::sleep` gives.
         std::thread::Builder::new()
             .name("ticker".into())
             .spawn(move || ticking.facade.run_ticker())
             .map_err(|error| format!("cannot start a thread: {error}"))?;
-        start("sweeper", Box::new(move || gateway.lines.run_sweeper()))?;
+        start("sweeper", Box::new(move || handler.upstream_pool.run_sweeper()))?;
         start("coordinator", Box::new(move || roster.follow()))?;
-        let watched = front.clone();
+        let watched = session_manager.clone();
         let sweep = move || {
             loop {
                 task::sleep(SESSION_SWEEP);
-                watched.look_over();
+                watched.wake_expired();
             }
         };
         start("session clocks", Box::new(sweep))?;
         let stop = server.stop.clone();
-        start("listener", Box::new(move || accept(&listener, &front, &stop, sessions)))?;
+        start("listener", Box::new(move || accept(&listener, &session_manager, &stop, sessions)))?;
         Ok(server)
     }
 
@@ -169,7 +169,7 @@
         let told =
             Told { proxy: config.name, names: config.names, settings, max_open: config.limits.max_open };
         {
-            let _changes = lock(&self.gateway.changes);
+            let _changes = lock(&self.handler.update_lock);
             self.versioned.retell(told);
         }
         self.roster.know(config.known_index, &config.known);
@@ -210,11 +210,11 @@
     pub fn figures(&self) -> serde_json::Value {
         let (applied, rejected) = &self.reloads;
         let mut figures = serde_json::json!({
-            "results": self.gateway.classes.counted(),
-            "forwards": self.gateway.lines.forwards(),
-            "outstanding": self.gateway.open.load(Ordering::Relaxed),
+            "results": self.handler.classes.counts_json(),
+            "forwards": self.handler.upstream_pool.forwards(),
+            "outstanding": self.handler.open.load(Ordering::Relaxed),
             "discovered": self.roster.listed(),
-            "ejected": self.gateway.facade.avoided(),
+            "ejected": self.handler.facade.ejected_count(),
             "sighup_applied": applied.load(Ordering::Relaxed),
             "sighup_rejected": rejected.load(Ordering::Relaxed),
         });
@@ -236,18 +236,19 @@
         tracing::info!("draining as told by an operator");
         let server = self.clone();
         let spawned = task::spawn("drain", move || {
-            for (wait, leave) in [(FRONT_SEES, Leave::Answered), (SESSIONS_GO, Leave::Idle)] {
+            for (wait, leave) in [(FRONT_SEES, SessionEnd::AfterAnswer), (SESSIONS_GO, SessionEnd::WhenIdle)]
+            {
                 task::sleep(wait);
                 if server.drains.load(Ordering::Relaxed) != before + 1
                     || server.stopping.load(Ordering::Relaxed)
                 {
                     return;
                 }
-                server.front.leave(leave);
+                server.session_manager.end_sessions(leave);
             }
         });
         if spawned.is_err() {
-            self.front.leave(Leave::Idle);
+            self.session_manager.end_sessions(SessionEnd::WhenIdle);
         }
     }
 
@@ -256,7 +257,7 @@
         if self.draining() && !self.stopping.load(Ordering::Relaxed) {
             tracing::info!("the drain is over as told by an operator");
             self.drains.fetch_add(1, Ordering::Relaxed);
-            self.front.leave(Leave::Stay);
+            self.session_manager.end_sessions(SessionEnd::Never);
         }
     }
 
@@ -265,23 +266,24 @@
     pub fn drain(&self) {
         self.stopping.store(true, Ordering::Relaxed);
         let began = Instant::now();
-        self.gateway.facade.close_by(self.gateway.facade.now() + self.last_answers);
+        self.handler.facade.close_by(self.handler.facade.now() + self.last_answers);
         if self.shared {
             self.stop_accepting();
-            self.front.leave(Leave::Answered);
-            let last = milliseconds(self.last_answers + 300.0).saturating_sub(LAST_SESSIONS);
-            while self.front.sessions() > 0 && began.elapsed() < last {
+            self.session_manager.end_sessions(SessionEnd::AfterAnswer);
+            let last = to_duration(self.last_answers + 300.0).saturating_sub(LAST_SESSIONS);
+            while self.session_manager.session_count() > 0 && began.elapsed() < last {
                 std::thread::sleep(LOOK);
             }
         } else {
             std::thread::sleep(STILL_COMING);
             self.stop_accepting();
         }
-        self.front.leave(Leave::Idle);
+        self.session_manager.end_sessions(SessionEnd::WhenIdle);
         // A session counts until its client has closed, too, or is given up: a close under what is still to be read or to
         // be written would reset the connection.
-        let last = milliseconds(self.last_answers) + LAST_CLOSES;
-        while self.gateway.open.load(Ordering::Relaxed) + self.front.sessions() > 0 && began.elapsed() < last
+        let last = to_duration(self.last_answers) + LAST_CLOSES;
+        while self.handler.open.load(Ordering::Relaxed) + self.session_manager.session_count() > 0
+            && began.elapsed() < last
         {
             std::thread::sleep(LOOK);
         }
@@ -321,7 +323,12 @@
     Ok(socket.into())
 }
 
-fn accept(listener: &CoIo<TcpListener>, front: &Arc<Front>, stop: &AtomicBool, most: usize) {
+fn accept(
+    listener: &CoIo<TcpListener>,
+    session_manager: &Arc<SessionManager>,
+    stop: &AtomicBool,
+    most: usize,
+) {
     let mut accepted = 0;
     let mut complained: Option<Instant> = None;
     loop {
@@ -329,11 +336,12 @@
             Ok((socket, _)) => {
                 // A session that makes room has gone before the next few are taken in, which the reserve bears. Guards the
                 // way to the coordinator and to databases: no flood of connections takes a descriptor beyond that.
-                let sessions = front.sessions();
-                let full = sessions >= most && !front.make_room() || sessions >= most + MAKING_ROOM;
+                let sessions = session_manager.session_count();
+                let full = sessions >= most && !session_manager.evict_idle_session()
+                    || sessions >= most + MAKING_ROOM;
                 if full {
-                    front.turn_away(&socket);
-                } else if let Err(error) = front.take_in(socket) {
+                    session_manager.reject(&socket);
+                } else if let Err(error) = session_manager.admit(socket) {
                     tracing::debug!("a connection could not be taken in: {error}");
                 }
                 accepted += 1;
--- a/crates/proxy/src/termination.rs
+++ b/crates/proxy/src/termination.rs
@@ -2,9 +2,9 @@
 
 use gaugestep_dispatch::interface::Outcome;
 
-/// Every way in which an attempt ends. What it proves about the attempt is said once, in [`Ending::outcome`].
+/// Every way in which an attempt ends. What it proves about the attempt is said once, in [`Termination::outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Termination {
     /// The whole result is here.
     Served,
     /// The database has no room for it.
@@ -40,19 +40,23 @@
     Deadline,
 }
 
-impl Ending {
+impl Termination {
     /// What the module is told. Guards the rule that nothing unsafe runs twice: only what proves that the
     /// database never saw the whole request may map to an outcome that says so.
     pub fn outcome(self) -> Outcome {
         match self {
-            Ending::Served => Outcome::Served,
-            Ending::Shed | Ending::Late => Outcome::Rejected,
-            Ending::Fault => Outcome::Failed,
-            Ending::DialRefused | Ending::DialTimedOut | Ending::NeverWritten => Outcome::ConnectFailed,
-            Ending::NotDialled | Ending::ClientLeft | Ending::TooLate => Outcome::NotSent,
-            Ending::Reset | Ending::Closed | Ending::Silent | Ending::Garbled => Outcome::Reset,
-            Ending::Cancelled => Outcome::Cancelled,
-            Ending::Deadline => Outcome::TimedOut,
+            Termination::Served => Outcome::Served,
+            Termination::Shed | Termination::Late => Outcome::Rejected,
+            Termination::Fault => Outcome::Failed,
+            Termination::DialRefused | Termination::DialTimedOut | Termination::NeverWritten => {
+                Outcome::ConnectFailed
+            }
+            Termination::NotDialled | Termination::ClientLeft | Termination::TooLate => Outcome::NotSent,
+            Termination::Reset | Termination::Closed | Termination::Silent | Termination::Garbled => {
+                Outcome::Reset
+            }
+            Termination::Cancelled => Outcome::Cancelled,
+            Termination::Deadline => Outcome::TimedOut,
         }
     }
 }
--- a/crates/proxy/src/upstream/line_protocol.rs
+++ b/crates/proxy/src/upstream/line_protocol.rs
@@ -18,10 +18,10 @@
 use may::net::TcpStream;
 
 use crate::config::Limits;
-use crate::facade::{Letter, Sending};
-use crate::query::{AttemptEnding, News, Pages, Post, Query};
+use crate::facade::{AttemptOrder, RequestEvent};
+use crate::query::{AttemptResult, EventSender, Pages, Query, UpstreamEvent};
 use crate::stream::{ReadOutcome, Stream, Waker, WriteBuffer, discard_input, read_into};
-use crate::termination::Ending;
+use crate::termination::Termination;
 use crate::{lock, task};
 
 /// The longest line that a database may send, and the longest page.
@@ -95,7 +95,7 @@
     /// When the last check went out that nothing has followed.
     checked: Option<Instant>,
     /// Set to have the connection closed.
-    close: Option<Ending>,
+    close: Option<Termination>,
     /// The database is gone: closed once nothing is open on it.
     retired: bool,
     /// Attempts written, on all connections.
@@ -104,7 +104,7 @@
 
 /// One attempt on a connection.
 struct Call {
-    post: Post,
+    post: EventSender,
     attempt: AttemptNo,
     /// What to send once the connection takes it.
     unsent: Option<Unsent>,
@@ -132,10 +132,10 @@
 
 impl Unsent {
     /// Why it may not be written any more.
-    fn moot(&self, now: Instant) -> Option<Ending> {
+    fn moot(&self, now: Instant) -> Option<Termination> {
         match self.by {
-            _ if self.query.client.gone() => Some(Ending::ClientLeft),
-            Some(by) if now > by => Some(Ending::TooLate),
+            _ if self.query.client.has_left() => Some(Termination::ClientLeft),
+            Some(by) if now > by => Some(Termination::TooLate),
             _ => None,
         }
     }
@@ -145,7 +145,7 @@
 type Place = Arc<Mutex<Option<Arc<Connection>>>>;
 
 struct PartResult {
-    end: AttemptEnding,
+    end: AttemptResult,
     missing: usize,
 }
 
@@ -212,10 +212,10 @@
     /// Starts an attempt; its news go to `post`. `left` is how long the client still waits.
     pub fn send(
         self: &Arc<Self>,
-        sending: Sending,
+        sending: AttemptOrder,
         query: &Arc<Query>,
         left: Duration,
-        post: Post,
+        post: EventSender,
     ) -> Handle {
         let (id, place, now) = (query.new.id.clone(), Place::default(), Instant::now());
         let call = Call {
@@ -239,10 +239,12 @@
 
     /// Leaves an attempt with a connection, or ends it.
     fn place(self: &Arc<Self>, engine: EngineId, id: String, call: Call) {
-        let Some(connection) = self.connection(engine) else { return call.end(Ending::NeverWritten.into()) };
+        let Some(connection) = self.connection(engine) else {
+            return call.end(Termination::NeverWritten.into());
+        };
         let mut state = lock(&connection.state);
         if state.phase == Phase::Closed || state.close.is_some() {
-            return call.end(Ending::NeverWritten.into());
+            return call.end(Termination::NeverWritten.into());
         }
         *lock(&call.place) = Some(connection.clone());
         state.calls.insert(id, call);
@@ -358,8 +360,8 @@
 }
 
 impl Call {
-    fn end(self, end: AttemptEnding) {
-        let _ = self.post.send(Letter::Back(self.attempt, News::Ended(end)));
+    fn end(self, end: AttemptResult) {
+        let _ = self.post.send(RequestEvent::Upstream(self.attempt, UpstreamEvent::Ended(end)));
     }
 }
 
@@ -372,7 +374,7 @@
             return;
         }
         let moot = |call: &mut Call| call.unsent.as_ref().and_then(|unsent| unsent.moot(now));
-        let ended: Vec<(String, Ending)> =
+        let ended: Vec<(String, Termination)> =
             self.calls.iter_mut().filter_map(|(id, call)| Some((id.clone(), moot(call)?))).collect();
         for (id, ending) in ended {
             if let Some(call) = self.calls.remove(&id) {
@@ -400,11 +402,11 @@
     }
 
     /// Whether a client whose request waits here may be about to call it off.
-    fn unheard(&self) -> bool {
+    fn has_unread_input(&self) -> bool {
         self.calls
             .values()
             .filter_map(|call| call.unsent.as_ref())
-            .any(|unsent| unsent.query.client.unheard())
+            .any(|unsent| unsent.query.client.has_unread_input())
     }
 
     /// Whether the connection's coroutine has something to do by now.
@@ -414,18 +416,18 @@
             return false;
         }
         if self.partial.is_some_and(|since| since.elapsed() >= WHOLE_WITHIN) {
-            self.close = Some(Ending::Garbled);
+            self.close = Some(Termination::Garbled);
             return true;
         }
         if self.calls.is_empty() {
             self.checked = None;
             if silent >= idle {
-                self.close = Some(Ending::Closed);
+                self.close = Some(Termination::Closed);
             }
             return self.close.is_some();
         }
         match self.checked {
-            Some(at) if at.elapsed() >= CHECK_WITHIN => self.close = Some(Ending::Silent),
+            Some(at) if at.elapsed() >= CHECK_WITHIN => self.close = Some(Termination::Silent),
             None if silent >= CHECK_AFTER => {
                 self.checked = Some(Instant::now());
                 self.out.buffer().extend_from_slice(b"health check\r\n");
@@ -465,7 +467,7 @@
             state.calls.iter().filter(|(_, call)| call.unsent.is_some()).map(|(id, _)| id.clone()).collect();
         for id in waiting {
             if let Some(call) = state.calls.remove(&id) {
-                call.end(Ending::NeverWritten.into());
+                call.end(Termination::NeverWritten.into());
             }
         }
     }
@@ -484,9 +486,9 @@
                 drop(state);
                 self.carry(socket.insert(stream))
             }
-            Err(error) if error.kind() == std::io::ErrorKind::TimedOut => Ending::DialTimedOut,
-            Err(error) if own_fault(&error) => Ending::NotDialled,
-            Err(_) => Ending::DialRefused,
+            Err(error) if error.kind() == std::io::ErrorKind::TimedOut => Termination::DialTimedOut,
+            Err(error) if own_fault(&error) => Termination::NotDialled,
+            Err(_) => Termination::DialRefused,
         };
         lines.forget(engine, &self);
         let mut state = lock(&self.state);
@@ -510,13 +512,13 @@
                     call.moved = true;
                     lines.place(engine, id, call);
                 }
-                true => call.end(Ending::NeverWritten.into()),
+                true => call.end(Termination::NeverWritten.into()),
             }
         }
     }
 
     /// Reads and writes until the connection ends.
-    fn carry(&self, stream: &TcpStream) -> Ending {
+    fn carry(&self, stream: &TcpStream) -> Termination {
         let mut input = Vec::new();
         let (mut broken, mut hearings) = (false, 0);
         loop {
@@ -527,10 +529,10 @@
                         Ok(taken) => drop(input.drain(..taken)),
                         Err(ending) => return ending,
                     },
-                    Ok(ReadOutcome::WouldBlock) if broken => return Ending::Reset,
+                    Ok(ReadOutcome::WouldBlock) if broken => return Termination::Reset,
                     Ok(ReadOutcome::WouldBlock) => break,
-                    Ok(ReadOutcome::Closed) => return Ending::Closed,
-                    Err(_) => return Ending::Reset,
+                    Ok(ReadOutcome::Closed) => return Termination::Closed,
+                    Err(_) => return Termination::Reset,
                 }
                 reads += 1;
             }
@@ -539,12 +541,12 @@
                 return ending;
             }
             if state.retired && state.calls.is_empty() && state.out.pending() == 0 {
-                return Ending::Closed;
+                return Termination::Closed;
             }
             // An answer may have come whole just before the connection broke: it is read before all is given up.
             broken = broken || state.out.flush(stream.socket()).is_err();
             // Under load, what calls a request off may wait beside what sends it.
-            if !broken && hearings < HEARINGS && state.unheard() {
+            if !broken && hearings < HEARINGS && state.has_unread_input() {
                 hearings += 1;
                 drop(state);
                 task::sleep(HEARING);
@@ -556,7 +558,7 @@
                 broken = state.out.flush(stream.socket()).is_err();
             }
             if state.out.pending() > MOST_WAITING {
-                return Ending::Silent;
+                return Termination::Silent;
             }
             drop(state);
             if input.is_empty() {
@@ -571,7 +573,7 @@
     }
 
     /// Takes all whole answers off the front of `input`; the number of bytes taken.
-    fn take(&self, input: &[u8]) -> Result<usize, Ending> {
+    fn take(&self, input: &[u8]) -> Result<usize, Termination> {
         let mut at = 0;
         let mut state = lock(&self.state);
         state.heard = Instant::now();
@@ -606,28 +608,28 @@
 
 impl<'a> Message<'a> {
     /// The first answer in `input`, if it is whole.
-    fn parse(input: &'a [u8]) -> Result<Option<Self>, Ending> {
+    fn parse(input: &'a [u8]) -> Result<Option<Self>, Termination> {
         let Some(end) = input.windows(2).take(LONGEST_LINE).position(|pair| pair == b"\r\n") else {
-            return if input.len() > LONGEST_LINE { Err(Ending::Garbled) } else { Ok(None) };
+            return if input.len() > LONGEST_LINE { Err(Termination::Garbled) } else { Ok(None) };
         };
-        let line = std::str::from_utf8(&input[..end]).map_err(|_| Ending::Garbled)?;
+        let line = std::str::from_utf8(&input[..end]).map_err(|_| Termination::Garbled)?;
         let mut words = line.split(' ');
         let (Some(id), Some(word), Some(fields), Some(length), None) =
             (words.next(), words.next(), words.next(), words.next(), words.next())
         else {
             tracing::warn!(line, "no answer");
-            return Err(Ending::Garbled);
+            return Err(Termination::Garbled);
         };
-        let body: usize = length.parse().map_err(|_| Ending::Garbled)?;
+        let body: usize = length.parse().map_err(|_| Termination::Garbled)?;
         if body > LONGEST_PAGE {
-            return Err(Ending::Garbled);
+            return Err(Termination::Garbled);
         }
         let (from, to) = (end + 2, end + 2 + body);
         if input.len() < to + 2 {
             return Ok(None);
         }
         if &input[to..to + 2] != b"\r\n" {
-            return Err(Ending::Garbled);
+            return Err(Termination::Garbled);
         }
         Ok(Some(Message { id, word, fields, body: &input[from..to], length: to + 2 }))
     }
@@ -642,18 +644,18 @@
     }
 
     /// A field that holds a whole number, if it is there.
-    fn whole(&self, name: &str) -> Result<Option<usize>, Ending> {
-        self.field(name).map(|text| text.parse().map_err(|_| Ending::Garbled)).transpose()
+    fn whole(&self, name: &str) -> Result<Option<usize>, Termination> {
+        self.field(name).map(|text| text.parse().map_err(|_| Termination::Garbled)).transpose()
     }
 
     /// The page that it brings. Guards the client against noise: what is no whole rows is no page.
-    fn page(&self) -> Result<Vec<u8>, Ending> {
-        let text = std::str::from_utf8(self.body).map_err(|_| Ending::Garbled)?;
+    fn page(&self) -> Result<Vec<u8>, Termination> {
+        let text = std::str::from_utf8(self.body).map_err(|_| Termination::Garbled)?;
         let printable = text.chars().all(|c| !c.is_control() || c == '\t' || c == '\n');
         let whole = text.split_inclusive('\n').all(|row| {
             row.ends_with('\n') && row.bytes().filter(|byte| *byte == b'\t').count() == COLUMNS - 1
         });
-        if printable && whole { Ok(self.body.to_vec()) } else { Err(Ending::Garbled) }
+        if printable && whole { Ok(self.body.to_vec()) } else { Err(Termination::Garbled) }
     }
 
     fn load(&self) -> Option<LoadReport> {
@@ -690,7 +692,7 @@
 
 impl State {
     /// Carries out what one answer means for its call. Answers to what was given up are passed over.
-    fn answered(&mut self, answer: &Message) -> Result<(), Ending> {
+    fn answered(&mut self, answer: &Message) -> Result<(), Termination> {
         if answer.word == "PONG" {
             return Ok(());
         }
@@ -699,7 +701,8 @@
             "INFO" => {
                 if let Some(note) = answer.note() {
                     call.runs |= matches!(note, ProgressReport::Done(share) if share > 0.0);
-                    let _ = call.post.send(Letter::Back(call.attempt, News::Note(note)));
+                    let _ =
+                        call.post.send(RequestEvent::Upstream(call.attempt, UpstreamEvent::Progress(note)));
                 }
                 return Ok(());
             }
@@ -710,12 +713,12 @@
                 }
                 let total = answer.whole("total")?.unwrap_or(1).max(1);
                 if total > MOST_PAGES {
-                    return Err(Ending::Garbled);
+                    return Err(Termination::Garbled);
                 }
                 let mut pages: Pages = vec![Vec::new(); total];
                 pages[0] = answer.page()?;
                 let (cost, load) = (answer.cost(), answer.load());
-                let end = AttemptEnding { ending: Ending::Served, cost, load, pages };
+                let end = AttemptResult { termination: Termination::Served, cost, load, pages };
                 call.result = Some(PartResult { end, missing: total - 1 });
                 for page in 1..total {
                     let _ = write!(self.out.buffer(), "read {} {page}\r\n", answer.id);
@@ -723,40 +726,41 @@
                 if total > 1 {
                     return Ok(());
                 }
-                Ending::Served
+                Termination::Served
             }
             "PART" => {
-                let index = answer.whole("index")?.ok_or(Ending::Garbled)?;
-                let Some(result) = &mut call.result else { return Err(Ending::Garbled) };
-                let page = result.end.pages.get_mut(index).filter(|_| index > 0).ok_or(Ending::Garbled)?;
+                let index = answer.whole("index")?.ok_or(Termination::Garbled)?;
+                let Some(result) = &mut call.result else { return Err(Termination::Garbled) };
+                let page =
+                    result.end.pages.get_mut(index).filter(|_| index > 0).ok_or(Termination::Garbled)?;
                 if !page.is_empty() {
                     return Ok(());
                 }
                 *page = answer.page()?;
                 // A page without rows would be asked for for good.
                 if page.is_empty() || result.end.pages.iter().map(Vec::len).sum::<usize>() > LONGEST_RESULT {
-                    return Err(Ending::Garbled);
+                    return Err(Termination::Garbled);
                 }
                 result.missing -= 1;
                 if result.missing > 0 {
                     return Ok(());
                 }
-                Ending::Served
+                Termination::Served
             }
             // Guards the unsafe class: what has begun to answer has run, whatever is said of it then.
-            "SHED" | "LATE" if call.result.is_some() || call.runs => return Err(Ending::Garbled),
-            "SHED" => Ending::Shed,
-            "LATE" => Ending::Late,
-            "FAULT" => Ending::Fault,
-            _ => return Err(Ending::Garbled),
+            "SHED" | "LATE" if call.result.is_some() || call.runs => return Err(Termination::Garbled),
+            "SHED" => Termination::Shed,
+            "LATE" => Termination::Late,
+            "FAULT" => Termination::Fault,
+            _ => return Err(Termination::Garbled),
         };
         let Some(call) = self.calls.remove(answer.id) else { return Ok(()) };
         let Call { post, attempt, result, .. } = call;
         let end = match result {
-            Some(result) if ending == Ending::Served => result.end,
-            _ => AttemptEnding { load: answer.load(), ..ending.into() },
+            Some(result) if ending == Termination::Served => result.end,
+            _ => AttemptResult { load: answer.load(), ..ending.into() },
         };
-        let _ = post.send(Letter::Back(attempt, News::Ended(end)));
+        let _ = post.send(RequestEvent::Upstream(attempt, UpstreamEvent::Ended(end)));
         Ok(())
     }
 }
