--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -13,7 +13,7 @@
 use rustls_pki_types::ServerName;
 
 use crate::transport::framing;
-use crate::transport::tls::{self, ClientKeys, Files};
+use crate::transport::tls::{self, ClientTls, TlsFiles};
 
 /// How long a call is attempted at all while nobody can carry it out.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -112,7 +112,7 @@
     /// The members' addresses for operators, tried in turn.
     pub addresses: Vec<SocketAddr>,
     /// Keys, and the name that the members' certificates carry.
-    pub keys: Option<(Files, String)>,
+    pub keys: Option<(TlsFiles, String)>,
 }
 
 /// A connection with or without TLS.
@@ -128,7 +128,7 @@
     /// `delivery` does not allow to send it again.
     pub fn call(&self, request: &call::What, delivery: Delivery) -> Result<reply::What, CallError> {
         for address in &self.addresses {
-            tls::allowed(*address, self.keys.is_some()).map_err(CallError::InsecureAddress)?;
+            tls::check_address_allowed(*address, self.keys.is_some()).map_err(CallError::InsecureAddress)?;
         }
         let started = Instant::now();
         let mut rotation = self.addresses.iter().cycle().copied();
@@ -185,7 +185,9 @@
         match reply.what {
             Some(reply::What::Error(reason)) => Err(CallError::Rejected(reason)),
             Some(reply::What::Later(reason)) => Err(CallError::Unavailable(reason)),
-            Some(reply::What::Owner(holder)) if tls::allowed_text(&holder.operators, self.keys.is_some()) => {
+            Some(reply::What::Owner(holder))
+                if tls::is_address_allowed(&holder.operators, self.keys.is_some()) =>
+            {
                 Err(CallError::HolderUnreachable { member: holder.member, address: holder.operators })
             }
             Some(reply::What::Owner(_)) => Err(CallError::InvalidHolderAddress),
@@ -200,7 +202,7 @@
         socket.set_read_timeout(Some(timeout))?;
         socket.set_write_timeout(Some(timeout))?;
         let Some((files, name)) = &self.keys else { return Ok(Box::new(socket)) };
-        let config = ClientKeys::connect(files.clone()).map_err(io::Error::other)?.now();
+        let config = ClientTls::load(files.clone()).map_err(io::Error::other)?.current();
         let name = ServerName::try_from(name.clone()).map_err(invalid_data)?;
         let tls = ClientConnection::new(Arc::clone(&config), name).map_err(invalid_data)?;
         Ok(Box::new(StreamOwned::new(tls, socket)))
@@ -224,7 +226,7 @@
     let mut input = Vec::new();
     let mut chunk = [0; READ_CHUNK];
     loop {
-        if let Some((body, _)) = framing::first(&input).map_err(invalid_data)? {
+        if let Some((body, _)) = framing::split_first(&input).map_err(invalid_data)? {
             let message = FromService::decode(body).map_err(invalid_data)?;
             return match message.said {
                 Some(from_service::Said::Reply(reply)) => Ok(reply),
--- a/crates/control-plane/src/cli/connection.rs
+++ b/crates/control-plane/src/cli/connection.rs
@@ -9,7 +9,7 @@
 use crate::cli::admin_client::{AdminClient, CallError, Delivery};
 use crate::cli::exit::{CommandResult, ExitStatus};
 use crate::cli::output::Output;
-use crate::transport::tls::Files;
+use crate::transport::tls::TlsFiles;
 
 /// How to reach the service.
 #[derive(Args)]
@@ -43,10 +43,10 @@
 }
 
 impl ConnectionArgs {
-    fn tls_files(&self) -> Option<Files> {
+    fn tls_files(&self) -> Option<TlsFiles> {
         let (certificate, key, authority) =
             (self.certificate.clone()?, self.key.clone()?, self.authority.clone()?);
-        Some(Files { certificate, key, authority })
+        Some(TlsFiles { certificate, key, authority })
     }
 
     /// Carries out a call.
--- a/crates/control-plane/src/cli/exit.rs
+++ b/crates/control-plane/src/cli/exit.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use gaugestep_config::Refusal;
+use gaugestep_config::RejectReason;
 
 use crate::cli::admin_client::CallError;
 use crate::cli::serve::ServeError;
@@ -66,11 +66,11 @@
         path: PathBuf,
         /// Its first fault.
         #[source]
-        reason: Refusal,
+        reason: RejectReason,
     },
     /// A document of the service cannot be printed.
     #[error(transparent)]
-    PrintDocument(Refusal),
+    PrintDocument(RejectReason),
     /// `--hold` is negative, or absurdly long.
     #[error("the seconds to hold must be 0 or more")]
     InvalidHold,
--- a/crates/control-plane/src/cli/publish.rs
+++ b/crates/control-plane/src/cli/publish.rs
@@ -5,7 +5,7 @@
 
 use clap::Args;
 use gaugestep_config::schema::{Plan, Publish, Rollback, call, reply};
-use gaugestep_config::{Document, check, short};
+use gaugestep_config::{Document, check, short_digest};
 use serde::Serialize;
 
 use crate::cli::admin_client::CallError;
@@ -160,7 +160,7 @@
 fn report_published(output: Output, reply: reply::What) -> CommandResult {
     let reply::What::Published(published) = reply else { return Err(CallError::UnexpectedReply.into()) };
     let version = published.version.unwrap_or_default();
-    let report = PublishedReport { version: version.number, digest: short(&version.digest) };
+    let report = PublishedReport { version: version.number, digest: short_digest(&version.digest) };
     output.print(&report, || format!("published version {} ({})\n", report.version, report.digest));
     Ok(ExitStatus::Success)
 }
--- a/crates/control-plane/src/cli/serve.rs
+++ b/crates/control-plane/src/cli/serve.rs
@@ -53,7 +53,7 @@
     let settings = Settings { restored, ..read_settings(config)? };
     start_log(json);
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(ServeError::Signals)?;
-    task::set_up();
+    task::init_scheduler();
     let (listen, operators) = (settings.listen, settings.operators);
     let server = ControlServer::start(settings, random_seed())?;
     tracing::info!(%listen, %operators, "serving");
--- a/crates/control-plane/src/cli/versions.rs
+++ b/crates/control-plane/src/cli/versions.rs
@@ -4,7 +4,7 @@
 
 use gaugestep_config::schema::entry::State;
 use gaugestep_config::schema::{Entry, List, call, reply};
-use gaugestep_config::{Document, digest, short, text};
+use gaugestep_config::{Document, digest, short_digest, text};
 use serde::Serialize;
 
 use crate::cli::admin_client::CallError;
@@ -47,7 +47,7 @@
         let version = entry.version.unwrap_or_default();
         VersionReport {
             version: version.number,
-            digest: short(&version.digest),
+            digest: short_digest(&version.digest),
             published_ms: entry.published_ms,
             author: entry.author,
             note: entry.note,
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,5 +1,5 @@
 //! The control service: listeners, and the streams of proxies and of the group's other members. What is agreed on lies in
-//! the [`Group`]; who is offered what is in `driving`, what operators ask for in `calls`.
+//! the [`Replica`]; who is offered what is in `driving`, what operators ask for in `calls`.
 //!
 //! Each stream is one coroutine.
 
@@ -21,18 +21,18 @@
 use gaugestep_config::{PROTOCOL, schema};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::VERSIONS;
-use gaugestep_leadership::doubt::Doubt;
-use gaugestep_leadership::gate::Gate;
-use gaugestep_leadership::names::{Given, Names};
+use gaugestep_leadership::CONFIGURATION_ROLE;
+use gaugestep_leadership::checkpoint::CheckpointBarrier;
+use gaugestep_leadership::identity::{Claim, IdentityRegistry};
+use gaugestep_leadership::pause_detector::PauseDetector;
 use may::net::{TcpListener, TcpStream};
 
-use crate::raft::replica::{self, Group};
-use crate::raft::transport::Incoming;
+use crate::raft::replica::{self, Replica};
+use crate::raft::transport::InboundPeer;
 use crate::server::roster_service::RosterState;
 pub use crate::server::settings::Settings;
-use crate::transport::connection::{Channel, STACK_WORDS};
-use crate::transport::tls::{self, ServerKeys};
+use crate::transport::connection::{FramedConnection, STACK_WORDS};
+use crate::transport::tls::{self, ServerTls};
 use crate::{clock, lock};
 
 /// A peer that has not said who it is within this time, or has been silent for so long, is closed.
@@ -105,7 +105,7 @@
 
 /// The highest term of the versions that a proxy has seen.
 pub(crate) fn seen(hello: &Hello) -> u64 {
-    hello.seen.iter().filter(|it| it.duty == VERSIONS).map(|it| it.term).max().unwrap_or(0)
+    hello.seen.iter().filter(|it| it.duty == CONFIGURATION_ROLE).map(|it| it.term).max().unwrap_or(0)
 }
 
 #[derive(Default)]
@@ -115,8 +115,8 @@
     /// The term under which it does.
     pub(crate) acting: Option<u64>,
     /// Holds offers of a step back until the next owner would know of it.
-    pub(crate) gate: Gate<Action>,
-    pub(crate) names: Names,
+    pub(crate) gate: CheckpointBarrier<Action>,
+    pub(crate) names: IdentityRegistry,
     pub(crate) lines: BTreeMap<u64, Session>,
     pub(crate) next_stream: u64,
     pub(crate) calls: usize,
@@ -126,19 +126,19 @@
 /// A service that runs.
 pub struct ControlServer {
     pub(crate) inner: Mutex<ServerState>,
-    pub(crate) group: Arc<Group>,
-    pub(crate) doubt: Mutex<Doubt>,
+    pub(crate) group: Arc<Replica>,
+    pub(crate) doubt: Mutex<PauseDetector>,
     pub(crate) keep: usize,
     pub(crate) restored: bool,
     streams: usize,
-    keys: Option<(ServerKeys, ServerKeys)>,
+    keys: Option<(ServerTls, ServerTls)>,
     this: Weak<ControlServer>,
 }
 
 impl ControlServer {
     /// Opens the store and the listeners and begins to serve. An error is one plain line.
     pub fn start(settings: Settings, seed: u64) -> Result<Arc<Self>, StartError> {
-        let (group, go) = Group::open(replica::Settings {
+        let (group, go) = Replica::open(replica::ReplicaSettings {
             member: settings.member.clone(),
             joins: settings.joins,
             store: settings.store.clone(),
@@ -150,15 +150,15 @@
         let keys = match settings.keys {
             None => None,
             Some(keys) => Some((
-                ServerKeys::serve(keys.proxies).map_err(StartError::Keys)?,
-                ServerKeys::serve(keys.operators).map_err(StartError::Keys)?,
+                ServerTls::load(keys.proxies).map_err(StartError::Keys)?,
+                ServerTls::load(keys.operators).map_err(StartError::Keys)?,
             )),
         };
         let service = Arc::new_cyclic(|this| ControlServer {
             this: this.clone(),
             inner: Mutex::default(),
             group,
-            doubt: Mutex::new(Doubt::new(clock::now())),
+            doubt: Mutex::new(PauseDetector::new(clock::now())),
             keep: settings.retained_versions as usize,
             restored: settings.restored,
             streams: settings.max_streams,
@@ -181,8 +181,8 @@
                 loop {
                     std::thread::sleep(KEYS_EVERY);
                     if let Some((proxies, operators)) = &looking.keys {
-                        proxies.look();
-                        operators.look();
+                        proxies.reload_if_changed();
+                        operators.reload_if_changed();
                     }
                 }
             };
@@ -198,12 +198,12 @@
 
     /// Keys for operators' connections.
     pub(crate) fn operators_keys(&self) -> Option<Arc<rustls::ServerConfig>> {
-        self.keys.as_ref().map(|(_, operators)| operators.now())
+        self.keys.as_ref().map(|(_, operators)| operators.current())
     }
 
     /// Looks whether this service stood still, whatever it does first when it goes on.
     pub(crate) fn check_suspension(&self, inner: &mut ServerState, now: f64) {
-        if lock(&self.doubt).tick(now, STOOD_STILL, !inner.names.is_empty()) {
+        if lock(&self.doubt).observe(now, STOOD_STILL, !inner.names.is_empty()) {
             // Whoever was connected may follow another by now: what it has seen is told by a hello.
             tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
             for line in inner.lines.values_mut().filter(|line| line.hello.is_some()) {
@@ -239,7 +239,7 @@
                 }
             };
             let service = self.clone();
-            let spawned = task::spawn_deep("stream", STACK_WORDS, move || {
+            let spawned = task::spawn_with_large_stack("stream", STACK_WORDS, move || {
                 let ended = match proxies {
                     true => service.stream(stream),
                     false => service.operator(stream),
@@ -256,8 +256,8 @@
 
     /// A stream of a proxy or of another member, until it ends.
     fn stream(&self, stream: TcpStream) -> io::Result<()> {
-        let keys = self.keys.as_ref().map(|(proxies, _)| proxies.now());
-        let mut channel = Channel::accepted(stream, keys)?;
+        let keys = self.keys.as_ref().map(|(proxies, _)| proxies.current());
+        let mut channel = FramedConnection::from_accepted(stream, keys)?;
         let number = {
             let mut inner = lock(&self.inner);
             if inner.lines.len() >= self.streams {
@@ -272,22 +272,22 @@
         let mut inner = lock(&self.inner);
         let line = inner.lines.remove(&number);
         if let Some((hello, _)) = line.and_then(|line| line.hello) {
-            let held = inner.names.holds(&hello.proxy, number);
-            inner.names.left(clock::now(), number);
+            let held = inner.names.is_holder(&hello.proxy, number);
+            inner.names.disconnected(clock::now(), number);
             if held {
-                self.drive(&mut inner, Event::Left { proxy: hello.proxy, stream: number });
+                self.drive(&mut inner, Event::Disconnected { proxy: hello.proxy, stream: number });
             }
         }
         ended
     }
 
-    fn talk(&self, channel: &mut Channel, stream: u64) -> io::Result<()> {
+    fn talk(&self, channel: &mut FramedConnection, stream: u64) -> io::Result<()> {
         let (began, mut heard) = (Instant::now(), Instant::now());
         let mut proxy: Option<String> = None;
-        let mut peer: Option<Incoming> = None;
+        let mut peer: Option<InboundPeer> = None;
         loop {
             let closed = channel.pump()?;
-            while let Some(message) = channel.take::<FromClient>()? {
+            while let Some(message) = channel.next_message::<FromClient>()? {
                 heard = Instant::now();
                 match (message.said, &proxy, &mut peer) {
                     (Some(from_client::Said::Hello(hello)), None, None) => {
@@ -296,7 +296,7 @@
                     }
                     (Some(from_client::Said::PeerHello(hello)), None, None) => {
                         self.certified(channel, self.group.peer_name())?;
-                        let (welcome, incoming) = Incoming::hello(&self.group, &hello);
+                        let (welcome, incoming) = InboundPeer::accept(&self.group, &hello);
                         channel
                             .send(&FromService { said: Some(from_service::Said::PeerWelcome(welcome)) })?;
                         peer = incoming;
@@ -306,7 +306,7 @@
                         }
                     }
                     (Some(from_client::Said::Peer(said)), None, Some(peer)) => {
-                        if let Some(welcome) = peer.take(&self.group, said)? {
+                        if let Some(welcome) = peer.handle(&self.group, said)? {
                             channel.send(&FromService {
                                 said: Some(from_service::Said::PeerWelcome(welcome)),
                             })?;
@@ -322,10 +322,10 @@
                         if let Some(line) = inner.lines.get_mut(&stream) {
                             line.asked = told.asked_ms;
                         }
-                        if inner.names.holds(&proxy, stream) {
+                        if inner.names.is_holder(&proxy, stream) {
                             self.drive(
                                 &mut inner,
-                                Event::Figures { proxy, stream, served, unserved, number },
+                                Event::RequestCounts { proxy, stream, served, unserved, number },
                             );
                         }
                         self.vouched(&inner, stream);
@@ -369,16 +369,16 @@
     /// A proxy tells its figures, and so has heard this service's welcome: it follows no later owner. A hello proves less, as
     /// one may have waited while this service stood still.
     fn vouched(&self, inner: &ServerState, stream: u64) {
-        let term = self.group.charter(|charter| charter.owner(VERSIONS).1);
+        let term = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE).1);
         if inner.lines.get(&stream).is_some_and(|line| line.end.is_none() && line.seen() <= term) {
-            lock(&self.doubt).vouched();
+            lock(&self.doubt).clear();
         }
     }
 
     /// Guards each place against whoever holds another's key.
-    fn certified(&self, channel: &Channel, name: Option<&str>) -> io::Result<()> {
-        let Some(certificate) = channel.peer() else { return Ok(()) };
-        match name.is_some_and(|name| tls::carries(certificate, name)) {
+    fn certified(&self, channel: &FramedConnection, name: Option<&str>) -> io::Result<()> {
+        let Some(certificate) = channel.peer_certificate() else { return Ok(()) };
+        match name.is_some_and(|name| tls::certificate_is_valid_for(certificate, name)) {
             true => Ok(()),
             false => {
                 let name = name.unwrap_or_default();
@@ -387,9 +387,12 @@
         }
     }
 
-    fn hello(&self, channel: &mut Channel, stream: u64, mut hello: Hello) -> io::Result<()> {
+    fn hello(&self, channel: &mut FramedConnection, stream: u64, mut hello: Hello) -> io::Result<()> {
         let named = !hello.proxy.is_empty() && hello.proxy.len() <= NAME && hello.build.len() <= NAME;
-        if hello.protocol != PROTOCOL || !named || hello.seen.len() > gaugestep_leadership::charter::DUTIES {
+        if hello.protocol != PROTOCOL
+            || !named
+            || hello.seen.len() > gaugestep_leadership::group_state::MAX_ROLES
+        {
             return Err(io::Error::other("a hello that this build does not understand"));
         }
         self.certified(channel, Some(&hello.proxy))?;
@@ -399,7 +402,7 @@
         }
         let now = clock::now();
         let mut inner = lock(&self.inner);
-        let given = inner.names.hello(now, &hello.proxy, hello.incarnation, hello.name_term, stream);
+        let given = inner.names.claim(now, &hello.proxy, hello.incarnation, hello.name_term, stream);
         let version = hello.in_force.as_ref().map_or(0, |version| version.number);
         let (proxy, incarnation) = (hello.proxy.clone(), hello.incarnation);
         tracing::info!(
@@ -416,14 +419,14 @@
         let welcome = self.welcome(&inner, stream);
         channel.send(&FromService { said: Some(from_service::Said::Welcome(welcome)) })?;
         match given {
-            Given::Yours { term, displaced } => {
-                if let Some(line) = displaced.and_then(|old| inner.lines.get_mut(&old)) {
+            Claim::Granted { term, superseded } => {
+                if let Some(line) = superseded.and_then(|old| inner.lines.get_mut(&old)) {
                     tracing::warn!(proxy, name_term = term, by = incarnation, "proxy identity superseded");
                     line.send(from_service::Said::Displaced(Displaced { name_term: term, by: incarnation }));
                 }
                 self.present(&mut inner, stream);
             }
-            Given::Displaced { term, by } => {
+            Claim::Superseded { term, by } => {
                 tracing::warn!(
                     proxy,
                     name_term = term,
@@ -440,8 +443,8 @@
 
     /// What a proxy is told of who it speaks to.
     pub(crate) fn welcome(&self, inner: &ServerState, stream: u64) -> Welcome {
-        let own = self.group.number();
-        let (owner, term) = self.group.charter(|charter| charter.owner(VERSIONS));
+        let own = self.group.member_number();
+        let (owner, term) = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE));
         let owner = match inner.acting {
             Some(term) => Some((own, term)),
             // Its lease has lapsed, as far as it knows.
@@ -450,7 +453,7 @@
         };
         let owner = owner.and_then(|(owner, term)| self.owner(owner, term));
         let proxy = inner.lines.get(&stream).and_then(|line| line.hello.as_ref());
-        let name_term = proxy.filter(|(hello, _)| inner.names.holds(&hello.proxy, stream));
+        let name_term = proxy.filter(|(hello, _)| inner.names.is_holder(&hello.proxy, stream));
         let name_term = name_term.and_then(|(hello, _)| inner.names.holder(&hello.proxy));
         Welcome {
             protocol: PROTOCOL,
@@ -465,6 +468,6 @@
     pub(crate) fn owner(&self, member: u64, term: u64) -> Option<schema::Owner> {
         let known = self.group.member(member)?;
         let (listen, operators) = (known.listen, known.operators);
-        Some(schema::Owner { duty: VERSIONS.into(), member, term, listen, operators })
+        Some(schema::Owner { duty: CONFIGURATION_ROLE.into(), member, term, listen, operators })
     }
 }
--- a/crates/control-plane/src/server/settings.rs
+++ b/crates/control-plane/src/server/settings.rs
@@ -5,7 +5,7 @@
 
 use gaugestep_config::schema::{self, Member};
 
-use crate::transport::tls::{self, Files};
+use crate::transport::tls::{self, TlsFiles};
 
 /// Versions that are kept at least, where the file does not say.
 const DEFAULT_RETAINED_VERSIONS: u32 = 100;
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug)]
 pub struct ListenerKeys {
     /// For proxies and the other members.
-    pub proxies: Files,
+    pub proxies: TlsFiles,
     /// For operators, whose certificates another authority signs.
-    pub operators: Files,
+    pub operators: TlsFiles,
 }
 
 /// How a server runs.
@@ -84,7 +84,7 @@
         let listen = parse_address("listen", &config.listen)?;
         let operators = parse_address("operators", &config.operators)?;
         for address in [listen, operators] {
-            tls::allowed(address, keys.is_some()).map_err(SettingsError::InsecureAddress)?;
+            tls::check_address_allowed(address, keys.is_some()).map_err(SettingsError::InsecureAddress)?;
         }
         let group = config.group.clone().unwrap_or_default();
         if keys.is_some() && config.group.is_some() && group.service_name.is_empty() {
@@ -116,8 +116,8 @@
     if config.operators_authority.is_empty() {
         return Err(SettingsError::Missing("operators_authority"));
     }
-    let proxies = Files::of(files).map_err(SettingsError::Keys)?;
-    let operators = Files { authority: PathBuf::from(&config.operators_authority), ..proxies.clone() };
+    let proxies = TlsFiles::from_config(files).map_err(SettingsError::Keys)?;
+    let operators = TlsFiles { authority: PathBuf::from(&config.operators_authority), ..proxies.clone() };
     Ok(Some(ListenerKeys { proxies, operators }))
 }
 
--- a/crates/control-plane/src/text_file.rs
+++ b/crates/control-plane/src/text_file.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use gaugestep_config::{Refusal, text};
+use gaugestep_config::{RejectReason, text};
 use prost::Message;
 
 /// Why a file cannot be read.
@@ -23,7 +23,7 @@
         /// The file.
         path: PathBuf,
         /// What is wrong, and where in the text.
-        source: Refusal,
+        source: RejectReason,
     },
 }
 
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use gaugestep_config::rollout::lot;
+use gaugestep_config::rollout::selection_rank;
 use gaugestep_config::schema::{Hello, Plan, Seen, call};
 use gaugestep_control_plane::cli::admin_client::Delivery;
 use gaugestep_testbed::duties::{Breach, judge};
@@ -118,7 +118,7 @@
     // By its lot in version 2 one proxy goes first, two more second, one last. The third and the last know no class
     // `lookup`, and turn down a document that names it.
     let mut names: Vec<String> = (0..4).map(|at| format!("n{at}")).collect();
-    names.sort_by_key(|name| lot(2, name));
+    names.sort_by_key(|name| selection_rank(2, name));
     let change = |at| if at < 2 { ("", "") } else { ("\"lookup\"", "\"look-up\"") };
     let started = names.iter().enumerate();
     let mut proxies: Vec<Proxy> =
@@ -642,14 +642,14 @@
     }
     let document = gaugestep_config::text::parse("limits { max_open: 17 }").unwrap();
     {
-        let store = gaugestep_storage::versions::Versions::open(&group.node(1).store()).unwrap();
+        let store = gaugestep_storage::control_store::ControlStore::open(&group.node(1).store()).unwrap();
         assert_eq!(store.lineage(77).unwrap(), 77);
         let entry = Entry {
             version: Some(gaugestep_config::version(5, &document)),
             state: State::Complete as i32,
             ..Entry::default()
         };
-        let batch = gaugestep_storage::versions::Batch {
+        let batch = gaugestep_storage::control_store::WriteBatch {
             documents: vec![(5, document.encode_to_vec())],
             entries: vec![(5, entry.encode_to_vec())],
             sync: true,
@@ -685,7 +685,8 @@
     // Those that were there hold no more of the log either, whoever led; what they stored of it starts anew too.
     for number in [1, 2] {
         group.node_mut(number).kill();
-        let store = gaugestep_storage::versions::Versions::open(&group.node(number).store()).unwrap();
+        let store =
+            gaugestep_storage::control_store::ControlStore::open(&group.node(number).store()).unwrap();
         let kept = store.log().unwrap().len();
         assert!(kept < 1_300, "{kept} entries at member {number}");
         drop(store);
