--- /dev/null
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -0,0 +1,63 @@
+//! The call that shows all proxies.
+
+use gaugestep_config::rollout::ProxyStatus;
+use gaugestep_config::schema::{Fleet, Proxy, reply};
+use gaugestep_leadership::CONFIGURATION_ROLE;
+use gaugestep_leadership::group_state::GroupState;
+
+use crate::clock;
+use crate::server::admin::CallResult;
+use crate::server::state::{ConnectedProxy, ServerContext, ServerState, SessionId};
+
+impl ServerContext {
+    pub(super) fn fleet_status(&self) -> CallResult {
+        self.require_lease(CONFIGURATION_ROLE)?;
+        let state = self.lock_state();
+        let now = clock::now();
+        let known = state.rollout.rollout.proxies().iter();
+        let known = known.map(|(name, status)| known_proxy(&state, now, name, status));
+        let others = state.sessions.proxies().filter_map(|(id, proxy)| unmanaged_proxy(&state, id, proxy));
+        let mut proxies: Vec<Proxy> = known.chain(others).collect();
+        proxies.sort_by(|a, b| (&a.name, a.displaced).cmp(&(&b.name, b.displaced)));
+        let newest = self.replica.with_state(GroupState::newest_version);
+        Ok(reply::What::Fleet(Fleet { newest, proxies }))
+    }
+}
+
+/// A proxy that the rollout knows, connected or not.
+fn known_proxy(state: &ServerState, now: f64, name: &str, status: &ProxyStatus) -> Proxy {
+    let (incarnation, name_term) = state.identities.holder(name).unwrap_or_default();
+    Proxy {
+        name: name.to_owned(),
+        connected: status.stream.is_some(),
+        build: status.build.clone(),
+        in_force: status.in_force,
+        offered: status.offered.map_or(0, |(_, number, _)| number),
+        refusal: status.rejected.as_ref().map(|(_, reason)| reason.clone()),
+        refused: status.rejected.as_ref().map_or(0, |(number, _)| *number),
+        heard_ms: (now - status.last_seen).max(0.0) as u64,
+        ahead: status.ahead,
+        incarnation,
+        name_term,
+        ..Proxy::default()
+    }
+}
+
+/// A connected proxy that this server drives nothing for: another process holds its name, or it has seen a later term.
+fn unmanaged_proxy(state: &ServerState, id: SessionId, proxy: &ConnectedProxy) -> Option<Proxy> {
+    let hello = &proxy.hello;
+    let displaced = !state.identities.is_holder(&hello.proxy, id);
+    let term = state.rollout.acting_term.unwrap_or(0);
+    let newer_term = Some(proxy.highest_term_seen()).filter(|seen| *seen > term);
+    (displaced || newer_term.is_some()).then(|| Proxy {
+        name: hello.proxy.clone(),
+        connected: true,
+        build: hello.build.clone(),
+        in_force: hello.in_force.as_ref().map_or(0, |version| version.number),
+        incarnation: hello.incarnation,
+        name_term: hello.name_term,
+        displaced,
+        beyond: newer_term.unwrap_or(0),
+        ..Proxy::default()
+    })
+}
--- /dev/null
+++ b/crates/control-plane/src/server/admin/mod.rs
@@ -0,0 +1,171 @@
+//! Operators' calls: one on each connection, one reply.
+
+mod fleet;
+mod group;
+mod versions;
+
+use std::time::Instant;
+
+use gaugestep_config::schema::{
+    Call, Done, FromClient, FromService, Owner, Published, Reply, call, from_client, from_service, reply,
+};
+use gaugestep_leadership::ORDINALS_ROLE;
+use gaugestep_leadership::group_state::Outcome;
+
+use crate::raft::replica::Responder;
+use crate::server::error::SessionError;
+use crate::server::session::SILENCE_TIMEOUT;
+use crate::server::state::{ServerContext, SessionId};
+use crate::transport::connection::FramedConnection;
+
+/// Operators' calls that may be open together.
+const MAX_OPEN_CALLS: usize = 64;
+
+/// Why a call is not carried out, as the caller is told.
+#[derive(Debug)]
+enum CallFailure {
+    /// It cannot be, and the same call again would not be either.
+    Rejected(String),
+    /// Not now: there is no lease holder, or no majority. The caller tries again.
+    Unavailable(String),
+    /// Not here: this member holds the lease.
+    HeldElsewhere(Owner),
+}
+
+impl CallFailure {
+    fn rejected(reason: impl Into<String>) -> Self {
+        CallFailure::Rejected(reason.into())
+    }
+}
+
+impl From<CallFailure> for reply::What {
+    fn from(failure: CallFailure) -> Self {
+        match failure {
+            CallFailure::Rejected(reason) => reply::What::Error(reason),
+            CallFailure::Unavailable(reason) => reply::What::Later(reason),
+            CallFailure::HeldElsewhere(holder) => reply::What::Owner(holder),
+        }
+    }
+}
+
+type CallResult = Result<reply::What, CallFailure>;
+
+/// Serves the connection of an operator until it ends.
+pub(crate) fn serve(context: &ServerContext, mut connection: FramedConnection) -> Result<(), SessionError> {
+    let id = open_call(context, &connection)?;
+    let result = answer_one(context, &mut connection);
+    context.lock_state().open_calls -= 1;
+    context.on_session_closed(id);
+    result
+}
+
+fn open_call(context: &ServerContext, connection: &FramedConnection) -> Result<SessionId, SessionError> {
+    let mut state = context.lock_state();
+    if state.open_calls >= MAX_OPEN_CALLS {
+        return Err(SessionError::TooManyCalls);
+    }
+    state.open_calls += 1;
+    // As a session it is woken regularly, and so looks at its deadline.
+    Ok(state.sessions.open(connection.waker()))
+}
+
+fn answer_one(context: &ServerContext, connection: &mut FramedConnection) -> Result<(), SessionError> {
+    let opened_at = Instant::now();
+    let mut answered = false;
+    loop {
+        let closed = connection.pump()?;
+        if !answered {
+            answered = answer_next(context, connection)?;
+        }
+        if closed {
+            return Ok(());
+        }
+        if opened_at.elapsed() >= SILENCE_TIMEOUT {
+            return Err(SessionError::CallTimeout);
+        }
+        connection.wait();
+    }
+}
+
+/// Answers the call, if it has come.
+fn answer_next(context: &ServerContext, connection: &mut FramedConnection) -> Result<bool, SessionError> {
+    let Some(message) = connection.next_message::<FromClient>()? else { return Ok(false) };
+    let Some(from_client::Said::Call(call)) = message.said else {
+        return Err(SessionError::UnexpectedMessage);
+    };
+    let reply = Reply { what: Some(context.reply_to(call)) };
+    connection.send(&FromService { said: Some(from_service::Said::Reply(reply)) })?;
+    connection.pump()?;
+    Ok(true)
+}
+
+impl ServerContext {
+    fn reply_to(&self, call: Call) -> reply::What {
+        let result = match call.what {
+            Some(request) => self.execute(request),
+            None => Err(CallFailure::rejected("a call that this build does not know")),
+        };
+        result.unwrap_or_else(reply::What::from)
+    }
+
+    /// Carries out a call; the coroutine waits while it is decided.
+    fn execute(&self, request: call::What) -> CallResult {
+        match request {
+            call::What::Publish(publish) => self.publish(publish),
+            call::What::Rollback(rollback) => self.roll_back(rollback),
+            call::What::List(list) => Ok(self.list_versions(list.most)),
+            call::What::Show(show) => self.show_version(show.number),
+            call::What::Status(_) => self.fleet_status(),
+            call::What::Members(_) => Ok(reply::What::Members(self.replica.members())),
+            call::What::Duties(_) => Ok(reply::What::Duties(self.replica.roles())),
+            call::What::Seats(_) => self.show_roster(),
+            call::What::AddMember(member) => self.add_member(member),
+            call::What::RemoveMember(member) => self.remove_member(member),
+            call::What::HandOver(request) => self.hand_over(&request),
+            call::What::Declare(role) => self.declare(&role),
+            call::What::TakeOver(role) => self.take_over(&role),
+        }
+    }
+
+    fn show_roster(&self) -> CallResult {
+        match self.roster_report() {
+            Some(roster) => Ok(reply::What::Seats(roster)),
+            None => Err(CallFailure::Rejected(format!(
+                "no roster is kept: `declare {ORDINALS_ROLE}` has one kept"
+            ))),
+        }
+    }
+
+    /// The term under which this server holds the lease of a role; otherwise where to ask.
+    fn require_lease(&self, role: &str) -> Result<u64, CallFailure> {
+        if let Some(term) = self.replica.acting_term(role) {
+            return Ok(term);
+        }
+        let (holder, term) = self.replica.with_state(|group| group.holder(role));
+        let held_elsewhere =
+            holder > 0 && holder != self.replica.member_number() && self.replica.leader() > 0;
+        match self.address_of(holder, term).filter(|_| held_elsewhere) {
+            Some(holder) => Err(CallFailure::HeldElsewhere(holder)),
+            None => Err(CallFailure::Unavailable(self.replica.unavailable_reason())),
+        }
+    }
+}
+
+/// Proposes something by way of `propose`, and waits until it is decided.
+fn await_outcome(propose: impl FnOnce(Responder)) -> CallResult {
+    let (sender, decided) = may::sync::mpsc::channel();
+    propose(Box::new(move |outcome| drop(sender.send(outcome))));
+    match decided.recv() {
+        Ok(Ok(Outcome::Applied)) => Ok(reply::What::Done(Done {})),
+        Ok(Ok(Outcome::Published(version))) => {
+            Ok(reply::What::Published(Published { version: Some(version) }))
+        }
+        Ok(Ok(Outcome::Rejected(reason))) => Err(CallFailure::Rejected(reason)),
+        // Another member took the lease while the command was under way.
+        Ok(Ok(Outcome::StaleTerm { .. })) => {
+            Err(CallFailure::Unavailable("the duty has another owner by now".into()))
+        }
+        Ok(Err(reason)) => Err(CallFailure::Unavailable(reason)),
+        Err(_) => Err(CallFailure::Unavailable("the service is ending".into())),
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/server/lease_holder.rs
@@ -0,0 +1,48 @@
+//! Who holds the lease of the configuration role, as proxies and operators are told.
+
+use gaugestep_config::PROTOCOL;
+use gaugestep_config::schema::{Owner, Welcome, from_service};
+use gaugestep_leadership::CONFIGURATION_ROLE;
+
+use crate::server::state::{ServerContext, ServerState, SessionId};
+
+impl ServerContext {
+    /// The answer to a proxy's hello and to its figures.
+    pub(crate) fn welcome(&self, state: &ServerState, id: SessionId) -> Welcome {
+        let name_holder =
+            state.identified_proxy(id).and_then(|proxy| state.identities.holder(&proxy.hello.proxy));
+        Welcome {
+            protocol: PROTOCOL,
+            lineage: self.replica.lineage(),
+            owner: self.configuration_holder(state),
+            name_term: name_holder.map_or(0, |(_, term)| term),
+            member: self.replica.member_number(),
+        }
+    }
+
+    /// The lease holder of the configuration role, as far as this server knows.
+    fn configuration_holder(&self, state: &ServerState) -> Option<Owner> {
+        let own = self.replica.member_number();
+        if let Some(term) = state.rollout.acting_term {
+            return self.address_of(own, term);
+        }
+        let (holder, term) = self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE));
+        // This server itself, if it is the one on record, does not hold the lease any more.
+        if holder == own { None } else { self.address_of(holder, term) }
+    }
+
+    /// Where a member is reached as the holder of the configuration role under a term; none if it is not known.
+    pub(crate) fn address_of(&self, member: u64, term: u64) -> Option<Owner> {
+        let known = self.replica.member(member)?;
+        let (listen, operators) = (known.listen, known.operators);
+        Some(Owner { duty: CONFIGURATION_ROLE.into(), member, term, listen, operators })
+    }
+
+    /// Tells all proxies who holds the lease.
+    pub(crate) fn welcome_all(&self, state: &mut ServerState) {
+        for id in state.sessions.proxy_ids() {
+            let welcome = self.welcome(state, id);
+            state.sessions.send(id, from_service::Said::Welcome(welcome));
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/server/listener.rs
@@ -0,0 +1,124 @@
+//! The listeners of a server: one for proxies and members, one for operators. Each connection gets a coroutine.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use gaugestep_coroutine_io::task;
+use may::net::{TcpListener, TcpStream};
+
+use crate::server::admin;
+use crate::server::error::{SessionError, StartError};
+use crate::server::session::PeerSession;
+use crate::server::settings::ListenerKeys;
+use crate::server::state::ServerContext;
+use crate::transport::connection::{FramedConnection, STACK_WORDS};
+use crate::transport::tls::ServerTls;
+
+/// The pause after a connection could not be accepted, as when the process has no file descriptors left.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How often the files of the keys are looked at.
+const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Whom a listener serves.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum Audience {
+    /// Proxies, and the other members of the group.
+    Peers,
+    Operators,
+}
+
+/// The keys of both listeners, which follow their files.
+#[derive(Clone, Default)]
+pub(crate) struct ListenerTls {
+    peers: Option<Arc<ServerTls>>,
+    operators: Option<Arc<ServerTls>>,
+}
+
+impl ListenerTls {
+    /// Reads the keys, if there are any.
+    pub(crate) fn load(keys: Option<ListenerKeys>) -> Result<Self, StartError> {
+        let Some(keys) = keys else { return Ok(ListenerTls::default()) };
+        let load = |files| ServerTls::load(files).map(Arc::new).map_err(StartError::Keys);
+        Ok(ListenerTls { peers: Some(load(keys.proxies)?), operators: Some(load(keys.operators)?) })
+    }
+
+    /// Starts the thread that reads the keys again when their files change. Reading files blocks, so it is no coroutine.
+    pub(crate) fn spawn_reloading(self) -> Result<(), StartError> {
+        let all: Vec<Arc<ServerTls>> = self.peers.into_iter().chain(self.operators).collect();
+        if all.is_empty() {
+            return Ok(());
+        }
+        let reload = move || {
+            loop {
+                std::thread::sleep(KEY_RELOAD_INTERVAL);
+                all.iter().for_each(|tls| tls.reload_if_changed());
+            }
+        };
+        let thread = std::thread::Builder::new().name("keys".into()).spawn(reload);
+        thread.map(drop).map_err(|source| StartError::Spawn { what: "a thread", source })
+    }
+
+    fn of(&self, audience: Audience) -> Option<Arc<ServerTls>> {
+        match audience {
+            Audience::Peers => self.peers.clone(),
+            Audience::Operators => self.operators.clone(),
+        }
+    }
+}
+
+/// One listener; its clones serve one connection each.
+#[derive(Clone)]
+struct Listener {
+    context: Arc<ServerContext>,
+    audience: Audience,
+    tls: Option<Arc<ServerTls>>,
+}
+
+/// Listens on an address, and serves its connections from then on.
+pub(crate) fn spawn(
+    context: &Arc<ServerContext>,
+    address: SocketAddr,
+    audience: Audience,
+    tls: &ListenerTls,
+) -> Result<(), StartError> {
+    let failed = |source| StartError::Listen { address, source };
+    let socket = TcpListener::bind(address).map_err(failed)?;
+    let listener = Listener { context: Arc::clone(context), audience, tls: tls.of(audience) };
+    task::spawn("listener", move || listener.accept_all(&socket)).map_err(failed)
+}
+
+impl Listener {
+    fn accept_all(&self, socket: &TcpListener) {
+        loop {
+            match socket.accept() {
+                Ok((stream, peer)) => self.spawn_session(stream, peer),
+                Err(error) => {
+                    tracing::warn!("cannot accept a connection: {error}");
+                    task::sleep(ACCEPT_RETRY_INTERVAL);
+                }
+            }
+        }
+    }
+
+    fn spawn_session(&self, stream: TcpStream, peer: SocketAddr) {
+        let listener = self.clone();
+        let session = move || {
+            if let Err(error) = listener.serve(stream) {
+                tracing::info!(%peer, "connection closed: {error}");
+            }
+        };
+        if let Err(error) = task::spawn_with_large_stack("stream", STACK_WORDS, session) {
+            tracing::error!("cannot start a coroutine for a connection: {error}");
+        }
+    }
+
+    fn serve(&self, stream: TcpStream) -> Result<(), SessionError> {
+        let tls = self.tls.as_ref().map(|tls| tls.current());
+        let connection = FramedConnection::from_accepted(stream, tls)?;
+        match self.audience {
+            Audience::Peers => PeerSession::serve(&self.context, connection),
+            Audience::Operators => admin::serve(&self.context, connection),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -0,0 +1,77 @@
+//! What the server does by itself: at regular intervals, and when the replicated state has changed.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use gaugestep_config::rollout::Event;
+use gaugestep_coroutine_io::task;
+use gaugestep_leadership::group_state::StateChange;
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
+
+use crate::clock;
+use crate::server::error::StartError;
+use crate::server::state::{ServerContext, ServerState, milliseconds};
+
+/// How often clocks are looked at.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// A server that was suspended for longer may have lost its lease to another one without knowing: a lease lasts as long.
+const MAX_SUSPENSION: Duration = Duration::from_secs(2);
+
+/// Starts the coroutine that looks at the clock.
+pub(crate) fn spawn(context: &Arc<ServerContext>) -> Result<(), StartError> {
+    let context = Arc::clone(context);
+    let tick = move || {
+        loop {
+            task::sleep(TICK_INTERVAL);
+            context.on_tick();
+        }
+    };
+    task::spawn("clocks", tick).map_err(|source| StartError::Spawn { what: "a coroutine", source })
+}
+
+impl ServerContext {
+    fn on_tick(&self) {
+        let now = clock::now();
+        let mut state = self.lock_state();
+        self.check_suspension(&mut state, now);
+        self.refresh_rollout_lease(&mut state);
+        self.drive(&mut state, Event::Tick);
+        self.reclaim_identities(&mut state, now);
+        self.maintain_roster(&mut state, now);
+        state.sessions.wake_all();
+    }
+
+    /// Looks whether the process was suspended, whatever it does first when it goes on.
+    pub(crate) fn check_suspension(&self, state: &mut ServerState, now: f64) {
+        let limit = milliseconds(MAX_SUSPENSION);
+        if !self.lock_pause_detector().observe(now, limit, !state.identities.is_empty()) {
+            return;
+        }
+        tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
+        // Whoever was connected may follow another server by now: what it has seen is told by its next hello.
+        for session in state.sessions.values_mut().filter(|session| session.proxy.is_some()) {
+            session.close_requested = true;
+        }
+    }
+
+    /// The replicated state has changed, or a lease.
+    pub(crate) fn on_state_change(&self, changes: &[StateChange]) {
+        let mut state = self.lock_state();
+        self.refresh_rollout_lease(&mut state);
+        for change in changes {
+            self.apply_state_change(&mut state, change);
+        }
+    }
+
+    fn apply_state_change(&self, state: &mut ServerState, change: &StateChange) {
+        match change {
+            StateChange::VersionPublished(number) => self.on_version_published(state, *number),
+            StateChange::VersionDropped(_) => self.on_versions_dropped(state),
+            StateChange::HolderChanged(role) if role == CONFIGURATION_ROLE => self.welcome_all(state),
+            StateChange::HolderChanged(role) | StateChange::RoleChanged(role) if role == ORDINALS_ROLE => {
+                self.send_ordinals(state);
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -0,0 +1,181 @@
+//! What proxies say to the server, and what it answers.
+
+use gaugestep_config::PROTOCOL;
+use gaugestep_config::rollout::Event;
+use gaugestep_config::schema::{Answer, Displaced, Figures, Hello, from_service};
+use gaugestep_leadership::CONFIGURATION_ROLE;
+use gaugestep_leadership::group_state::MAX_ROLES;
+use gaugestep_leadership::identity::Claim;
+
+use crate::clock;
+use crate::server::error::SessionError;
+use crate::server::state::{ConnectedProxy, ServerContext, ServerState, SessionId, highest_term_seen};
+
+/// Bytes of a proxy's name, of its build, and of an operator's name.
+pub(crate) const MAX_NAME_BYTES: usize = 128;
+
+/// Refuses a hello of another protocol, or one that would take more memory than a proxy may.
+pub(crate) fn check_hello(hello: &Hello) -> Result<(), SessionError> {
+    let is_named = (1..=MAX_NAME_BYTES).contains(&hello.proxy.len()) && hello.build.len() <= MAX_NAME_BYTES;
+    if hello.protocol == PROTOCOL && is_named && hello.seen.len() <= MAX_ROLES {
+        Ok(())
+    } else {
+        Err(SessionError::InvalidHello)
+    }
+}
+
+fn log_hello(hello: &Hello) {
+    let version = hello.in_force.as_ref().map_or(0, |version| version.number);
+    let (proxy, incarnation, build) = (&hello.proxy, hello.incarnation, &hello.build);
+    tracing::info!(proxy, version, incarnation, seen = highest_term_seen(hello), build, "proxy connected");
+}
+
+impl ServerContext {
+    /// A proxy has opened a session. Returns the answers to send.
+    pub(crate) fn on_hello(&self, id: SessionId, mut hello: Hello) -> Vec<from_service::Said> {
+        if hello.incarnation == 0 {
+            // A build that does not name its processes: each of its sessions counts as one.
+            hello.incarnation = id;
+        }
+        log_hello(&hello);
+        let now = clock::now();
+        let mut state = self.lock_state();
+        let claim = state.identities.claim(now, &hello.proxy, hello.incarnation, hello.name_term, id);
+        let (proxy, incarnation) = (hello.proxy.clone(), hello.incarnation);
+        if let Some(session) = state.sessions.get_mut(id) {
+            session.proxy = Some(ConnectedProxy { hello, updated_at: now });
+        }
+        let mut answers = vec![from_service::Said::Welcome(self.welcome(&state, id))];
+        match claim {
+            Claim::Granted { term, superseded } => {
+                if let Some(session) = superseded.and_then(|old| state.sessions.get_mut(old)) {
+                    tracing::warn!(proxy, name_term = term, by = incarnation, "proxy identity superseded");
+                    session
+                        .send(from_service::Said::Displaced(Displaced { name_term: term, by: incarnation }));
+                }
+                self.register_proxy(&mut state, id);
+            }
+            Claim::Superseded { term, by } => {
+                tracing::warn!(
+                    proxy,
+                    name_term = term,
+                    by,
+                    incarnation,
+                    "proxy identity is held by another process"
+                );
+                answers.push(from_service::Said::Displaced(Displaced { name_term: term, by }));
+            }
+        }
+        answers
+    }
+
+    /// A proxy has accepted or rejected an offer.
+    pub(crate) fn on_answer(&self, proxy: &str, id: SessionId, answer: Answer) {
+        let Answer { nonce, number, refusal } = answer;
+        let mut state = self.lock_state();
+        match &refusal {
+            None => {
+                tracing::info!(proxy, version = number, nonce, "version in force");
+                self.record_acceptance(&mut state, id, number);
+            }
+            Some(reason) => {
+                let (code, path) = (&reason.code, &reason.path);
+                tracing::warn!(
+                    proxy,
+                    version = number,
+                    nonce,
+                    code,
+                    path,
+                    "version rejected: {}",
+                    reason.reason
+                );
+            }
+        }
+        self.drive(&mut state, Event::Answered { proxy: proxy.into(), stream: id, nonce, refusal });
+    }
+
+    /// Brings the hello of a session up to date, so that the next lease holder's rollout sees what the proxy has now.
+    fn record_acceptance(&self, state: &mut ServerState, id: SessionId, number: u64) {
+        let version = self.replica.with_state(|group| group.versions.get(&number)?.entry.version.clone());
+        let term = state.rollout.acting_term;
+        let Some(proxy) = state.sessions.get_mut(id).and_then(|session| session.proxy.as_mut()) else {
+            return;
+        };
+        proxy.updated_at = clock::now();
+        let hello = &mut proxy.hello;
+        hello.age_ms = 0;
+        if version.is_some() {
+            hello.in_force = version;
+        }
+        // The proxy has kept the term of what it accepted.
+        let seen = hello.seen.iter_mut().find(|seen| seen.duty == CONFIGURATION_ROLE);
+        if let (Some(seen), Some(term)) = (seen, term) {
+            seen.term = seen.term.max(term);
+        }
+    }
+
+    /// A proxy reports what became of its requests. Returns the answers to send.
+    pub(crate) fn on_figures(
+        &self,
+        proxy: &str,
+        id: SessionId,
+        figures: &Figures,
+    ) -> Vec<from_service::Said> {
+        let mut state = self.lock_state();
+        if let Some(session) = state.sessions.get_mut(id) {
+            session.figures_sent_ms = figures.asked_ms;
+        }
+        if state.identities.is_holder(proxy, id) {
+            let unserved = figures.declined.saturating_add(figures.aborted);
+            let (proxy, served, number) = (proxy.to_owned(), figures.succeeded, figures.number);
+            self.drive(&mut state, Event::RequestCounts { proxy, stream: id, served, unserved, number });
+        }
+        self.confirm_followed(&state, id);
+        let welcome = from_service::Said::Welcome(self.welcome(&state, id));
+        let grant = self.ordinal_grant(&state, id).map(from_service::Said::Seated);
+        std::iter::once(welcome).chain(grant).collect()
+    }
+
+    /// A proxy that sends figures has read this server's welcome, and so follows no later term: that ends the doubt after a
+    /// suspension. A hello proves less, as it may have waited while the process was suspended.
+    fn confirm_followed(&self, state: &ServerState, id: SessionId) {
+        let (_, term) = self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE));
+        let follows = state
+            .sessions
+            .get(id)
+            .is_some_and(|session| !session.close_requested && session.highest_term_seen() <= term);
+        if follows {
+            self.lock_pause_detector().clear();
+        }
+    }
+
+    /// A session has ended, of a proxy or of anybody else.
+    pub(crate) fn on_session_closed(&self, id: SessionId) {
+        let mut state = self.lock_state();
+        let Some(ConnectedProxy { hello, .. }) = state.sessions.close(id) else { return };
+        let was_holder = state.identities.is_holder(&hello.proxy, id);
+        state.identities.disconnected(clock::now(), id);
+        if was_holder {
+            self.drive(&mut state, Event::Disconnected { proxy: hello.proxy, stream: id });
+        }
+    }
+
+    /// Gives a name back to a process whose successor has been gone for long.
+    pub(crate) fn reclaim_identities(&self, state: &mut ServerState, now: f64) {
+        let superseded: Vec<SessionId> = state.identities.superseded().map(|(id, ..)| id).collect();
+        for id in superseded {
+            let Some(proxy) = state.sessions.get(id).and_then(|session| session.proxy.as_ref()) else {
+                continue;
+            };
+            let hello = &proxy.hello;
+            // It was told the term of its successor, and so never counts as newer.
+            let term = hello.name_term.max(1);
+            let claim = state.identities.claim(now, &hello.proxy, hello.incarnation, term, id);
+            if matches!(claim, Claim::Granted { .. }) {
+                let welcome = self.welcome(state, id);
+                state.sessions.send(id, from_service::Said::Welcome(welcome));
+                self.register_proxy(state, id);
+            }
+        }
+    }
+}
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -1,138 +1,180 @@
-//! Seats of the fleet: a shell round the [`RosterManager`], which decides who sits where, at the owner of the duty [`ORDINALS_ROLE`]; and, at
-//! every member, what proxies are told of it. Members tell the owner which proxies they hear; the roster is agreed on like
-//! all else, so every member knows it.
+//! The ordinals of proxies: the lease holder of the ordinals role assigns them by a [`RosterManager`], which decides; every
+//! member tells its proxies which ordinal the committed roster gives them.
+//!
+//! Members report to the lease holder which proxies they hear. The roster is committed by the group, so every member
+//! knows it.
+
+use std::time::Duration;
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::peer::Said;
-use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
+use gaugestep_config::schema::{self, Keep, Present, Seated, from_service};
 use gaugestep_leadership::ORDINALS_ROLE;
 use gaugestep_leadership::group_state::Outcome;
 use gaugestep_subsetting::roster::{Roster, RosterManager};
 use prost::Message as _;
 
-use crate::server::{ControlServer, ServerState};
-use crate::{clock, lock};
+use crate::clock;
+use crate::server::state::{ManagedRoster, ServerContext, ServerState, SessionId, milliseconds};
 
-/// How often members tell the owner whom they hear, in milliseconds.
-const TELL_EVERY: f64 = 1_000.0;
+/// How often members report which proxies they hear.
+const PRESENCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a service knows of seats.
-#[derive(Default)]
-pub(crate) struct RosterState {
-    /// The term under which this service keeps the roster, and the keeper.
-    keeping: Option<(u64, RosterManager)>,
-    told_at: f64,
+/// The roster as the group has committed it.
+struct CommittedRoster {
+    /// The lease holder that assigns the ordinals; 0: none.
+    holder: u64,
+    term: u64,
+    roster: Roster,
 }
 
-fn read(state: &[u8]) -> Roster {
-    let told = schema::Roster::decode(state).unwrap_or_default();
-    Roster { epoch: told.epoch, names: told.proxies }
+impl CommittedRoster {
+    fn from_role(role: &schema::Duty) -> Self {
+        // What cannot be read is as good as no roster: it was written by the group itself.
+        let stored = schema::Roster::decode(role.state.as_slice()).unwrap_or_default();
+        let roster = Roster { epoch: stored.epoch, names: stored.proxies };
+        CommittedRoster { holder: role.owner, term: role.term, roster }
+    }
+
+    /// The ordinal of a session's proxy; nothing while another process holds the proxy's name.
+    fn grant(&self, state: &ServerState, id: SessionId) -> Option<Seated> {
+        let proxy = state.identified_proxy(id)?;
+        let session = state.sessions.get(id)?;
+        Some(Seated {
+            term: self.term,
+            epoch: self.roster.epoch,
+            asked_ms: session.figures_sent_ms,
+            seat: self.roster.ordinal_of(&proxy.hello.proxy).map(|(ordinal, _)| ordinal),
+            seats: self.roster.names.len() as u32,
+        })
+    }
 }
 
-impl ControlServer {
-    /// The duty as it is agreed on: its term and the roster; none while no operator has declared it.
-    fn agreed(&self) -> Option<(schema::Duty, Roster)> {
-        let duty = self.group.with_state(|charter| charter.roles.get(ORDINALS_ROLE).cloned())?;
-        let roster = read(&duty.state);
-        Some((duty, roster))
+impl ServerContext {
+    /// The committed roster; none while no operator has declared the role.
+    fn committed_roster(&self) -> Option<CommittedRoster> {
+        self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map(CommittedRoster::from_role))
     }
 
-    /// Looks at the clock: tells whom this service hears, and keeps the roster if it is its own.
-    pub(crate) fn keep_seats(&self, inner: &mut ServerState, now: f64) {
-        let acts = self.group.acting_term(ORDINALS_ROLE);
-        if acts != inner.seating.keeping.as_ref().map(|(term, ..)| *term) {
-            inner.seating.keeping = None;
-            match (acts, self.agreed()) {
-                (Some(term), Some((_, roster))) => {
-                    let (epoch, seats) = (roster.epoch, roster.names.len());
-                    tracing::info!(role = ORDINALS_ROLE, term, epoch, seats, "lease acquired");
-                    inner.seating.keeping = Some((term, RosterManager::resume(now, roster)));
-                }
-                _ => tracing::warn!(role = ORDINALS_ROLE, "lease lost"),
-            }
+    /// Does what is due: reports which proxies this server hears, and assigns ordinals if it holds the lease.
+    pub(crate) fn maintain_roster(&self, state: &mut ServerState, now: f64) {
+        self.refresh_roster_lease(state, now);
+        self.report_presence(state, now);
+        self.propose_roster(state, now);
+    }
+
+    fn refresh_roster_lease(&self, state: &mut ServerState, now: f64) {
+        let acting_term = self.replica.acting_term(ORDINALS_ROLE);
+        if acting_term == state.roster.managed.as_ref().map(|managed| managed.term) {
+            return;
         }
-        let owner = self.group.with_state(|charter| charter.holder(ORDINALS_ROLE).0);
-        if owner > 0 && now - inner.seating.told_at >= TELL_EVERY {
-            inner.seating.told_at = now;
-            let here =
-                inner.lines.iter().filter_map(|(stream, line)| Some((stream, &line.hello.as_ref()?.0)));
-            let here = here.filter(|(stream, hello)| inner.names.is_holder(&hello.proxy, **stream));
-            let told = Present { proxies: here.map(|(_, hello)| hello.proxy.clone()).collect() };
-            match owner == self.group.member_number() {
-                true => self.group.report_presence(told),
-                false if !told.proxies.is_empty() => drop(self.group.links.send(owner, Said::Present(told))),
-                false => {}
-            }
+        state.roster.managed = None;
+        let (Some(term), Some(CommittedRoster { roster, .. })) = (acting_term, self.committed_roster())
+        else {
+            tracing::warn!(role = ORDINALS_ROLE, "lease lost");
+            return;
+        };
+        let (epoch, ordinals) = (roster.epoch, roster.names.len());
+        tracing::info!(role = ORDINALS_ROLE, term, epoch, ordinals, "lease acquired");
+        state.roster.managed = Some(ManagedRoster { term, manager: RosterManager::resume(now, roster) });
+    }
+
+    fn report_presence(&self, state: &mut ServerState, now: f64) {
+        let (holder, _) = self.replica.with_state(|group| group.holder(ORDINALS_ROLE));
+        let interval = milliseconds(PRESENCE_INTERVAL);
+        if holder == 0 || now - state.roster.reported_at < interval {
+            return;
         }
-        let Some((term, keeper)) = &mut inner.seating.keeping else { return };
-        for told in self.group.take_presence_reports() {
-            keeper.record_heartbeats(now, told.proxies.iter().map(String::as_str));
+        state.roster.reported_at = now;
+        let identified = state
+            .sessions
+            .proxies()
+            .filter(|(id, proxy)| state.identities.is_holder(&proxy.hello.proxy, *id));
+        let report = Present { proxies: identified.map(|(_, proxy)| proxy.hello.proxy.clone()).collect() };
+        if holder == self.replica.member_number() {
+            self.replica.report_presence(report);
+        } else if !report.proxies.is_empty() {
+            // A report that is lost is made up for by the next one.
+            self.replica.links.send(holder, Said::Present(report));
         }
-        let Some(next) = keeper.next_change(now) else { return };
-        let (term, epoch, seats) = (*term, next.epoch, next.names.len());
-        let state = schema::Roster { epoch, proxies: next.names.clone() }.encode_to_vec();
-        // The order behind what is agreed: of two proposals that were made of one roster only the first is taken.
-        let order =
-            self.group.with_state(|charter| charter.roles.get(ORDINALS_ROLE).map_or(0, |duty| duty.order))
-                + 1;
-        let keep = What::Keep(Keep { state, order });
-        let service = self.itself();
-        let tell = move |outcome| {
-            let done = outcome == Ok(Outcome::Applied);
-            tracing::info!(role = ORDINALS_ROLE, term, epoch, seats, done, "roster committed");
-            let Some(service) = service.upgrade() else { return };
-            let there = service.agreed().is_some_and(|(_, roster)| roster == next);
-            let mut inner = lock(&service.inner);
-            match inner.seating.keeping.as_mut().filter(|(own, _)| *own == term) {
-                Some((_, keeper)) if there => keeper.change_decided(clock::now(), epoch, true),
-                // It may be agreed on yet, or another one was: begins again with whatever is there.
-                Some(_) => inner.seating.keeping = None,
-                None => {}
+    }
+
+    /// Proposes the next roster, if the manager wants a change.
+    fn propose_roster(&self, state: &mut ServerState, now: f64) {
+        let Some(ManagedRoster { term, manager }) = &mut state.roster.managed else { return };
+        for report in self.replica.take_presence_reports() {
+            manager.record_heartbeats(now, report.proxies.iter().map(String::as_str));
+        }
+        let Some(next) = manager.next_change(now) else { return };
+        let (term, context) = (*term, self.downgrade());
+        let command = What::Keep(self.roster_checkpoint(&next));
+        let responder = move |outcome| {
+            let committed = outcome == Ok(Outcome::Applied);
+            log_roster(&next, term, committed);
+            if let Some(context) = context.upgrade() {
+                context.on_roster_decided(term, &next);
             }
         };
-        self.group.propose(
-            Act { duty: ORDINALS_ROLE.into(), term, what: Some(keep), ..Act::default() },
-            Box::new(tell),
-        );
+        self.propose(ORDINALS_ROLE, term, command, Box::new(responder));
+    }
+
+    /// The order is the one behind the committed: of two proposals made of one roster only the first is accepted.
+    fn roster_checkpoint(&self, roster: &Roster) -> Keep {
+        let committed =
+            self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map_or(0, |role| role.order));
+        let roster = schema::Roster { epoch: roster.epoch, proxies: roster.names.clone() };
+        Keep { state: roster.encode_to_vec(), order: committed + 1 }
     }
 
-    /// What proxies may be told of: nothing while this member could be behind. The lease is looked at before the roster is
-    /// read: the other way round the roster could be an old one and the lease a new one.
-    fn told(&self) -> Option<(schema::Duty, Roster)> {
-        let leased = self.group.has_lease() || crate::failpoints::is_check_disabled("owner");
-        self.agreed().filter(|(duty, _)| leased && duty.term > 0)
+    fn on_roster_decided(&self, term: u64, proposed: &Roster) {
+        let is_current = self.committed_roster().is_some_and(|committed| committed.roster == *proposed);
+        let mut state = self.lock_state();
+        match state.roster.managed.as_mut().filter(|managed| managed.term == term) {
+            Some(managed) if is_current => {
+                managed.manager.change_decided(clock::now(), proposed.epoch, true);
+            }
+            // It may be committed yet, or another one was: begins again with whatever is committed.
+            Some(_) => state.roster.managed = None,
+            None => {}
+        }
     }
 
-    /// What a proxy is told of its seat: nothing while another process has the name.
-    pub(crate) fn seated(&self, inner: &ServerState, stream: u64) -> Option<Seated> {
-        seated(inner, stream, &self.told()?)
+    /// The roster from which ordinals may be granted; none while this member could be behind the group.
+    ///
+    /// The lease is checked before the roster is used: the other way round the roster could be an old one and the lease a
+    /// new one.
+    fn grantable_roster(&self) -> Option<CommittedRoster> {
+        let has_lease = self.replica.has_lease() || crate::failpoints::is_check_disabled("owner");
+        self.committed_roster().filter(|committed| has_lease && committed.term > 0)
     }
 
-    /// Tells all proxies of their seats.
-    pub(crate) fn seat_all(&self, inner: &mut ServerState) {
-        // Read once for all of them, as the lines are locked meanwhile.
-        let Some(told) = self.told() else { return };
-        let streams: Vec<u64> = inner.lines.keys().copied().collect();
-        for stream in streams {
-            let seated = seated(inner, stream, &told);
-            if let (Some(seated), Some(line)) = (seated, inner.lines.get_mut(&stream)) {
-                line.send(from_service::Said::Seated(seated));
+    /// The ordinal that a proxy is told.
+    pub(crate) fn ordinal_grant(&self, state: &ServerState, id: SessionId) -> Option<Seated> {
+        self.grantable_roster()?.grant(state, id)
+    }
+
+    /// Tells all proxies their ordinals.
+    pub(crate) fn send_ordinals(&self, state: &mut ServerState) {
+        let Some(roster) = self.grantable_roster() else { return };
+        for id in state.sessions.proxy_ids() {
+            if let Some(grant) = roster.grant(state, id) {
+                state.sessions.send(id, from_service::Said::Seated(grant));
             }
         }
     }
 
-    /// What a command `seats` shows.
-    pub(crate) fn seats(&self) -> Option<schema::Seats> {
-        let (duty, roster) = self.agreed()?;
-        let (keeper, term, epoch) = (duty.owner, duty.term, roster.epoch);
-        Some(schema::Seats { keeper, term, epoch, proxies: roster.names })
+    /// The roster as the command `seats` shows it; none while no operator has declared the role.
+    pub(crate) fn roster_report(&self) -> Option<schema::Seats> {
+        let CommittedRoster { holder, term, roster } = self.committed_roster()?;
+        Some(schema::Seats { keeper: holder, term, epoch: roster.epoch, proxies: roster.names })
     }
 }
 
-fn seated(inner: &ServerState, stream: u64, (duty, roster): &(schema::Duty, Roster)) -> Option<Seated> {
-    let line = inner.lines.get(&stream)?;
-    let (hello, _) = line.hello.as_ref().filter(|(hello, _)| inner.names.is_holder(&hello.proxy, stream))?;
-    let seat = roster.ordinal_of(&hello.proxy).map(|(seat, _)| seat);
-    let (term, epoch, seats) = (duty.term, roster.epoch, roster.names.len() as u32);
-    Some(Seated { term, epoch, asked_ms: line.asked, seat, seats })
+fn log_roster(roster: &Roster, term: u64, committed: bool) {
+    let (epoch, ordinals) = (roster.epoch, roster.names.len());
+    if committed {
+        tracing::info!(role = ORDINALS_ROLE, term, epoch, ordinals, "roster committed");
+    } else {
+        tracing::info!(role = ORDINALS_ROLE, term, epoch, ordinals, "roster not committed");
+    }
 }
--- /dev/null
+++ b/crates/control-plane/src/server/state.rs
@@ -0,0 +1,242 @@
+//! The state that all parts of a control server share. Every other module of the server stands on this one.
+//!
+//! Locks are taken in this order: the server's state, the pause detector, the replica's own. None is held while a
+//! connection is waited for.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::{Arc, Mutex, MutexGuard, Weak};
+use std::time::Duration;
+
+use gaugestep_config::rollout::{Action, Rollout};
+use gaugestep_config::schema::act::What;
+use gaugestep_config::schema::{Act, FromService, Hello, from_service};
+use gaugestep_coroutine_io::stream::Waker;
+use gaugestep_leadership::CONFIGURATION_ROLE;
+use gaugestep_leadership::checkpoint::CheckpointBarrier;
+use gaugestep_leadership::identity::IdentityRegistry;
+use gaugestep_leadership::pause_detector::PauseDetector;
+use gaugestep_subsetting::roster::RosterManager;
+
+use crate::raft::replica::{Replica, Responder};
+use crate::server::settings::Settings;
+use crate::{clock, lock};
+
+/// Names a session; numbers rise and are never used twice.
+pub(crate) type SessionId = u64;
+
+/// A duration in the unit of the lease clock.
+pub(crate) fn milliseconds(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
+}
+
+/// What a proxy has said of itself.
+pub(crate) struct ConnectedProxy {
+    /// Its hello, kept up to date with its acknowledgements.
+    pub(crate) hello: Hello,
+    /// When the hello was last brought up to date, on the lease clock.
+    pub(crate) updated_at: f64,
+}
+
+impl ConnectedProxy {
+    /// The highest term of the configuration role that the proxy has seen.
+    pub(crate) fn highest_term_seen(&self) -> u64 {
+        highest_term_seen(&self.hello)
+    }
+}
+
+/// The highest term of the configuration role that a hello names; 0: none.
+pub(crate) fn highest_term_seen(hello: &Hello) -> u64 {
+    let terms = hello.seen.iter().filter(|seen| seen.duty == CONFIGURATION_ROLE).map(|seen| seen.term);
+    terms.max().unwrap_or(0)
+}
+
+/// One connection, as other coroutines see it. The coroutine of the connection alone reads and writes the socket.
+pub(crate) struct Session {
+    outbound: VecDeque<FromService>,
+    waker: Waker,
+    /// The proxy, once its hello has come; none for members and operators.
+    pub(crate) proxy: Option<ConnectedProxy>,
+    /// `asked_ms` of the figures that the proxy sent last: what its ordinal is confirmed for.
+    pub(crate) figures_sent_ms: u64,
+    /// The session is to be closed, so that the proxy connects again.
+    pub(crate) close_requested: bool,
+}
+
+impl Session {
+    fn new(waker: Waker) -> Self {
+        Session { outbound: VecDeque::new(), waker, proxy: None, figures_sent_ms: 0, close_requested: false }
+    }
+
+    /// Queues a message and wakes the coroutine that sends it.
+    pub(crate) fn send(&mut self, said: from_service::Said) {
+        self.outbound.push_back(FromService { said: Some(said) });
+        self.waker.wakeup();
+    }
+
+    /// The messages that are to be sent now.
+    pub(crate) fn take_outbound(&mut self) -> VecDeque<FromService> {
+        std::mem::take(&mut self.outbound)
+    }
+
+    /// The highest term of the configuration role that the proxy has seen; 0 before its hello.
+    pub(crate) fn highest_term_seen(&self) -> u64 {
+        self.proxy.as_ref().map_or(0, ConnectedProxy::highest_term_seen)
+    }
+}
+
+/// All open sessions.
+#[derive(Default)]
+pub(crate) struct SessionTable {
+    sessions: BTreeMap<SessionId, Session>,
+    last_id: SessionId,
+}
+
+impl SessionTable {
+    /// Adds a session, whose coroutine is woken by `waker`.
+    pub(crate) fn open(&mut self, waker: Waker) -> SessionId {
+        self.last_id += 1;
+        self.sessions.insert(self.last_id, Session::new(waker));
+        self.last_id
+    }
+
+    /// Removes a session; the proxy that it was of.
+    pub(crate) fn close(&mut self, id: SessionId) -> Option<ConnectedProxy> {
+        self.sessions.remove(&id)?.proxy
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.sessions.len()
+    }
+
+    pub(crate) fn get(&self, id: SessionId) -> Option<&Session> {
+        self.sessions.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: SessionId) -> Option<&mut Session> {
+        self.sessions.get_mut(&id)
+    }
+
+    /// Sends a message over a session that is still open.
+    pub(crate) fn send(&mut self, id: SessionId, said: from_service::Said) {
+        if let Some(session) = self.sessions.get_mut(&id) {
+            session.send(said);
+        }
+    }
+
+    pub(crate) fn values(&self) -> impl Iterator<Item = &Session> {
+        self.sessions.values()
+    }
+
+    pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Session> {
+        self.sessions.values_mut()
+    }
+
+    /// The sessions of proxies, in the order in which they were opened.
+    pub(crate) fn proxies(&self) -> impl Iterator<Item = (SessionId, &ConnectedProxy)> {
+        self.sessions.iter().filter_map(|(id, session)| Some((*id, session.proxy.as_ref()?)))
+    }
+
+    /// The numbers of the sessions of proxies.
+    pub(crate) fn proxy_ids(&self) -> Vec<SessionId> {
+        self.proxies().map(|(id, _)| id).collect()
+    }
+
+    /// Wakes all coroutines, so that each looks at its deadlines.
+    pub(crate) fn wake_all(&self) {
+        self.values().for_each(|session| session.waker.wakeup());
+    }
+}
+
+/// The rollout of versions, which the lease holder of the configuration role drives.
+#[derive(Default)]
+pub(crate) struct RolloutState {
+    /// The term under which this server drives the rollout; none while it does not hold the lease.
+    pub(crate) acting_term: Option<u64>,
+    /// Decides which proxy is offered which version.
+    pub(crate) rollout: Rollout,
+    /// Holds the offers of a stage back until its progress is committed.
+    pub(crate) checkpoint: CheckpointBarrier<Action>,
+}
+
+/// The roster under the term of this server's lease.
+pub(crate) struct ManagedRoster {
+    pub(crate) term: u64,
+    pub(crate) manager: RosterManager,
+}
+
+/// What a server does for the ordinals of proxies.
+#[derive(Default)]
+pub(crate) struct RosterState {
+    /// The roster, while this server holds the lease of the ordinals role.
+    pub(crate) managed: Option<ManagedRoster>,
+    /// When this server last reported which proxies it hears, on the lease clock.
+    pub(crate) reported_at: f64,
+}
+
+/// What changes while a server runs.
+#[derive(Default)]
+pub(crate) struct ServerState {
+    pub(crate) rollout: RolloutState,
+    pub(crate) roster: RosterState,
+    /// Which process holds the name of a proxy.
+    pub(crate) identities: IdentityRegistry,
+    pub(crate) sessions: SessionTable,
+    /// Operators' calls that are being carried out.
+    pub(crate) open_calls: usize,
+}
+
+impl ServerState {
+    /// The proxy of a session, if its process holds the proxy's name.
+    pub(crate) fn identified_proxy(&self, id: SessionId) -> Option<&ConnectedProxy> {
+        let proxy = self.sessions.get(id)?.proxy.as_ref()?;
+        self.identities.is_holder(&proxy.hello.proxy, id).then_some(proxy)
+    }
+}
+
+/// What all coroutines of a server share.
+pub(crate) struct ServerContext {
+    state: Mutex<ServerState>,
+    /// The group's replicated state, and the leases.
+    pub(crate) replica: Arc<Replica>,
+    pause_detector: Mutex<PauseDetector>,
+    /// Versions that are kept at least.
+    pub(crate) retained_versions: u32,
+    /// Sessions that may be open together.
+    pub(crate) max_sessions: usize,
+    /// The operator said that whoever used the store before is gone for good.
+    pub(crate) store_restored: bool,
+    this: Weak<ServerContext>,
+}
+
+impl ServerContext {
+    pub(crate) fn new(replica: Arc<Replica>, settings: &Settings) -> Arc<Self> {
+        Arc::new_cyclic(|this| ServerContext {
+            state: Mutex::default(),
+            replica,
+            pause_detector: Mutex::new(PauseDetector::new(clock::now())),
+            retained_versions: settings.retained_versions,
+            max_sessions: settings.max_streams,
+            store_restored: settings.restored,
+            this: this.clone(),
+        })
+    }
+
+    pub(crate) fn lock_state(&self) -> MutexGuard<'_, ServerState> {
+        lock(&self.state)
+    }
+
+    pub(crate) fn lock_pause_detector(&self) -> MutexGuard<'_, PauseDetector> {
+        lock(&self.pause_detector)
+    }
+
+    /// This context, for callbacks that may outlive the server.
+    pub(crate) fn downgrade(&self) -> Weak<ServerContext> {
+        self.this.clone()
+    }
+
+    /// Proposes a command for a role under a term; `responder` is called once it is decided.
+    pub(crate) fn propose(&self, role: &str, term: u64, command: What, responder: Responder) {
+        let command = Act { duty: role.into(), term, what: Some(command), ..Act::default() };
+        self.replica.propose(command, responder);
+    }
+}
