--- a/crates/control-plane/src/cli/mod.rs
+++ b/crates/control-plane/src/cli/mod.rs
@@ -20,7 +20,7 @@
 use clap::Parser as _;
 
 use crate::cli::args::{Cli, Command, MembersCommand};
-use crate::cli::exit::CommandResult;
+use crate::cli::exit::{CommandResult, ExitStatus};
 use crate::cli::output::Output;
 use crate::error_line;
 
@@ -39,7 +39,10 @@
 fn execute(command: Command, json: bool) -> CommandResult {
     let output = Output::new(json);
     match command {
-        Command::Serve { config, restored } => serve::serve(&config, restored, json),
+        Command::Serve { config, restored } => {
+            serve::serve(&config, restored, json)?;
+            Ok(ExitStatus::Success)
+        }
         Command::Validate { document } => publish::validate(output, &document),
         Command::Publish { connection, publish } => publish::publish(output, &connection, &publish),
         Command::List { connection, most } => versions::list(output, &connection, most),
--- a/crates/control-plane/src/cli/serve.rs
+++ b/crates/control-plane/src/cli/serve.rs
@@ -10,7 +10,6 @@
 use signal_hook::iterator::Signals;
 use tracing_subscriber::EnvFilter;
 
-use crate::cli::exit::{CommandResult, ExitStatus};
 use crate::server::settings::{Settings, SettingsError};
 use crate::server::{ControlServer, StartError};
 use crate::text_file::{TextFileError, read_text_file};
@@ -44,12 +43,7 @@
 }
 
 /// Runs the server in the foreground until SIGTERM or SIGINT.
-pub(crate) fn serve(config: &Path, restored: bool, json: bool) -> CommandResult {
-    run_until_signal(config, restored, json)?;
-    Ok(ExitStatus::Success)
-}
-
-fn run_until_signal(config: &Path, restored: bool, json: bool) -> Result<(), ServeError> {
+pub(crate) fn serve(config: &Path, restored: bool, json: bool) -> Result<(), ServeError> {
     let settings = Settings { restored, ..read_settings(config)? };
     start_log(json);
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(ServeError::Signals)?;
--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -6,7 +6,7 @@
 use gaugestep_leadership::group_state::GroupState;
 
 use crate::clock;
-use crate::server::admin::CallResult;
+use crate::server::admin::outcome::CallResult;
 use crate::server::state::{ConnectedProxy, ServerContext, ServerState, SessionId};
 
 impl ServerContext {
--- a/crates/control-plane/src/server/admin/group.rs
+++ b/crates/control-plane/src/server/admin/group.rs
@@ -6,7 +6,7 @@
 use gaugestep_config::schema::{Declare, HandOver, Member};
 use gaugestep_leadership::group_state::MAX_TERM_RAISE;
 
-use crate::server::admin::{CallFailure, CallResult, await_outcome};
+use crate::server::admin::outcome::{CallFailure, CallResult, await_outcome};
 use crate::server::state::{ServerContext, Session};
 
 impl ServerContext {
--- a/crates/control-plane/src/server/admin/mod.rs
+++ b/crates/control-plane/src/server/admin/mod.rs
@@ -2,17 +2,17 @@
 
 mod fleet;
 mod group;
+mod outcome;
 mod versions;
 
 use std::time::Instant;
 
 use gaugestep_config::schema::{
-    Call, Done, FromClient, FromService, Owner, Published, Reply, call, from_client, from_service, reply,
+    Call, FromClient, FromService, Reply, call, from_client, from_service, reply,
 };
 use gaugestep_leadership::ORDINALS_ROLE;
-use gaugestep_leadership::group_state::Outcome;
 
-use crate::raft::replica::Responder;
+use crate::server::admin::outcome::{CallFailure, CallResult};
 use crate::server::error::SessionError;
 use crate::server::session::SILENCE_TIMEOUT;
 use crate::server::state::{ServerContext, SessionId};
@@ -21,35 +21,6 @@
 /// Operators' calls that may be open together.
 const MAX_OPEN_CALLS: usize = 64;
 
-/// Why a call is not carried out, as the caller is told.
-#[derive(Debug)]
-enum CallFailure {
-    /// It cannot be, and the same call again would not be either.
-    Rejected(String),
-    /// Not now: there is no lease holder, or no majority. The caller tries again.
-    Unavailable(String),
-    /// Not here: this member holds the lease.
-    HeldElsewhere(Owner),
-}
-
-impl CallFailure {
-    fn rejected(reason: impl Into<String>) -> Self {
-        CallFailure::Rejected(reason.into())
-    }
-}
-
-impl From<CallFailure> for reply::What {
-    fn from(failure: CallFailure) -> Self {
-        match failure {
-            CallFailure::Rejected(reason) => reply::What::Error(reason),
-            CallFailure::Unavailable(reason) => reply::What::Later(reason),
-            CallFailure::HeldElsewhere(holder) => reply::What::Owner(holder),
-        }
-    }
-}
-
-type CallResult = Result<reply::What, CallFailure>;
-
 /// Serves the connection of an operator until it ends.
 pub(crate) fn serve(context: &ServerContext, mut connection: FramedConnection) -> Result<(), SessionError> {
     let id = open_call(context, &connection)?;
@@ -135,37 +106,4 @@
             ))),
         }
     }
-
-    /// The term under which this server holds the lease of a role; otherwise where to ask.
-    fn require_lease(&self, role: &str) -> Result<u64, CallFailure> {
-        if let Some(term) = self.replica.acting_term(role) {
-            return Ok(term);
-        }
-        let (holder, term) = self.replica.with_state(|group| group.holder(role));
-        let held_elsewhere =
-            holder > 0 && holder != self.replica.member_number() && self.replica.leader() > 0;
-        match self.address_of(holder, term).filter(|_| held_elsewhere) {
-            Some(holder) => Err(CallFailure::HeldElsewhere(holder)),
-            None => Err(CallFailure::Unavailable(self.replica.unavailable_reason())),
-        }
-    }
-}
-
-/// Proposes something by way of `propose`, and waits until it is decided.
-fn await_outcome(propose: impl FnOnce(Responder)) -> CallResult {
-    let (sender, decided) = may::sync::mpsc::channel();
-    propose(Box::new(move |outcome| drop(sender.send(outcome))));
-    match decided.recv() {
-        Ok(Ok(Outcome::Applied)) => Ok(reply::What::Done(Done {})),
-        Ok(Ok(Outcome::Published(version))) => {
-            Ok(reply::What::Published(Published { version: Some(version) }))
-        }
-        Ok(Ok(Outcome::Rejected(reason))) => Err(CallFailure::Rejected(reason)),
-        // Another member took the lease while the command was under way.
-        Ok(Ok(Outcome::StaleTerm { .. })) => {
-            Err(CallFailure::Unavailable("the duty has another owner by now".into()))
-        }
-        Ok(Err(reason)) => Err(CallFailure::Unavailable(reason)),
-        Err(_) => Err(CallFailure::Unavailable("the service is ending".into())),
-    }
 }
--- a/crates/control-plane/src/server/admin/versions.rs
+++ b/crates/control-plane/src/server/admin/versions.rs
@@ -5,7 +5,7 @@
 use gaugestep_leadership::CONFIGURATION_ROLE;
 
 use crate::clock;
-use crate::server::admin::{CallFailure, CallResult, await_outcome};
+use crate::server::admin::outcome::{CallFailure, CallResult, await_outcome};
 use crate::server::proxy_session::MAX_NAME_BYTES;
 use crate::server::state::ServerContext;
 
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -2,7 +2,7 @@
 
 use gaugestep_config::PROTOCOL;
 use gaugestep_config::rollout::Event;
-use gaugestep_config::schema::{Answer, Displaced, Figures, Hello, from_service};
+use gaugestep_config::schema::{Displaced, Figures, Hello, from_service};
 use gaugestep_leadership::CONFIGURATION_ROLE;
 use gaugestep_leadership::group_state::MAX_ROLES;
 use gaugestep_leadership::identity::Claim;
@@ -69,51 +69,6 @@
         answers
     }
 
-    /// A proxy has accepted or rejected an offer.
-    pub(crate) fn on_answer(&self, proxy: &str, id: SessionId, answer: Answer) {
-        let Answer { nonce, number, refusal } = answer;
-        let mut state = self.lock_state();
-        match &refusal {
-            None => {
-                tracing::info!(proxy, version = number, nonce, "version in force");
-                self.record_acceptance(&mut state, id, number);
-            }
-            Some(reason) => {
-                let (code, path) = (&reason.code, &reason.path);
-                tracing::warn!(
-                    proxy,
-                    version = number,
-                    nonce,
-                    code,
-                    path,
-                    "version rejected: {}",
-                    reason.reason
-                );
-            }
-        }
-        self.drive(&mut state, Event::Answered { proxy: proxy.into(), stream: id, nonce, refusal });
-    }
-
-    /// Brings the hello of a session up to date, so that the next lease holder's rollout sees what the proxy has now.
-    fn record_acceptance(&self, state: &mut ServerState, id: SessionId, number: u64) {
-        let version = self.replica.with_state(|group| group.versions.get(&number)?.entry.version.clone());
-        let term = state.rollout.acting_term;
-        let Some(proxy) = state.sessions.get_mut(id).and_then(|session| session.proxy.as_mut()) else {
-            return;
-        };
-        proxy.updated_at = clock::now();
-        let hello = &mut proxy.hello;
-        hello.age_ms = 0;
-        if version.is_some() {
-            hello.in_force = version;
-        }
-        // The proxy has kept the term of what it accepted.
-        let seen = hello.seen.iter_mut().find(|seen| seen.duty == CONFIGURATION_ROLE);
-        if let (Some(seen), Some(term)) = (seen, term) {
-            seen.term = seen.term.max(term);
-        }
-    }
-
     /// A proxy reports what became of its requests. Returns the answers to send.
     pub(crate) fn on_figures(
         &self,
--- a/crates/log-filter/src/lib.rs
+++ b/crates/log-filter/src/lib.rs
@@ -33,6 +33,7 @@
     moved("gaugestep_control_plane::raft::transport", &["gaugestep_control::peers"]),
     moved("gaugestep_control_plane::server", &["gaugestep_control::service"]),
     moved("gaugestep_control_plane::server::admin", &["gaugestep_control::calls"]),
+    moved("gaugestep_control_plane::server::hand_over", &["gaugestep_control::calls"]),
     moved("gaugestep_control_plane::server::rollout_driver", &["gaugestep_control::driving"]),
     moved("gaugestep_control_plane::server::roster_service", &["gaugestep_control::seating"]),
     moved("gaugestep_control_plane::transport::connection", &["gaugestep_control::channel"]),
