--- a/crates/control-plane/src/cli/args.rs
+++ b/crates/control-plane/src/cli/args.rs
@@ -8,11 +8,11 @@
 use crate::cli::members::NewMemberArgs;
 use crate::cli::publish::PublishArgs;
 
-/// Versions of the operators' configuration: the service that streams them, and commands to operate it.
+/// The control server, which distributes versions of the operators' configuration, and the commands to operate it.
 #[derive(Parser)]
 #[command(name = "gaugestep-control", version)]
 pub(crate) struct Cli {
-    /// Output for machines: one JSON value, or one a line for `watch`; the service's log as JSON lines.
+    /// Prints JSON: one value, or one a line for `watch`. The server logs JSON lines.
     #[arg(long, global = true)]
     pub(crate) json: bool,
     #[command(subcommand)]
@@ -21,17 +21,17 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Runs the service in the foreground until SIGTERM.
+    /// Runs the control server in the foreground until SIGTERM.
     Serve {
-        /// The service's file, as protobuf text format; see deploy/control.textproto.
+        /// The server's settings, as protobuf text format; see deploy/control.textproto.
         #[arg(long, env = "GAUGESTEP_CONTROL_CONFIG")]
         config: PathBuf,
-        /// Uses a store that is a copy, or older than its seal: whoever used it is gone for good. Only for a service that
-        /// is alone.
+        /// Accepts a store that is a copy, or older than its generation file. Only for a group of one member, and only if
+        /// the server that used the store before never runs again.
         #[arg(long)]
         restored: bool,
     },
-    /// Says whether a document can be used; needs no service.
+    /// Checks a document; needs no server.
     Validate {
         /// The document, as protobuf text format.
         document: PathBuf,
@@ -47,19 +47,19 @@
     List {
         #[command(flatten)]
         connection: ConnectionArgs,
-        /// At most so many; 0: all.
+        /// The most to list; 0: all.
         #[arg(long, default_value_t = 20)]
         most: u32,
     },
-    /// Shows a version, the newest if none is named.
+    /// Shows a version with its document.
     Show {
         #[command(flatten)]
         connection: ConnectionArgs,
-        /// Its number.
+        /// Its number; 0: the newest.
         #[arg(default_value_t = 0)]
         version: u64,
     },
-    /// Shows what differs between two versions, each a number or a file; exit code 1 if anything does.
+    /// Shows what differs between two versions, each a number or a file. Exit code 1 if anything does.
     Diff {
         #[command(flatten)]
         connection: ConnectionArgs,
@@ -68,73 +68,73 @@
         /// The newer one.
         to: String,
     },
-    /// Shows each proxy: what it has in force, was offered, and turned down.
+    /// Shows for each proxy which version it has in force, was offered, and rejected.
     Status {
         #[command(flatten)]
         connection: ConnectionArgs,
-        /// Only this one; exit code 1 if nothing is known of it.
+        /// Shows this proxy only. Exit code 1 if it is unknown.
         #[arg(long)]
         proxy: Option<String>,
     },
-    /// Follows a version until it was offered to all and every proxy that is here has it (exit code 0), or until it was
-    /// halted or overtaken (exit code 3).
+    /// Follows the rollout of a version until it is complete and every connected proxy has the version in force (exit code
+    /// 0) or some have rejected it (1), or until it is halted or superseded (3).
     Watch {
         #[command(flatten)]
         connection: ConnectionArgs,
-        /// Its number, the newest if none is named.
+        /// Its number; 0: the newest.
         #[arg(default_value_t = 0)]
         version: u64,
-        /// Seconds after which to give up, with exit code 4.
+        /// Seconds after which it gives up, with exit code 4.
         #[arg(long, default_value_t = 600)]
         within: u64,
     },
-    /// Publishes the content of an earlier version as the next one, to all at once.
+    /// Publishes the content of an earlier version as the next one, to all proxies at once.
     Rollback {
         #[command(flatten)]
         connection: ConnectionArgs,
         /// The earlier version.
         to: u64,
-        /// Why.
+        /// A note for the list of versions.
         #[arg(long, default_value = "")]
         note: String,
     },
-    /// Shows the services of the group, adds one, or removes one for good. Exit code 1 if no majority is here.
+    /// Shows the members of the group, adds one, or removes one for good. Exit code 1 if no majority is reachable.
     Members {
         #[command(flatten)]
         connection: ConnectionArgs,
         #[command(subcommand)]
         change: Option<MembersCommand>,
     },
-    /// Shows who owns what for the fleet, under which term and for how long. Exit code 1 if something has no owner.
+    /// Shows which member holds which role for the fleet, under which term and for how long. Exit code 1 if nobody holds one.
     Duties {
         #[command(flatten)]
         connection: ConnectionArgs,
     },
-    /// Shows which proxy has which seat. Exit code 1 if nobody keeps the roster.
+    /// Shows which proxy has which ordinal. Exit code 1 if no member assigns them.
     Seats {
         #[command(flatten)]
         connection: ConnectionArgs,
     },
-    /// Has the owner of a duty hand it over to another member, as before maintenance.
+    /// Hands a role over to another member, as before maintenance.
     HandOver {
         #[command(flatten)]
         connection: ConnectionArgs,
-        /// The duty.
+        /// The role.
         #[arg(default_value = gaugestep_leadership::CONFIGURATION_ROLE)]
         duty: String,
-        /// The member; whichever has the fewest duties if none is named.
+        /// The member; 0: the one that holds the fewest roles.
         #[arg(long, default_value_t = 0)]
         to: u64,
     },
-    /// Has the owner of a duty go on above all terms that proxies have seen, where whoever had those is gone for good.
+    /// Raises the term of a role above all that proxies have seen. Only if the servers that granted those never run again.
     TakeOver {
         #[command(flatten)]
         connection: ConnectionArgs,
-        /// The duty.
+        /// The role.
         #[arg(default_value = gaugestep_leadership::CONFIGURATION_ROLE)]
         duty: String,
     },
-    /// Has there be a further duty, for which the group finds an owner.
+    /// Adds a role, which the group assigns to a member.
     Declare {
         #[command(flatten)]
         connection: ConnectionArgs,
@@ -150,14 +150,14 @@
 
 #[derive(Subcommand)]
 pub(crate) enum MembersCommand {
-    /// Has a service join that runs on an empty store with `joins: true`.
+    /// Adds a member, whose server runs on an empty store with `joins: true`.
     Add {
         #[command(flatten)]
         connection: ConnectionArgs,
         #[command(flatten)]
         new: NewMemberArgs,
     },
-    /// Has a member leave for good; its number is never used again.
+    /// Removes a member for good; its number is never used again.
     Remove {
         #[command(flatten)]
         connection: ConnectionArgs,
--- a/crates/control-plane/src/cli/connection.rs
+++ b/crates/control-plane/src/cli/connection.rs
@@ -14,19 +14,19 @@
 /// How to reach the service.
 #[derive(Args)]
 pub struct ConnectionArgs {
-    /// The services' addresses for operators, tried in turn.
+    /// The members' addresses for operators, tried in turn.
     #[arg(long, env = "GAUGESTEP_CONTROL", default_value = "127.0.0.1:9401", value_delimiter = ',')]
     service: Vec<SocketAddr>,
-    /// The operator's certificate, as a PEM file; with it, TLS is spoken.
+    /// The operator's certificate, as a PEM file; without it, connections are not encrypted.
     #[arg(long, env = "GAUGESTEP_CERTIFICATE", requires_all = ["key", "authority"])]
     certificate: Option<PathBuf>,
-    /// Its key.
+    /// The key of the certificate, as a PEM file.
     #[arg(long, env = "GAUGESTEP_KEY", requires = "certificate")]
     key: Option<PathBuf>,
-    /// Who signs the service's certificate.
+    /// The certificate of the authority that signs the servers' certificates.
     #[arg(long, env = "GAUGESTEP_AUTHORITY", requires = "certificate")]
     authority: Option<PathBuf>,
-    /// The name that the service's certificate carries.
+    /// The name that the servers' certificates carry.
     #[arg(long, env = "GAUGESTEP_SERVICE_NAME", default_value = "gaugestep-control")]
     service_name: String,
 }
--- a/crates/control-plane/src/cli/members.rs
+++ b/crates/control-plane/src/cli/members.rs
@@ -14,11 +14,11 @@
 /// What `members add` takes.
 #[derive(Args)]
 pub struct NewMemberArgs {
-    /// Its number, which no member ever had.
+    /// Its number, which no member has had before.
     number: u64,
-    /// Where proxies and the other members reach it.
+    /// The address at which proxies and the other members reach it.
     listen: SocketAddr,
-    /// Where operators reach it.
+    /// The address at which operators reach it.
     operators: SocketAddr,
 }
 
--- a/crates/control-plane/src/cli/publish.rs
+++ b/crates/control-plane/src/cli/publish.rs
@@ -24,31 +24,31 @@
 pub struct PublishArgs {
     /// The document, as protobuf text format.
     document: PathBuf,
-    /// Who publishes it.
+    /// Who publishes it, for the list of versions.
     #[arg(long, env = "USER", default_value = "")]
     author: String,
-    /// Why.
+    /// A note for the list of versions.
     #[arg(long, default_value = "")]
     note: String,
-    /// Proxies that get it first; 0: all at once.
+    /// Proxies in the canary stage; 0: all proxies at once.
     #[arg(long, default_value_t = 0)]
     first: u32,
-    /// Then this part of all, 0 to 1; 0: no such step.
+    /// Share of all proxies in the partial stage, 0 to 1; 0: no such stage.
     #[arg(long, default_value_t = 0.0)]
     share: f64,
-    /// Seconds for which a step must hold before the next.
+    /// Seconds for which a stage must hold before the next.
     #[arg(long, default_value_t = 10.0)]
     hold: f64,
-    /// Refusals from which the rollout halts.
+    /// Rejections from which the rollout halts.
     #[arg(long, default_value_t = 1)]
     refusals: u32,
-    /// How much larger the part of requests not served may be on it, 0 to 1; 0: that is not looked at.
+    /// How much larger the share of requests not served may be under it, 0 to 1; 0: that is not compared.
     #[arg(long, default_value_t = 0.0)]
     worse_by: f64,
-    /// Refused unless this is the newest version.
+    /// Publishes only if this is the newest version; 0: in any case.
     #[arg(long, default_value_t = 0)]
     expect: u64,
-    /// Names this publication: given again under its key it does not publish twice. Drawn if none is given.
+    /// Idempotency key: a publication under a key that was used is not published again. Random if none is given.
     #[arg(long, value_name = "KEY", default_value_t = random_key())]
     once: String,
 }
--- a/crates/control-plane/src/cli/serve.rs
+++ b/crates/control-plane/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! The command `serve`, which runs the control server until it is told to stop.
+//! The command `serve`, which runs the control server until a signal stops it.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 use crate::server::{ControlServer, StartError};
 use crate::text_file::{TextFileError, read_text_file};
 
-/// How long a server that is to stop waits until other members hold its roles.
+/// How long a server waits for other members to take its roles over before it stops.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The environment variable that sets what is logged.
 const LOG_FILTER_VARIABLE: &str = "GAUGESTEP_LOG";
--- a/crates/control-plane/src/server/admin/outcome.rs
+++ b/crates/control-plane/src/server/admin/outcome.rs
@@ -6,7 +6,7 @@
 use crate::raft::replica::Responder;
 use crate::server::state::ServerContext;
 
-/// Why a call is not carried out, as the caller is told.
+/// Why a call is not carried out, as the reply says.
 #[derive(Debug)]
 pub(super) enum CallFailure {
     /// It cannot be, and the same call again would not be either.
--- a/crates/control-plane/src/server/lease_holder.rs
+++ b/crates/control-plane/src/server/lease_holder.rs
@@ -1,4 +1,4 @@
-//! Who holds the lease of the configuration role, as proxies and operators are told.
+//! The holder of the configuration role's lease, as proxies and operators learn it.
 
 use gaugestep_config::PROTOCOL;
 use gaugestep_config::schema::{Owner, Welcome, from_service};
@@ -38,7 +38,7 @@
         Some(Owner { duty: CONFIGURATION_ROLE.into(), member, term, listen, operators })
     }
 
-    /// Tells all proxies who holds the lease.
+    /// Sends all proxies the present lease holder.
     pub(crate) fn welcome_all(&self, state: &mut ServerState) {
         for id in state.sessions.proxy_ids() {
             let welcome = self.welcome(state, id);
--- a/crates/control-plane/src/server/maintenance.rs
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -48,7 +48,7 @@
             return;
         }
         tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
-        // Whoever was connected may follow another server by now: what it has seen is told by its next hello.
+        // The proxies may follow another server by now; their next hello says which term they have seen.
         for session in state.sessions.values_mut().filter(|session| session.proxy.is_some()) {
             session.close_requested = true;
         }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -3,7 +3,7 @@
 //! What the group agrees on lies in the [`Replica`]. Here are, from the bottom up:
 //!
 //! - [`settings`], and `state` with what all parts share and the order of locks;
-//! - `lease_holder` (who is told to be the lease holder), `publication` (numbers and offers of versions);
+//! - `lease_holder` (which member proxies and operators are sent to), `publication` (numbers and offers of versions);
 //! - `rollout_driver` and `roster_service`, which act while this server holds the lease of their roles;
 //! - `proxy_session` (what proxies say), `hand_over` (of roles), `admin` (operators' calls);
 //! - `session` and `listener` (connections), `maintenance` (clocks, and changes of the replicated state).
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -91,8 +91,8 @@
         std::iter::once(welcome).chain(grant).collect()
     }
 
-    /// A proxy that sends figures has read this server's welcome, and so follows no later term: that ends the doubt after a
-    /// suspension. A hello proves less, as it may have waited while the process was suspended.
+    /// A proxy that sends figures has read this server's welcome, and so follows no later term: that settles what
+    /// a suspension left open. A hello proves less, as it may have waited while the process was suspended.
     fn confirm_followed(&self, state: &ServerState, id: SessionId) {
         let (_, term) = self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE));
         let follows = state
@@ -123,7 +123,7 @@
                 continue;
             };
             let hello = &proxy.hello;
-            // It was told the term of its successor, and so never counts as newer.
+            // Under a term of 0 it would claim the name as a process that never had it, and so as the newer one.
             let term = hello.name_term.max(1);
             let claim = state.identities.claim(now, &hello.proxy, hello.incarnation, term, id);
             if matches!(claim, Claim::Granted { .. }) {
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -1,7 +1,7 @@
 //! The ordinals of proxies: the lease holder of the ordinals role assigns them by a [`RosterManager`], which decides; every
-//! member tells its proxies which ordinal the committed roster gives them.
+//! member sends its proxies the ordinals of the committed roster.
 //!
-//! Members report to the lease holder which proxies they hear. The roster is committed by the group, so every member
+//! Members report to the lease holder which proxies are connected to them. The roster is committed by the group, so every member
 //! knows it.
 
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::server::state::{ManagedRoster, ServerContext, ServerState, SessionId, milliseconds};
 
-/// How often members report which proxies they hear.
+/// How often members report which proxies are connected to them.
 const PRESENCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The roster as the group has committed it.
@@ -56,7 +56,7 @@
         self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map(CommittedRoster::from_role))
     }
 
-    /// Does what is due: reports which proxies this server hears, and assigns ordinals if it holds the lease.
+    /// Reports which proxies are connected here, and assigns ordinals if this server holds the lease.
     pub(crate) fn maintain_roster(&self, state: &mut ServerState, now: f64) {
         self.refresh_roster_lease(state, now);
         self.report_presence(state, now);
@@ -148,12 +148,12 @@
         self.committed_roster().filter(|committed| has_lease && committed.term > 0)
     }
 
-    /// The ordinal that a proxy is told.
+    /// The ordinal to send to a proxy.
     pub(crate) fn ordinal_grant(&self, state: &ServerState, id: SessionId) -> Option<Seated> {
         self.grantable_roster()?.grant(state, id)
     }
 
-    /// Tells all proxies their ordinals.
+    /// Sends all proxies their ordinals.
     pub(crate) fn send_ordinals(&self, state: &mut ServerState) {
         let Some(roster) = self.grantable_roster() else { return };
         for id in state.sessions.proxy_ids() {
--- a/crates/control-plane/src/server/settings.rs
+++ b/crates/control-plane/src/server/settings.rs
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// If a field is missing or is no address, or if an address that is not loopback is to be served without keys.
+    /// If a field is missing or is no address, or if an address that is not loopback would be served without keys.
     pub fn from_schema(config: &schema::Service) -> Result<Self, SettingsError> {
         let keys = listener_keys(config)?;
         if config.store.is_empty() {
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -1,4 +1,4 @@
-//! The state that all parts of a control server share. Every other module of the server stands on this one.
+//! The state that all parts of a control server share. Every other module of the server builds on this one.
 //!
 //! Locks are taken in this order: the server's state, the pause detector, the replica's own. None is held while a
 //! connection is waited for.
@@ -58,7 +58,7 @@
     pub(crate) proxy: Option<ConnectedProxy>,
     /// `asked_ms` of the figures that the proxy sent last: what its ordinal is confirmed for.
     pub(crate) figures_sent_ms: u64,
-    /// The session is to be closed, so that the proxy connects again.
+    /// The session must be closed, so that the proxy connects again.
     pub(crate) close_requested: bool,
 }
 
@@ -169,7 +169,7 @@
 pub(crate) struct RosterState {
     /// The roster, while this server holds the lease of the ordinals role.
     pub(crate) managed: Option<ManagedRoster>,
-    /// When this server last reported which proxies it hears, on the lease clock.
+    /// When this server last reported its proxies, on the lease clock.
     pub(crate) reported_at: f64,
 }
 
