--- /dev/null
+++ b/crates/leadership/tests/fencing.rs
@@ -0,0 +1,46 @@
+//! Tests of `fencing`.
+
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected};
+use std::collections::BTreeMap;
+
+#[test]
+fn a_term_is_on_disk_before_anything_is_done_under_it() {
+    let mut guard = FencingGuard::new(BTreeMap::new());
+    let terms = |term| BTreeMap::from([("versions".to_owned(), term)]);
+    assert_eq!(guard.check("versions", 3, 'a'), [FencingAction::Persist(terms(3))]);
+    assert_eq!(guard.check("versions", 3, 'b'), []);
+    assert_eq!(guard.term("versions"), 0);
+    assert_eq!(guard.on_persisted(Ok(())), [FencingAction::Accept('a'), FencingAction::Accept('b')]);
+    assert_eq!(guard.check("versions", 3, 'c'), [FencingAction::Accept('c')]);
+    let stale = FencingRejected::StaleTerm { term: 2, highest: 3 };
+    assert_eq!(guard.check("versions", 2, 'd'), [FencingAction::Reject('d', stale)]);
+    assert_eq!(guard.check("other", 1, 'e').len(), 1, "each role has terms of its own");
+    assert_eq!(guard.stale_count(), 1);
+}
+
+#[test]
+fn a_newer_owner_that_speaks_while_a_term_is_stored_makes_what_waits_stale() {
+    let mut guard = FencingGuard::new(BTreeMap::new());
+    guard.check("d", 1, 'a');
+    assert_eq!(guard.check("d", 2, 'b'), []);
+    let out = guard.on_persisted(Ok(()));
+    assert_eq!(out[0], FencingAction::Reject('a', FencingRejected::StaleTerm { term: 1, highest: 2 }));
+    assert!(matches!(&out[1], FencingAction::Persist(terms) if terms["d"] == 2), "{out:?}");
+    assert_eq!(guard.on_persisted(Ok(())), [FencingAction::Accept('b')]);
+}
+
+#[test]
+fn what_cannot_be_stored_is_not_done_and_the_old_owner_is_refused_all_the_same() {
+    let mut guard = FencingGuard::new(BTreeMap::from([("d".to_owned(), 4)]));
+    guard.check("d", u64::MAX, 'a');
+    assert!(matches!(
+        &guard.on_persisted(Err("full".into()))[..],
+        [FencingAction::Reject('a', FencingRejected::NotPersisted(_))]
+    ));
+    assert!(matches!(
+        &guard.check("d", 4, 'b')[..],
+        [FencingAction::Reject('b', FencingRejected::StaleTerm { .. })]
+    ));
+    assert!(matches!(&guard.check("d", u64::MAX, 'c')[..], [FencingAction::Persist(_)]), "tried again");
+    assert_eq!(guard.check("d", 0, 'z'), [FencingAction::Reject('z', FencingRejected::MissingTerm)]);
+}
--- /dev/null
+++ b/crates/leadership/tests/peer_directory.rs
@@ -0,0 +1,76 @@
+//! Tests of `peer_directory`.
+
+use gaugestep_config::PROTOCOL;
+use gaugestep_config::schema::{Member, PeerHello};
+use gaugestep_leadership::group_state::GroupState;
+use gaugestep_leadership::peer_directory::{ALIVE_WINDOW, PeerDirectory, PeerRejected};
+use std::collections::BTreeMap;
+
+fn member(number: u64, boot: u64) -> Member {
+    Member { number, boot, nonce: 7, listen: format!("h:{boot}"), ..Member::default() }
+}
+
+fn group_state() -> GroupState {
+    let mut state = GroupState::single_member(9, member(1, 1), BTreeMap::new());
+    state.add_member(member(2, 3));
+    state.add_member(member(3, 1));
+    state.remove_member(3);
+    state
+}
+
+#[test]
+fn whoever_forgot_was_removed_or_is_somebody_else_is_not_let_in() {
+    let (directory, state) = (PeerDirectory::new(member(1, 1)), group_state());
+    let hello = |from, to| PeerHello { protocol: PROTOCOL, lineage: 9, from: Some(from), to };
+    let verdict = |hello: PeerHello| directory.check_hello(&state, &hello);
+    assert_eq!(verdict(hello(member(2, 3), 1)), Ok(()));
+    assert_eq!(verdict(hello(member(2, 4), 1)), Ok(()), "a later start");
+    let is_stale_start = PeerRejected::StaleStart { member: 2, known: 3, announced: 2 };
+    assert_eq!(verdict(hello(member(2, 2), 1)), Err(is_stale_start.clone()));
+    assert!(
+        is_stale_start.is_fatal()
+            && PeerRejected::Removed(3).is_fatal()
+            && !PeerRejected::DifferentGroup.is_fatal()
+    );
+    assert_eq!(verdict(hello(member(3, 9), 1)), Err(PeerRejected::Removed(3)));
+    assert_eq!(verdict(hello(member(4, 1), 1)), Err(PeerRejected::UnknownMember(4)));
+    assert_eq!(
+        verdict(hello(member(2, 3), 2)),
+        Err(PeerRejected::WrongMember(1)),
+        "its address is another's by now"
+    );
+    assert_eq!(verdict(hello(member(1, 3), 1)), Err(PeerRejected::DuplicateMember(1)));
+    assert_eq!(
+        directory.check_membership(&state, 3),
+        Err(PeerRejected::Removed(3)),
+        "also one that was let in before"
+    );
+    assert_eq!(directory.check_membership(&state, 2), Ok(()));
+    let other = PeerHello { lineage: 8, ..hello(member(2, 3), 1) };
+    assert_eq!(verdict(other), Err(PeerRejected::DifferentGroup));
+    assert_eq!(
+        verdict(PeerHello { protocol: 0, ..hello(member(2, 3), 1) }),
+        Err(PeerRejected::UnsupportedProtocol)
+    );
+}
+
+#[test]
+fn a_later_start_is_reached_where_it_says_and_an_earlier_one_changes_nothing() {
+    let (mut directory, state) = (PeerDirectory::new(member(1, 2)), group_state());
+    directory.record(&state, &[member(2, 5), member(2, 4), member(4, 1)]);
+    assert_eq!(directory.member(&state, 2), Some(member(2, 5)));
+    assert_eq!(directory.other_members(&state), [2]);
+    assert_eq!(directory.unreplicated_starts(&state), [member(2, 5), member(1, 2)]);
+    directory.mark_alive(2, 0.0);
+    assert_eq!(
+        (directory.alive_members(ALIVE_WINDOW - 1.0), directory.alive_members(ALIVE_WINDOW)),
+        (vec![2, 1], vec![1])
+    );
+    let mut fresh = PeerDirectory::new(member(4, 1));
+    fresh.record(&GroupState::default(), &[member(1, 1)]);
+    assert_eq!(
+        fresh.other_members(&GroupState::default()),
+        [1],
+        "one that joins learns of the others from whoever comes"
+    );
+}
