--- a/crates/control-plane/src/server/admin.rs
+++ b/crates/control-plane/src/server/admin.rs
@@ -13,8 +13,8 @@
 use may::net::TcpStream;
 
 use crate::raft::replica::Responder;
-use crate::server::{Line, NAME, SILENCE, Service};
-use crate::transport::connection::Channel;
+use crate::server::{ControlServer, NAME, SILENCE, Session};
+use crate::transport::connection::FramedConnection;
 use crate::{clock, lock};
 
 /// Operators' calls open together.
@@ -34,10 +34,10 @@
     reply(reply::What::Later(why.into()))
 }
 
-impl Service {
+impl ControlServer {
     /// An operator's connection: one call, one reply.
     pub(crate) fn operator(&self, stream: TcpStream) -> io::Result<()> {
-        let mut channel = Channel::accepted(stream, self.operators_keys())?;
+        let mut channel = FramedConnection::from_accepted(stream, self.operators_keys())?;
         let line = {
             let mut inner = lock(&self.inner);
             if inner.calls >= CALLS {
@@ -47,7 +47,7 @@
             inner.next_stream += 1;
             let number = inner.next_stream;
             // So that its clock is looked at.
-            inner.lines.insert(number, Line::new(channel.waker()));
+            inner.lines.insert(number, Session::new(channel.waker()));
             number
         };
         let ended = self.answer(&mut channel);
@@ -57,13 +57,13 @@
         ended
     }
 
-    fn answer(&self, channel: &mut Channel) -> io::Result<()> {
+    fn answer(&self, channel: &mut FramedConnection) -> io::Result<()> {
         let began = Instant::now();
         let mut answered = false;
         loop {
             let closed = channel.pump()?;
             if !answered {
-                if let Some(message) = channel.take::<FromClient>()? {
+                if let Some(message) = channel.next_message::<FromClient>()? {
                     let Some(from_client::Said::Call(call)) = message.said else {
                         return Err(io::Error::other("no call"));
                     };
@@ -167,7 +167,7 @@
         if let Some(why) = self.outranked(term) {
             return error(why);
         }
-        self.stood_still(&mut lock(&self.inner), clock::now());
+        self.check_suspension(&mut lock(&self.inner), clock::now());
         let stood = lock(&self.doubt).suspended_for().filter(|_| self.group.is_single_voter());
         if let Some(stood) = stood {
             return later(format!(
@@ -235,7 +235,7 @@
         for duty in owned {
             let (Some(term), Some(to)) = (self.group.acting_term(&duty), self.heir(0)) else { continue };
             let tell = tell.clone();
-            tracing::info!(duty, term, to, "hands a duty over before the end");
+            tracing::info!(role = duty, term, to, "handing over a role before shutdown");
             self.group.hand_over(&duty, term, to, Box::new(move |outcome| drop(tell.send(outcome))));
             wait += 1;
         }
@@ -256,9 +256,9 @@
         lock(&self.doubt).clear();
         let inner = lock(&self.inner);
         let near = |seen: &u64| seen.saturating_sub(term) <= MAX_TERM_RAISE;
-        let above = inner.lines.values().map(Line::seen).filter(near).max().unwrap_or(0).max(term);
+        let above = inner.lines.values().map(Session::seen).filter(near).max().unwrap_or(0).max(term);
         drop(inner);
-        tracing::warn!(duty, term, above, "an operator has this service take over");
+        tracing::warn!(role = duty, term, above, "an operator forces a takeover");
         self.agree(Act { duty: duty.into(), term, what: Some(What::Raise(above)), ..Act::default() })
     }
 
@@ -286,7 +286,7 @@
         }
         let inner = lock(&self.inner);
         let now = clock::now();
-        let proxy = |(name, proxy): (&String, &gaugestep_config::rollout::Proxy)| {
+        let proxy = |(name, proxy): (&String, &gaugestep_config::rollout::ProxyStatus)| {
             let (incarnation, name_term) = inner.names.holder(name).unwrap_or_default();
             Proxy {
                 name: name.clone(),
@@ -294,9 +294,9 @@
                 build: proxy.build.clone(),
                 in_force: proxy.in_force,
                 offered: proxy.offered.map_or(0, |(_, number, _)| number),
-                refusal: proxy.refused.as_ref().map(|(_, refusal)| refusal.clone()),
-                refused: proxy.refused.as_ref().map_or(0, |(number, _)| *number),
-                heard_ms: (now - proxy.heard).max(0.0) as u64,
+                refusal: proxy.rejected.as_ref().map(|(_, refusal)| refusal.clone()),
+                refused: proxy.rejected.as_ref().map_or(0, |(number, _)| *number),
+                heard_ms: (now - proxy.last_seen).max(0.0) as u64,
                 ahead: proxy.ahead,
                 incarnation,
                 name_term,
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use gaugestep_config::rollout::lot;
+use gaugestep_config::rollout::selection_rank;
 use gaugestep_config::schema::{Hello, Plan, Seen, call};
 use gaugestep_testbed::duties::{Breach, judge};
 use gaugestep_testbed::faults::Schedule;
@@ -117,7 +117,7 @@
     // By its lot in version 2 one proxy goes first, two more second, one last. The third and the last know no class
     // `lookup`, and turn down a document that names it.
     let mut names: Vec<String> = (0..4).map(|at| format!("n{at}")).collect();
-    names.sort_by_key(|name| lot(2, name));
+    names.sort_by_key(|name| selection_rank(2, name));
     let change = |at| if at < 2 { ("", "") } else { ("\"lookup\"", "\"look-up\"") };
     let started = names.iter().enumerate();
     let mut proxies: Vec<Proxy> =
@@ -129,17 +129,20 @@
     let staged = group.published("limits { max_open: 12 } classes: \"lookup\"", "b", plan);
     assert_eq!(staged, 2);
     let second_step = |line: Option<serde_json::Value>| {
-        line.is_some_and(|it| it["version"] == 2 && it["step"] == 1 && it["against"] == 1)
+        line.is_some_and(|it| it["version"] == 2 && it["step"] == 1 && it["rejections"] == 1)
     };
     wait("the second step is taken, and one refusal agreed on", || {
-        version(&proxies[1]) == Some(2) && second_step(group.said(old, "progress agreed"))
+        version(&proxies[1]) == Some(2) && second_step(group.said(old, "rollout progress committed"))
     });
     group.node_mut(old).stop();
     // The one that refused is gone for good: nobody but the old owner's progress tells of it.
     proxies.remove(2).kill();
     let (next, next_term) = group.owner_but(old);
     assert!(next_term > old_term);
-    assert!(second_step(group.said(next, "acts")), "it goes on in the second step, with the refusal counted");
+    assert!(
+        second_step(group.said(next, "lease acquired")),
+        "it goes on in the second step, with the refusal counted"
+    );
     // The last step brings the second refusal, of two that halt it.
     wait("it is halted", || group.state(staged) == "HALTED");
     let back = staged + 1;
@@ -636,14 +639,14 @@
     }
     let document = gaugestep_config::text::parse("limits { max_open: 17 }").unwrap();
     {
-        let store = gaugestep_storage::versions::Versions::open(&group.node(1).store()).unwrap();
+        let store = gaugestep_storage::control_store::ControlStore::open(&group.node(1).store()).unwrap();
         assert_eq!(store.lineage(77).unwrap(), 77);
         let entry = Entry {
             version: Some(gaugestep_config::version(5, &document)),
             state: State::Complete as i32,
             ..Entry::default()
         };
-        let batch = gaugestep_storage::versions::Batch {
+        let batch = gaugestep_storage::control_store::WriteBatch {
             documents: vec![(5, document.encode_to_vec())],
             entries: vec![(5, entry.encode_to_vec())],
             sync: true,
@@ -679,7 +682,8 @@
     // Those that were there hold no more of the log either, whoever led; what they stored of it starts anew too.
     for number in [1, 2] {
         group.node_mut(number).kill();
-        let store = gaugestep_storage::versions::Versions::open(&group.node(number).store()).unwrap();
+        let store =
+            gaugestep_storage::control_store::ControlStore::open(&group.node(number).store()).unwrap();
         let kept = store.log().unwrap().len();
         assert!(kept < 1_300, "{kept} entries at member {number}");
         drop(store);
