--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -26,6 +26,7 @@
 use gaugestep_leadership::receiver::{self, Receiver as Terms, Refused};
 use gaugestep_leadership::seek::Seek;
 use gaugestep_leadership::{SEATS, VERSIONS};
+use gaugestep_storage::StorageError;
 use gaugestep_storage::snapshot_slots::{SnapshotSlots, read_unlocked};
 use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
 use gaugestep_subsetting::position::FleetPosition;
@@ -162,6 +163,7 @@
 /// The terms that were kept in this folder.
 fn kept(folder: &Path) -> BTreeMap<String, u64> {
     for found in read_unlocked(&folder.join(TERMS_FOLDER), TERMS) {
+        let found = found.map_err(|error| error.to_string());
         match found.and_then(|bytes| Charter::decode(bytes.as_slice()).map_err(|error| error.to_string())) {
             Ok(told) => return told.duties.into_iter().map(|it| (it.name, it.term)).collect(),
             Err(error) => tracing::error!("the terms seen cannot be read: {error}"),
@@ -178,15 +180,18 @@
         let slots = SnapshotSlots::open(&settings.state, LONGEST_DOCUMENT + AROUND);
         let slots = match slots {
             Ok(slots) => Some(slots),
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
-            Err(error) => return Err(format!("{}: {error}", settings.state.display())),
+            Err(StorageError::Locked { .. }) => None,
+            Err(error) => return Err(error.to_string()),
         };
         let terms = Terms::new(kept(&settings.state));
         let seek = Seek::new(settings.services.len());
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let drawn = settings.seed ^ since.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
         // Also where a predecessor still holds it.
-        let stored = read_unlocked(&settings.state, LONGEST_DOCUMENT + AROUND);
+        let stored: Vec<Result<Vec<u8>, String>> = read_unlocked(&settings.state, LONGEST_DOCUMENT + AROUND)
+            .into_iter()
+            .map(|found| found.map_err(|error| error.to_string()))
+            .collect();
         let mut ledger = Ledger::new();
         host.held(&mut |live| {
             let (recovered, refused) = Ledger::recover(0.0, stored.iter().cloned(), live);
--- a/crates/control-plane/src/raft/driver.rs
+++ b/crates/control-plane/src/raft/driver.rs
@@ -414,7 +414,7 @@
             let committed = ready.take_committed_entries();
             self.apply(committed, &mut batch)?;
             // Stored before it is told.
-            self.store.write(&batch)?;
+            self.store.write(&batch).map_err(|error| error.to_string())?;
             if !ready.entries().is_empty() {
                 crate::failpoints::stop_at("stored");
             }
@@ -431,18 +431,20 @@
             let committed = light.take_committed_entries();
             if !committed.is_empty() {
                 self.apply(committed, &mut batch)?;
-                self.store.write(&batch)?;
+                self.store.write(&batch).map_err(|error| error.to_string())?;
             }
             self.raw.advance_apply();
             if let Some(base) = self.log.compact(LOG_KEPT, LOG_MUCH) {
                 // Synced with it: what is applied must be on disk before the entries that it came from are let go.
                 let values = vec![("base", unpair(base))];
-                self.store.write(&WriteBatch {
-                    compact_log_below: Some(base.0 + 1),
-                    values,
-                    sync: true,
-                    ..WriteBatch::default()
-                })?;
+                self.store
+                    .write(&WriteBatch {
+                        compact_log_below: Some(base.0 + 1),
+                        values,
+                        sync: true,
+                        ..WriteBatch::default()
+                    })
+                    .map_err(|error| error.to_string())?;
             }
             for read in reads {
                 if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -7,8 +7,9 @@
 use gaugestep_config::schema::{self, Entry, Member};
 use gaugestep_leadership::charter::{Charter, Held};
 use gaugestep_leadership::seal::{Found, boot};
+use gaugestep_storage::StorageError;
 use gaugestep_storage::control_store::{ControlStore, WriteBatch};
-use gaugestep_storage::generation_file;
+use gaugestep_storage::generation_file::{self, Generation};
 use prost::Message as _;
 use raft::eraftpb::{ConfState, HardState};
 
@@ -44,9 +45,9 @@
     /// Opens the store; `again`: the number of this boot, if the store was opened before.
     pub(crate) fn open(settings: &Settings, again: Option<u64>) -> Result<Self, String> {
         let path = &settings.store;
-        let failed = |error: std::io::Error| format!("{}: {error}", path.display());
-        let store = ControlStore::open(path)?;
-        let kept = |name: &str| store.value(name);
+        let failed = |error: StorageError| error.to_string();
+        let store = ControlStore::open(path).map_err(failed)?;
+        let kept = |name: &str| store.value(name).map_err(failed);
         let single = |bytes: Vec<u8>| bytes.try_into().map(u64::from_be_bytes).unwrap_or(0);
         let charter = kept("charter")?;
         let charter = charter.map(|bytes| schema::Charter::decode(bytes.as_slice())).transpose();
@@ -56,7 +57,11 @@
             None => {
                 let boots = kept("boots")?.map_or(0, single);
                 let file = generation_file::file_id(path).map_err(failed)?;
-                let found = Found { boots, file, seal: generation_file::read(path).map_err(failed)? };
+                let found = Found {
+                    boots,
+                    file,
+                    seal: generation_file::read(path).map_err(failed)?.map(|it| (it.starts, it.file_id)),
+                };
                 let several = charter.as_ref().is_some_and(|charter| charter.members.len() > 1);
                 let boot = boot(found, settings.restored && !several).map_err(|refused| {
                     let way = match several {
@@ -69,13 +74,14 @@
                 })?;
                 // Store before seal: a kill in between leaves the store one ahead, never behind.
                 let values = vec![("boots", boot.to_be_bytes().to_vec())];
-                store.write(&WriteBatch { values, sync: true, ..WriteBatch::default() })?;
-                generation_file::write(path, boot, file).map_err(failed)?;
+                store.write(&WriteBatch { values, sync: true, ..WriteBatch::default() }).map_err(failed)?;
+                let generation = Generation { starts: boot, file_id: file };
+                generation_file::write(path, generation).map_err(failed)?;
                 boot
             }
         };
         let mut versions = BTreeMap::new();
-        for stored in store.versions()? {
+        for stored in store.versions().map_err(failed)? {
             let entry = Entry::decode(stored.entry.as_slice()).map_err(|error| spoilt("a version", error))?;
             let document = Document::decode(stored.document.as_slice());
             let document = Arc::new(document.map_err(|error| spoilt("a document", error))?);
@@ -90,7 +96,9 @@
             let members = members.map_err(|error| spoilt("the members", error))?;
             let base = kept("base")?.and_then(|bytes| pair(&bytes)).ok_or("the log has no beginning")?;
             let mut entries = Vec::new();
-            for (index, bytes) in store.log()?.into_iter().filter(|(index, _)| *index > base.0) {
+            for (index, bytes) in
+                store.log().map_err(failed)?.into_iter().filter(|(index, _)| *index > base.0)
+            {
                 let told =
                     schema::RaftEntry::decode(bytes.as_slice()).map_err(|error| spoilt("the log", error))?;
                 let entry = codec::of_entry(told).filter(|_| index == base.0 + 1 + entries.len() as u64);
@@ -109,14 +117,17 @@
                 members.voters = vec![settings.member.number];
                 (hard.term, hard.vote, hard.commit) = (1, settings.member.number, 1);
                 let member = Member { boot, nonce: settings.seed | 1, ..settings.member.clone() };
-                (Charter::alone(store.lineage(settings.seed.max(1))?, member, versions), (1, 1))
+                (
+                    Charter::alone(store.lineage(settings.seed.max(1)).map_err(failed)?, member, versions),
+                    (1, 1),
+                )
             }
         };
         let opened =
             Opened { store, boot, charter, hard, members, base, applied: base.0, entries: Vec::new() };
         let mut batch = WriteBatch { sync: true, ..WriteBatch::default() };
         opened.all_into(&mut batch);
-        opened.store.write(&batch)?;
+        opened.store.write(&batch).map_err(failed)?;
         Ok(opened)
     }
 
--- a/crates/storage/src/control_store.rs
+++ b/crates/storage/src/control_store.rs
@@ -1,167 +1,236 @@
-//! What a control service keeps, in an embedded database (redb): versions by number, the log on which a group agrees, and
-//! values by name. Each change is one transaction.
+//! The durable state of a control server, in an embedded database (redb): configuration versions by number, the Raft log by
+//! index, and single values by name. Each change is one transaction.
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-use redb::{Database, ReadableTable as _, TableDefinition};
+use redb::{Database, Durability, ReadTransaction, ReadableTable as _, TableDefinition, WriteTransaction};
 
-/// Documents by the version's number, and what else is known of the version.
+use crate::error::StorageError;
+
+/// Documents by version number.
 const DOCUMENTS: TableDefinition<u64, &[u8]> = TableDefinition::new("documents");
+/// What is known of each version besides its document, by version number.
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
-/// Values by name.
-const VALUES: TableDefinition<&str, u64> = TableDefinition::new("values");
-const LINEAGE: &str = "lineage";
-/// The log by index, and further values.
+/// Numbers by name; holds the lineage only.
+const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("values");
+/// Entries of the Raft log by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-const KEPT: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
-
-/// Why the store failed, in words.
-pub type Error = String;
+/// Values by name.
+const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
 
-fn told(error: impl std::fmt::Display) -> Error {
-    error.to_string()
-}
+/// Key of the lineage in [`NUMBERS`].
+const LINEAGE: &str = "lineage";
 
-/// The versions of one service. Only one process at a time may hold them.
+/// The database of one control server. Only one process at a time can hold it.
 pub struct ControlStore {
     database: Database,
+    path: PathBuf,
 }
 
-/// What is written together.
+/// Changes that are written together. They are applied in the order of the fields.
 #[derive(Debug, Default)]
 pub struct WriteBatch {
-    /// Entries of the log from this index on are no more; before `log` is written.
+    /// Versions to remove.
+    pub removed_versions: Vec<u64>,
+    /// Documents to write, by version number.
+    pub documents: Vec<(u64, Vec<u8>)>,
+    /// What else is known of versions, by version number.
+    pub entries: Vec<(u64, Vec<u8>)>,
+    /// Removes the log entries from this index on.
     pub truncate_log_from: Option<u64>,
-    /// Entries of the log below this index are no more.
+    /// Removes the log entries below this index.
     pub compact_log_below: Option<u64>,
-    /// Entries of the log.
+    /// Log entries to write, by index.
     pub log_entries: Vec<(u64, Vec<u8>)>,
-    /// Values by name.
+    /// Values to write, by name.
     pub values: Vec<(&'static str, Vec<u8>)>,
-    /// Versions that are not kept any more; before `documents` and `entries` are written.
-    pub removed_versions: Vec<u64>,
-    /// Documents by the version's number.
-    pub documents: Vec<(u64, Vec<u8>)>,
-    /// What else is known of versions.
-    pub entries: Vec<(u64, Vec<u8>)>,
-    /// It is on the disk when the call returns. Without it, a kill may lose it; nothing that was synced is lost.
+    /// Whether the batch must be on disk when the call returns. Without it a crash may lose this batch, but nothing that was
+    /// synced before.
     pub sync: bool,
 }
 
-/// One version as it is kept.
+/// One stored version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionRow {
     /// Its number.
     pub number: u64,
-    /// What is known of it.
+    /// What is known of it besides the document; empty if nothing was written.
     pub entry: Vec<u8>,
     /// The document.
     pub document: Vec<u8>,
 }
 
 impl ControlStore {
-    /// What is kept in this file, which is made if it is not there.
-    pub fn open(path: &Path) -> Result<Self, Error> {
-        let database = Database::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
-        let writing = database.begin_write().map_err(told)?;
-        writing.open_table(DOCUMENTS).map_err(told)?;
-        writing.open_table(ENTRIES).map_err(told)?;
-        writing.open_table(VALUES).map_err(told)?;
-        writing.open_table(LOG).map_err(told)?;
-        writing.open_table(KEPT).map_err(told)?;
-        writing.commit().map_err(told)?;
-        Ok(ControlStore { database })
-    }
-
-    /// The number that tells this store from others: `fresh` where it has none yet.
-    pub fn lineage(&self, fresh: u64) -> Result<u64, Error> {
-        let writing = self.database.begin_write().map_err(told)?;
-        let lineage = {
-            let mut values = writing.open_table(VALUES).map_err(told)?;
-            let known = values.get(LINEAGE).map_err(told)?.map(|value| value.value());
-            match known {
-                Some(lineage) => lineage,
-                None => {
-                    values.insert(LINEAGE, fresh).map_err(told)?;
-                    fresh
-                }
-            }
-        };
-        writing.commit().map_err(told)?;
-        Ok(lineage)
-    }
-
-    /// Writes all of a batch, or nothing.
-    pub fn write(&self, batch: &WriteBatch) -> Result<(), Error> {
-        let mut writing = self.database.begin_write().map_err(told)?;
-        if !batch.sync {
-            writing.set_durability(redb::Durability::None);
-        }
-        {
-            let mut documents = writing.open_table(DOCUMENTS).map_err(told)?;
-            let mut entries = writing.open_table(ENTRIES).map_err(told)?;
-            for number in &batch.removed_versions {
-                documents.remove(number).map_err(told)?;
-                entries.remove(number).map_err(told)?;
-            }
-            for (number, document) in &batch.documents {
-                documents.insert(number, document.as_slice()).map_err(told)?;
-            }
-            for (number, entry) in &batch.entries {
-                entries.insert(number, entry.as_slice()).map_err(told)?;
-            }
-            let mut log = writing.open_table(LOG).map_err(told)?;
-            if let Some(from) = batch.truncate_log_from {
-                log.retain_in(from.., |_, _| false).map_err(told)?;
+    /// Opens the database in this file, which is created if it does not exist.
+    ///
+    /// # Errors
+    /// [`StorageError::Database`] if the file cannot be opened, belongs to another process, or is not such a database.
+    pub fn open(path: &Path) -> Result<Self, StorageError> {
+        const OPERATION: &str = "open the store";
+        let database =
+            Database::create(path).map_err(|error| DatabaseError::from(error).context(path, OPERATION))?;
+        let store = ControlStore { database, path: path.to_owned() };
+        store.write_with(OPERATION, Durability::Immediate, |transaction| {
+            transaction.open_table(DOCUMENTS)?;
+            transaction.open_table(ENTRIES)?;
+            transaction.open_table(NUMBERS)?;
+            transaction.open_table(LOG)?;
+            transaction.open_table(VALUES)?;
+            Ok(())
+        })?;
+        Ok(store)
+    }
+
+    /// The number that distinguishes this store's history from others: the stored one, or `fresh`, which is stored then.
+    ///
+    /// # Errors
+    /// [`StorageError::Database`] if the database fails.
+    pub fn lineage(&self, fresh: u64) -> Result<u64, StorageError> {
+        self.write_with("read the lineage", Durability::Immediate, |transaction| {
+            let mut numbers = transaction.open_table(NUMBERS)?;
+            let stored = numbers.get(LINEAGE)?.map(|lineage| lineage.value());
+            if let Some(lineage) = stored {
+                return Ok(lineage);
             }
-            if let Some(below) = batch.compact_log_below {
-                log.retain_in(..below, |_, _| false).map_err(told)?;
+            numbers.insert(LINEAGE, fresh)?;
+            Ok(fresh)
+        })
+    }
+
+    /// Writes all of a batch, or nothing of it.
+    ///
+    /// # Errors
+    /// [`StorageError::Database`] if the database fails.
+    pub fn write(&self, batch: &WriteBatch) -> Result<(), StorageError> {
+        let durability = if batch.sync { Durability::Immediate } else { Durability::None };
+        self.write_with("write a batch", durability, |transaction| {
+            write_versions(transaction, batch)?;
+            write_log(transaction, batch)?;
+            let mut values = transaction.open_table(VALUES)?;
+            for (name, value) in &batch.values {
+                values.insert(*name, value.as_slice())?;
             }
-            for (index, entry) in &batch.log_entries {
-                log.insert(index, entry.as_slice()).map_err(told)?;
+            Ok(())
+        })
+    }
+
+    /// Reads a value by name.
+    ///
+    /// # Errors
+    /// [`StorageError::Database`] if the database fails.
+    pub fn value(&self, name: &str) -> Result<Option<Vec<u8>>, StorageError> {
+        self.read_with("read a value", |transaction| {
+            let values = transaction.open_table(VALUES)?;
+            Ok(values.get(name)?.map(|value| value.value().to_vec()))
+        })
+    }
+
+    /// Reads the log: index and entry, in the order of the indices.
+    ///
+    /// # Errors
+    /// [`StorageError::Database`] if the database fails.
+    pub fn log(&self) -> Result<Vec<(u64, Vec<u8>)>, StorageError> {
+        self.read_with("read the log", |transaction| {
+            let mut entries = Vec::new();
+            for row in transaction.open_table(LOG)?.iter()? {
+                let (index, entry) = row?;
+                entries.push((index.value(), entry.value().to_vec()));
             }
-            let mut kept = writing.open_table(KEPT).map_err(told)?;
-            for (name, value) in &batch.values {
-                kept.insert(*name, value.as_slice()).map_err(told)?;
+            Ok(entries)
+        })
+    }
+
+    /// Reads all stored versions, in the order of their numbers.
+    ///
+    /// # Errors
+    /// [`StorageError::Database`] if the database fails.
+    pub fn versions(&self) -> Result<Vec<VersionRow>, StorageError> {
+        self.read_with("read the versions", |transaction| {
+            let documents = transaction.open_table(DOCUMENTS)?;
+            let entries = transaction.open_table(ENTRIES)?;
+            let mut versions = Vec::new();
+            for row in documents.iter()? {
+                let (number, document) = row?;
+                let entry = entries.get(number.value())?;
+                versions.push(VersionRow {
+                    number: number.value(),
+                    entry: entry.map(|entry| entry.value().to_vec()).unwrap_or_default(),
+                    document: document.value().to_vec(),
+                });
             }
-        }
-        writing.commit().map_err(told)
-    }
-
-    /// A value by name.
-    pub fn value(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
-        let reading = self.database.begin_read().map_err(told)?;
-        let kept = reading.open_table(KEPT).map_err(told)?;
-        Ok(kept.get(name).map_err(told)?.map(|value| value.value().to_vec()))
-    }
-
-    /// The log, in the order of its indices.
-    pub fn log(&self) -> Result<Vec<(u64, Vec<u8>)>, Error> {
-        let reading = self.database.begin_read().map_err(told)?;
-        let log = reading.open_table(LOG).map_err(told)?;
-        let mut all = Vec::new();
-        for item in log.iter().map_err(told)? {
-            let (index, entry) = item.map_err(told)?;
-            all.push((index.value(), entry.value().to_vec()));
-        }
-        Ok(all)
-    }
-
-    /// All versions that are kept, in the order of their numbers.
-    pub fn versions(&self) -> Result<Vec<VersionRow>, Error> {
-        let reading = self.database.begin_read().map_err(told)?;
-        let documents = reading.open_table(DOCUMENTS).map_err(told)?;
-        let entries = reading.open_table(ENTRIES).map_err(told)?;
-        let mut all = Vec::new();
-        for item in documents.iter().map_err(told)? {
-            let (number, document) = item.map_err(told)?;
-            let entry = entries.get(number.value()).map_err(told)?;
-            all.push(VersionRow {
-                number: number.value(),
-                entry: entry.map(|entry| entry.value().to_vec()).unwrap_or_default(),
-                document: document.value().to_vec(),
-            });
-        }
-        Ok(all)
+            Ok(versions)
+        })
+    }
+
+    /// Runs `read` in a transaction of its own.
+    fn read_with<T>(
+        &self,
+        operation: &'static str,
+        read: impl FnOnce(&ReadTransaction) -> Result<T, DatabaseError>,
+    ) -> Result<T, StorageError> {
+        let transact = || read(&self.database.begin_read()?);
+        transact().map_err(|error| error.context(&self.path, operation))
+    }
+
+    /// Runs `change` in a transaction of its own and commits it; an error rolls it back.
+    fn write_with<T>(
+        &self,
+        operation: &'static str,
+        durability: Durability,
+        change: impl FnOnce(&WriteTransaction) -> Result<T, DatabaseError>,
+    ) -> Result<T, StorageError> {
+        let transact = || {
+            let mut transaction = self.database.begin_write()?;
+            transaction.set_durability(durability);
+            let result = change(&transaction)?;
+            transaction.commit()?;
+            Ok(result)
+        };
+        transact().map_err(|error: DatabaseError| error.context(&self.path, operation))
+    }
+}
+
+/// An error of the database, boxed because it is large, before its path and operation are added.
+struct DatabaseError(Box<redb::Error>);
+
+impl<E: Into<redb::Error>> From<E> for DatabaseError {
+    fn from(error: E) -> Self {
+        DatabaseError(Box::new(error.into()))
+    }
+}
+
+impl DatabaseError {
+    fn context(self, path: &Path, operation: &'static str) -> StorageError {
+        StorageError::Database { path: path.to_owned(), operation, source: self.0 }
+    }
+}
+
+fn write_versions(transaction: &WriteTransaction, batch: &WriteBatch) -> Result<(), DatabaseError> {
+    let mut documents = transaction.open_table(DOCUMENTS)?;
+    let mut entries = transaction.open_table(ENTRIES)?;
+    for number in &batch.removed_versions {
+        documents.remove(number)?;
+        entries.remove(number)?;
+    }
+    for (number, document) in &batch.documents {
+        documents.insert(number, document.as_slice())?;
+    }
+    for (number, entry) in &batch.entries {
+        entries.insert(number, entry.as_slice())?;
+    }
+    Ok(())
+}
+
+fn write_log(transaction: &WriteTransaction, batch: &WriteBatch) -> Result<(), DatabaseError> {
+    let mut log = transaction.open_table(LOG)?;
+    if let Some(from) = batch.truncate_log_from {
+        log.retain_in(from.., |_, _| false)?;
+    }
+    if let Some(below) = batch.compact_log_below {
+        log.retain_in(..below, |_, _| false)?;
+    }
+    for (index, entry) in &batch.log_entries {
+        log.insert(index, entry.as_slice())?;
     }
+    Ok(())
 }
--- a/crates/storage/src/generation_file.rs
+++ b/crates/storage/src/generation_file.rs
@@ -1,44 +1,79 @@
-//! The seal beside a store: how often the store was started on, and which file it was.
+//! The generation file beside a store: how often the store was started, and which file it was at that time.
+//!
+//! A store that was copied or restored from a backup has another inode or an older start count than its generation file
+//! states. What follows from that is decided by the caller.
 
 use std::fs::{self, File};
 use std::io::{self, Write as _};
 use std::os::unix::fs::MetadataExt as _;
 use std::path::{Path, PathBuf};
 
-fn beside(store: &Path) -> PathBuf {
-    let mut name = store.as_os_str().to_owned();
-    name.push(".seal");
-    PathBuf::from(name)
+use crate::error::{Corruption, IoContext as _, StorageError, sync_directory};
+
+/// Appended to the name of the store.
+const SUFFIX: &str = ".seal";
+/// Appended to the name of the generation file while its successor is written.
+const STAGED_SUFFIX: &str = ".staged";
+/// Bits by which the device number is rotated, so that it does not overlap the usual range of inode numbers.
+const DEVICE_ROTATION: u32 = 40;
+
+/// The contents of a generation file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Generation {
+    /// How often a process was started on the store.
+    pub starts: u64,
+    /// The store's [`file_id`] at its last start.
+    pub file_id: u64,
 }
 
-/// The number that tells this file from others on the machine: what is put there as a copy has another.
-pub fn file_id(store: &Path) -> io::Result<u64> {
-    let told = fs::metadata(store)?;
-    Ok(told.ino() ^ told.dev().rotate_left(40))
+/// Identifies a file on this machine by its inode and device; a copy has another id.
+///
+/// # Errors
+/// [`StorageError::Io`] if the metadata cannot be read.
+pub fn file_id(store: &Path) -> Result<u64, StorageError> {
+    let metadata = fs::metadata(store).context(store, "read the metadata")?;
+    Ok(metadata.ino() ^ metadata.dev().rotate_left(DEVICE_ROTATION))
 }
 
-/// The seal: starts, and the file's number. None where there is none; a spoilt one is an error.
-pub fn read(store: &Path) -> io::Result<Option<(u64, u64)>> {
-    let text = match fs::read_to_string(beside(store)) {
-        Ok(text) => text,
+/// Reads the generation file of this store; `None` if there is none.
+///
+/// # Errors
+/// [`StorageError::Io`] if it cannot be read, [`StorageError::Corrupt`] if it does not hold two numbers.
+pub fn read(store: &Path) -> Result<Option<Generation>, StorageError> {
+    let path = generation_path(store);
+    let text = match fs::read_to_string(&path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(error),
+        text => text.context(&path, "read the generation")?,
     };
-    let mut words = text.split_whitespace().map(str::parse::<u64>);
-    match (words.next(), words.next(), words.next()) {
-        (Some(Ok(boots)), Some(Ok(file)), None) => Ok(Some((boots, file))),
-        _ => Err(io::Error::new(io::ErrorKind::InvalidData, "the seal is spoilt")),
+    let mut numbers = text.split_whitespace().map(str::parse::<u64>);
+    match (numbers.next(), numbers.next(), numbers.next()) {
+        (Some(Ok(starts)), Some(Ok(file_id)), None) => Ok(Some(Generation { starts, file_id })),
+        _ => Err(StorageError::corrupt(&path, Corruption::InvalidGeneration)),
     }
 }
 
-/// Writes the seal, whole and synced.
-pub fn write(store: &Path, boots: u64, file: u64) -> io::Result<()> {
-    let (seal, mut staged) = (beside(store), beside(store).into_os_string());
-    staged.push(".staged");
-    let mut out = File::create(&staged)?;
-    writeln!(out, "{boots} {file}")?;
-    out.sync_all()?;
-    fs::rename(&staged, &seal)?;
-    let folder = seal.parent().filter(|it| !it.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+/// Replaces the generation file of this store atomically and syncs it.
+///
+/// # Errors
+/// [`StorageError::Io`] if it cannot be written, renamed or synced; the earlier file is then still there or already replaced.
+pub fn write(store: &Path, generation: Generation) -> Result<(), StorageError> {
+    let path = generation_path(store);
+    let staged = with_suffix(&path, STAGED_SUFFIX);
+    let mut file = File::create(&staged).context(&staged, "create the file")?;
+    writeln!(file, "{} {}", generation.starts, generation.file_id)
+        .context(&staged, "write the generation")?;
+    file.sync_all().context(&staged, "sync the generation")?;
+    fs::rename(&staged, &path).context(&path, "replace the generation")?;
+    let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+    sync_directory(directory.unwrap_or(Path::new(".")))
+}
+
+fn generation_path(store: &Path) -> PathBuf {
+    with_suffix(store, SUFFIX)
+}
+
+fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
+    let mut name = path.as_os_str().to_owned();
+    name.push(suffix);
+    PathBuf::from(name)
 }
