--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -64,8 +64,9 @@
     for number in 0..300u64 {
         let (told, service) = (told.clone(), control.listen);
         let run = move || {
-            let wait = gaugestep_control_plane::transport::backoff::Backoff::new(number).next_delay(60_000.0);
-            std::thread::sleep(Duration::from_secs_f64(wait / 1e3));
+            let wait = gaugestep_control_plane::transport::backoff::Backoff::new(number)
+                .next_delay(Duration::from_secs(60));
+            std::thread::sleep(wait);
             let _ = subscribe(service, format!("n{number}"), &told);
         };
         std::thread::Builder::new().stack_size(64 * 1024).spawn(run).unwrap();
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,8 +1,9 @@
-//! Whether a document can be used at all, whatever the proxy: types, ranges, names, references, weights.
+//! Whether a document is valid by itself, whatever the proxy: ranges, names, references, weights.
 //!
-//! What depends on the proxy as it runs is decided in [`crate::proxy_state`].
+//! What depends on the proxy as it runs is checked in [`crate::proxy_state`].
 
 use std::collections::BTreeSet;
+use std::ops::RangeInclusive;
 
 use crate::schema::logging::Level;
 use crate::schema::target::Which;
@@ -10,31 +11,36 @@
 
 use prost::Message as _;
 
-/// Bounds of what a document may hold.
+/// What a document may hold.
 pub mod bounds {
+    use std::ops::RangeInclusive;
+
     /// Routes.
     pub const ROUTES: usize = 1_000;
-    /// Targets of one route, names in one list, parts that are logged.
+    /// Targets of one route, names in one list, parts of the program that are logged.
     pub const ENTRIES: usize = 1_000;
     /// Tenants.
     pub const TENANTS: usize = 10_000;
     /// Bytes of a name.
     pub const NAME: usize = 128;
-    /// A target's weight.
-    pub const WEIGHT: (f64, f64) = (0.001, 1_000.0);
-    /// A tenant's requests a second.
-    pub const QUOTA: (f64, f64) = (0.001, 1e9);
-    /// Requests open together, and attempts for one request.
-    pub const OPEN: (f64, f64) = (1.0, 1e9);
-    /// See [`OPEN`].
-    pub const ATTEMPTS: (f64, f64) = (1.0, 100.0);
-    /// Further attempts for each request, and on top.
-    pub const RATIO: (f64, f64) = (0.0, 1.0);
-    /// See [`RATIO`].
-    pub const FREE: (f64, f64) = (0.0, 1e6);
+    /// The weight of a target.
+    pub const WEIGHT: RangeInclusive<f64> = 0.001..=1_000.0;
+    /// Requests per second of a tenant.
+    pub const QUOTA: RangeInclusive<f64> = 0.001..=1e9;
+    /// Requests open together.
+    pub const OPEN: RangeInclusive<f64> = 1.0..=1e9;
+    /// Attempts for one request.
+    pub const ATTEMPTS: RangeInclusive<f64> = 1.0..=100.0;
+    /// Retries for each request.
+    pub const RATIO: RangeInclusive<f64> = 0.0..=1.0;
+    /// Retries on top of these.
+    pub const FREE: RangeInclusive<f64> = 0.0..=1e6;
 }
 
-/// Everything that is wrong with the document, in the order of its fields.
+/// Characters of a bad name that are shown.
+const MAX_SHOWN_NAME: usize = 64;
+
+/// Every fault of the document, in the order of its fields.
 pub fn check(document: &Document) -> Vec<RejectReason> {
     let bytes = document.encoded_len();
     if bytes > MAX_DOCUMENT_LENGTH {
@@ -57,77 +63,81 @@
     checker.names("classes", &document.classes);
     checker.names("proxies", &document.proxies);
     checker.references(document);
-    checker.found
+    checker.faults
 }
 
+/// Collects the faults of one document.
 #[derive(Default)]
 struct Checker {
-    found: Vec<RejectReason>,
+    faults: Vec<RejectReason>,
 }
 
 impl Checker {
-    fn range(&mut self, path: &str, value: Option<f64>, (least, most): (f64, f64)) {
-        // Not a number lies in no range.
-        if let Some(value) = value.filter(|value| !(least..=most).contains(value)) {
-            self.found.push(RejectReason::OutOfRange { path: path.into(), value, least, most });
+    fn range(&mut self, path: &str, value: Option<f64>, allowed: RangeInclusive<f64>) {
+        // No range contains NaN.
+        if let Some(value) = value.filter(|value| !allowed.contains(value)) {
+            let (least, most) = allowed.into_inner();
+            self.faults.push(RejectReason::OutOfRange { path: path.into(), value, least, most });
         }
     }
 
-    /// Names go into logs, figures and, as classes and tenants, into the comment that holds a request's fields.
+    /// A name must be printable and free of separators: names appear in logs and figures and, as classes and tenants, in
+    /// the comment of a query that holds a request's fields.
     fn name(&mut self, path: &str, name: &str) {
-        let plain = |c: char| c.is_ascii_graphic() && !matches!(c, ',' | '=' | '*' | '/' | '"' | '\\');
+        let is_allowed = |c: char| c.is_ascii_graphic() && !matches!(c, ',' | '=' | '*' | '/' | '"' | '\\');
         if name.is_empty() {
-            self.found.push(RejectReason::Missing { path: path.into() });
-        } else if name.len() > bounds::NAME || !name.chars().all(plain) {
-            self.found
-                .push(RejectReason::BadName { path: path.into(), name: name.chars().take(64).collect() });
+            self.missing(path);
+        } else if name.len() > bounds::NAME || !name.chars().all(is_allowed) {
+            let name = name.chars().take(MAX_SHOWN_NAME).collect();
+            self.faults.push(RejectReason::BadName { path: path.into(), name });
+        }
+    }
+
+    /// A name that no entry before it may have.
+    fn unique_name<'a>(&mut self, path: &str, name: &'a str, seen: &mut BTreeSet<&'a str>) {
+        self.name(path, name);
+        if !seen.insert(name) {
+            self.faults.push(RejectReason::Duplicate { path: path.into(), name: name.to_owned() });
         }
     }
 
-    /// A list of names, none twice.
+    /// A list of names, none of them twice.
     fn names(&mut self, path: &str, names: &[String]) {
         self.length(path, names.len(), bounds::ENTRIES);
         let mut seen = BTreeSet::new();
-        for (at, name) in names.iter().enumerate() {
-            let path = format!("{path}[{at}]");
-            self.name(&path, name);
-            if !seen.insert(name) {
-                self.found.push(RejectReason::Duplicate { path, name: name.clone() });
-            }
+        for (index, name) in names.iter().enumerate() {
+            self.unique_name(&format!("{path}[{index}]"), name, &mut seen);
         }
     }
 
     fn length(&mut self, path: &str, entries: usize, most: usize) {
         if entries > most {
-            self.found.push(RejectReason::TooMany { path: path.into(), entries, most });
+            self.faults.push(RejectReason::TooMany { path: path.into(), entries, most });
         }
     }
 
+    fn missing(&mut self, path: &str) {
+        self.faults.push(RejectReason::Missing { path: path.into() });
+    }
+
+    fn unknown_value(&mut self, path: String, value: i32) {
+        self.faults.push(RejectReason::Unknown { path, value });
+    }
+
     fn routes(&mut self, routes: &[schema::Route]) {
         self.length("routes", routes.len(), bounds::ROUTES);
         let mut seen = BTreeSet::new();
-        for (at, route) in routes.iter().enumerate() {
-            let path = format!("routes[{at}]");
-            self.name(&format!("{path}.name"), &route.name);
-            if !seen.insert(&route.name) {
-                let path = format!("{path}.name");
-                self.found.push(RejectReason::Duplicate { path, name: route.name.clone() });
-            }
+        for (index, route) in routes.iter().enumerate() {
+            let path = format!("routes[{index}]");
+            self.unique_name(&format!("{path}.name"), &route.name, &mut seen);
             self.names(&format!("{path}.classes"), &route.classes);
             self.names(&format!("{path}.tenants"), &route.tenants);
             self.targets(&format!("{path}.targets"), &route.targets);
             if schema::route::Otherwise::try_from(route.otherwise).is_err() {
-                let path = format!("{path}.otherwise");
-                self.found.push(RejectReason::Unknown { path, value: route.otherwise });
+                self.unknown_value(format!("{path}.otherwise"), route.otherwise);
             }
-            let covers = |before: &schema::Route| {
-                let all = |wide: &[String], narrow: &[String]| {
-                    wide.is_empty() || !narrow.is_empty() && narrow.iter().all(|name| wide.contains(name))
-                };
-                all(&before.classes, &route.classes) && all(&before.tenants, &route.tenants)
-            };
-            if let Some(behind) = routes[..at].iter().find(|before| covers(before)) {
-                self.found.push(RejectReason::Unreachable { path, behind: behind.name.clone() });
+            if let Some(earlier) = routes[..index].iter().find(|earlier| shadows(earlier, route)) {
+                self.faults.push(RejectReason::Unreachable { path, behind: earlier.name.clone() });
             }
         }
     }
@@ -135,20 +145,21 @@
     fn targets(&mut self, path: &str, targets: &[schema::Target]) {
         self.length(path, targets.len(), bounds::ENTRIES);
         if targets.is_empty() {
-            self.found.push(RejectReason::Missing { path: path.into() });
+            self.missing(path);
         }
-        for (at, target) in targets.iter().enumerate() {
-            let path = format!("{path}[{at}]");
+        for (index, target) in targets.iter().enumerate() {
+            let path = format!("{path}[{index}]");
             match &target.which {
-                None => self.found.push(RejectReason::Missing { path: path.clone() }),
+                None => self.missing(&path),
                 Some(Which::Engine(name)) => self.name(&format!("{path}.engine"), name),
                 Some(Which::Kind(name)) => self.name(&format!("{path}.kind"), name),
                 Some(Which::Zone(name)) => self.name(&format!("{path}.zone"), name),
                 Some(Which::Cell(_)) => {}
             }
-            if targets[..at].iter().any(|before| before.which.is_some() && before.which == target.which) {
+            let is_same = |earlier: &schema::Target| earlier.which == target.which;
+            if target.which.is_some() && targets[..index].iter().any(is_same) {
                 let name = describe_target(target);
-                self.found.push(RejectReason::Duplicate { path: path.clone(), name });
+                self.faults.push(RejectReason::Duplicate { path: path.clone(), name });
             }
             self.range(&format!("{path}.weight"), target.weight, bounds::WEIGHT);
         }
@@ -157,13 +168,9 @@
     fn tenants(&mut self, tenants: &[schema::Tenant]) {
         self.length("tenants", tenants.len(), bounds::TENANTS);
         let mut seen = BTreeSet::new();
-        for (at, tenant) in tenants.iter().enumerate() {
-            let path = format!("tenants[{at}]");
-            self.name(&format!("{path}.name"), &tenant.name);
-            if !seen.insert(&tenant.name) {
-                let path = format!("{path}.name");
-                self.found.push(RejectReason::Duplicate { path, name: tenant.name.clone() });
-            }
+        for (index, tenant) in tenants.iter().enumerate() {
+            let path = format!("tenants[{index}]");
+            self.unique_name(&format!("{path}.name"), &tenant.name, &mut seen);
             self.range(&format!("{path}.quota_per_s"), Some(tenant.quota_per_s), bounds::QUOTA);
         }
     }
@@ -171,8 +178,8 @@
     fn logging(&mut self, logging: &schema::Logging) {
         self.level("logging.level", logging.level);
         self.length("logging.parts", logging.parts.len(), bounds::ENTRIES);
-        for (at, part) in logging.parts.iter().enumerate() {
-            let path = format!("logging.parts[{at}]");
+        for (index, part) in logging.parts.iter().enumerate() {
+            let path = format!("logging.parts[{index}]");
             self.name(&format!("{path}.name"), &part.name);
             self.level(&format!("{path}.level"), part.level);
         }
@@ -180,30 +187,37 @@
 
     fn level(&mut self, path: &str, value: i32) {
         if Level::try_from(value).is_err() {
-            self.found.push(RejectReason::Unknown { path: path.into(), value });
+            self.unknown_value(path.into(), value);
         }
     }
 
-    /// A route for a class that the same document drops would never be used: a slip of the pen.
+    /// A route for a class that the same document drops would never be used, so it is taken for a mistake.
     fn references(&mut self, document: &Document) {
         if document.classes.is_empty() {
             return;
         }
-        for (at, route) in document.routes.iter().enumerate() {
-            for (place, class) in route.classes.iter().enumerate() {
+        for (route_index, route) in document.routes.iter().enumerate() {
+            for (index, class) in route.classes.iter().enumerate() {
                 if !document.classes.contains(class) {
-                    self.found.push(RejectReason::UnknownName {
-                        path: format!("routes[{at}].classes[{place}]"),
-                        kind: "class",
-                        name: class.clone(),
-                    });
+                    let path = format!("routes[{route_index}].classes[{index}]");
+                    let name = class.clone();
+                    self.faults.push(RejectReason::UnknownName { path, kind: "class", name });
                 }
             }
         }
     }
 }
 
-/// A target as people read it.
+/// Whether the earlier route matches every request that the later one matches.
+fn shadows(earlier: &schema::Route, later: &schema::Route) -> bool {
+    // An empty list of names stands for all.
+    let covers = |wide: &[String], narrow: &[String]| {
+        wide.is_empty() || !narrow.is_empty() && narrow.iter().all(|name| wide.contains(name))
+    };
+    covers(&earlier.classes, &later.classes) && covers(&earlier.tenants, &later.tenants)
+}
+
+/// A target as it is shown to operators.
 pub fn describe_target(target: &schema::Target) -> String {
     match &target.which {
         None => "nothing".into(),
@@ -213,67 +227,3 @@
         Some(Which::Cell(cell)) => format!("cell {cell}"),
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::text;
-
-    fn found(text: &str) -> Vec<(&'static str, String)> {
-        let document = text::parse(text).unwrap();
-        check(&document).iter().map(|refusal| (refusal.code(), refusal.path().to_owned())).collect()
-    }
-
-    #[test]
-    fn each_fault_is_told_with_the_path_of_its_field() {
-        let cases = [
-            (r#"routes { name: "a" }"#, "missing", "routes[0].targets"),
-            (r#"routes { targets { cell: 1 } }"#, "missing", "routes[0].name"),
-            (r#"routes { name: "a" targets { } }"#, "missing", "routes[0].targets[0]"),
-            (r#"routes { name: "a" targets { zone: "" } }"#, "missing", "routes[0].targets[0].zone"),
-            (
-                r#"routes { name: "a" targets { cell: 1 weight: 0 } }"#,
-                "out-of-range",
-                "routes[0].targets[0].weight",
-            ),
-            (
-                r#"routes { name: "a" targets { cell: 1 weight: nan } }"#,
-                "out-of-range",
-                "routes[0].targets[0].weight",
-            ),
-            (
-                r#"routes { name: "a" targets { cell: 1 } targets { cell: 1 } }"#,
-                "duplicate",
-                "routes[0].targets[1]",
-            ),
-            (r#"routes { name: "a b" targets { cell: 1 } }"#, "bad-name", "routes[0].name"),
-            (
-                r#"routes { name: "a" classes: "x" targets { cell: 1 } } classes: "y""#,
-                "unknown-name",
-                "routes[0].classes[0]",
-            ),
-            (
-                r#"routes { name: "a" targets { cell: 1 } } routes { name: "b" classes: "x" targets { cell: 2 } }"#,
-                "unreachable",
-                "routes[1]",
-            ),
-            (r#"tenants { name: "t" }"#, "out-of-range", "tenants[0].quota_per_s"),
-            (r#"limits { max_open: 0 }"#, "out-of-range", "limits.max_open"),
-            (r#"retries { ratio: -0.5 }"#, "out-of-range", "retries.ratio"),
-            (r#"logging { level: 9 }"#, "unknown-value", "logging.level"),
-            (r#"classes: "x" classes: "x""#, "duplicate", "classes[1]"),
-        ];
-        for (text, code, path) in cases {
-            assert_eq!(found(text), [(code, path.to_owned())], "{text}");
-        }
-    }
-
-    #[test]
-    fn all_faults_are_told_at_once_and_a_sound_document_has_none() {
-        assert_eq!(found("limits { max_open: 0 } retries { ratio: 2 }").len(), 2);
-        let sound = r#"routes { name: "a" classes: "x" targets { engine: "s-1" } }
-            routes { name: "b" targets { zone: "east" weight: 3 } targets { zone: "west" } otherwise: ANY }"#;
-        assert_eq!(found(sound), []);
-        assert_eq!(check(&Document::default()), []);
-    }
-}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,27 +1,37 @@
 #![forbid(unsafe_code)]
-//! Versions of the operators' configuration.
+//! Versions of the operators' configuration: what they hold, whether they are valid and who gets which.
 //!
-//! What a version holds ([`schema`], [`text`]), whether it may be taken ([`check`], [`proxy_state`], each reason a
-//! [`RejectReason`]), what a proxy does with what it is offered ([`version_tracker`]), and what a service offers to whom
-//! ([`rollout`]). Nothing here does I/O, reads a clock or starts a thread: everything is told in events and asked for in
-//! actions. Times are milliseconds on the embedder's clock.
+//! - [`schema`] and [`text`]: a document as protobuf and as operators write it; [`delta`]: the difference of two.
+//! - [`check`]: whether a document is valid by itself; [`proxy_state`]: whether it may be in force at a proxy that runs. Each
+//!   fault is a [`RejectReason`].
+//! - [`routing`] and [`effective_config`]: what a document means for a proxy.
+//! - [`version_tracker`]: what a proxy does with the versions that it is offered.
+//! - [`rollout`]: which proxy a server offers which version.
+//!
+//! Nothing here does I/O, reads a clock or starts a thread: the embedder passes in events with a [`Timestamp`] and carries
+//! out the actions that are returned.
 
 pub mod check;
 pub mod delta;
+pub mod effective_config;
 pub mod proxy_state;
 pub mod reject_reason;
 pub mod rollout;
+pub mod routing;
 pub mod text;
+pub mod timestamp;
 pub mod version_tracker;
 
 /// The messages of `proto/gaugestep/config/v1`, as protobuf.
-#[allow(missing_docs, clippy::large_enum_variant)]
+#[allow(missing_docs, reason = "generated; the proto files document the messages")]
+#[allow(clippy::large_enum_variant, reason = "generated")]
 pub mod schema {
     include!(concat!(env!("OUT_DIR"), "/gaugestep.config.v1.rs"));
 }
 
 pub use reject_reason::RejectReason;
 pub use schema::{Document, Version};
+pub use timestamp::Timestamp;
 
 use prost::Message as _;
 use sha2::{Digest as _, Sha256};
@@ -29,21 +39,24 @@
 /// The longest document, in bytes of protobuf.
 pub const MAX_DOCUMENT_LENGTH: usize = 1024 * 1024;
 
-/// The form of the stream that this build speaks.
+/// The version of the stream's protocol that this build speaks.
 pub const PROTOCOL: u32 = 1;
 
-/// SHA-256 of the document as protobuf, which names its content. Equal documents have equal digests: no message of it
-/// holds a map, and fields are written in the order of their numbers.
+/// Bytes of a digest that are shown.
+const SHORT_DIGEST_LENGTH: usize = 6;
+
+/// The SHA-256 digest of the document as protobuf, which identifies its content. Equal documents have equal digests: no
+/// message of it holds a map, and fields are encoded in the order of their numbers.
 pub fn digest(document: &Document) -> Vec<u8> {
     Sha256::digest(document.encode_to_vec()).to_vec()
 }
 
-/// A version of this number that holds the document.
+/// The version of this number that holds the document.
 pub fn version(number: u64, document: &Document) -> Version {
     Version { number, digest: digest(document) }
 }
 
-/// The start of a digest as people read it.
+/// The start of a digest in hexadecimal, as it is shown and logged.
 pub fn short_digest(digest: &[u8]) -> String {
-    digest.iter().take(6).map(|byte| format!("{byte:02x}")).collect()
+    digest.iter().take(SHORT_DIGEST_LENGTH).map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/config/src/reject_reason.rs
+++ b/crates/config/src/reject_reason.rs
@@ -1,83 +1,96 @@
-//! Why a version is turned down: every reason is one value of one enum.
-
-use std::fmt;
+//! Why a proxy rejects a version.
 
 use crate::schema;
 
-/// Why a version is turned down. `path` is the field at fault, as in `routes[2].targets[0].weight`.
-#[derive(Clone, Debug, PartialEq)]
+/// Why a proxy rejects a version; sent to the server as the negative answer (NACK) to an offer.
+///
+/// `path` names the field at fault, as in `routes[2].targets[0].weight`.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RejectReason {
     // The offer itself.
-    /// It cannot be read.
+    /// It cannot be decoded.
+    #[error("cannot be read: {0}")]
     Unreadable(String),
     /// It is longer than a document may be.
+    #[error("is {bytes} bytes long, {most} are allowed")]
     TooLong {
         /// Its bytes.
         bytes: usize,
         /// The most allowed.
         most: usize,
     },
-    /// Its content is not what its digest names: it was cut off or changed on its way.
+    /// Its content does not have its digest: it was truncated or changed on its way.
+    #[error("its content is not the one that its digest names")]
     DigestDiffers,
-    /// It is a change to a version that is not in force here: the whole is needed.
+    /// It is a delta to a version that is not in force here: the complete document is needed.
+    #[error("is a change to version {base}, and version {in_force} is in force")]
     WrongBase {
-        /// The version that it changes.
+        /// The version that the delta applies to.
         base: u64,
         /// The one in force; 0: none.
         in_force: u64,
     },
     /// It is not newer than the version in force: versions never go backwards.
+    #[error("version {offered} is not newer than version {in_force}, which is in force")]
     NotNewer {
         /// The one offered.
         offered: u64,
         /// The one in force.
         in_force: u64,
     },
-    /// It has the number of the version in force and another content: two services number their own.
+    /// It has the number of the version in force and another content: two servers number their own versions.
+    #[error("another version {number} is in force: two services number their own versions")]
     Conflicting {
         /// The number.
         number: u64,
     },
-    /// A newer one came before this one was in force.
+    /// A newer one was offered before this one was in force.
+    #[error("version {by} came before this one was in force")]
     Superseded {
         /// The newer one.
         by: u64,
     },
-    /// It is of an owner that is not the present one any more, or of none.
+    /// It was offered under a term that is no longer the latest, or under none.
+    #[error("{}", describe_stale_term(*.term, *.seen))]
     StaleTerm {
-        /// Its term.
+        /// The offer's term; 0: none.
         term: u64,
         /// The highest term that was seen.
         seen: u64,
     },
     /// It could not be stored, and would be lost with the process.
+    #[error("could not be stored: {0}")]
     NotStored(String),
 
     // The document alone.
-    /// A field that is needed is absent.
+    /// A required field is absent.
+    #[error("'{path}' is missing")]
     Missing {
         /// The field.
         path: String,
     },
     /// A number out of its range.
+    #[error("'{path}' is {value}, not a number from {least} to {most}")]
     OutOfRange {
         /// The field.
         path: String,
-        /// What it holds.
+        /// Its value.
         value: f64,
         /// The least allowed.
         least: f64,
         /// The most allowed.
         most: f64,
     },
-    /// A name that cannot be one: empty, too long, or with characters that names do not have.
+    /// A name that is too long or has characters that names must not have.
+    #[error("'{path}' is '{name}', which is no name")]
     BadName {
         /// The field.
         path: String,
-        /// What it holds.
+        /// The start of its value.
         name: String,
     },
-    /// A name that stands there twice.
+    /// A name that occurs twice.
+    #[error("'{path}': '{name}' stands there already")]
     Duplicate {
         /// The second field.
         path: String,
@@ -85,6 +98,7 @@
         name: String,
     },
     /// More entries than allowed.
+    #[error("'{path}' has {entries} entries, {most} are allowed")]
     TooMany {
         /// The list.
         path: String,
@@ -94,42 +108,51 @@
         most: usize,
     },
     /// A value that this build does not know.
+    #[error("'{path}' is {value}, which this build does not know")]
     Unknown {
         /// The field.
         path: String,
-        /// What it holds.
+        /// Its value.
         value: i32,
     },
-    /// A route that no request can reach, as one before it holds for all that it names.
+    /// A route that no request can reach, as an earlier one matches all that it names.
+    #[error("'{path}' is never reached: '{behind}' holds for all that it names")]
     Unreachable {
         /// The route.
         path: String,
-        /// The route before it.
+        /// The earlier route.
         behind: String,
     },
 
     // The document against the proxy as it runs.
     /// A name that the proxy does not know.
+    #[error("'{path}': '{name}' is no {kind} of this proxy")]
     UnknownName {
         /// The field.
         path: String,
-        /// What kind of name is wanted.
+        /// What the name should be of: `class` or `tenant`.
         kind: &'static str,
         /// The name.
         name: String,
     },
-    /// A class would be left with engines that drain, have gone or were never listed, and no other.
+    /// A class would be left without an engine that takes work: all that it names are draining or not listed.
+    #[error(
+        "'{path}' would leave class '{class}' without an engine that takes work{}{}",
+        name_list("; draining: ", .draining),
+        name_list("; not listed: ", .unlisted)
+    )]
     NoUsableEngine {
-        /// The route.
+        /// The route's targets.
         path: String,
         /// The class.
         class: String,
-        /// Engines that it names and that drain.
+        /// Engines that it names and that are draining.
         draining: Vec<String>,
-        /// Ids that it names and that are not listed.
+        /// Engines that it names and that are not listed.
         unlisted: Vec<String>,
     },
     /// A limit below what is in use.
+    #[error("'{path}' is {limit}, below the {in_use} in use")]
     BelowUse {
         /// The field.
         path: String,
@@ -138,7 +161,8 @@
         /// What is in use.
         in_use: u64,
     },
-    /// A class would be dropped that has requests open.
+    /// A class would be dropped that has open requests.
+    #[error("'{path}' drops class '{class}', which has {open} requests open")]
     ClassInUse {
         /// The list of classes.
         path: String,
@@ -147,11 +171,12 @@
         /// Its open requests.
         open: u64,
     },
-    /// A value beyond what the platform's file or the rule allows.
+    /// A value above what the proxy's own settings allow.
+    #[error("'{path}' is {value}, more than the {rule} that the platform allows")]
     BeyondRule {
         /// The field.
         path: String,
-        /// What it holds.
+        /// Its value.
         value: f64,
         /// What is allowed.
         rule: f64,
@@ -159,13 +184,16 @@
 }
 
 impl RejectReason {
-    /// The reason's name, for machines.
+    /// The code of [`RejectReason::WrongBase`]: the same version may be offered again as a complete document.
+    pub const WRONG_BASE: &'static str = "wrong-base";
+
+    /// The reason's code, as it is sent and shown. Codes never change.
     pub fn code(&self) -> &'static str {
         match self {
             RejectReason::Unreadable(_) => "unreadable",
             RejectReason::TooLong { .. } => "too-long",
             RejectReason::DigestDiffers => "digest-differs",
-            RejectReason::WrongBase { .. } => "wrong-base",
+            RejectReason::WrongBase { .. } => RejectReason::WRONG_BASE,
             RejectReason::NotNewer { .. } => "not-newer",
             RejectReason::Conflicting { .. } => "conflicting",
             RejectReason::Superseded { .. } => "superseded",
@@ -186,7 +214,12 @@
         }
     }
 
-    /// The field at fault; empty where none is.
+    /// Whether a reason of this code concerns the version itself, rather than the way in which it was offered.
+    pub fn code_concerns_content(code: &str) -> bool {
+        !matches!(code, Self::WRONG_BASE | "not-newer" | "conflicting" | "superseded" | "stale-term")
+    }
+
+    /// The field at fault; empty where the reason concerns the offer itself.
     pub fn path(&self) -> &str {
         match self {
             RejectReason::Unreadable(_)
@@ -213,89 +246,28 @@
         }
     }
 
-    /// As it goes on the stream.
+    /// The reason as it is sent.
     pub fn to_message(&self) -> schema::Refusal {
         schema::Refusal { code: self.code().into(), path: self.path().into(), reason: self.to_string() }
     }
 }
 
-/// Whether an answer of this code speaks against the version itself, rather than against the way in which it was offered.
-pub fn concerns_content(code: &str) -> bool {
-    !matches!(code, "wrong-base" | "not-newer" | "conflicting" | "superseded" | "stale-term")
-}
-
-/// Names in a list, as people read them.
-fn listed(names: &[String]) -> String {
-    const MOST: usize = 5;
-    let shown = names.iter().take(MOST).cloned().collect::<Vec<_>>().join(", ");
-    match names.len().saturating_sub(MOST) {
-        0 => shown,
-        more => format!("{shown} and {more} more"),
+fn describe_stale_term(term: u64, seen: u64) -> String {
+    match term {
+        0 => "it names no term, so no owner stands behind it".into(),
+        term => format!("it is of term {term}, and an owner of term {seen} was seen"),
     }
 }
 
-impl fmt::Display for RejectReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RejectReason::Unreadable(why) => write!(f, "cannot be read: {why}"),
-            RejectReason::TooLong { bytes, most } => write!(f, "is {bytes} bytes long, {most} are allowed"),
-            RejectReason::DigestDiffers => write!(f, "its content is not the one that its digest names"),
-            RejectReason::WrongBase { base, in_force } => {
-                write!(f, "is a change to version {base}, and version {in_force} is in force")
-            }
-            RejectReason::NotNewer { offered, in_force } => {
-                write!(f, "version {offered} is not newer than version {in_force}, which is in force")
-            }
-            RejectReason::Conflicting { number } => {
-                write!(f, "another version {number} is in force: two services number their own versions")
-            }
-            RejectReason::Superseded { by } => write!(f, "version {by} came before this one was in force"),
-            RejectReason::StaleTerm { term: 0, .. } => {
-                write!(f, "it names no term, so no owner stands behind it")
-            }
-            RejectReason::StaleTerm { term, seen } => {
-                write!(f, "it is of term {term}, and an owner of term {seen} was seen")
-            }
-            RejectReason::NotStored(why) => write!(f, "could not be stored: {why}"),
-            RejectReason::Missing { path } => write!(f, "'{path}' is missing"),
-            RejectReason::OutOfRange { path, value, least, most } => {
-                write!(f, "'{path}' is {value}, not a number from {least} to {most}")
-            }
-            RejectReason::BadName { path, name } => write!(f, "'{path}' is '{name}', which is no name"),
-            RejectReason::Duplicate { path, name } => write!(f, "'{path}': '{name}' stands there already"),
-            RejectReason::TooMany { path, entries, most } => {
-                write!(f, "'{path}' has {entries} entries, {most} are allowed")
-            }
-            RejectReason::Unknown { path, value } => {
-                write!(f, "'{path}' is {value}, which this build does not know")
-            }
-            RejectReason::Unreachable { path, behind } => {
-                write!(f, "'{path}' is never reached: '{behind}' holds for all that it names")
-            }
-            RejectReason::UnknownName { path, kind, name } => {
-                write!(f, "'{path}': '{name}' is no {kind} of this proxy")
-            }
-            RejectReason::NoUsableEngine { path, class, draining, unlisted } => {
-                write!(f, "'{path}' would leave class '{class}' without an engine that takes work")?;
-                if !draining.is_empty() {
-                    write!(f, "; draining: {}", listed(draining))?;
-                }
-                if !unlisted.is_empty() {
-                    write!(f, "; not listed: {}", listed(unlisted))?;
-                }
-                Ok(())
-            }
-            RejectReason::BelowUse { path, limit, in_use } => {
-                write!(f, "'{path}' is {limit}, below the {in_use} in use")
-            }
-            RejectReason::ClassInUse { path, class, open } => {
-                write!(f, "'{path}' drops class '{class}', which has {open} requests open")
-            }
-            RejectReason::BeyondRule { path, value, rule } => {
-                write!(f, "'{path}' is {value}, more than the {rule} that the platform allows")
-            }
-        }
+/// The first names of a list behind `prefix`; empty if there are none.
+fn name_list(prefix: &str, names: &[String]) -> String {
+    const MAX_SHOWN: usize = 5;
+    if names.is_empty() {
+        return String::new();
+    }
+    let shown = names.iter().take(MAX_SHOWN).cloned().collect::<Vec<_>>().join(", ");
+    match names.len().saturating_sub(MAX_SHOWN) {
+        0 => format!("{prefix}{shown}"),
+        more => format!("{prefix}{shown} and {more} more"),
     }
 }
-
-impl std::error::Error for RejectReason {}
--- /dev/null
+++ b/crates/config/src/rollout/version.rs
@@ -0,0 +1,145 @@
+//! The rollout of one version: its stage, the proxies selected for it and what speaks against it.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use crate::Timestamp;
+use crate::schema::entry::State;
+use crate::schema::{Plan, Progress};
+
+use super::RECONNECT_TIMEOUT;
+use super::comparison::{Comparison, RequestCounts};
+use super::proxies::ProxyStatus;
+
+/// Which proxies a version is offered to. The values are stored in [`Progress`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Stage {
+    /// To a fixed number of proxies.
+    Canary = 0,
+    /// To a share of all.
+    Partial = 1,
+    /// To all.
+    Full = 2,
+}
+
+impl Stage {
+    fn from_stored(value: u32) -> Self {
+        match value {
+            0 => Stage::Canary,
+            1 => Stage::Partial,
+            _ => Stage::Full,
+        }
+    }
+
+    pub(super) fn next(self) -> Self {
+        match self {
+            Stage::Canary => Stage::Partial,
+            Stage::Partial | Stage::Full => Stage::Full,
+        }
+    }
+}
+
+/// What a version is published for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Purpose {
+    /// A change by an operator, which may be halted.
+    Change,
+    /// The content of an earlier version restored. It goes to all proxies at once and is never halted: it would be rolled
+    /// back in turn, without end.
+    RollBack,
+}
+
+impl Purpose {
+    /// The purpose of a version that restores the content of version `rolls_back_to`; 0: it restores none.
+    pub(super) fn of(rolls_back_to: u64) -> Self {
+        if rolls_back_to > 0 { Purpose::RollBack } else { Purpose::Change }
+    }
+}
+
+/// The rollout of one version.
+#[derive(Debug)]
+pub(super) struct VersionRollout {
+    pub(super) plan: Plan,
+    pub(super) purpose: Purpose,
+    pub(super) state: State,
+    pub(super) stage: Stage,
+    /// The proxies selected in the canary and partial stages.
+    pub(super) selected: BTreeSet<String>,
+    /// Why each proxy counts against the version, by the proxy's name.
+    pub(super) objections: BTreeMap<String, String>,
+    pub(super) comparison: Comparison,
+    /// When this server took the rollout over from another or from its own store. Selected proxies that it has not met
+    /// yet may be reconnecting.
+    taken_over_at: Option<Timestamp>,
+}
+
+impl VersionRollout {
+    pub(super) fn new(plan: Plan, purpose: Purpose) -> Self {
+        VersionRollout {
+            plan,
+            purpose,
+            state: State::Rolling,
+            stage: Stage::Canary,
+            selected: BTreeSet::new(),
+            objections: BTreeMap::new(),
+            comparison: Comparison::default(),
+            taken_over_at: None,
+        }
+    }
+
+    /// A rollout that another process has begun, from its first stage.
+    pub(super) fn taken_over(now: Timestamp, plan: Plan, purpose: Purpose, state: State) -> Self {
+        VersionRollout { state, taken_over_at: Some(now), ..VersionRollout::new(plan, purpose) }
+    }
+
+    /// The state that a successor needs beside the published version; `None` where it would arrive at the same by itself.
+    pub(super) fn progress(&self, number: u64) -> Option<Progress> {
+        let staged = self.plan.first > 0 || self.plan.share > 0.0;
+        if self.state != State::Rolling || !staged && self.objections.is_empty() {
+            return None;
+        }
+        let Comparison { on_version, on_others } = self.comparison;
+        Some(Progress {
+            number,
+            step: self.stage as u32,
+            chosen: self.selected.iter().cloned().collect(),
+            against: self.objections.iter().map(|(name, reason)| (name.clone(), reason.clone())).collect(),
+            counts: vec![on_version.served, on_version.unserved, on_others.served, on_others.unserved],
+        })
+    }
+
+    /// Continues from the state that a predecessor has stored.
+    pub(super) fn resume(&mut self, progress: Progress) {
+        self.stage = Stage::from_stored(progress.step);
+        self.selected = progress.chosen.into_iter().collect();
+        self.objections = progress.against.into_iter().collect();
+        if let [served, unserved, others_served, others_unserved] = progress.counts[..] {
+            self.comparison = Comparison {
+                on_version: RequestCounts { served, unserved },
+                on_others: RequestCounts { served: others_served, unserved: others_unserved },
+            };
+        }
+    }
+
+    /// Whether proxies that this server has not met yet may still be on their way to it.
+    pub(super) fn awaits_reconnects(&self, now: Timestamp) -> bool {
+        self.taken_over_at.is_some_and(|at| now.duration_since(at) < RECONNECT_TIMEOUT)
+    }
+
+    /// Whether the plan leaves out the present stage, which is not the last.
+    pub(super) fn skips_stage(&self) -> bool {
+        match self.stage {
+            Stage::Canary => self.plan.first == 0,
+            Stage::Partial => self.plan.share <= 0.0,
+            Stage::Full => true,
+        }
+    }
+
+    /// Whether nothing more is expected of a proxy: it has had the version in force for as long as the plan says, or takes
+    /// no offer of it.
+    pub(super) fn is_settled(&self, now: Timestamp, number: u64, proxy: &ProxyStatus) -> bool {
+        let hold = Duration::from_millis(self.plan.hold_ms);
+        let has_held = proxy.in_force == number && now.duration_since(proxy.in_force_since) >= hold;
+        has_held || proxy.skipped_up_to >= number || proxy.in_force > number
+    }
+}
--- a/crates/config/tests/version_tracker.rs
+++ b/crates/config/tests/version_tracker.rs
@@ -1,13 +1,15 @@
-//! The tracker under random interleavings: what is in force was always checked whole, every offer gets exactly one
-//! answer, versions never fall, and what was acknowledged survives a crash at any point.
+//! The version tracker under random interleavings: what is in force was always checked completely, every offer gets exactly
+//! one answer, versions never go backwards, and what was acknowledged survives a crash at any point.
 
 use std::collections::BTreeMap;
 
 use gaugestep_config::proxy_state::{Class, Engine, EngineState, PlatformLimits, ProxyState};
 use gaugestep_config::schema::offer::Content;
 use gaugestep_config::schema::{Limits, Offer, Route, Target, target::Which};
-use gaugestep_config::version_tracker::{AcceptedVersion, Action, Event, OfferId, VersionTracker};
-use gaugestep_config::{Document, RejectReason, check, delta, proxy_state, version};
+use gaugestep_config::version_tracker::{
+    AcceptedVersion, Action, Event, OfferId, Recovery, StorageFailure, VersionTracker,
+};
+use gaugestep_config::{Document, RejectReason, Timestamp, check, delta, proxy_state, version};
 use proptest::prelude::*;
 use prost::Message as _;
 
@@ -25,7 +27,7 @@
     }
 }
 
-/// A document that names an engine; not all are sound, and not all are at all times.
+/// A document that names an engine; not all are valid, and not all are at all times.
 fn document(which: u8, number: u64) -> Document {
     let target = |name: &str| Target { which: Some(Which::Engine(name.into())), weight: Some(1.0) };
     let route = |name: &str, targets| Route { name: name.into(), targets, ..Route::default() };
@@ -69,6 +71,11 @@
     ]
 }
 
+/// What the embedder finds stored, which it stored itself.
+fn decode(bytes: &[u8]) -> AcceptedVersion {
+    AcceptedVersion::decode(bytes).expect("what was stored is intact")
+}
+
 /// The embedder, its store and the checks.
 struct World {
     tracker: VersionTracker,
@@ -90,33 +97,32 @@
 }
 
 impl World {
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let was = self.tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
-        let actions = self.tracker.handle(0.0, event, &self.proxy);
+        let actions = self.tracker.handle(Timestamp::default(), event, &self.proxy);
         for action in actions {
             match action {
                 Action::Apply(document) => {
-                    let sound = check::check(&document).is_empty()
+                    let valid = check::check(&document).is_empty()
                         && proxy_state::check(&document, &self.proxy).is_empty();
                     let known = self.offered.values().flatten().any(|it| *it == *document);
                     // A document that was in force, or none at all, may come back as it was.
                     let again = *document == was || *document == Document::default() || {
-                        let taken =
-                            self.current.as_ref().map(|bytes| AcceptedVersion::decode(bytes).unwrap());
-                        taken.is_some_and(|taken| taken.document == *document)
+                        let stored = self.current.as_deref().map(decode);
+                        stored.is_some_and(|stored| stored.document == *document)
                     };
-                    assert!(sound && known || again, "in force without a check: {document:?}");
+                    assert!(valid && known || again, "in force without a check: {document:?}");
                     self.applied = *document;
                 }
-                Action::Answer(id, number, refusal) => {
-                    *self.answers.entry(id).or_default() += 1;
-                    if refusal.is_none() {
-                        let current = AcceptedVersion::decode(self.current.as_ref().unwrap()).unwrap();
+                Action::Answer { offer, number, outcome } => {
+                    *self.answers.entry(offer).or_default() += 1;
+                    if outcome.is_ok() {
+                        let current = decode(self.current.as_deref().expect("a version was committed"));
                         assert_eq!(
                             current.version.number, number,
                             "acknowledged, and a start would not find it"
                         );
-                        assert!(number >= self.acknowledged, "versions never fall");
+                        assert!(number >= self.acknowledged, "versions never go backwards");
                         self.acknowledged = number;
                     }
                 }
@@ -131,21 +137,21 @@
         if self.storing.is_empty() {
             return;
         }
-        let end = if fails { Err("disk full".to_owned()) } else { Ok(()) };
+        let result = if fails { Err(StorageFailure::new("disk full")) } else { Ok(()) };
         match self.storing.remove(0) {
-            Action::Stage(number, bytes) => {
+            Action::Stage { number, bytes } => {
                 if !fails {
                     self.staged = Some((number, bytes));
                 }
-                self.tell(Event::Staged(number, end));
+                self.handle(Event::Staged { number, result });
             }
-            Action::Commit(number) => {
+            Action::Commit { number } => {
                 if !fails {
                     let (staged, bytes) = self.staged.take().expect("something is staged");
                     assert_eq!(staged, number);
                     self.previous = self.current.replace(bytes);
                 }
-                self.tell(Event::Committed(number, end));
+                self.handle(Event::Committed { number, result });
             }
             other => panic!("{other:?}"),
         }
@@ -157,7 +163,7 @@
         let document = document(which, number);
         self.offered.entry(number).or_default().push(document.clone());
         self.nonce += 1;
-        let mut told = version(number, &document);
+        let mut offered = version(number, &document);
         let in_force = self.tracker.in_force();
         let base = in_force.map_or(0, |taken| taken.version.number);
         let old = in_force.map(|taken| taken.document.clone()).unwrap_or_default();
@@ -167,42 +173,40 @@
             _ => Content::Snapshot(document),
         };
         if form == 2 {
-            told.digest[0] ^= 1;
+            offered.digest[0] ^= 1;
         }
         let content = (form != 3 || which % 3 > 0).then_some(content);
         let id = OfferId { stream: self.stream, nonce: self.nonce };
         self.answers.insert(id, 0);
-        let (version, nonce) = (Some(told), self.nonce);
+        let (version, nonce) = (Some(offered), self.nonce);
         let offer = Offer { version, nonce, content, rolls_back_to: 0, term: 1 };
-        self.tell(Event::Offered(self.stream, Box::new(offer)));
+        self.handle(Event::Offered { stream: self.stream, offer: Box::new(offer) });
     }
 
     fn reconnect(&mut self) {
-        self.tell(Event::StreamEnded(self.stream));
+        self.handle(Event::StreamEnded { stream: self.stream });
         let ended = self.stream;
         self.answers.retain(|id, answers| id.stream != ended || *answers > 0);
         self.stream += 1;
     }
 
     fn crash(&mut self, stored: bool) {
-        if let (true, Some(Action::Commit(_)), Some((_, bytes))) =
+        if let (true, Some(Action::Commit { .. }), Some((_, bytes))) =
             (stored, self.storing.first(), &self.staged)
         {
             self.previous = self.current.replace(bytes.clone());
         }
         self.storing.clear();
         self.staged = None;
-        let kept: Vec<Result<Vec<u8>, String>> =
+        let stored_versions: Vec<Result<Vec<u8>, StorageFailure>> =
             [&self.current, &self.previous].into_iter().flatten().map(|bytes| Ok(bytes.clone())).collect();
-        // The list has not come yet when a proxy starts, and nothing is open.
+        // The list has not arrived yet when a proxy starts, and nothing is open.
         let start = ProxyState { engines: None, ..proxy(false, 0) };
-        let (tracker, refused) = VersionTracker::recover(0.0, kept, &start);
-        assert!(refused.is_empty(), "{refused:?}");
+        let Recovery { tracker, unusable } =
+            VersionTracker::recover(Timestamp::default(), stored_versions, &start);
+        assert!(unusable.is_empty(), "{unusable:?}");
         let found = tracker.in_force().map_or(0, |taken| taken.version.number);
-        assert!(
-            found >= self.acknowledged,
-            "what was acknowledged is what a start finds, or what came behind it"
-        );
+        assert!(found >= self.acknowledged, "a start finds what was acknowledged, or a later version");
         self.acknowledged = found;
         self.applied = tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
         self.tracker = tracker;
@@ -216,7 +220,7 @@
     #![proptest_config(ProptestConfig { cases: 3_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_comes_in_whatever_order_the_ledger_keeps_its_word(steps in prop::collection::vec(step(), 1..60)) {
+    fn the_guarantees_hold_for_any_order_of_events(steps in prop::collection::vec(step(), 1..60)) {
         let mut world = World {
             tracker: VersionTracker::new(),
             proxy: proxy(false, 0),
@@ -255,27 +259,31 @@
     }
 }
 
-/// A proxy whose last good version is spoilt starts on the one before, and says why.
+/// A proxy whose last good version is truncated starts on the one before, and says why.
 #[test]
-fn a_spoilt_last_good_leaves_the_one_before() {
+fn a_truncated_last_good_version_leaves_the_one_before() {
     let document = document(1, 4);
     let good = AcceptedVersion { version: version(4, &document), document };
-    let whole = good.encode();
-    for cut in 0..whole.len() {
-        let stored = [Ok(whole[..cut].to_vec()), Ok(whole.clone())];
-        let (tracker, refused) = VersionTracker::recover(0.0, stored, &proxy(false, 0));
+    let complete = good.encode();
+    for cut in 0..complete.len() {
+        let stored = [Ok(complete[..cut].to_vec()), Ok(complete.clone())];
+        let Recovery { tracker, unusable } =
+            VersionTracker::recover(Timestamp::default(), stored, &proxy(false, 0));
         assert_eq!(tracker.in_force(), Some(&good), "cut at byte {cut}");
-        assert_eq!(refused.len(), 1);
+        assert_eq!(unusable.len(), 1);
     }
-    let (tracker, refused) =
-        VersionTracker::recover(0.0, [Ok(vec![0xff; 9]), Err("gone".into())], &proxy(false, 0));
+    let Recovery { tracker, unusable } = VersionTracker::recover(
+        Timestamp::default(),
+        [Ok(vec![0xff; 9]), Err(StorageFailure::new("gone"))],
+        &proxy(false, 0),
+    );
     assert!(tracker.in_force().is_none());
-    assert_eq!(refused.iter().map(|(_, refusal)| refusal.code()).collect::<Vec<_>>(), ["unreadable"; 2]);
+    assert_eq!(unusable.iter().map(|version| version.reason.code()).collect::<Vec<_>>(), ["unreadable"; 2]);
 }
 
-/// An offer that is cut off at any byte, in a frame that hides it, is no message, or is refused.
+/// An offer that is truncated at any byte, in a frame that hides it, is no message or is rejected.
 #[test]
-fn an_offer_cut_off_at_any_byte_is_never_taken() {
+fn an_offer_truncated_at_any_byte_is_never_accepted() {
     let document = document(1, 3);
     let offer = Offer {
         version: Some(version(3, &document)),
@@ -284,26 +292,30 @@
         rolls_back_to: 1,
         term: 1,
     };
-    let whole = offer.encode_to_vec();
+    let complete = offer.encode_to_vec();
     let mut messages = 0;
-    for cut in 0..whole.len() {
-        let Ok(offer) = Offer::decode(&whole[..cut]) else { continue };
-        // All but the last field may be there: then it is the version itself, whole.
+    for cut in 0..complete.len() {
+        let Ok(offer) = Offer::decode(&complete[..cut]) else { continue };
+        // All but the last field may be there: then the version is complete.
         let all = offer.content.is_some() && offer.version.is_some();
         let mut tracker = VersionTracker::new();
-        let actions = tracker.handle(0.0, Event::Offered(0, Box::new(offer)), &proxy(false, 0));
+        let actions = tracker.handle(
+            Timestamp::default(),
+            Event::Offered { stream: 0, offer: Box::new(offer) },
+            &proxy(false, 0),
+        );
         match &actions[..] {
-            [Action::Answer(_, _, Some(_))] => messages += 1,
-            [Action::Stage(3, _)] if all => {}
+            [Action::Answer { outcome: Err(_), .. }] => messages += 1,
+            [Action::Stage { number: 3, .. }] if all => {}
             other => panic!("cut at byte {cut}: {other:?}"),
         }
     }
     assert!(messages > 0);
 }
 
-/// The drain notice that comes between the first check and the taking.
+/// The drain notice that arrives between the two checks.
 #[test]
-fn an_engine_that_drains_while_the_version_is_stored_has_it_refused() {
+fn a_version_is_rejected_if_its_engine_drains_while_it_is_stored() {
     let mut tracker = VersionTracker::new();
     let document = document(2, 1);
     let offer = Offer {
@@ -313,13 +325,21 @@
         rolls_back_to: 0,
         term: 1,
     };
-    let begun = tracker.handle(0.0, Event::Offered(0, Box::new(offer)), &proxy(false, 0));
-    assert!(matches!(begun[..], [Action::Stage(1, _)]), "{begun:?}");
-    let ended = tracker.handle(1.0, Event::Staged(1, Ok(())), &proxy(true, 0));
-    let [Action::Answer(_, 1, Some(refusal))] = &ended[..] else { panic!("{ended:?}") };
+    let begun = tracker.handle(
+        Timestamp::default(),
+        Event::Offered { stream: 0, offer: Box::new(offer) },
+        &proxy(false, 0),
+    );
+    assert!(matches!(begun[..], [Action::Stage { number: 1, .. }]), "{begun:?}");
+    let ended = tracker.handle(
+        Timestamp::from_millis(1.0),
+        Event::Staged { number: 1, result: Ok(()) },
+        &proxy(true, 0),
+    );
+    let [Action::Answer { number: 1, outcome: Err(reason), .. }] = &ended[..] else { panic!("{ended:?}") };
     assert!(
-        matches!(refusal, RejectReason::NoUsableEngine { draining, .. } if draining == &["s-1"]),
-        "{refusal}"
+        matches!(reason, RejectReason::NoUsableEngine { draining, .. } if draining == &["s-1"]),
+        "{reason}"
     );
     assert!(tracker.in_force().is_none());
 }
--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -126,8 +126,8 @@
     let mut input = Vec::new();
     let mut chunk = [0; 16 * 1024];
     loop {
-        if let Some((body, _)) = framing::split_first(&input).map_err(wrong)? {
-            let message = FromService::decode(body).map_err(wrong)?;
+        if let Some(frame) = framing::split_first(&input).map_err(wrong)? {
+            let message = FromService::decode(frame.body).map_err(wrong)?;
             return match message.said {
                 Some(from_service::Said::Reply(reply)) => Ok(reply),
                 _ => Err(wrong("no reply to the call")),
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -19,8 +19,12 @@
     Answer, Charter, Duty, Figures, FromClient, FromService, Hello, Offer, Seated, Seen, Welcome,
     from_client, from_service,
 };
-use gaugestep_config::version_tracker::{Action, Event, OfferId, VersionStatus, VersionTracker};
-use gaugestep_config::{Document, MAX_DOCUMENT_LENGTH, PROTOCOL, RejectReason, schema, short_digest};
+use gaugestep_config::version_tracker::{
+    Action, Event, OfferId, Recovery, StorageFailure, UnusableVersion, VersionStatus, VersionTracker,
+};
+use gaugestep_config::{
+    Document, MAX_DOCUMENT_LENGTH, PROTOCOL, RejectReason, Timestamp, schema, short_digest,
+};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
 use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected};
@@ -189,8 +193,10 @@
         let stored = read_unlocked(&settings.state, MAX_DOCUMENT_LENGTH + AROUND);
         let mut tracker = VersionTracker::new();
         host.with_state(&mut |proxy| {
-            let (recovered, refused) = VersionTracker::recover(0.0, stored.iter().cloned(), proxy);
-            for (place, refusal) in refused {
+            let stored = stored.iter().cloned().map(|found| found.map_err(StorageFailure::new));
+            let Recovery { tracker: recovered, unusable } =
+                VersionTracker::recover(Timestamp::default(), stored, proxy);
+            for UnusableVersion { position: place, reason: refusal } in unusable {
                 let which = if place == 0 { "the last good version" } else { "the one before it" };
                 tracing::error!(path = refusal.path(), "{which} cannot be used: {refusal}");
             }
@@ -245,8 +251,8 @@
         Ok(follower)
     }
 
-    fn now(&self) -> f64 {
-        self.started.elapsed().as_secs_f64() * 1e3
+    fn now(&self) -> Timestamp {
+        Timestamp::default() + self.started.elapsed()
     }
 
     /// What operators are told.
@@ -265,7 +271,7 @@
         serde_json::json!({
             "version": in_force.map_or(0, |taken| taken.version.number),
             "digest": in_force.map_or_else(String::new, |taken| short_digest(&taken.version.digest)),
-            "age_s": in_force.map(|_| ((self.now() - desk.tracker.in_force_since()) / 1e3).round()),
+            "age_s": in_force.map(|_| self.now().duration_since(desk.tracker.in_force_since()).as_secs_f64().round()),
             "connected": self.connected.load(Ordering::Relaxed),
             "refused": self.refused.load(Ordering::Relaxed),
             "term": desk.fencing.term(CONFIGURATION_ROLE),
@@ -292,7 +298,7 @@
         match desk.tracker.in_force() {
             None => format!("no version, {service}"),
             Some(taken) => {
-                let age = (self.now() - desk.tracker.in_force_since()) / 1e3;
+                let age = self.now().duration_since(desk.tracker.in_force_since()).as_secs_f64();
                 format!("version {}, in force for {age:.0} s, {service}", taken.version.number)
             }
         }
@@ -332,7 +338,7 @@
                         term = offer.term,
                         "version offered"
                     );
-                    self.tell(Event::Offered(stream, offer));
+                    self.tell(Event::Offered { stream, offer });
                 }
                 FencingAction::Accept(Said::Owns(stream)) => {
                     if lock(&self.desk).stream == stream {
@@ -414,9 +420,11 @@
             for action in desk.tracker.handle(self.now(), event, proxy) {
                 match action {
                     Action::Apply(document) => self.host.apply(&document),
-                    Action::Stage(version, bytes) => self.work(Job::Stage(version, bytes)),
-                    Action::Commit(version) => self.work(Job::Commit(version)),
-                    Action::Answer(id, version, refusal) => self.answer(&mut desk, id, version, refusal),
+                    Action::Stage { number: version, bytes } => self.work(Job::Stage(version, bytes)),
+                    Action::Commit { number: version } => self.work(Job::Commit(version)),
+                    Action::Answer { offer, number, outcome } => {
+                        self.answer(&mut desk, offer, number, outcome.err());
+                    }
                 }
             }
         });
@@ -475,7 +483,7 @@
                 None => {}
                 Some(Job::Stage(version, bytes)) => {
                     let end = held.and_then(|slots| slots.stage(&bytes).map_err(|error| error.to_string()));
-                    self.tell(Event::Staged(version, end));
+                    self.tell(Event::Staged { number: version, result: end.map_err(StorageFailure::new) });
                 }
                 Some(Job::Keep(seen)) => {
                     if terms.is_none() && held.is_ok() {
@@ -505,7 +513,7 @@
                 }
                 Some(Job::Commit(version)) => {
                     let end = held.and_then(|slots| slots.commit().map_err(|error| error.to_string()));
-                    self.tell(Event::Committed(version, end));
+                    self.tell(Event::Committed { number: version, result: end.map_err(StorageFailure::new) });
                 }
             }
         }
@@ -527,15 +535,15 @@
             let ended = self.stream(service, stream);
             let was = self.connected.swap(false, Ordering::Relaxed);
             lock(&self.desk).waker = None;
-            self.tell(Event::StreamEnded(stream));
+            self.tell(Event::StreamEnded { stream });
             let error =
                 ended.err().map_or_else(|| "the service has closed".into(), |error| error.to_string());
             let moves = lock(&self.desk).discovery.on_disconnect();
             // To an owner that was named and not tried yet there is nothing to wait for but the others' lots.
-            let held = if was { began.elapsed().as_secs_f64() * 1e3 } else { 0.0 };
-            let wait = backoff.next_delay(if moves { f64::INFINITY } else { held });
-            tracing::info!(%service, wait_ms = wait as u64, "the stream of versions ended: {error}");
-            task::sleep(Duration::from_secs_f64(wait / 1e3));
+            let held = if was { began.elapsed() } else { Duration::ZERO };
+            let wait = backoff.next_delay(if moves { Duration::MAX } else { held });
+            tracing::info!(%service, wait_ms = wait.as_millis() as u64, "the stream of versions ended: {error}");
+            task::sleep(wait);
         }
     }
 
@@ -552,7 +560,7 @@
         let named = owner.map(|owner| (owner.member, owner.term));
         let seen =
             if failpoints::is_check_disabled("receiver") { 0 } else { desk.fencing.term(CONFIGURATION_ROLE) };
-        let now = self.now();
+        let now = self.now().as_millis();
         if desk.discovery.on_welcome(now, told.member, named, seen) {
             return Err(io::Error::other(match named {
                 Some((owner, term)) => format!("member {owner} owns the versions, under term {term}"),
@@ -579,7 +587,7 @@
             let mut desk = lock(&self.desk);
             desk.waker = Some(channel.waker());
             let in_force = desk.tracker.in_force().map(|taken| taken.version.clone());
-            let age_ms = (self.now() - desk.tracker.in_force_since()).max(0.0) as u64;
+            let age_ms = self.now().duration_since(desk.tracker.in_force_since()).as_millis() as u64;
             let (proxy, build) = (self.settings.proxy.clone(), self.settings.build.clone());
             let seen = desk.fencing.terms().iter();
             let hello = Hello {
--- a/crates/control-plane/src/raft/transport.rs
+++ b/crates/control-plane/src/raft/transport.rs
@@ -31,8 +31,8 @@
 const SILENCE: Duration = Duration::from_secs(4);
 /// How often a member shows that it lives.
 const PING_EVERY: Duration = Duration::from_millis(1_000);
-/// The longest wait before a member is dialed anew, in milliseconds.
-const DIAL_AGAIN: f64 = 1_000.0;
+/// The longest wait before a member is dialed again.
+const DIAL_AGAIN: Duration = Duration::from_secs(1);
 /// Messages that may wait for one member, and their bytes; the oldest give way.
 const WAITING: usize = 512;
 const WAITING_BYTES: usize = 16 * 1024 * 1024;
@@ -131,8 +131,8 @@
             tracing::info!(member, "the stream to a member ended: {why}");
             told = why;
         }
-        let wait = backoff.next_delay(began.elapsed().as_secs_f64() * 1e3).min(DIAL_AGAIN);
-        task::sleep(Duration::from_secs_f64(wait / 1e3));
+        let wait = backoff.next_delay(began.elapsed()).min(DIAL_AGAIN);
+        task::sleep(wait);
     }
 }
 
@@ -201,7 +201,7 @@
 }
 
 fn send(channel: &mut FramedConnection, peer: Peer) -> io::Result<()> {
-    channel.send(&FromClient { said: Some(from_client::Said::Peer(peer)) })
+    Ok(channel.send(&FromClient { said: Some(from_client::Said::Peer(peer)) })?)
 }
 
 fn cut(bytes: &[u8]) -> VecDeque<Piece> {
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-use gaugestep_config::rollout::{Action, Event, Rollout};
+use gaugestep_config::rollout::{Action, Event, RequestCounts, Rollout};
 use gaugestep_config::schema::{
     Displaced, FromClient, FromService, Hello, Member, Welcome, from_client, from_service,
 };
@@ -374,7 +374,12 @@
                         if inner.names.is_holder(&proxy, stream) {
                             self.drive(
                                 &mut inner,
-                                Event::RequestCounts { proxy, stream, served, unserved, number },
+                                Event::RequestsCounted {
+                                    proxy,
+                                    stream,
+                                    counts: RequestCounts { served, unserved },
+                                    number,
+                                },
                             );
                         }
                         self.vouched(&inner, stream);
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -1,14 +1,14 @@
 //! What the owner of the versions does: a shell round the [`Rollout`], which decides who is offered what. A service that
 //! does not own them drives nothing, and says who does.
 
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use gaugestep_config::rollout::{Action, Event, Rollout};
+use gaugestep_config::rollout::{Action, ConnectedProxy, Event, ReportedVersion, Rollout, StoredRollout};
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::entry::State;
 use gaugestep_config::schema::offer::Content;
 use gaugestep_config::schema::{Act, Answer, NewState, NewVersion, Offer, Plan, Progress, from_service};
-use gaugestep_config::{delta, short_digest};
+use gaugestep_config::{Timestamp, delta, short_digest};
 use gaugestep_leadership::checkpoint::CheckpointBarrier;
 use gaugestep_leadership::group_state::{
     GroupState, MAX_TERM_RAISE, Outcome, StateChange, StoredVersion, version_number,
@@ -86,11 +86,16 @@
         let (versions, duty) = self.group.with_state(|charter| {
             let versions = charter.versions.values().map(|held| {
                 let entry = &held.entry;
-                (version_number(entry), entry.plan.unwrap_or_default(), entry.state(), entry.rolls_back_to)
+                StoredRollout {
+                    number: version_number(entry),
+                    plan: entry.plan.unwrap_or_default(),
+                    state: entry.state(),
+                    rolls_back_to: entry.rolls_back_to,
+                }
             });
             (versions.collect::<Vec<_>>(), charter.roles.get(CONFIGURATION_ROLE).cloned().unwrap_or_default())
         });
-        inner.rollout = Rollout::recover(clock::now(), versions);
+        inner.rollout = Rollout::recover(Timestamp::from_millis(clock::now()), versions);
         let progress = Progress::decode(duty.state.as_slice()).unwrap_or_default();
         let (version, step, rejections) = (progress.number, progress.step, progress.against.len());
         tracing::info!(role = CONFIGURATION_ROLE, term, version, step, rejections, "lease acquired");
@@ -124,9 +129,16 @@
         let known = self.group.with_state(|charter| {
             charter.versions.get(&number).is_some_and(|held| held.entry.version == hello.in_force)
         });
-        let age = hello.age_ms as f64 + (clock::now() - at);
-        let (proxy, in_force, build) = (hello.proxy, hello.in_force, hello.build);
-        self.drive(inner, Event::Connected { proxy, stream, in_force, known, build, age });
+        let in_force = match (number, known) {
+            (0, _) => ReportedVersion::None,
+            (number, true) => ReportedVersion::Published(number),
+            (number, false) => ReportedVersion::Unpublished(number),
+        };
+        let connected_for = Timestamp::from_millis(clock::now()).duration_since(Timestamp::from_millis(at));
+        let in_force_for = Duration::from_millis(hello.age_ms).saturating_add(connected_for);
+        let (proxy, build) = (hello.proxy, hello.build);
+        let connected = ConnectedProxy { proxy, stream, in_force, build, in_force_for };
+        self.drive(inner, Event::Connected(connected));
     }
 
     /// Gives a name back to a process whose successor has gone for good.
@@ -201,7 +213,7 @@
     pub(crate) fn drive(&self, inner: &mut ServerState, event: Event) {
         let Some(term) = inner.acting else { return };
         let now = clock::now();
-        let actions = inner.rollout.handle(now, event);
+        let actions = inner.rollout.handle(Timestamp::from_millis(now), event);
         self.tell_progress(inner, now, term);
         for action in actions {
             // The next owner must know of a step before any proxy does.
@@ -237,7 +249,7 @@
             }
             // Whatever was on its way when a version was published is overtaken by that very act.
             Action::StateChanged { state: State::Overtaken, .. } => {}
-            Action::StateChanged { number, state, why } => {
+            Action::StateChanged { number, state, reason: why } => {
                 tracing::info!(
                     version = number,
                     state = state.as_str_name(),
@@ -248,7 +260,7 @@
                 let new = NewState { number, state: state as i32, halted_for: why };
                 self.act(term, What::State(new));
             }
-            Action::RollBack { halted: of, restored: to, why } => {
+            Action::RollBack { halted: of, restored: to, reason: why } => {
                 tracing::error!(version = of, to, why, term, "rolled back");
                 let document =
                     self.group.with_state(|it| it.versions.get(&to).map(|held| (*held.document).clone()));
--- a/crates/control-plane/src/transport/backoff.rs
+++ b/crates/control-plane/src/transport/backoff.rs
@@ -1,52 +1,31 @@
-//! When to connect again. Decides waits that spread hundreds of proxies which lose one service at the same moment.
+//! How long to wait before connecting again, such that hundreds of proxies which lose one server at the same moment do not
+//! reconnect at the same moment.
 
-/// Milliseconds: the widest first wait, and the widest of all.
-const BASE_WIDTH: f64 = 250.0;
-const MAX_WIDTH: f64 = 8_000.0;
-/// A stream that held for so many milliseconds was a good one: what went wrong before it is forgotten.
-const RESET_AFTER: f64 = 10_000.0;
+use std::time::Duration;
 
-/// Waits that double, each drawn evenly from none to all of its width ("full jitter").
+/// The range of the first wait.
+pub const BASE_RANGE: Duration = Duration::from_millis(250);
+/// The largest range of any wait.
+pub const MAX_RANGE: Duration = Duration::from_secs(8);
+/// A stream that was of use for this long was a good one: failures before it do not count any more.
+pub const RESET_AFTER: Duration = Duration::from_secs(10);
+
+/// Exponential backoff with full jitter: each wait is drawn evenly from zero to a range that doubles with each failure.
 pub struct Backoff {
     random: oorandom::Rand64,
     failures: u32,
 }
 
 impl Backoff {
-    /// No failure yet; `seed` differs from proxy to proxy.
+    /// A backoff without any failure. `seed` should differ from proxy to proxy.
     pub fn new(seed: u64) -> Self {
         Backoff { random: oorandom::Rand64::new(seed.into()), failures: 0 }
     }
 
-    /// A stream has ended, or did not come up, after it was of use for `held` milliseconds. The milliseconds to wait.
-    pub fn next_delay(&mut self, held: f64) -> f64 {
-        self.failures = if held >= RESET_AFTER { 1 } else { self.failures.saturating_add(1) };
-        let width = (BASE_WIDTH * f64::from(self.failures - 1).exp2()).min(MAX_WIDTH);
-        self.random.rand_float() * width
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn waits_widen_are_bounded_and_start_anew_behind_a_good_stream() {
-        let mut backoff = Backoff::new(1);
-        for failure in 0..2_000u32 {
-            let width = (BASE_WIDTH * f64::from(failure.min(20)).exp2()).min(MAX_WIDTH);
-            assert!((0.0..=width).contains(&backoff.next_delay(0.0)));
-        }
-        assert!(backoff.next_delay(RESET_AFTER) <= BASE_WIDTH);
-    }
-
-    /// Three hundred proxies that lose their service at one moment: no tenth of the first width sees a third of them.
-    #[test]
-    fn many_come_back_spread_out() {
-        let mut slots = [0; 10];
-        for seed in 0..300 {
-            slots[(Backoff::new(seed).next_delay(0.0) / BASE_WIDTH * 10.0) as usize] += 1;
-        }
-        assert!(slots.iter().all(|count| (10..60).contains(count)), "{slots:?}");
+    /// The wait after a stream that has ended or did not come up. `useful_for` is how long it was of use.
+    pub fn next_delay(&mut self, useful_for: Duration) -> Duration {
+        self.failures = if useful_for >= RESET_AFTER { 1 } else { self.failures.saturating_add(1) };
+        let range = BASE_RANGE.as_secs_f64() * f64::from(self.failures - 1).exp2();
+        Duration::from_secs_f64(self.random.rand_float() * range.min(MAX_RANGE.as_secs_f64()))
     }
 }
--- a/crates/control-plane/src/transport/connection.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -1,7 +1,7 @@
-//! A connection that carries messages both ways, over TLS where there are keys. One coroutine owns it, reads and writes
-//! without blocking and waits for both; others only wake it.
+//! A connection that carries messages both ways, over TLS where keys are configured.
 
 use std::io::{self, Read as _, Write as _};
+use std::net;
 use std::sync::Arc;
 
 use gaugestep_coroutine_io::stream::{ReadOutcome, Stream, Waker, WriteBuffer, read_into};
@@ -9,184 +9,245 @@
 use may::net::TcpStream;
 use prost::Message;
 use rustls::{ClientConfig, ClientConnection, Connection, ServerConfig, ServerConnection};
-use rustls_pki_types::{CertificateDer, ServerName};
+use rustls_pki_types::{CertificateDer, InvalidDnsNameError, ServerName};
 
-use crate::transport::framing;
+use crate::transport::framing::{self, FrameBuffer, FrameError};
 
 /// Bytes that may wait for a peer that does not read: a message, and what else is due meanwhile.
 const MAX_UNSENT: usize = 2 * framing::MAX_MESSAGE_LENGTH;
-/// Words of a channel's coroutine's stack (512 KB): the handshake of TLS runs on it.
+/// Words of the stack of a connection's coroutine (512 KB): the TLS handshake runs on it.
 pub const STACK_WORDS: usize = 64 * 1024;
 
-/// The connection.
-pub struct FramedConnection {
-    stream: TcpStream,
-    tls: Option<Box<Connection>>,
-    /// Bytes to be written, where there is no TLS; with it, they wait within.
-    out: WriteBuffer,
-    /// Bytes read and not yet taken.
-    input: Vec<u8>,
-    /// Bytes of `input` that are done with.
-    at: usize,
+/// Why a connection cannot be used any more.
+#[derive(Debug, thiserror::Error)]
+pub enum ConnectionError {
+    /// The socket failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The peer broke the TLS protocol, or is not trusted.
+    #[error(transparent)]
+    Tls(#[from] rustls::Error),
+    /// The name that the server's certificate should carry cannot be a server's name.
+    #[error(transparent)]
+    ServerName(#[from] InvalidDnsNameError),
+    /// The peer sent something that is no message.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// The peer does not read: [`MAX_UNSENT`] bytes wait for it.
+    #[error("the peer does not read")]
+    PeerNotReading,
 }
 
-fn wrong(error: impl std::fmt::Display) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, error.to_string())
+impl From<ConnectionError> for io::Error {
+    fn from(error: ConnectionError) -> Self {
+        match error {
+            ConnectionError::Io(error) => error,
+            ConnectionError::PeerNotReading => io::Error::new(io::ErrorKind::TimedOut, error),
+            ConnectionError::Tls(_) | ConnectionError::ServerName(_) | ConnectionError::Frame(_) => {
+                io::Error::new(io::ErrorKind::InvalidData, error)
+            }
+        }
+    }
+}
+
+/// What lies between the messages and the socket.
+enum Layer {
+    /// Nothing; the bytes that are to be written.
+    Plain(WriteBuffer),
+    /// TLS, which keeps the bytes that are to be written itself.
+    Tls(Box<Connection>),
+}
+
+/// A connection that carries messages both ways.
+///
+/// One coroutine owns it: that coroutine alone reads and writes, without blocking, and waits for either in [`wait`].
+/// Others only wake it with its [`waker`]. The socket is closed when the connection is dropped, and nowhere else.
+///
+/// [`wait`]: FramedConnection::wait
+/// [`waker`]: FramedConnection::waker
+pub struct FramedConnection {
+    stream: TcpStream,
+    layer: Layer,
+    input: FrameBuffer,
 }
 
 impl FramedConnection {
-    /// A channel over a connection that was accepted.
-    pub fn from_accepted(stream: TcpStream, keys: Option<Arc<ServerConfig>>) -> io::Result<Self> {
-        let tls = keys.map(ServerConnection::new).transpose().map_err(wrong)?;
+    /// A connection over a socket that was accepted.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectionError`] if the socket or the TLS configuration cannot be used.
+    pub fn from_accepted(
+        stream: TcpStream,
+        config: Option<Arc<ServerConfig>>,
+    ) -> Result<Self, ConnectionError> {
+        let tls = config.map(ServerConnection::new).transpose()?;
         Self::over(stream, tls.map(Connection::from))
     }
 
-    /// A channel over a connection to a service whose certificate must carry this name.
-    pub fn from_connected(stream: TcpStream, keys: Option<(Arc<ClientConfig>, &str)>) -> io::Result<Self> {
-        let tls = match keys {
-            None => None,
-            Some((config, name)) => {
-                let name = ServerName::try_from(name.to_owned()).map_err(wrong)?;
-                Some(ClientConnection::new(config, name).map_err(wrong)?)
-            }
-        };
-        Self::over(stream, tls.map(Connection::from))
+    /// A connection over a socket that was connected to a server, whose certificate must carry the name beside the
+    /// configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectionError`] if the socket, the name or the TLS configuration cannot be used.
+    pub fn from_connected(
+        stream: TcpStream,
+        config: Option<(Arc<ClientConfig>, &str)>,
+    ) -> Result<Self, ConnectionError> {
+        let Some((config, name)) = config else { return Self::over(stream, None) };
+        let name = ServerName::try_from(name.to_owned())?;
+        let tls = ClientConnection::new(config, name)?;
+        Self::over(stream, Some(tls.into()))
     }
 
-    fn over(stream: TcpStream, tls: Option<Connection>) -> io::Result<Self> {
+    fn over(stream: TcpStream, tls: Option<Connection>) -> Result<Self, ConnectionError> {
         stream.set_nodelay(true)?;
-        let mut tls = tls.map(Box::new);
-        if let Some(tls) = &mut tls {
-            tls.set_buffer_limit(Some(MAX_UNSENT));
-        }
-        Ok(FramedConnection { stream, tls, out: WriteBuffer::default(), input: Vec::new(), at: 0 })
+        let layer = match tls {
+            None => Layer::Plain(WriteBuffer::default()),
+            Some(mut tls) => {
+                tls.set_buffer_limit(Some(MAX_UNSENT));
+                Layer::Tls(Box::new(tls))
+            }
+        };
+        Ok(FramedConnection { stream, layer, input: FrameBuffer::default() })
     }
 
-    /// Wakes the coroutine that waits for the channel.
+    /// Wakes the coroutine that waits for the connection.
     pub fn waker(&self) -> Waker {
         self.stream.waker()
     }
 
-    /// The certificate that the peer has shown, once the handshake is over.
+    /// The certificate that the peer has shown, once the TLS handshake is over.
     pub fn peer_certificate(&self) -> Option<&CertificateDer<'static>> {
-        self.tls.as_ref()?.peer_certificates()?.first()
-    }
-
-    /// Whether a handshake is still under way.
-    pub fn is_handshaking(&self) -> bool {
-        self.tls.as_ref().is_some_and(|tls| tls.is_handshaking())
+        match &self.layer {
+            Layer::Plain(_) => None,
+            Layer::Tls(tls) => tls.peer_certificates()?.first(),
+        }
     }
 
-    /// Adds a message to what is to be written; an error if the peer has let too much wait.
-    pub fn send(&mut self, message: &impl Message) -> io::Result<()> {
+    /// Adds a message to what is to be written.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectionError::PeerNotReading`] if too much waits for the peer already.
+    pub fn send(&mut self, message: &impl Message) -> Result<(), ConnectionError> {
         let bytes = framing::encode(message);
-        let late = || io::Error::new(io::ErrorKind::TimedOut, "the peer does not read");
-        let room = match &mut self.tls {
-            None if self.out.pending() + bytes.len() > MAX_UNSENT => false,
-            None => {
-                self.out.buffer().extend_from_slice(&bytes);
-                true
+        match &mut self.layer {
+            Layer::Plain(unsent) => {
+                if unsent.pending() + bytes.len() > MAX_UNSENT {
+                    return Err(ConnectionError::PeerNotReading);
+                }
+                unsent.buffer().extend_from_slice(&bytes);
             }
-            Some(tls) => tls.writer().write(&bytes)? == bytes.len(),
-        };
-        if room { Ok(()) } else { Err(late()) }
+            Layer::Tls(tls) => {
+                if tls.writer().write(&bytes)? != bytes.len() {
+                    return Err(ConnectionError::PeerNotReading);
+                }
+            }
+        }
+        Ok(())
     }
 
-    /// Whether all that was sent has left.
+    /// Whether everything that was sent has been written to the socket.
     pub fn is_flushed(&self) -> bool {
-        match &self.tls {
-            None => self.out.pending() == 0,
-            Some(tls) => !tls.wants_write(),
+        match &self.layer {
+            Layer::Plain(unsent) => unsent.pending() == 0,
+            Layer::Tls(tls) => !tls.wants_write(),
         }
     }
 
-    /// Reads and writes what can be; true if the peer has closed.
-    pub fn pump(&mut self) -> io::Result<bool> {
-        let closed = match self.tls {
-            None => self.read_plain()?,
-            Some(_) => self.read_tls()?,
-        };
-        match &mut self.tls {
-            None => {
-                self.out.flush(self.stream.socket())?;
+    /// Reads and writes what is possible without blocking. Returns true if the peer has closed its side.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectionError`] if the connection is broken.
+    pub fn pump(&mut self) -> Result<bool, ConnectionError> {
+        let socket = self.stream.socket();
+        match &mut self.layer {
+            Layer::Plain(unsent) => {
+                let closed = read_plain(socket, &mut self.input)?;
+                unsent.flush(socket)?;
+                Ok(closed)
             }
-            Some(tls) => {
-                while tls.wants_write() {
-                    match tls.write_tls(&mut self.stream.socket()) {
-                        Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                        Ok(_) => {}
-                        Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                        Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                        Err(error) => return Err(error),
-                    }
-                }
+            Layer::Tls(tls) => {
+                let closed = read_tls(socket, tls, &mut self.input)?;
+                write_tls(socket, tls)?;
+                Ok(closed)
             }
         }
-        Ok(closed)
     }
 
-    /// What has come may be this long before it must have been taken.
-    fn room(&self) -> bool {
-        self.input.len() - self.at <= framing::MAX_MESSAGE_LENGTH
+    /// Takes the next message, if one has been received completely.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectionError::Frame`] if the peer sent something that is no message of this type.
+    pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, ConnectionError> {
+        Ok(self.input.next_message()?)
     }
 
-    fn read_plain(&mut self) -> io::Result<bool> {
-        while self.room() {
-            match read_into(self.stream.socket(), &mut self.input)? {
-                ReadOutcome::Data => {}
-                ReadOutcome::WouldBlock => return Ok(false),
-                ReadOutcome::Closed => return Ok(true),
-            }
-        }
-        Ok(false)
+    /// Waits until the socket can be read or written, or somebody wakes the coroutine.
+    pub fn wait(&self) {
+        self.stream.wait_io();
     }
+}
 
-    fn read_tls(&mut self) -> io::Result<bool> {
-        while self.room() {
-            let Some(tls) = &mut self.tls else { return Ok(false) };
-            match tls.read_tls(&mut self.stream.socket()) {
-                Ok(0) => return Ok(true),
-                Ok(_) => {}
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(false),
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                Err(error) => return Err(error),
-            }
-            let state = match tls.process_new_packets() {
-                Ok(state) => state,
-                Err(error) => {
-                    // The peer is told why, if it still listens.
-                    let _ = tls.write_tls(&mut self.stream.socket());
-                    return Err(wrong(error));
-                }
-            };
-            let before = self.input.len();
-            self.input.resize(before + state.plaintext_bytes_to_read(), 0);
-            tls.reader().read_exact(&mut self.input[before..])?;
-            if state.peer_has_closed() {
-                return Ok(true);
-            }
+/// Reads what has arrived; true if the peer has closed.
+fn read_plain(socket: &net::TcpStream, input: &mut FrameBuffer) -> Result<bool, ConnectionError> {
+    while input.has_capacity() {
+        match read_into(socket, input.received())? {
+            ReadOutcome::Data => {}
+            ReadOutcome::WouldBlock => return Ok(false),
+            ReadOutcome::Closed => return Ok(true),
         }
-        Ok(false)
     }
+    Ok(false)
+}
 
-    /// The next whole message that has come.
-    pub fn next_message<M: Message + Default>(&mut self) -> io::Result<Option<M>> {
-        let Some((body, taken)) = framing::split_first(&self.input[self.at..]).map_err(wrong)? else {
-            self.input.drain(..self.at);
-            self.at = 0;
-            if self.input.is_empty() {
-                // Guards the memory: hundreds of streams are idle most of the time.
-                self.input = Vec::new();
+/// Reads and decrypts what has arrived; true if the peer has closed.
+fn read_tls(
+    mut socket: &net::TcpStream,
+    tls: &mut Connection,
+    input: &mut FrameBuffer,
+) -> Result<bool, ConnectionError> {
+    while input.has_capacity() {
+        match tls.read_tls(&mut socket) {
+            Ok(0) => return Ok(true),
+            Ok(_) => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(false),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+            Err(error) => return Err(error.into()),
+        }
+        let state = match tls.process_new_packets() {
+            Ok(state) => state,
+            Err(error) => {
+                // The peer learns why from the alert, if it still reads.
+                let _ = tls.write_tls(&mut socket);
+                return Err(error.into());
             }
-            return Ok(None);
         };
-        let message = M::decode(body).map_err(wrong)?;
-        self.at += taken;
-        Ok(Some(message))
+        let received = input.received();
+        let before = received.len();
+        received.resize(before + state.plaintext_bytes_to_read(), 0);
+        tls.reader().read_exact(&mut received[before..])?;
+        if state.peer_has_closed() {
+            return Ok(true);
+        }
     }
+    Ok(false)
+}
 
-    /// Waits until the connection has news, or somebody wakes the coroutine.
-    pub fn wait(&self) {
-        self.stream.wait_io();
+/// Writes what the socket takes.
+fn write_tls(mut socket: &net::TcpStream, tls: &mut Connection) -> Result<(), ConnectionError> {
+    while tls.wants_write() {
+        match tls.write_tls(&mut socket) {
+            Ok(0) => return Err(io::Error::from(io::ErrorKind::WriteZero).into()),
+            Ok(_) => {}
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(error.into()),
+        }
     }
+    Ok(())
 }
--- a/crates/control-plane/src/transport/mod.rs
+++ b/crates/control-plane/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Connections between services, proxies and commands: framed messages, over TLS where keys are given.
+//! Connections between servers, proxies and commands: length-prefixed protobuf messages, over TLS where keys are
+//! configured.
 
 pub mod backoff;
 pub mod connection;
--- /dev/null
+++ b/crates/control-plane/src/transport/tls/reloading.rs
@@ -0,0 +1,106 @@
+//! TLS configurations that follow the files of their keys.
+
+use std::sync::{Arc, Mutex};
+
+use rustls::crypto::CryptoProvider;
+use rustls::server::WebPkiClientVerifier;
+use rustls::{ClientConfig, ServerConfig};
+
+use crate::lock;
+
+use super::TlsError;
+use super::files::{ChangeTimes, LoadedKeys, TlsFiles};
+
+/// A TLS configuration that is made again when the files of its keys change. Connections that are open keep the one with
+/// which they were opened.
+pub struct ReloadingConfig<T> {
+    files: TlsFiles,
+    build: fn(LoadedKeys) -> Result<T, TlsError>,
+    current: Mutex<BuiltConfig<T>>,
+}
+
+/// A configuration, and when the files had been changed of which it was made.
+struct BuiltConfig<T> {
+    config: Arc<T>,
+    change_times: ChangeTimes,
+}
+
+/// The TLS configuration of a server.
+pub type ServerTls = ReloadingConfig<ServerConfig>;
+/// The TLS configuration of a proxy, of a member that connects to another or of an operator's command.
+pub type ClientTls = ReloadingConfig<ClientConfig>;
+
+impl ServerTls {
+    /// Loads the keys of a server, which asks its peers for theirs.
+    ///
+    /// # Errors
+    ///
+    /// [`TlsError`] if the keys cannot be used.
+    pub fn load(files: TlsFiles) -> Result<Self, TlsError> {
+        ReloadingConfig::start(files, build_server_config)
+    }
+}
+
+impl ClientTls {
+    /// Loads the keys of a client.
+    ///
+    /// # Errors
+    ///
+    /// [`TlsError`] if the keys cannot be used.
+    pub fn load(files: TlsFiles) -> Result<Self, TlsError> {
+        ReloadingConfig::start(files, build_client_config)
+    }
+}
+
+impl<T> ReloadingConfig<T> {
+    fn start(files: TlsFiles, build: fn(LoadedKeys) -> Result<T, TlsError>) -> Result<Self, TlsError> {
+        // Asked first: a change while the files are read is found by the next look.
+        let change_times = files.change_times();
+        let config = Arc::new(files.load().and_then(build)?);
+        Ok(ReloadingConfig { files, build, current: Mutex::new(BuiltConfig { config, change_times }) })
+    }
+
+    /// Loads the keys again if their files have changed. If they cannot be used, that is logged and the earlier ones stay.
+    ///
+    /// Reads files, which blocks: not for coroutines.
+    pub fn reload_if_changed(&self) {
+        let change_times = self.files.change_times();
+        if lock(&self.current).change_times == change_times {
+            return;
+        }
+        match self.files.load().and_then(self.build) {
+            Ok(config) => {
+                *lock(&self.current) = BuiltConfig { config: Arc::new(config), change_times };
+                tracing::info!(certificate = %self.files.certificate.display(), "keys reloaded");
+            }
+            // Certificate and key are replaced one after the other: the next look finds both.
+            Err(error) => tracing::warn!("the changed keys cannot be used, the earlier ones stay: {error}"),
+        }
+    }
+
+    /// The configuration for the next connection.
+    pub fn current(&self) -> Arc<T> {
+        lock(&self.current).config.clone()
+    }
+}
+
+fn provider() -> Arc<CryptoProvider> {
+    Arc::new(rustls::crypto::ring::default_provider())
+}
+
+fn build_server_config(keys: LoadedKeys) -> Result<ServerConfig, TlsError> {
+    let verifier = WebPkiClientVerifier::builder_with_provider(keys.roots, provider()).build()?;
+    let config = ServerConfig::builder_with_provider(provider())
+        .with_safe_default_protocol_versions()?
+        .with_client_cert_verifier(verifier)
+        .with_single_cert(keys.certificates, keys.key)?;
+    Ok(config)
+}
+
+fn build_client_config(keys: LoadedKeys) -> Result<ClientConfig, TlsError> {
+    let config = ClientConfig::builder_with_provider(provider())
+        .with_safe_default_protocol_versions()?
+        .with_root_certificates(keys.roots)
+        .with_client_auth_cert(keys.certificates, keys.key)?;
+    Ok(config)
+}
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -6,7 +6,11 @@
 use std::sync::{Arc, Mutex};
 
 use gaugestep_config::Document;
-use gaugestep_config::proxy_state::{self, Engine, EngineState, PlatformLimits, ProxyState};
+use gaugestep_config::effective_config::effective_config;
+use gaugestep_config::proxy_state::{
+    self, Engine, EngineState, PlatformLimits, ProxyState, RetryBudget, Tenant,
+};
+use gaugestep_config::routing::{self, ResolvedRoute};
 use gaugestep_config::schema::logging::Level;
 use gaugestep_control_plane::client::subscriber::ProxyHandle;
 use gaugestep_dispatch::Settings;
@@ -72,10 +76,10 @@
     /// Puts the platform's file and the document in force together. Called with [`Gateway::changes`] held.
     fn settle(&self) {
         let (told, document) = (lock(&self.told), lock(&self.document).clone());
-        let counts = proxy_state::effective_config(&document, &platform(&told));
+        let counts = effective_config(&document, &platform(&told));
         let mut settings = told.settings.clone();
         let mut names = told.names.clone();
-        let served = |name: &String| proxy_state::serves(&document, name);
+        let served = |name: &String| routing::serves(&document, name);
         let kept =
             names.classes.iter().zip(std::mem::take(&mut settings.classes)).filter(|(name, _)| served(name));
         (names.classes, settings.classes) = kept.map(|(name, class)| (name.clone(), class)).unzip();
@@ -90,9 +94,9 @@
         settings.max_open = settings.max_open.min(counts.max_open as usize);
         settings.max_attempts = counts.max_attempts as usize;
         let span = settings.retry_budget.map_or(SPAN, |budget| budget.window);
-        settings.retry_budget = counts.retries.map(|(ratio, free)| RetryBudgetSettings {
-            min_retries: free,
-            ratio,
+        settings.retry_budget = counts.retries.map(|budget| RetryBudgetSettings {
+            min_retries: budget.free,
+            ratio: budget.ratio,
             window: span,
         });
         let max_open = told.max_open.min(counts.max_open as usize);
@@ -116,14 +120,17 @@
         let engines: Vec<Engine> = listed.iter().map(|(name, listed)| engine(name, listed)).collect();
         let class = |name: &String| classes.iter().find(|class| class.name == *name).map(|class| class.id);
         let tenant = |name: &String| tenants.iter().position(|other| other == name).map(TenantId);
-        let route = |route: &proxy_state::ResolvedRoute| Route {
+        let route = |route: &ResolvedRoute| Route {
             classes: (!route.classes.is_empty()).then(|| route.classes.iter().filter_map(class).collect()),
             tenants: (!route.tenants.is_empty()).then(|| route.tenants.iter().filter_map(tenant).collect()),
             engines: route.engines.as_ref().map(|engines| {
-                engines.iter().filter_map(|(name, weight)| Some((*numbers.get(name)?, *weight))).collect()
+                engines
+                    .iter()
+                    .filter_map(|engine| Some((*numbers.get(&engine.name)?, engine.weight)))
+                    .collect()
             }),
         };
-        proxy_state::resolve(document, &engines).iter().map(route).collect()
+        routing::resolve(document, &engines).iter().map(route).collect()
     }
 }
 
@@ -132,10 +139,15 @@
     let quota = |quota: f64| (quota > 0.0).then_some(quota);
     let tenants = told.names.tenants.iter().zip(&told.settings.tenants);
     PlatformLimits {
-        tenants: tenants.map(|(name, tenant)| (name.clone(), quota(tenant.quota_per_s))).collect(),
+        tenants: tenants
+            .map(|(name, tenant)| Tenant { name: name.clone(), quota_per_s: quota(tenant.quota_per_s) })
+            .collect(),
         max_open: told.max_open as u64,
         max_attempts: told.settings.max_attempts as u64,
-        retries: told.settings.retry_budget.map(|budget| (budget.ratio, budget.min_retries)),
+        retries: told
+            .settings
+            .retry_budget
+            .map(|budget| RetryBudget { ratio: budget.ratio, free: budget.min_retries }),
     }
 }
 
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -100,7 +100,7 @@
     // New keys on both sides, each file behind the other.
     proxies.sign(control.folder.path(), "service", "control.test");
     proxies.sign(control.folder.path(), "n0", "n0");
-    until("the service takes its new keys", || control.log().matches("took new keys").count() >= 2);
+    until("the service takes its new keys", || control.log().matches("keys reloaded").count() >= 2);
     let second = control.publish("limits { max_open: 22 }", &[]);
     until("the second is in force", || in_force(&proxy) == second);
     assert_eq!(control.log().matches("proxy connected").count(), 1, "over the stream that was open");
