--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,7 +19,6 @@
 pub mod rollout;
 pub mod routing;
 pub mod text;
-pub mod timestamp;
 pub mod version_tracker;
 
 /// The messages of `proto/gaugestep/config/v1`, as protobuf.
@@ -29,9 +28,9 @@
     include!(concat!(env!("OUT_DIR"), "/gaugestep.config.v1.rs"));
 }
 
+pub use gaugestep_clock::Timestamp;
 pub use reject_reason::RejectReason;
 pub use schema::{Document, Version};
-pub use timestamp::Timestamp;
 
 use prost::Message as _;
 use sha2::{Digest as _, Sha256};
--- a/crates/config/tests/rollout.rs
+++ b/crates/config/tests/rollout.rs
@@ -22,7 +22,7 @@
 }
 
 fn at(millis: f64) -> Timestamp {
-    Timestamp::from_millis(millis)
+    Timestamp::from_millis_f64(millis)
 }
 
 impl Fleet {
--- a/crates/config/tests/version_tracker.rs
+++ b/crates/config/tests/version_tracker.rs
@@ -332,7 +332,7 @@
     );
     assert!(matches!(begun[..], [Action::Stage { number: 1, .. }]), "{begun:?}");
     let ended = tracker.handle(
-        Timestamp::from_millis(1.0),
+        Timestamp::from_millis(1),
         Event::Staged { number: 1, result: Ok(()) },
         &proxy(true, 0),
     );
