--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -44,7 +44,7 @@
         }
     }
     let (middle, worst) = median(spans);
-    let lease = gaugestep_leadership::lease::LeaseTiming::default().duration;
+    let lease = gaugestep_leadership::lease::LeaseTiming::default().duration.as_secs_f64() * 1e3;
     println!(
         "{kind}: {rounds} owners lost, nobody owns for {middle:.0} ms median, {worst:.0} ms worst; {:.2} and {:.2} leases",
         middle / lease,
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -27,9 +27,9 @@
 };
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected};
-use gaugestep_leadership::leader_discovery::LeaderDiscovery;
-use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected, PersistError};
+use gaugestep_leadership::leader_discovery::{LeaderDiscovery, Reconnect, StreamDecision};
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE, RoleHolder};
 use gaugestep_storage::StorageError;
 use gaugestep_storage::snapshot_slots::{SnapshotSlots, read_unlocked};
 use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
@@ -285,10 +285,10 @@
             "process": format!("{:016x}", self.incarnation),
             "name_term": desk.name_term,
             "displaced": desk.displaced.is_some(),
-            "seat": desk.holder.position(clock::now()).map(|(place, until)| match place {
+            "seat": desk.holder.position(clock::now().as_millis_f64()).map(|(place, until)| match place {
                 FleetPosition::Ordinal { ordinal: seat, fleet_size: seats } => serde_json::json!({
                     "seat": seat, "seats": seats, "epoch": desk.holder.last_grant().map(|told| told.epoch),
-                    "term": desk.fencing.term(ORDINALS_ROLE), "left_ms": (until - clock::now()).max(0.0).round(),
+                    "term": desk.fencing.term(ORDINALS_ROLE), "left_ms": (until - clock::now().as_millis_f64()).max(0.0).round(),
                 }),
                 FleetPosition::NameKey(_) => serde_json::Value::Null,
             }),
@@ -358,7 +358,7 @@
                             RejectReason::StaleTerm { term, seen: highest }
                         }
                         FencingRejected::MissingTerm => RejectReason::StaleTerm { term: 0, seen: 0 },
-                        FencingRejected::NotPersisted(why) => RejectReason::NotStored(why),
+                        FencingRejected::NotPersisted(error) => RejectReason::NotStored(error.to_string()),
                         FencingRejected::QueueFull => RejectReason::NotStored(refused.to_string()),
                     };
                     let id = OfferId { stream, nonce: offer.nonce };
@@ -387,7 +387,7 @@
 
     /// Looks at the seat: it is told on where it has changed, was confirmed, or holds no more.
     fn look_at_seat(&self, confirmed: bool) {
-        let now = clock::now();
+        let now = clock::now().as_millis_f64();
         let mut desk = lock(&self.desk);
         let (held, term) = (desk.holder.position(now), desk.fencing.term(ORDINALS_ROLE));
         let place = held.map(|(place, _)| place);
@@ -514,7 +514,7 @@
                             tracing::info!(duty, term, "term kept");
                         }
                     }
-                    let actions = lock(&self.desk).fencing.on_persisted(end);
+                    let actions = lock(&self.desk).fencing.on_persisted(end.map_err(PersistError::new));
                     self.take(actions);
                 }
                 Some(Job::Commit(version)) => {
@@ -544,10 +544,11 @@
             self.tell(Event::StreamEnded { stream });
             let error =
                 ended.err().map_or_else(|| "the service has closed".into(), |error| error.to_string());
-            let moves = lock(&self.desk).discovery.on_disconnect();
+            let reconnect = lock(&self.desk).discovery.on_disconnect();
             // To an owner that was named and not tried yet there is nothing to wait for but the others' lots.
             let held = if was { began.elapsed() } else { Duration::ZERO };
-            let wait = backoff.next_delay(if moves { Duration::MAX } else { held });
+            let wait =
+                backoff.next_delay(if reconnect == Reconnect::Promptly { Duration::MAX } else { held });
             tracing::info!(%service, wait_ms = wait.as_millis() as u64, "the stream of versions ended: {error}");
             task::sleep(wait);
         }
@@ -563,20 +564,22 @@
             desk.name_term = told.name_term;
         }
         let owner = told.owner.as_ref().filter(|owner| owner.duty == CONFIGURATION_ROLE);
-        let named = owner.map(|owner| (owner.member, owner.term));
+        let named = owner.map(|owner| RoleHolder { member: owner.member, term: owner.term });
         let seen =
             if failpoints::is_check_disabled("receiver") { 0 } else { desk.fencing.term(CONFIGURATION_ROLE) };
-        let now = self.now().as_millis();
-        if desk.discovery.on_welcome(now, told.member, named, seen) {
+        let now = self.now();
+        if desk.discovery.on_welcome(now, told.member, named, seen) == StreamDecision::Close {
             return Err(io::Error::other(match named {
-                Some((owner, term)) => format!("member {owner} owns the versions, under term {term}"),
+                Some(RoleHolder { member, term }) => {
+                    format!("member {member} owns the versions, under term {term}")
+                }
                 None => "it names no owner of the versions".into(),
             }));
         }
         drop(desk);
         match named {
-            Some((owner, term)) if owner == told.member => {
-                self.said(CONFIGURATION_ROLE, term, Said::Owns(stream))
+            Some(holder) if holder.member == told.member => {
+                self.said(CONFIGURATION_ROLE, holder.term, Said::Owns(stream))
             }
             _ => self.connected.store(false, Ordering::Relaxed),
         }
@@ -666,7 +669,7 @@
                 (told, fresh) = (Instant::now(), true);
                 let (succeeded, declined, aborted) = self.host.request_counts();
                 let number = lock(&self.desk).tracker.in_force().map_or(0, |taken| taken.version.number);
-                let asked_ms = clock::now() as u64;
+                let asked_ms = clock::now().as_millis_f64() as u64;
                 let figures = Figures { succeeded, declined, aborted, number, asked_ms };
                 channel.send(&FromClient { said: Some(from_client::Said::Figures(figures)) })?;
             }
--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,7 +1,14 @@
-//! The clock of leases: it counts the time for which the process or the machine was suspended.
+//! The clock of leases: unlike [`std::time::Instant`] it counts the time for which the machine was suspended.
 
-/// Milliseconds since the machine started.
-pub fn now() -> f64 {
-    let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    now.tv_sec as f64 * 1e3 + now.tv_nsec as f64 / 1e6
+use std::time::Duration;
+
+use gaugestep_clock::Timestamp;
+use rustix::time::{ClockId, clock_gettime};
+
+/// The time since the machine started.
+pub fn now() -> Timestamp {
+    let now = clock_gettime(ClockId::Boottime);
+    let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
+    let nanos = u32::try_from(now.tv_nsec).unwrap_or(0);
+    Timestamp::ORIGIN + Duration::new(seconds, nanos)
 }
--- a/crates/control-plane/src/raft/driver.rs
+++ b/crates/control-plane/src/raft/driver.rs
@@ -6,12 +6,14 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{self, Act, Member, RaftChange, Renew, Renewed, Yield};
-use gaugestep_leadership::group_state::{GroupState, Outcome, StateChange};
+use gaugestep_leadership::RoleHolder;
+use gaugestep_leadership::group_state::{CommandRejected, GroupState, Outcome, StateChange};
 use gaugestep_leadership::lease::{LeaseAction, LeaseGrantor, LeaseTiming};
-use gaugestep_leadership::pending_proposals::PendingProposals;
+use gaugestep_leadership::pending_proposals::{PendingProposals, Proposal};
 use gaugestep_storage::control_store::{ControlStore, WriteBatch};
 use prost::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, EntryType, Message, MessageType, Snapshot};
@@ -179,14 +181,15 @@
         let now = clock::now();
         match job {
             Request::Propose(act, tell) => {
-                let Some(number) = self.proposals.add(now, Some(*act)) else {
-                    return tell(Err("too much waits to be agreed on".into()));
+                let number = match self.proposals.add_command(now, *act) {
+                    Ok(number) => number,
+                    Err(error) => return tell(Err(error.to_string())),
                 };
                 self.waiting.insert(number, tell);
                 self.propose(now);
             }
             Request::AddMember(member, tell) => {
-                let why = self.group.with_state(|charter| charter.join_rejection(&member));
+                let why = self.group.with_state(|charter| charter.check_join(&member).err());
                 let context = member.encode_to_vec();
                 // It catches up before it counts: a majority must not wait for one that has nothing yet.
                 self.change(now, ConfChangeType::AddLearnerNode, member.number, context, why, tell);
@@ -194,8 +197,8 @@
             Request::RemoveMember(member, tell) => {
                 let last = self.group.is_single_voter() && member == self.group.own.number;
                 let why = self.group.with_state(|charter| match charter.members.contains_key(&member) {
-                    false => Some(format!("there is no member {member}")),
-                    true if last => Some("the last member cannot be removed".into()),
+                    false => Some(CommandRejected::UnknownMember(member)),
+                    true if last => Some(CommandRejected::LastMember),
                     true => None,
                 });
                 self.change(now, ConfChangeType::RemoveNode, member, Vec::new(), why, tell);
@@ -231,11 +234,11 @@
 
     fn change(
         &mut self,
-        now: f64,
+        now: Timestamp,
         kind: ConfChangeType,
         member: u64,
         context: Vec<u8>,
-        why: Option<String>,
+        why: Option<CommandRejected>,
         tell: Responder,
     ) {
         if let Some(why) = why {
@@ -243,8 +246,9 @@
         }
         let mut change = ConfChange { node_id: member, context: context.into(), ..ConfChange::default() };
         change.set_change_type(kind);
-        let Some(number) = self.proposals.add(now, None) else {
-            return tell(Err("too much waits to be agreed on".into()));
+        let number = match self.proposals.add_membership_change(now) {
+            Ok(number) => number,
+            Err(error) => return tell(Err(error.to_string())),
         };
         match self.raw.propose_conf_change(self.mark(number), change) {
             Ok(()) => drop(self.waiting.insert(number, tell)),
@@ -261,9 +265,9 @@
     }
 
     /// Proposes what is due, and gives up what has waited for too long.
-    fn propose(&mut self, now: f64) {
+    fn propose(&mut self, now: Timestamp) {
         let due = self.proposals.due(now);
-        for (number, act) in due.propose {
+        for Proposal { number, command: act } in due.propose {
             // Without a leader it is dropped, and proposed anew.
             let _ = self.raw.propose(self.mark(number), act.encode_to_vec());
         }
@@ -296,8 +300,11 @@
             let owned = owned.map(|it| (it.name.as_str(), it.term));
             stuck = if all { session.stalled_handovers(now, owned) } else { Vec::new() };
             let charter = &view.charter;
-            let duties = charter.roles.values().map(|it| (it.name.clone(), (it.owner, it.term)));
-            let duties: BTreeMap<String, (u64, u64)> =
+            let duties = charter
+                .roles
+                .values()
+                .map(|it| (it.name.clone(), RoleHolder { member: it.owner, term: it.term }));
+            let duties: BTreeMap<String, RoleHolder> =
                 if leads && all { duties.collect() } else { BTreeMap::new() };
             (asked, duties, view.voters.clone())
         };
@@ -331,7 +338,7 @@
     }
 
     /// Has a member that has caught up vote.
-    fn promote(&mut self, now: f64) {
+    fn promote(&mut self, now: Timestamp) {
         let committed = self.raw.raft.raft_log.committed;
         let progress = self.raw.raft.prs();
         let caught_up = |member: &&u64| progress.get(**member).is_some_and(|it| it.matched >= committed);
@@ -512,7 +519,7 @@
                 EntryType::EntryConfChange => self.change_members(&entry, batch)?,
                 _ if entry.data.is_empty() => continue,
                 _ => match Act::decode(entry.data.as_ref()) {
-                    Err(error) => (Outcome::Rejected(error.to_string()), Vec::new()),
+                    Err(error) => (Outcome::Rejected(error.into()), Vec::new()),
                     Ok(act) => self.act(&act),
                 },
             };
@@ -563,7 +570,7 @@
         }
         for change in &changes {
             if let StateChange::HolderChanged(duty) = change {
-                let (owner, term) = view.charter.holder(duty);
+                let RoleHolder { member: owner, term } = view.charter.holder(duty);
                 view.since.insert(duty.clone(), clock::now());
                 tracing::info!(duty, term, owner, "owner");
             }
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -6,7 +6,7 @@
 use gaugestep_config::Document;
 use gaugestep_config::schema::{self, Entry, Member};
 use gaugestep_leadership::group_state::{GroupState, StoredVersion};
-use gaugestep_leadership::rollback_guard::{FoundStore, next_boot};
+use gaugestep_leadership::rollback_guard::{self, FoundStore, RestorePolicy, next_boot};
 use gaugestep_storage::StorageError;
 use gaugestep_storage::control_store::{ControlStore, WriteBatch};
 use gaugestep_storage::generation_file::{self, Generation};
@@ -62,10 +62,12 @@
                     file,
                     generation: generation_file::read(path)
                         .map_err(failed)?
-                        .map(|it| (it.starts, it.file_id)),
+                        .map(|it| rollback_guard::Generation { boots: it.starts, file: it.file_id }),
                 };
                 let several = charter.as_ref().is_some_and(|charter| charter.members.len() > 1);
-                let boot = next_boot(found, settings.restored && !several).map_err(|refused| {
+                let policy =
+                    if settings.restored && !several { RestorePolicy::Accept } else { RestorePolicy::Refuse };
+                let boot = next_boot(found, policy).map_err(|refused| {
                     let way = match several {
                         true => {
                             "remove this member with `members remove`, and add a new one with an empty store"
--- a/crates/control-plane/src/raft/replica.rs
+++ b/crates/control-plane/src/raft/replica.rs
@@ -12,7 +12,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::schema::{self, Act, Member, PeerHello, PeerWelcome, Renewed, Yield};
+use gaugestep_leadership::RoleHolder;
 use gaugestep_leadership::group_state::{GroupState, Outcome, StateChange};
 use gaugestep_leadership::lease::{LeaseSession, LeaseTiming};
 use gaugestep_leadership::peer_directory::{PeerDirectory, PeerRejected};
@@ -70,7 +72,7 @@
     pub(crate) voters: BTreeSet<u64>,
     pub(crate) directory: PeerDirectory,
     /// Since when duties have their owners, as far as this member has seen; acts refused for an old term.
-    pub(crate) since: BTreeMap<String, f64>,
+    pub(crate) since: BTreeMap<String, Timestamp>,
     pub(crate) stale: BTreeMap<String, u64>,
     /// Why the store cannot be used.
     pub(crate) broken: Option<String>,
@@ -210,7 +212,7 @@
     /// The term under which this member may act for a duty at this very moment.
     pub fn acting_term(&self, duty: &str) -> Option<u64> {
         let view = lock(&self.view);
-        let (owner, term) = view.charter.holder(duty);
+        let RoleHolder { member: owner, term } = view.charter.holder(duty);
         let lease = view.session.may_act(clock::now(), view.applied, duty, term)
             || crate::failpoints::is_check_disabled("owner");
         (owner == self.own.number && lease).then_some(term)
@@ -219,7 +221,7 @@
     /// Whether this member knows what is agreed on but for the last moments: it has its lease, as owners must.
     pub fn has_lease(&self) -> bool {
         let view = lock(&self.view);
-        view.session.may_act(clock::now(), view.applied, "", 0)
+        view.session.is_valid(clock::now(), view.applied)
     }
 
     /// Hands a duty over: this member acts for it no more, before anybody else hears of it.
@@ -281,7 +283,10 @@
             owner: duty.owner,
             term: duty.term,
             changes: duty.changes,
-            held_ms: view.since.get(&duty.name).map_or(0, |since| (now - since).max(0.0) as u64),
+            held_ms: view
+                .since
+                .get(&duty.name)
+                .map_or(0, |since| now.duration_since(*since).as_millis() as u64),
             stale: view.stale.get(&duty.name).copied().unwrap_or(0),
         };
         schema::Duties { duties: view.charter.roles.values().map(told).collect() }
@@ -339,7 +344,7 @@
         transport::connect_missing(self);
     }
 
-    pub(crate) fn mark_alive(&self, member: u64, now: f64) {
+    pub(crate) fn mark_alive(&self, member: u64, now: Timestamp) {
         lock(&self.view).directory.mark_alive(member, now);
     }
 
--- a/crates/control-plane/src/server/admin.rs
+++ b/crates/control-plane/src/server/admin.rs
@@ -8,8 +8,9 @@
     Act, Call, Declare, Done, Fleet, FromClient, FromService, HandOver, NewVersion, Plan, Proxy, Published,
     Reply, Shown, Versions, call, from_client, from_service, reply,
 };
-use gaugestep_leadership::group_state::{MAX_TERM_RAISE, Outcome};
-use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
+use gaugestep_leadership::group_state::{CommandRejected, MAX_TERM_RAISE, Outcome};
+use gaugestep_leadership::identity::NameHolder;
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE, RoleHolder};
 use may::net::TcpStream;
 
 use crate::raft::replica::Responder;
@@ -118,7 +119,7 @@
             },
             Some(call::What::AddMember(member)) => self.change_members(|tell| {
                 if member.listen.parse::<std::net::SocketAddr>().is_err() {
-                    return tell(Ok(Outcome::Rejected(format!("'{}' is no address", member.listen))));
+                    return tell(Ok(Outcome::Rejected(CommandRejected::InvalidAddress(member.listen))));
                 }
                 self.group.add_member(member, tell);
             }),
@@ -144,7 +145,7 @@
         if let Some(term) = self.group.acting_term(duty) {
             return Ok(term);
         }
-        let (owner, term) = self.group.with_state(|charter| charter.holder(duty));
+        let RoleHolder { member: owner, term } = self.group.with_state(|charter| charter.holder(duty));
         let elsewhere = owner > 0 && owner != self.group.member_number() && self.group.leader() > 0;
         match self.owner(owner, term).filter(|_| elsewhere) {
             Some(owner) => Err(Box::new(reply(reply::What::Owner(owner)))),
@@ -173,7 +174,7 @@
             return later(format!(
                 "this service stood still for {:.0} s, and no proxy has come back since: another may have taken its \
                  place (if not: `take-over {CONFIGURATION_ROLE}`)",
-                stood / 1e3
+                stood.as_secs_f64()
             ));
         }
         let new = self.numbered(&lock(&self.inner), NewVersion { plan: Some(plan), ..new });
@@ -287,7 +288,7 @@
         let inner = lock(&self.inner);
         let now = clock::now();
         let proxy = |(name, proxy): (&String, &gaugestep_config::rollout::ProxyStatus)| {
-            let (incarnation, name_term) = inner.names.holder(name).unwrap_or_default();
+            let NameHolder { incarnation, term: name_term } = inner.names.holder(name).unwrap_or_default();
             Proxy {
                 name: name.clone(),
                 connected: proxy.stream.is_some(),
@@ -296,7 +297,7 @@
                 offered: proxy.pending_offer.map_or(0, |offer| offer.number),
                 refusal: proxy.last_rejection.as_ref().map(|rejection| rejection.refusal.clone()),
                 refused: proxy.last_rejection.as_ref().map_or(0, |rejection| rejection.number),
-                heard_ms: (now - proxy.last_seen.as_millis()).max(0.0) as u64,
+                heard_ms: now.duration_since(proxy.last_seen).as_millis() as u64,
                 ahead: proxy.is_ahead,
                 incarnation,
                 name_term,
@@ -344,7 +345,7 @@
         Ok(Outcome::Published(version)) => {
             reply(reply::What::Published(Published { version: Some(version) }))
         }
-        Ok(Outcome::Rejected(why)) => error(why),
+        Ok(Outcome::Rejected(why)) => error(why.to_string()),
         // The duty went to another while the act was under way.
         Ok(Outcome::StaleTerm { .. }) => later("the duty has another owner by now"),
         Err(why) => later(why),
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -14,6 +14,7 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::rollout::{Action, Event, RequestCounts, Rollout};
 use gaugestep_config::schema::{
     Displaced, FromClient, FromService, Hello, Member, Welcome, from_client, from_service,
@@ -21,10 +22,10 @@
 use gaugestep_config::{PROTOCOL, schema};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::CONFIGURATION_ROLE;
 use gaugestep_leadership::checkpoint::CheckpointBarrier;
-use gaugestep_leadership::identity::{Claim, IdentityRegistry};
+use gaugestep_leadership::identity::{Claim, ClaimRequest, IdentityRegistry};
 use gaugestep_leadership::pause_detector::PauseDetector;
+use gaugestep_leadership::{CONFIGURATION_ROLE, RoleHolder};
 use may::net::{TcpListener, TcpStream};
 
 use crate::raft::replica::{self, Replica};
@@ -41,7 +42,7 @@
 const LOOK: Duration = Duration::from_millis(100);
 const KEYS_EVERY: Duration = Duration::from_secs(1);
 /// A service that stood still for so many milliseconds has proxies come anew.
-const STOOD_STILL: f64 = 2_000.0;
+const STOOD_STILL: Duration = Duration::from_secs(2);
 /// Between tries to accept after an error.
 const PAUSE: Duration = Duration::from_millis(50);
 /// Bytes of a proxy's name and build.
@@ -133,7 +134,7 @@
     pub(crate) out: VecDeque<FromService>,
     pub(crate) waker: Waker,
     /// The proxy's hello, kept up with what it answered since, and when it came.
-    pub(crate) hello: Option<(Hello, f64)>,
+    pub(crate) hello: Option<(Hello, Timestamp)>,
     /// `asked_ms` of the figures that the proxy told last.
     pub(crate) asked: u64,
     /// The coroutine is to end: why.
@@ -251,7 +252,7 @@
     }
 
     /// Looks whether this service stood still, whatever it does first when it goes on.
-    pub(crate) fn check_suspension(&self, inner: &mut ServerState, now: f64) {
+    pub(crate) fn check_suspension(&self, inner: &mut ServerState, now: Timestamp) {
         if lock(&self.doubt).observe(now, STOOD_STILL, !inner.names.is_empty()) {
             // Whoever was connected may follow another by now: what it has seen is told by a hello.
             tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
@@ -423,7 +424,7 @@
     /// A proxy tells its figures, and so has heard this service's welcome: it follows no later owner. A hello proves less, as
     /// one may have waited while this service stood still.
     fn vouched(&self, inner: &ServerState, stream: u64) {
-        let term = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE).1);
+        let term = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE).term);
         if inner.lines.get(&stream).is_some_and(|line| line.end.is_none() && line.seen() <= term) {
             lock(&self.doubt).clear();
         }
@@ -456,7 +457,13 @@
         }
         let now = clock::now();
         let mut inner = lock(&self.inner);
-        let given = inner.names.claim(now, &hello.proxy, hello.incarnation, hello.name_term, stream);
+        let request = ClaimRequest {
+            name: &hello.proxy,
+            incarnation: hello.incarnation,
+            term: hello.name_term,
+            stream,
+        };
+        let given = inner.names.claim(now, request);
         let version = hello.in_force.as_ref().map_or(0, |version| version.number);
         let (proxy, incarnation) = (hello.proxy.clone(), hello.incarnation);
         tracing::info!(
@@ -498,7 +505,8 @@
     /// What a proxy is told of who it speaks to.
     pub(crate) fn welcome(&self, inner: &ServerState, stream: u64) -> Welcome {
         let own = self.group.member_number();
-        let (owner, term) = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE));
+        let RoleHolder { member: owner, term } =
+            self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE));
         let owner = match inner.acting {
             Some(term) => Some((own, term)),
             // Its lease has lapsed, as far as it knows.
@@ -513,7 +521,7 @@
             protocol: PROTOCOL,
             lineage: self.group.lineage(),
             owner,
-            name_term: name_term.map_or(0, |(_, term)| term),
+            name_term: name_term.map_or(0, |holder| holder.term),
             member: own,
         }
     }
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -13,7 +13,7 @@
 use gaugestep_leadership::group_state::{
     GroupState, MAX_TERM_RAISE, Outcome, StateChange, StoredVersion, version_number,
 };
-use gaugestep_leadership::identity::Claim;
+use gaugestep_leadership::identity::{Claim, ClaimRequest};
 use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
 use prost::Message as _;
 
@@ -95,7 +95,7 @@
             });
             (versions.collect::<Vec<_>>(), charter.roles.get(CONFIGURATION_ROLE).cloned().unwrap_or_default())
         });
-        inner.rollout = Rollout::recover(Timestamp::from_millis(clock::now()), versions);
+        inner.rollout = Rollout::recover(clock::now(), versions);
         let progress = Progress::decode(duty.state.as_slice()).unwrap_or_default();
         let (version, step, rejections) = (progress.number, progress.step, progress.against.len());
         tracing::info!(role = CONFIGURATION_ROLE, term, version, step, rejections, "lease acquired");
@@ -134,7 +134,7 @@
             (number, true) => ReportedVersion::Published(number),
             (number, false) => ReportedVersion::Unpublished(number),
         };
-        let connected_for = Timestamp::from_millis(clock::now()).duration_since(Timestamp::from_millis(at));
+        let connected_for = clock::now().duration_since(at);
         let in_force_for = Duration::from_millis(hello.age_ms).saturating_add(connected_for);
         let (proxy, build) = (hello.proxy, hello.build);
         let connected = ConnectedProxy { proxy, stream, in_force, build, in_force_for };
@@ -142,17 +142,16 @@
     }
 
     /// Gives a name back to a process whose successor has gone for good.
-    pub(crate) fn promote(&self, inner: &mut ServerState, now: f64) {
-        let displaced: Vec<u64> = inner.names.superseded().map(|(stream, ..)| stream).collect();
+    pub(crate) fn promote(&self, inner: &mut ServerState, now: Timestamp) {
+        let displaced: Vec<u64> = inner.names.superseded().map(|process| process.stream).collect();
         for stream in displaced {
             let Some((hello, _)) = inner.lines.get(&stream).and_then(|line| line.hello.clone()) else {
                 continue;
             };
             // It was told the term of its successor, and so never counts as newer.
             let term = hello.name_term.max(1);
-            if let Claim::Granted { .. } =
-                inner.names.claim(now, &hello.proxy, hello.incarnation, term, stream)
-            {
+            let request = ClaimRequest { name: &hello.proxy, incarnation: hello.incarnation, term, stream };
+            if let Claim::Granted { .. } = inner.names.claim(now, request) {
                 let welcome = self.welcome(inner, stream);
                 if let Some(line) = inner.lines.get_mut(&stream) {
                     line.send(from_service::Said::Welcome(welcome));
@@ -213,7 +212,7 @@
     pub(crate) fn drive(&self, inner: &mut ServerState, event: Event) {
         let Some(term) = inner.acting else { return };
         let now = clock::now();
-        let actions = inner.rollout.handle(Timestamp::from_millis(now), event);
+        let actions = inner.rollout.handle(now, event);
         self.tell_progress(inner, now, term);
         for action in actions {
             // The next owner must know of a step before any proxy does.
@@ -284,7 +283,12 @@
         self.group.propose(
             act,
             Box::new(|outcome| {
-                if let Err(why) | Ok(Outcome::Rejected(why)) = outcome {
+                let why = match outcome {
+                    Ok(Outcome::Rejected(why)) => Some(why.to_string()),
+                    Ok(_) => None,
+                    Err(why) => Some(why),
+                };
+                if let Some(why) = why {
                     tracing::warn!("a command for the versions was not committed: {why}");
                 }
             }),
@@ -292,7 +296,7 @@
     }
 
     /// Has it agreed how far the rollout is, where that has changed.
-    fn tell_progress(&self, inner: &mut ServerState, now: f64, term: u64) {
+    fn tell_progress(&self, inner: &mut ServerState, now: Timestamp, term: u64) {
         let progress = inner.rollout.progress();
         let Some(keep) = inner.gate.checkpoint(now, progress) else { return };
         let (order, service) = (keep.order, self.itself());
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -2,6 +2,7 @@
 //! every member, what proxies are told of it. Members tell the owner which proxies they hear; the roster is agreed on like
 //! all else, so every member knows it.
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
@@ -38,7 +39,8 @@
     }
 
     /// Looks at the clock: tells whom this service hears, and keeps the roster if it is its own.
-    pub(crate) fn keep_seats(&self, inner: &mut ServerState, now: f64) {
+    pub(crate) fn keep_seats(&self, inner: &mut ServerState, now: Timestamp) {
+        let now = now.as_millis_f64();
         let acts = self.group.acting_term(ORDINALS_ROLE);
         if acts != inner.seating.keeping.as_ref().map(|(term, ..)| *term) {
             inner.seating.keeping = None;
@@ -51,7 +53,7 @@
                 _ => tracing::warn!(role = ORDINALS_ROLE, "lease lost"),
             }
         }
-        let owner = self.group.with_state(|charter| charter.holder(ORDINALS_ROLE).0);
+        let owner = self.group.with_state(|charter| charter.holder(ORDINALS_ROLE).member);
         if owner > 0 && now - inner.seating.told_at >= TELL_EVERY {
             inner.seating.told_at = now;
             let here =
@@ -84,7 +86,9 @@
             let there = service.agreed().is_some_and(|(_, roster)| roster == next);
             let mut inner = lock(&service.inner);
             match inner.seating.keeping.as_mut().filter(|(own, _)| *own == term) {
-                Some((_, keeper)) if there => keeper.change_decided(clock::now(), epoch, true),
+                Some((_, keeper)) if there => {
+                    keeper.change_decided(clock::now().as_millis_f64(), epoch, true)
+                }
                 // It may be agreed on yet, or another one was: begins again with whatever is there.
                 Some(_) => inner.seating.keeping = None,
                 None => {}
--- a/crates/leadership/src/fencing.rs
+++ b/crates/leadership/src/fencing.rs
@@ -1,72 +1,85 @@
-//! What a receiver of acts for the fleet refuses: everything under a term lower than the highest it has seen.
+//! The fence at a receiver: it rejects every message under a term lower than the highest that it has seen.
 //!
-//! A term is kept on disk before anything is done under it, or a receiver that restarts would obey an old owner again.
-//! Acts that come while a term is being kept wait, in their order.
+//! A term is persisted before any message under it is accepted, or a receiver that restarts would obey an earlier
+//! holder again. Messages that arrive while a term is being persisted wait, in their order.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Acts that wait for a term to be kept; further ones are refused.
+use thiserror::Error;
+
+/// Messages that may wait for a term to be persisted; further ones are rejected.
 const MAX_WAITING: usize = 64;
 
-/// Why an act is refused.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a message is rejected; the text is sent to the holder.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FencingRejected {
-    /// Its owner is not the present one any more.
+    /// Its sender does not hold the role any more.
+    #[error("it is of term {term}, and term {highest} was seen: its owner is not the present one")]
     StaleTerm {
-        /// The act's term.
+        /// The message's term.
         term: u64,
-        /// The highest seen.
+        /// The highest term seen.
         highest: u64,
     },
-    /// A term of 0 is nobody's.
+    /// Its term is 0, which no holder has.
+    #[error("it has no term")]
     MissingTerm,
-    /// The term could not be kept, and would be forgotten with the process.
-    NotPersisted(String),
-    /// Too many acts wait.
+    /// Its term could not be persisted, and would be forgotten with the process.
+    #[error("its term could not be stored: {0}")]
+    NotPersisted(#[source] PersistError),
+    /// Too many messages wait.
+    #[error("too many acts wait for a term to be stored")]
     QueueFull,
 }
 
-impl std::fmt::Display for FencingRejected {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            FencingRejected::StaleTerm { term, highest } => {
-                write!(
-                    f,
-                    "it is of term {term}, and term {highest} was seen: its owner is not the present one"
-                )
-            }
-            FencingRejected::MissingTerm => write!(f, "it has no term"),
-            FencingRejected::NotPersisted(why) => write!(f, "its term could not be stored: {why}"),
-            FencingRejected::QueueFull => write!(f, "too many acts wait for a term to be stored"),
-        }
+/// The embedder could not persist the terms.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("{reason}")]
+pub struct PersistError {
+    reason: String,
+}
+
+impl PersistError {
+    /// An error with this reason. Every message that waits is rejected with it, so it is kept as text.
+    pub fn new(reason: impl std::fmt::Display) -> Self {
+        PersistError { reason: reason.to_string() }
     }
 }
 
-/// What is to be done.
+/// What the embedder has to do, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FencingAction<A> {
-    /// Store these terms, all of them, then tell [`FencingGuard::on_persisted`].
+pub enum FencingAction<M> {
+    /// Persist these terms, the highest of each role, then call [`FencingGuard::on_persisted`].
     Persist(BTreeMap<String, u64>),
-    /// The act is of the present owner as far as anybody here has heard.
-    Accept(A),
-    /// The act must not take effect.
-    Reject(A, FencingRejected),
+    /// Process the message: its sender is the latest holder that this receiver knows of.
+    Accept(M),
+    /// The message must not take effect.
+    Reject(M, FencingRejected),
 }
 
-/// The receiver of acts `A`.
+/// A message that waits for its term to be persisted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct FencingGuard<A> {
+struct Waiting<M> {
+    role: String,
+    term: u64,
+    message: M,
+}
+
+/// The fence of one receiver of messages `M`.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct FencingGuard<M> {
     /// The highest terms, as they are on disk.
     persisted: BTreeMap<String, u64>,
-    /// The highest seen; what is being stored.
+    /// The highest terms seen, on disk or not.
     highest: BTreeMap<String, u64>,
+    /// The terms that are being written.
     persisting: Option<BTreeMap<String, u64>>,
-    waiting: VecDeque<(String, u64, A)>,
+    waiting: VecDeque<Waiting<M>>,
     stale_count: u64,
 }
 
-impl<A> FencingGuard<A> {
-    /// A receiver that finds these terms on its disk.
+impl<M> FencingGuard<M> {
+    /// The fence of a receiver that finds these terms on its disk.
     pub fn new(persisted: BTreeMap<String, u64>) -> Self {
         FencingGuard {
             highest: persisted.clone(),
@@ -77,27 +90,27 @@
         }
     }
 
-    /// The highest term that is kept for a role; 0: none.
+    /// The highest term that is persisted for a role; 0: none.
     pub fn term(&self, role: &str) -> u64 {
         self.persisted.get(role).copied().unwrap_or(0)
     }
 
-    /// All terms that are kept.
+    /// The highest persisted term of each role.
     pub fn terms(&self) -> &BTreeMap<String, u64> {
         &self.persisted
     }
 
-    /// Acts refused for their old term so far.
+    /// Messages rejected for a stale term so far.
     pub fn stale_count(&self) -> u64 {
         self.stale_count
     }
 
-    /// An act for a role under a term has come.
-    pub fn check(&mut self, role: &str, term: u64, message: A) -> Vec<FencingAction<A>> {
+    /// Checks a message that arrived for a role under a term. No action is returned while the message waits.
+    pub fn check(&mut self, role: &str, term: u64, message: M) -> Vec<FencingAction<M>> {
         if term == 0 {
             return vec![FencingAction::Reject(message, FencingRejected::MissingTerm)];
         }
-        let highest = self.highest.get(role).copied().unwrap_or(0);
+        let highest = self.highest_term(role);
         if term < highest {
             self.stale_count += 1;
             return vec![FencingAction::Reject(message, FencingRejected::StaleTerm { term, highest })];
@@ -109,51 +122,61 @@
             return vec![FencingAction::Reject(message, FencingRejected::QueueFull)];
         }
         self.highest.insert(role.to_owned(), term);
-        self.waiting.push_back((role.to_owned(), term, message));
-        self.persist()
+        self.waiting.push_back(Waiting { role: role.to_owned(), term, message });
+        Vec::from_iter(self.persist())
+    }
+
+    /// The write that [`FencingAction::Persist`] asked for has ended.
+    pub fn on_persisted(&mut self, result: Result<(), PersistError>) -> Vec<FencingAction<M>> {
+        let Some(persisting) = self.persisting.take() else { return Vec::new() };
+        if let Err(error) = result {
+            return self.reject_waiting(&error);
+        }
+        self.persisted = persisting;
+        let mut actions = self.release_waiting();
+        actions.extend(self.persist());
+        actions
+    }
+
+    fn highest_term(&self, role: &str) -> u64 {
+        self.highest.get(role).copied().unwrap_or(0)
     }
 
-    /// Terms are stored one after the other, each time all that were seen by then.
-    fn persist<B>(&mut self) -> Vec<FencingAction<B>> {
+    /// One write at a time; each has all terms that were seen by then.
+    fn persist(&mut self) -> Option<FencingAction<M>> {
         if self.persisting.is_some() || self.highest == self.persisted {
-            return Vec::new();
+            return None;
         }
         self.persisting = Some(self.highest.clone());
-        vec![FencingAction::Persist(self.highest.clone())]
+        Some(FencingAction::Persist(self.highest.clone()))
     }
 
-    /// [`FencingAction::Persist`] has ended.
-    pub fn on_persisted(&mut self, end: Result<(), String>) -> Vec<FencingAction<A>> {
-        let Some(persisting) = self.persisting.take() else { return Vec::new() };
-        let mut out = Vec::new();
-        match end {
-            Ok(()) => self.persisted = persisting,
-            Err(why) => {
-                // What waits for a term that is not on disk is not done; its owner will come again. The term itself was
-                // seen, and nothing lower is taken: that needs no disk.
-                for (_, _, act) in std::mem::take(&mut self.waiting) {
-                    out.push(FencingAction::Reject(act, FencingRejected::NotPersisted(why.clone())));
-                }
-                return out;
-            }
-        }
-        while let Some((role, term, _)) = self.waiting.front() {
-            let (kept, seen) = (self.term(role), self.highest.get(role).copied().unwrap_or(0));
-            if *term > kept {
+    /// Rejects what waits for a term that is not on disk; its holder sends it again. The term was seen all the same, and
+    /// lower ones stay rejected: that needs no disk.
+    fn reject_waiting(&mut self, error: &PersistError) -> Vec<FencingAction<M>> {
+        let reject = |waiting: Waiting<M>| {
+            FencingAction::Reject(waiting.message, FencingRejected::NotPersisted(error.clone()))
+        };
+        std::mem::take(&mut self.waiting).into_iter().map(reject).collect()
+    }
+
+    /// Releases the messages whose term is on disk by now, up to the first whose term is not.
+    fn release_waiting(&mut self) -> Vec<FencingAction<M>> {
+        let mut actions = Vec::new();
+        while let Some(waiting) = self.waiting.pop_front() {
+            if waiting.term > self.term(&waiting.role) {
+                self.waiting.push_front(waiting);
                 break;
             }
-            let stale = (*term < seen).then_some(FencingRejected::StaleTerm { term: *term, highest: seen });
-            let Some((_, _, act)) = self.waiting.pop_front() else { break };
-            out.push(match stale {
-                // A newer owner spoke while the older one's term was being stored.
-                Some(refused) => {
-                    self.stale_count += 1;
-                    FencingAction::Reject(act, refused)
-                }
-                None => FencingAction::Accept(act),
+            let (term, highest) = (waiting.term, self.highest_term(&waiting.role));
+            actions.push(if term < highest {
+                // A newer holder sent a message while the older one's term was being written.
+                self.stale_count += 1;
+                FencingAction::Reject(waiting.message, FencingRejected::StaleTerm { term, highest })
+            } else {
+                FencingAction::Accept(waiting.message)
             });
         }
-        out.extend(self.persist());
-        out
+        actions
     }
 }
--- a/crates/leadership/src/identity.rs
+++ b/crates/leadership/src/identity.rs
@@ -1,22 +1,39 @@
-//! Which process has a proxy's name. A name has one owner too: a process that comes anew under a name wins with a higher
-//! term, and the earlier one is told; two that fight over a name are shown as two.
+//! Which process has a proxy's name.
+//!
+//! A name has one holder under a rising term, like a role. A process that claims the name of another takes it with a
+//! higher term; the earlier process is told, and does not take the name back while the later one is connected.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-/// A process that had a name and is gone may have it back after this many milliseconds without the later one.
-pub const RECLAIM_AFTER: f64 = 10_000.0;
-/// Names remembered whose process is gone.
+use gaugestep_clock::Timestamp;
+
+/// A process that lost its name may take it back once the later process has been disconnected for this long.
+pub const RECLAIM_AFTER: Duration = Duration::from_secs(10);
+/// Names remembered while their process is disconnected.
 const MAX_DISCONNECTED: usize = 10_000;
 
-/// What becomes of a process that names itself.
+/// A process that opens a stream under a name.
+#[derive(Clone, Copy, Debug)]
+pub struct ClaimRequest<'a> {
+    /// The name.
+    pub name: &'a str,
+    /// The process.
+    pub incarnation: u64,
+    /// The term under which the process was granted the name before; 0: it never was.
+    pub term: u64,
+    /// The stream.
+    pub stream: u64,
+}
+
+/// The answer to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// The name is its own, under this term. The stream, if there is one, is that of another process, which is to be
-    /// told.
+    /// The process has the name.
     Granted {
         /// The name's term.
         term: u64,
-        /// The stream of the process that had the name.
+        /// The stream of the process that had the name and must be told.
         superseded: Option<u64>,
     },
     /// A later process has the name.
@@ -28,98 +45,147 @@
     },
 }
 
+/// The process that has a name.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct NameHolder {
+    /// The process.
+    pub incarnation: u64,
+    /// The name's term.
+    pub term: u64,
+}
+
+/// A connected process whose name is another's.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SupersededProcess<'a> {
+    /// Its stream.
+    pub stream: u64,
+    /// The name.
+    pub name: &'a str,
+    /// The process.
+    pub incarnation: u64,
+}
+
+/// Whether the process that has a name is connected.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Connection {
+    /// On this stream.
+    Open(u64),
+    /// Since this time it is not.
+    ClosedAt(Timestamp),
+}
+
 #[derive(Debug)]
 struct Registration {
     term: u64,
     incarnation: u64,
-    /// Its stream, or since when it has none.
-    stream: Result<u64, f64>,
+    connection: Connection,
 }
 
-/// All names.
+/// The holders of all names.
 #[derive(Debug, Default)]
 pub struct IdentityRegistry {
     registrations: BTreeMap<String, Registration>,
-    /// Streams of processes whose name is another's, which stay to be shown.
+    /// By stream, the name and the process of those whose name is another's; they stay connected, to be shown.
     superseded: BTreeMap<u64, (String, u64)>,
 }
 
 impl IdentityRegistry {
-    /// A process opens a stream under a name. `term` is the one under which it was given the name; 0: it never was.
-    pub fn claim(&mut self, now: f64, name: &str, incarnation: u64, term: u64, stream: u64) -> Claim {
+    /// A process claims a name.
+    pub fn claim(&mut self, now: Timestamp, request: ClaimRequest<'_>) -> Claim {
+        let ClaimRequest { name, incarnation, term, stream } = request;
         self.superseded.remove(&stream);
+        let connection = Connection::Open(stream);
         let Some(registration) = self.registrations.get_mut(name) else {
-            // Another service gave the name: its terms go on.
-            let term = term.saturating_add(u64::from(term == 0));
-            self.registrations
-                .insert(name.to_owned(), Registration { term, incarnation, stream: Ok(stream) });
+            // A term above 0 was granted by another service: terms continue from it.
+            let term = term.max(1);
+            self.registrations.insert(name.to_owned(), Registration { term, incarnation, connection });
             self.evict_oldest();
             return Claim::Granted { term, superseded: None };
         };
         if registration.incarnation == incarnation {
             registration.term = registration.term.max(term);
-            registration.stream = Ok(stream);
+            registration.connection = connection;
             return Claim::Granted { term: registration.term, superseded: None };
         }
-        let gone = registration.stream.is_err_and(|since| now - since >= RECLAIM_AFTER);
-        // One that once had the name, under a lower term, is the earlier one and does not take it back while the later
-        // one is there. One that has a higher term was given the name by another service after this one.
-        let earlier = term > 0 && term <= registration.term;
-        if earlier && !gone {
+        // A process that had the name under a lower term is the earlier one. A process with a higher term was granted
+        // the name by another service, after this one granted it.
+        let is_earlier = term > 0 && term <= registration.term;
+        if is_earlier && !registration.may_be_reclaimed(now) {
+            let (term, by) = (registration.term, registration.incarnation);
             self.superseded.insert(stream, (name.to_owned(), incarnation));
-            return Claim::Superseded { term: registration.term, by: registration.incarnation };
+            return Claim::Superseded { term, by };
         }
-        let old = registration.stream.ok();
-        if let Some(old) = old {
-            self.superseded.insert(old, (name.to_owned(), registration.incarnation));
+        let superseded = registration.open_stream();
+        if let Some(old_stream) = superseded {
+            self.superseded.insert(old_stream, (name.to_owned(), registration.incarnation));
         }
-        *registration = Registration {
-            term: registration.term.max(term).saturating_add(1),
-            incarnation,
-            stream: Ok(stream),
-        };
-        Claim::Granted { term: registration.term, superseded: old }
+        let term = registration.term.max(term).saturating_add(1);
+        *registration = Registration { term, incarnation, connection };
+        Claim::Granted { term, superseded }
     }
 
-    /// A stream has ended.
-    pub fn disconnected(&mut self, now: f64, stream: u64) {
+    /// A stream was closed.
+    pub fn disconnected(&mut self, now: Timestamp, stream: u64) {
         self.superseded.remove(&stream);
-        if let Some(registration) =
-            self.registrations.values_mut().find(|registration| registration.stream == Ok(stream))
-        {
-            registration.stream = Err(now);
+        let open = Connection::Open(stream);
+        if let Some(registration) = self.registrations.values_mut().find(|it| it.connection == open) {
+            registration.connection = Connection::ClosedAt(now);
         }
     }
 
-    /// Whether a stream's process has its name.
+    /// Whether the process on this stream has the name.
     pub fn is_holder(&self, name: &str, stream: u64) -> bool {
-        self.registrations.get(name).is_some_and(|registration| registration.stream == Ok(stream))
+        let open = Connection::Open(stream);
+        self.registrations.get(name).is_some_and(|registration| registration.connection == open)
     }
 
-    /// Whether nobody ever came.
+    /// Whether no process ever claimed a name.
     pub fn is_empty(&self) -> bool {
         self.registrations.is_empty()
     }
 
-    /// The process that has a name, and the term.
-    pub fn holder(&self, name: &str) -> Option<(u64, u64)> {
-        self.registrations.get(name).map(|registration| (registration.incarnation, registration.term))
+    /// The process that has a name, connected or not.
+    pub fn holder(&self, name: &str) -> Option<NameHolder> {
+        let Registration { incarnation, term, .. } = *self.registrations.get(name)?;
+        Some(NameHolder { incarnation, term })
     }
 
-    /// Processes whose name is another's, and that are still here: their streams, names and processes.
-    pub fn superseded(&self) -> impl Iterator<Item = (u64, &str, u64)> {
-        self.superseded.iter().map(|(stream, (name, incarnation))| (*stream, name.as_str(), *incarnation))
+    /// Connected processes whose name is another's.
+    pub fn superseded(&self) -> impl Iterator<Item = SupersededProcess<'_>> {
+        self.superseded.iter().map(|(stream, (name, incarnation))| SupersededProcess {
+            stream: *stream,
+            name,
+            incarnation: *incarnation,
+        })
     }
 
-    /// Guards the memory against names that never come back.
+    /// Bounds the memory that names take which never connect again.
     fn evict_oldest(&mut self) {
-        let gone = self
-            .registrations
-            .iter()
-            .filter_map(|(name, registration)| Some((registration.stream.err()?, name)));
-        if gone.clone().count() > MAX_DISCONNECTED {
-            let longest = gone.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, name)| name.clone());
-            longest.map(|name| self.registrations.remove(&name));
+        let closed = |(name, registration): (&String, &Registration)| match registration.connection {
+            Connection::Open(_) => None,
+            Connection::ClosedAt(at) => Some((at, name.clone())),
+        };
+        let disconnected = self.registrations.values().filter(|it| it.open_stream().is_none()).count();
+        if disconnected > MAX_DISCONNECTED {
+            if let Some((_, oldest)) = self.registrations.iter().filter_map(closed).min() {
+                self.registrations.remove(&oldest);
+            }
+        }
+    }
+}
+
+impl Registration {
+    fn open_stream(&self) -> Option<u64> {
+        match self.connection {
+            Connection::Open(stream) => Some(stream),
+            Connection::ClosedAt(_) => None,
+        }
+    }
+
+    fn may_be_reclaimed(&self, now: Timestamp) -> bool {
+        match self.connection {
+            Connection::Open(_) => false,
+            Connection::ClosedAt(at) => now.duration_since(at) >= RECLAIM_AFTER,
         }
     }
 }
--- a/crates/leadership/src/leader_discovery.rs
+++ b/crates/leadership/src/leader_discovery.rs
@@ -1,85 +1,124 @@
-//! Which of its control services a proxy turns to: the holder of the versions, wherever it is.
+//! Which control service a proxy connects to: the holder of the configuration role, wherever it is.
 //!
-//! A proxy knows its services by its own list alone, and learns which member is behind which endpoint. It stays with the
-//! holder, leaves a service that names another one, and does not stay for long where nobody is named.
+//! A proxy knows the services only by its own list of endpoints, and learns which member is behind which endpoint. It
+//! stays with the holder, leaves a service that announces another one, and leaves after a while where none is announced.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-/// A service that names no holder is left after this many milliseconds.
-pub const NO_HOLDER_TIMEOUT: f64 = 3_000.0;
+use gaugestep_clock::Timestamp;
 
-/// Who owns the versions, as a service said: the member and its term.
-pub type AnnouncedHolder = Option<(u64, u64)>;
+use crate::RoleHolder;
 
-/// The search.
+/// A service that announces no holder is left after this time.
+pub const NO_HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// What to do with a stream after the service's welcome.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StreamDecision {
+    /// Stay with this service.
+    Keep,
+    /// Close the stream, and connect to the next endpoint.
+    Close,
+}
+
+/// How soon to connect to the next endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reconnect {
+    /// Without backoff: another service announced a holder that was not tried yet.
+    Promptly,
+    /// After the backoff of a failed connection.
+    AfterBackoff,
+}
+
+/// The search for the holder.
 #[derive(Debug)]
 pub struct LeaderDiscovery {
     endpoints: usize,
-    /// Which member was found at which endpoint.
+    /// The member that was found at each endpoint.
     found: BTreeMap<usize, u64>,
     current: usize,
-    holder: AnnouncedHolder,
-    /// Since when this endpoint has named nobody.
-    no_holder_since: Option<f64>,
-    /// The endpoint of the holder was tried since it was named, and was of no use.
+    /// The holder that was announced last and is another member than the one at the current endpoint.
+    announced: Option<RoleHolder>,
+    /// Since when the current endpoint announces no holder.
+    no_holder_since: Option<Timestamp>,
+    /// The announced member whose endpoint was tried since, to no avail.
     tried: Option<u64>,
 }
 
 impl LeaderDiscovery {
-    /// A search over so many endpoints, which begins at the first.
+    /// A search over this many endpoints, which begins at the first.
     pub fn new(endpoints: usize) -> Self {
         LeaderDiscovery {
             endpoints: endpoints.max(1),
             found: BTreeMap::new(),
             current: 0,
-            holder: None,
+            announced: None,
             no_holder_since: None,
             tried: None,
         }
     }
 
-    /// The endpoint to turn to.
+    /// The index of the endpoint to connect to.
     pub fn endpoint(&self) -> usize {
         self.current
     }
 
-    /// The service at this endpoint says which member it is and who the holder is. `seen`: the highest term that the proxy has
-    /// seen; a holder of a lower one is none. True: the proxy is to leave.
-    pub fn on_welcome(&mut self, now: f64, member: u64, named: AnnouncedHolder, seen: u64) -> bool {
+    /// The service at the current endpoint says which member it is and which holder it knows. `highest_term` is the
+    /// highest term that the proxy has seen: an announced holder of a lower term counts as none.
+    pub fn on_welcome(
+        &mut self,
+        now: Timestamp,
+        member: u64,
+        announced: Option<RoleHolder>,
+        highest_term: u64,
+    ) -> StreamDecision {
         self.found.insert(self.current, member);
-        let named = named.filter(|(_, term)| *term >= seen);
-        match named {
-            Some((holder, _)) if holder == member => {
+        match announced.filter(|holder| holder.term >= highest_term) {
+            Some(holder) if holder.member == member => {
                 (self.no_holder_since, self.tried) = (None, None);
-                false
+                StreamDecision::Keep
             }
             Some(holder) => {
-                self.holder = Some(holder);
-                true
+                self.announced = Some(holder);
+                StreamDecision::Close
+            }
+            None => {
+                let since = *self.no_holder_since.get_or_insert(now);
+                match now.duration_since(since) >= NO_HOLDER_TIMEOUT {
+                    true => StreamDecision::Close,
+                    false => StreamDecision::Keep,
+                }
             }
-            None => now - *self.no_holder_since.get_or_insert(now) >= NO_HOLDER_TIMEOUT,
         }
     }
 
-    /// The stream to this endpoint has ended, or did not come up. True if the next endpoint is one that another service named
-    /// as the holder's and that was not tried in vain: there is no need to wait longer than for a lot.
-    pub fn on_disconnect(&mut self) -> bool {
-        let here = self.found.get(&self.current).copied();
+    /// The stream to the current endpoint has ended, or could not be opened: moves to the next endpoint.
+    pub fn on_disconnect(&mut self) -> Reconnect {
         self.no_holder_since = None;
-        let holder = self.holder.take().map(|(holder, _)| holder);
-        if holder.is_some() && holder != here && holder != self.tried {
-            let endpoint =
-                self.found.iter().find(|(_, member)| Some(**member) == holder).map(|(endpoint, _)| *endpoint);
-            if let Some(endpoint) = endpoint {
-                (self.current, self.tried) = (endpoint, holder);
-                return true;
+        let here = self.found.get(&self.current).copied();
+        let announced = self.announced.take().map(|holder| holder.member);
+        let Some(member) = announced.filter(|_| announced != here && announced != self.tried) else {
+            self.tried = None;
+            self.move_to_next();
+            return Reconnect::AfterBackoff;
+        };
+        match self.endpoint_of(member) {
+            Some(endpoint) => {
+                self.current = endpoint;
+                self.tried = Some(member);
             }
-            // Nobody has met it yet: it is at one of the others.
-            self.current = (self.current + 1) % self.endpoints;
-            return true;
+            // The member was not found yet: it is at one of the other endpoints.
+            None => self.move_to_next(),
         }
-        self.tried = None;
+        Reconnect::Promptly
+    }
+
+    fn endpoint_of(&self, member: u64) -> Option<usize> {
+        self.found.iter().find(|(_, found)| **found == member).map(|(endpoint, _)| *endpoint)
+    }
+
+    fn move_to_next(&mut self) {
         self.current = (self.current + 1) % self.endpoints;
-        false
     }
 }
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -1,14 +1,29 @@
 #![forbid(unsafe_code)]
-//! Work done once for the whole fleet: who owns it, until when, and what a receiver refuses.
+//! Singleton roles of the fleet: who holds each one, until when, and which messages of an earlier holder are refused.
 //!
-//! A *duty* has a name, one owner or none, and a *term*: the fencing token, which rises with each change of owner and is
-//! never used twice. What the control services agree on is the [`group_state`]; who may act until when is decided by
-//! [`lease`]s, who is to own what by [`assignment`]. That is the polite half. The safe half is the [`fencing`]: it keeps the
-//! highest term it has seen before it acts, and refuses lower ones. [`identity`] gives each proxy's name to one process at a
-//! time, and [`rollback_guard`] decides whether a store may be used at all.
+//! A *role* has a name, one holder or none, and a *term*: the fencing token, which rises with each change of holder and
+//! is never used twice. The control services replicate roles, members and configuration versions as a
+//! [`group_state::GroupState`].
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. Times are milliseconds on the embedder's clock, which must
-//! count the time for which the process or the machine was suspended.
+//! Two mechanisms keep a role with one holder. [`lease`] is the efficient one: a holder acts only while its lease lasts,
+//! and nobody else is assigned the role before that lease has expired on any clock within the drift bound;
+//! [`assignment`] decides who is assigned what. [`fencing`] is the safe one and needs no clock: a receiver persists the
+//! highest term that it has seen before it acts, and rejects lower ones.
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | [`group_state`] | the replicated state machine |
+//! | [`pending_proposals`] | commands that are proposed and not committed yet |
+//! | [`lease`], [`assignment`] | leases of members, and which member is to hold which role |
+//! | [`checkpoint`] | progress of a holder is committed before its effect |
+//! | [`fencing`] | receivers reject messages of an old term |
+//! | [`identity`] | one process at a time has a proxy's name |
+//! | [`leader_discovery`] | a proxy finds the holder of the configuration |
+//! | [`peer_directory`], [`rollback_guard`] | which member may take part, and with which store |
+//! | [`pause_detector`] | a service that is alone fences itself after a suspension |
+//!
+//! The crate does no I/O, reads no clock and starts no thread. Every method that depends on time takes a
+//! [`Timestamp`](gaugestep_clock::Timestamp) from the embedder.
 
 pub mod assignment;
 pub mod checkpoint;
@@ -22,7 +37,6 @@
 pub mod pending_proposals;
 pub mod rollback_guard;
 
-/// The duty of publishing versions and driving their rollouts.
-pub const CONFIGURATION_ROLE: &str = "versions";
-/// The duty of keeping the roster of seats. There is one once an operator has declared it.
-pub const ORDINALS_ROLE: &str = "seats";
+mod role;
+
+pub use role::{CONFIGURATION_ROLE, NO_MEMBER, ORDINALS_ROLE, RoleHolder};
--- a/crates/leadership/src/peer_directory.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -1,109 +1,117 @@
-//! Who the other members are and where they are reached, as this member has heard of it beyond what is agreed on, and who is
-//! let in.
+//! The other members as this member knows them beyond the replicated state: where each is reached since its last start,
+//! which were seen lately, and whether a peer that connects may take part.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::PROTOCOL;
 use gaugestep_config::schema::{Member, PeerHello};
+use thiserror::Error;
 
 use crate::group_state::GroupState;
-use crate::rollback_guard::is_stale_start;
+use crate::rollback_guard::{ProcessStart, is_stale_start};
 
-/// A member that said nothing for this time is not here, in milliseconds.
-pub const ALIVE_WINDOW: f64 = 3_000.0;
-/// Bytes of both addresses of a member.
+/// A member counts as alive for this time after its last message.
+pub const ALIVE_WINDOW: Duration = Duration::from_secs(3);
+/// The most bytes of a member's addresses together.
 const MAX_ADDRESS_BYTES: usize = 512;
 
-/// Why a peer is not let in.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a peer may not take part; the text is sent to it.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PeerRejected {
-    /// It speaks another form.
+    /// It speaks another version of the protocol.
+    #[error("a hello that this build does not understand")]
     UnsupportedProtocol,
-    /// It takes this member for another one.
+    /// It takes this member, whose number is given, for another one.
+    #[error("this is member {0}")]
     WrongMember(u64),
-    /// It says that it is this very member.
+    /// It claims to be this very member.
+    #[error("two services say that they are member {0}")]
     DuplicateMember(u64),
-    /// It was removed, and must end.
+    /// It was removed, and must stop.
+    #[error("member {0} was removed")]
     Removed(u64),
-    /// It is of another group.
+    /// It belongs to another group.
+    #[error("it is of another group")]
     DifferentGroup,
     /// No member has its number.
+    #[error("there is no member {0}")]
     UnknownMember(u64),
-    /// A later start of it is known: it may have forgotten what it voted for, and must end.
+    /// A later start of it is known: it may have forgotten its vote, and must stop.
+    #[error(
+        "a later start of member {member} is known (number {known}, this is number {announced}): its store is older \
+         than what it has told. Remove the member, and add a new one with an empty store"
+    )]
     StaleStart {
         /// The member.
         member: u64,
-        /// The start that is known, and the one that it tells.
+        /// The number of the start that is known.
         known: u64,
-        /// See `known`.
+        /// The number of the start that the peer announces.
         announced: u64,
     },
 }
 
 impl PeerRejected {
-    /// Whether the peer must end: coming again will not help it, and letting it go on may do harm.
+    /// Whether the peer must stop: it would be rejected again, and may do harm as long as it runs.
     pub fn is_fatal(&self) -> bool {
         matches!(self, PeerRejected::Removed(_) | PeerRejected::StaleStart { .. })
     }
 }
 
-impl std::fmt::Display for PeerRejected {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            PeerRejected::UnsupportedProtocol => write!(f, "a hello that this build does not understand"),
-            PeerRejected::WrongMember(own) => write!(f, "this is member {own}"),
-            PeerRejected::DuplicateMember(own) => write!(f, "two services say that they are member {own}"),
-            PeerRejected::Removed(member) => write!(f, "member {member} was removed"),
-            PeerRejected::DifferentGroup => write!(f, "it is of another group"),
-            PeerRejected::UnknownMember(member) => write!(f, "there is no member {member}"),
-            PeerRejected::StaleStart { member, known, announced } => write!(
-                f,
-                "a later start of member {member} is known (number {known}, this is number {announced}): its store is older \
-                 than what it has told. Remove the member, and add a new one with an empty store"
-            ),
-        }
-    }
-}
-
-/// The directory of one member.
+/// What one member knows of the others.
 #[derive(Debug)]
 pub struct PeerDirectory {
     own: Member,
-    /// Later starts than those that are agreed on.
+    /// Members as of a later start than the replicated state has.
     newer_starts: BTreeMap<u64, Member>,
-    last_seen: BTreeMap<u64, f64>,
+    last_seen: BTreeMap<u64, Timestamp>,
+}
+
+fn process_start(member: &Member) -> ProcessStart {
+    ProcessStart { boot: member.boot, nonce: member.nonce }
+}
+
+/// Whether this member has not joined a group yet, and knows the others only by what they say.
+fn has_not_joined(state: &GroupState) -> bool {
+    state.lineage == 0
 }
 
 impl PeerDirectory {
-    /// A member that knows what is agreed on.
+    /// The directory of a member that knows only the replicated state.
     pub fn new(own: Member) -> Self {
         PeerDirectory { own, newer_starts: BTreeMap::new(), last_seen: BTreeMap::new() }
     }
 
-    /// A member as it was heard of last.
+    /// A member, as of its latest known start.
     pub fn member(&self, state: &GroupState, number: u64) -> Option<Member> {
-        self.newer_starts.get(&number).or_else(|| state.members.get(&number)).cloned()
+        self.latest(state, number).cloned()
     }
 
-    /// All members as they were heard of last, this one among them.
+    /// All members as of their latest known starts, this one among them.
     pub fn all_members(&self, state: &GroupState) -> Vec<Member> {
-        let known = |member: &Member| self.newer_starts.get(&member.number).unwrap_or(member).clone();
+        let latest = |member: &Member| self.newer_starts.get(&member.number).unwrap_or(member).clone();
         let mut all: BTreeMap<u64, Member> =
-            state.members.values().map(|it| (it.number, known(it))).collect();
-        if state.lineage == 0 {
+            state.members.values().map(|member| (member.number, latest(member))).collect();
+        if has_not_joined(state) {
             all.extend(self.newer_starts.iter().map(|(number, member)| (*number, member.clone())));
         }
         all.insert(self.own.number, self.own.clone());
         all.into_values().collect()
     }
 
-    /// Whom to speak to. One that has not joined yet knows the others by their word alone.
+    /// The numbers of the members to connect to.
     pub fn other_members(&self, state: &GroupState) -> Vec<u64> {
-        let known = if state.lineage == 0 { &self.newer_starts } else { &state.members };
-        known.keys().copied().filter(|it| *it != self.own.number).collect()
+        let known = if has_not_joined(state) { &self.newer_starts } else { &state.members };
+        known.keys().copied().filter(|number| *number != self.own.number).collect()
     }
 
-    /// Whether a peer that says hello is let in.
+    /// Checks the hello of a peer.
+    ///
+    /// # Errors
+    ///
+    /// Why the peer may not take part.
     pub fn check_hello(&self, state: &GroupState, hello: &PeerHello) -> Result<(), PeerRejected> {
         let from = hello.from.clone().unwrap_or_default();
         if hello.protocol != PROTOCOL {
@@ -115,20 +123,18 @@
         if from.number == self.own.number {
             return Err(PeerRejected::DuplicateMember(from.number));
         }
-        if state.removed.contains(&from.number) {
-            return Err(PeerRejected::Removed(from.number));
-        }
-        if state.lineage == 0 {
-            // It has not joined: whoever has it join comes to it.
+        self.check_membership(state, from.number)?;
+        if has_not_joined(state) {
+            // Whichever member adds this one connects to it.
             return Ok(());
         }
         if hello.lineage > 0 && hello.lineage != state.lineage {
             return Err(PeerRejected::DifferentGroup);
         }
-        let Some(known) = self.member(state, from.number) else {
+        let Some(known) = self.latest(state, from.number) else {
             return Err(PeerRejected::UnknownMember(from.number));
         };
-        match is_stale_start((known.boot, known.nonce), (from.boot, from.nonce)) {
+        match is_stale_start(process_start(known), process_start(&from)) {
             true => {
                 Err(PeerRejected::StaleStart { member: from.number, known: known.boot, announced: from.boot })
             }
@@ -136,7 +142,11 @@
         }
     }
 
-    /// Whether a peer that was let in may stay.
+    /// Checks that a peer which was accepted was not removed since.
+    ///
+    /// # Errors
+    ///
+    /// [`PeerRejected::Removed`].
     pub fn check_membership(&self, state: &GroupState, member: u64) -> Result<(), PeerRejected> {
         match state.removed.contains(&member) {
             true => Err(PeerRejected::Removed(member)),
@@ -144,40 +154,45 @@
         }
     }
 
-    /// Takes what is said of members: a later start of one replaces what was known of it, nothing replaces a later one.
+    /// Records members as a peer reports them: a later start replaces what was known, nothing replaces a later one.
     pub fn record(&mut self, state: &GroupState, members: &[Member]) {
-        for member in members.iter().filter(|it| it.number != self.own.number) {
-            let known = self.newer_starts.get(&member.number).or_else(|| state.members.get(&member.number));
-            let later = known.map_or(state.lineage == 0, |known| member.boot > known.boot);
-            if later && member.listen.len() + member.operators.len() <= MAX_ADDRESS_BYTES {
+        for member in members.iter().filter(|member| member.number != self.own.number) {
+            let is_newer = match self.latest(state, member.number) {
+                Some(known) => member.boot > known.boot,
+                None => has_not_joined(state),
+            };
+            if is_newer && member.listen.len() + member.operators.len() <= MAX_ADDRESS_BYTES {
                 self.newer_starts.insert(member.number, member.clone());
             }
         }
     }
 
-    /// Later starts than those that are agreed on, this member's own among them, which a leader has agreed on.
+    /// Members, this one among them, as of a later start than the replicated state has. A leader proposes them.
     pub fn unreplicated_starts(&self, state: &GroupState) -> Vec<Member> {
-        let newer = |member: &&Member| {
+        let is_newer = |member: &&Member| {
             state.members.get(&member.number).is_some_and(|known| member.boot > known.boot)
         };
-        self.newer_starts.values().chain([&self.own]).filter(newer).cloned().collect()
+        self.newer_starts.values().chain([&self.own]).filter(is_newer).cloned().collect()
     }
 
-    /// A member has said something.
-    pub fn mark_alive(&mut self, member: u64, now: f64) {
+    /// A member has sent something.
+    pub fn mark_alive(&mut self, member: u64, now: Timestamp) {
         self.last_seen.insert(member, now);
     }
 
-    /// Members that were heard of lately, this one among them.
-    pub fn alive_members(&self, now: f64) -> Vec<u64> {
-        let here =
-            self.last_seen.iter().filter(|(_, at)| now - **at < ALIVE_WINDOW).map(|(member, _)| *member);
-        here.chain([self.own.number]).collect()
+    /// Members that sent something within [`ALIVE_WINDOW`], and this one.
+    pub fn alive_members(&self, now: Timestamp) -> Vec<u64> {
+        let alive = self.last_seen.iter().filter(|(_, at)| now.duration_since(**at) < ALIVE_WINDOW);
+        alive.map(|(member, _)| *member).chain([self.own.number]).collect()
     }
 
-    /// A member is no more.
+    /// A member was removed from the group.
     pub fn forget(&mut self, member: u64) {
         self.newer_starts.remove(&member);
         self.last_seen.remove(&member);
     }
+
+    fn latest<'a>(&'a self, state: &'a GroupState, number: u64) -> Option<&'a Member> {
+        self.newer_starts.get(&number).or_else(|| state.members.get(&number))
+    }
 }
--- a/crates/leadership/src/rollback_guard.rs
+++ b/crates/leadership/src/rollback_guard.rs
@@ -1,70 +1,97 @@
-//! Whether a store may be used: a member that forgot what it voted for must not vote.
+//! Whether a store may be used: a member that has forgotten its vote must not vote again.
 //!
-//! Each start counts one boot in the store and then in a seal beside it, which also names the file that holds the store
-//! (device and number). A store of yesterday put back into its place is behind its seal; a copy elsewhere is another
-//! file; and where both came back together, the other members know of a later boot. Each is refused with a plain line.
+//! Each start counts up in the store and then in a generation file beside it, which also names the file that holds the
+//! store (its device and inode). A store that was restored from a backup is behind its generation file, a copy is
+//! another file, and if both files were restored together the other members know of a later start. Each case is refused.
 
-/// What is known of a store and its seal before it is used.
+use thiserror::Error;
+
+/// What the generation file beside a store holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Generation {
+    /// Starts that were counted.
+    pub boots: u64,
+    /// The identity of the file that held the store.
+    pub file: u64,
+}
+
+/// A store and its generation file, before the store is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FoundStore {
-    /// Boots that the store has counted; 0: it is new, or was written by a build that did not count.
+    /// Starts that the store has counted; 0: it is new, or was written by a build that did not count.
     pub boots: u64,
-    /// The file in which it lies.
+    /// The identity of the file that holds the store.
     pub file: u64,
-    /// The seal: boots and file, if there is one.
-    pub generation: Option<(u64, u64)>,
+    /// The content of the generation file, if there is one.
+    pub generation: Option<Generation>,
 }
 
 /// Why a store may not be used.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum StoreRejected {
-    /// It is older than its seal.
+    /// It is older than its generation file.
+    #[error("the store is older than its seal ({boots} starts, the seal counts {recorded})")]
     RolledBack {
-        /// Boots in the store.
+        /// Starts that the store counts.
         boots: u64,
-        /// Boots in the seal.
+        /// Starts that the generation file counts.
         recorded: u64,
     },
-    /// It has boots and no seal.
+    /// It was used before, and has no generation file.
+    #[error("the store has no seal beside it")]
     GenerationMissing,
-    /// Its seal is another file's.
+    /// Its generation file names another file.
+    #[error("the store is a copy: its seal names another file")]
     Copied,
 }
 
-impl std::fmt::Display for StoreRejected {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            StoreRejected::RolledBack { boots, recorded } => {
-                write!(f, "the store is older than its seal ({boots} starts, the seal counts {recorded})")
-            }
-            StoreRejected::GenerationMissing => write!(f, "the store has no seal beside it"),
-            StoreRejected::Copied => write!(f, "the store is a copy: its seal names another file"),
-        }
+/// Whether a store that fails the check is used all the same.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RestorePolicy {
+    /// It is refused.
+    Refuse,
+    /// It is used: the operator says that whoever used it before is gone for good.
+    Accept,
+}
+
+/// The number of this start.
+///
+/// # Errors
+///
+/// [`StoreRejected`] if the store fails the check, unless `policy` accepts that.
+pub fn next_boot(found: FoundStore, policy: RestorePolicy) -> Result<u64, StoreRejected> {
+    if policy == RestorePolicy::Refuse {
+        check(found)?;
     }
+    let recorded = found.generation.map_or(0, |generation| generation.boots);
+    Ok(found.boots.max(recorded).saturating_add(1))
 }
 
-/// The number of this boot, or why there is none. `restored`: the operator says that the store is to be used as it is, and
-/// that whoever used it before is gone for good.
-pub fn next_boot(found: FoundStore, restored: bool) -> Result<u64, StoreRejected> {
-    let recorded = found.generation.map_or(0, |(boots, _)| boots);
-    let refused = match found.generation {
-        None if found.boots == 0 => None,
-        None => Some(StoreRejected::GenerationMissing),
-        Some((_, file)) if file != found.file => Some(StoreRejected::Copied),
-        // A start that was killed between store and seal leaves the store one ahead.
-        Some((recorded, _)) if found.boots == recorded || Some(found.boots) == recorded.checked_add(1) => {
-            None
-        }
-        Some((recorded, _)) => Some(StoreRejected::RolledBack { boots: found.boots, recorded }),
+fn check(found: FoundStore) -> Result<(), StoreRejected> {
+    let Some(generation) = found.generation else {
+        return if found.boots == 0 { Ok(()) } else { Err(StoreRejected::GenerationMissing) };
     };
-    match refused {
-        Some(refused) if !restored => Err(refused),
-        _ => Ok(found.boots.max(recorded).saturating_add(1)),
+    if generation.file != found.file {
+        return Err(StoreRejected::Copied);
+    }
+    // A start that was killed between the two writes leaves the store one ahead.
+    let recorded = generation.boots;
+    if found.boots == recorded || Some(found.boots) == recorded.checked_add(1) {
+        return Ok(());
     }
+    Err(StoreRejected::RolledBack { boots: found.boots, recorded })
+}
+
+/// One start of a member's process, as other members know it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProcessStart {
+    /// The number of the start.
+    pub boot: u64,
+    /// Drawn at the start: two processes that count the same number differ in it.
+    pub nonce: u64,
 }
 
-/// What another member says to one that names its boot: whether it is older than one that was heard of.
-pub fn is_stale_start(known: (u64, u64), told: (u64, u64)) -> bool {
-    let ((known, nonce), (boot, other)) = (known, told);
-    boot < known || boot == known && nonce != other
+/// Whether a member that announces a start has forgotten a later one that is known of it.
+pub fn is_stale_start(known: ProcessStart, announced: ProcessStart) -> bool {
+    announced.boot < known.boot || announced.boot == known.boot && announced.nonce != known.nonce
 }
--- a/crates/leadership/tests/assignment.rs
+++ b/crates/leadership/tests/assignment.rs
@@ -1,18 +1,18 @@
-//! Tests of `assignment`.
+//! Roles are spread evenly, with as few moves as possible.
 
 use gaugestep_leadership::assignment::{Reassignment, rebalance};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 fn apply(holders: &mut BTreeMap<String, Option<u64>>, moves: &[Reassignment]) {
-    for one in moves {
-        holders.insert(one.role.clone(), Some(one.to));
+    for reassignment in moves {
+        holders.insert(reassignment.role.clone(), Some(reassignment.to));
     }
 }
 
 proptest! {
     #[test]
-    fn parts_are_even_and_no_move_is_spared(
+    fn shares_are_even_and_moves_are_minimal(
         given in proptest::collection::vec(proptest::option::of(1..7u64), 0..60),
         live in proptest::collection::btree_set(1..7u64, 1..6),
     ) {
@@ -29,12 +29,12 @@
             let has = count(&holders, *member);
             prop_assert!(has == floor || has == floor + 1, "{has} of {}", holders.len());
         }
-        // The least that any plan must move: what nobody alive owns, and what is above the larger parts.
+        // The least that any plan must move: roles without a live holder, and what is above the larger shares.
         let dead = before.values().filter(|holder| holder.is_none_or(|it| !live.contains(&it))).count();
         let mut had: Vec<usize> = live.iter().map(|member| count(&before, *member)).collect();
         had.sort_unstable_by(|a, b| b.cmp(a));
         let above = had.iter().enumerate().map(|(at, has)| has.saturating_sub(floor + usize::from(at < larger)));
         prop_assert_eq!(planned.len(), dead + above.sum::<usize>());
-        prop_assert!(rebalance(&holders, &live).is_empty(), "what is even stays");
+        prop_assert!(rebalance(&holders, &live).is_empty(), "an even spread stays");
     }
 }
--- a/crates/leadership/tests/fencing.rs
+++ b/crates/leadership/tests/fencing.rs
@@ -1,10 +1,10 @@
-//! Tests of `fencing`.
+//! A receiver rejects messages of an old term, and persists a term before it acts.
 
-use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected};
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected, PersistError};
 use std::collections::BTreeMap;
 
 #[test]
-fn a_term_is_on_disk_before_anything_is_done_under_it() {
+fn a_term_is_persisted_before_a_message_is_accepted() {
     let mut guard = FencingGuard::new(BTreeMap::new());
     let terms = |term| BTreeMap::from([("versions".to_owned(), term)]);
     assert_eq!(guard.check("versions", 3, 'a'), [FencingAction::Persist(terms(3))]);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_newer_owner_that_speaks_while_a_term_is_stored_makes_what_waits_stale() {
+fn a_newer_term_that_arrives_during_a_write_makes_waiting_messages_stale() {
     let mut guard = FencingGuard::new(BTreeMap::new());
     guard.check("d", 1, 'a');
     assert_eq!(guard.check("d", 2, 'b'), []);
@@ -30,17 +30,20 @@
 }
 
 #[test]
-fn what_cannot_be_stored_is_not_done_and_the_old_owner_is_refused_all_the_same() {
+fn a_failed_write_accepts_nothing_and_the_old_term_stays_rejected() {
     let mut guard = FencingGuard::new(BTreeMap::from([("d".to_owned(), 4)]));
     guard.check("d", u64::MAX, 'a');
     assert!(matches!(
-        &guard.on_persisted(Err("full".into()))[..],
+        &guard.on_persisted(Err(PersistError::new("full")))[..],
         [FencingAction::Reject('a', FencingRejected::NotPersisted(_))]
     ));
     assert!(matches!(
         &guard.check("d", 4, 'b')[..],
         [FencingAction::Reject('b', FencingRejected::StaleTerm { .. })]
     ));
-    assert!(matches!(&guard.check("d", u64::MAX, 'c')[..], [FencingAction::Persist(_)]), "tried again");
+    assert!(
+        matches!(&guard.check("d", u64::MAX, 'c')[..], [FencingAction::Persist(_)]),
+        "the write is retried"
+    );
     assert_eq!(guard.check("d", 0, 'z'), [FencingAction::Reject('z', FencingRejected::MissingTerm)]);
 }
--- a/crates/leadership/tests/identity.rs
+++ b/crates/leadership/tests/identity.rs
@@ -1,34 +1,55 @@
-//! Tests of `identity`.
+//! One process at a time has a proxy's name, under a rising term.
 
-use gaugestep_leadership::identity::{Claim, IdentityRegistry, RECLAIM_AFTER};
+use gaugestep_clock::Timestamp;
+use gaugestep_leadership::identity::{
+    Claim, ClaimRequest, IdentityRegistry, RECLAIM_AFTER, SupersededProcess,
+};
+
+fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
+fn claim(name: &str, incarnation: u64, term: u64, stream: u64) -> ClaimRequest<'_> {
+    ClaimRequest { name, incarnation, term, stream }
+}
 
 #[test]
-fn the_later_process_wins_the_earlier_one_is_told_and_does_not_fight_back() {
+fn the_later_process_wins_and_the_earlier_one_does_not_take_the_name_back() {
     let mut registry = IdentityRegistry::default();
-    assert_eq!(registry.claim(0.0, "n0", 7, 0, 1), Claim::Granted { term: 1, superseded: None });
-    assert_eq!(registry.claim(1.0, "n0", 8, 0, 2), Claim::Granted { term: 2, superseded: Some(1) });
-    assert_eq!(registry.superseded().collect::<Vec<_>>(), [(1, "n0", 7)]);
-    registry.disconnected(2.0, 1);
-    assert_eq!(registry.claim(3.0, "n0", 7, 1, 3), Claim::Superseded { term: 2, by: 8 });
+    assert_eq!(registry.claim(at(0), claim("n0", 7, 0, 1)), Claim::Granted { term: 1, superseded: None });
+    assert_eq!(registry.claim(at(1), claim("n0", 8, 0, 2)), Claim::Granted { term: 2, superseded: Some(1) });
+    assert_eq!(
+        registry.superseded().collect::<Vec<_>>(),
+        [SupersededProcess { stream: 1, name: "n0", incarnation: 7 }]
+    );
+    registry.disconnected(at(2), 1);
+    assert_eq!(registry.claim(at(3), claim("n0", 7, 1, 3)), Claim::Superseded { term: 2, by: 8 });
     assert!(registry.is_holder("n0", 2) && !registry.is_holder("n0", 3));
-    registry.disconnected(4.0, 2);
-    assert_eq!(registry.claim(5.0, "n0", 7, 1, 4), Claim::Superseded { term: 2, by: 8 }, "it may come back");
-    let back = registry.claim(4.0 + RECLAIM_AFTER, "n0", 7, 1, 5);
+    registry.disconnected(at(4), 2);
+    assert_eq!(
+        registry.claim(at(5), claim("n0", 7, 1, 4)),
+        Claim::Superseded { term: 2, by: 8 },
+        "it may come back"
+    );
+    let back = registry.claim(at(4) + RECLAIM_AFTER, claim("n0", 7, 1, 5));
     assert_eq!(back, Claim::Granted { term: 3, superseded: None });
-    assert_eq!(registry.claim(20_000.0, "n0", 8, 2, 6), Claim::Superseded { term: 3, by: 7 });
+    assert_eq!(registry.claim(at(20_000), claim("n0", 8, 2, 6)), Claim::Superseded { term: 3, by: 7 });
 }
 
 #[test]
-fn a_service_that_starts_anew_takes_the_terms_that_others_gave() {
+fn a_service_that_restarts_continues_from_the_terms_that_others_granted() {
     let mut registry = IdentityRegistry::default();
-    assert_eq!(registry.claim(0.0, "n0", 7, 4, 1), Claim::Granted { term: 4, superseded: None });
-    assert_eq!(registry.claim(0.0, "n0", 8, 5, 2), Claim::Granted { term: 6, superseded: Some(1) });
+    assert_eq!(registry.claim(at(0), claim("n0", 7, 4, 1)), Claim::Granted { term: 4, superseded: None });
+    assert_eq!(registry.claim(at(0), claim("n0", 8, 5, 2)), Claim::Granted { term: 6, superseded: Some(1) });
     assert_eq!(
-        registry.claim(0.0, "n0", 8, 6, 3),
+        registry.claim(at(0), claim("n0", 8, 6, 3)),
         Claim::Granted { term: 6, superseded: None },
-        "a stream anew"
+        "another stream of the same process"
     );
-    let edge = registry.claim(0.0, "n1", 1, u64::MAX, 4);
+    let edge = registry.claim(at(0), claim("n1", 1, u64::MAX, 4));
     assert_eq!(edge, Claim::Granted { term: u64::MAX, superseded: None });
-    assert_eq!(registry.claim(0.0, "n1", 2, 0, 5), Claim::Granted { term: u64::MAX, superseded: Some(4) });
+    assert_eq!(
+        registry.claim(at(0), claim("n1", 2, 0, 5)),
+        Claim::Granted { term: u64::MAX, superseded: Some(4) }
+    );
 }
--- a/crates/leadership/tests/leader_discovery.rs
+++ b/crates/leadership/tests/leader_discovery.rs
@@ -1,22 +1,29 @@
-//! Tests of `leader_discovery`.
+//! A proxy finds the holder of the configuration role, and follows it.
 
-use gaugestep_leadership::leader_discovery::{AnnouncedHolder, LeaderDiscovery, NO_HOLDER_TIMEOUT};
+use gaugestep_clock::Timestamp;
+use gaugestep_leadership::RoleHolder;
+use gaugestep_leadership::leader_discovery::{LeaderDiscovery, NO_HOLDER_TIMEOUT, Reconnect, StreamDecision};
 
-/// Plays services that all name the same holder; how many streams until the proxy stays, and where.
+fn holder(member: u64, term: u64) -> RoleHolder {
+    RoleHolder { member, term }
+}
+
+/// Services that all announce the same holder: the member with which the proxy stays, if it does within eight streams.
 fn play(
     discovery: &mut LeaderDiscovery,
     behind: &[u64],
     reached: &[bool],
-    holder: AnnouncedHolder,
-    seen: u64,
+    announced: RoleHolder,
+    highest_term: u64,
 ) -> Option<u64> {
     for _ in 0..8 {
         let endpoint = discovery.endpoint();
-        if reached[endpoint]
-            && !discovery.on_welcome(0.0, behind[endpoint], holder, seen)
-            && holder.is_some_and(|it| it.0 == behind[endpoint])
-        {
-            return Some(behind[endpoint]);
+        let member = behind[endpoint];
+        let decide = |discovery: &mut LeaderDiscovery| {
+            discovery.on_welcome(Timestamp::ORIGIN, member, Some(announced), highest_term)
+        };
+        if reached[endpoint] && decide(discovery) == StreamDecision::Keep && announced.member == member {
+            return Some(member);
         }
         discovery.on_disconnect();
     }
@@ -24,32 +31,35 @@
 }
 
 #[test]
-fn the_owner_is_found_wherever_it_is_and_followed_when_it_changes() {
-    for holder in 1..4 {
+fn the_holder_is_found_wherever_it_is_and_followed_when_it_changes() {
+    for first in 1..4 {
         let mut discovery = LeaderDiscovery::new(3);
-        assert_eq!(play(&mut discovery, &[2, 3, 1], &[true; 3], Some((holder, 4)), 4), Some(holder));
-        // The next one is known by now: one step.
-        let next = holder % 3 + 1;
-        discovery.on_welcome(0.0, holder, Some((next, 5)), 5);
+        assert_eq!(play(&mut discovery, &[2, 3, 1], &[true; 3], holder(first, 4), 4), Some(first));
+        // The next holder's endpoint may be known by now: one step.
+        let next = first % 3 + 1;
+        discovery.on_welcome(Timestamp::ORIGIN, first, Some(holder(next, 5)), 5);
         discovery.on_disconnect();
         let known = [2, 3, 1][discovery.endpoint()] == next;
-        assert!(known || play(&mut discovery, &[2, 3, 1], &[true; 3], Some((next, 5)), 5) == Some(next));
+        assert!(known || play(&mut discovery, &[2, 3, 1], &[true; 3], holder(next, 5), 5) == Some(next));
     }
 }
 
 #[test]
-fn swapped_addresses_an_owner_out_of_reach_and_old_owners_do_not_hold_a_proxy() {
+fn swapped_addresses_an_unreachable_holder_and_old_terms_do_not_hold_a_proxy() {
     let mut discovery = LeaderDiscovery::new(3);
-    play(&mut discovery, &[1, 2, 3], &[true; 3], Some((2, 1)), 1);
-    assert_eq!(play(&mut discovery, &[1, 3, 2], &[true; 3], Some((2, 1)), 1), Some(2));
-    assert_eq!(play(&mut discovery, &[1, 3, 2], &[true, true, false], Some((2, 1)), 1), None, "out of reach");
-    assert_eq!(play(&mut discovery, &[1, 3, 2], &[true; 3], Some((2, 1)), 1), Some(2), "and found again");
+    play(&mut discovery, &[1, 2, 3], &[true; 3], holder(2, 1), 1);
+    assert_eq!(play(&mut discovery, &[1, 3, 2], &[true; 3], holder(2, 1), 1), Some(2));
+    assert_eq!(play(&mut discovery, &[1, 3, 2], &[true, true, false], holder(2, 1), 1), None, "out of reach");
+    assert_eq!(play(&mut discovery, &[1, 3, 2], &[true; 3], holder(2, 1), 1), Some(2), "and found again");
     let mut discovery = LeaderDiscovery::new(2);
-    assert!(
-        !discovery.on_welcome(0.0, 1, Some((1, 3)), 4),
-        "an old holder is nobody: left only after a while"
+    let mut welcome = |now| discovery.on_welcome(now, 1, Some(holder(1, 3)), 4);
+    let first = welcome(Timestamp::ORIGIN);
+    assert_eq!(
+        first,
+        StreamDecision::Keep,
+        "a holder of an old term counts as none: left only after a while"
     );
-    assert!(discovery.on_welcome(NO_HOLDER_TIMEOUT, 1, Some((1, 3)), 4));
-    assert!(!discovery.on_disconnect());
+    assert_eq!(welcome(Timestamp::ORIGIN + NO_HOLDER_TIMEOUT), StreamDecision::Close);
+    assert_eq!(discovery.on_disconnect(), Reconnect::AfterBackoff);
     assert_eq!(discovery.endpoint(), 1);
 }
--- a/crates/leadership/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -1,33 +1,33 @@
-//! A model (stateright) of owners, terms and a guard: owners that may be paused at any point, between looking and acting
-//! too, messages in any order and more than once, a guard that restarts and whose disk fails. The group and the guard
-//! are the program's own.
+//! A stateright model of role holders, terms and a receiver: holders may be suspended at any point, also between the check
+//! of their lease and the message; messages arrive in any order and more than once; the receiver restarts, and its disk
+//! fails. The group state and the receiver's fence are the program's own.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
 use gaugestep_config::schema::act::What;
-use gaugestep_config::schema::{Act, Member};
-use gaugestep_leadership::CONFIGURATION_ROLE;
-use gaugestep_leadership::fencing::{FencingAction, FencingGuard};
-use gaugestep_leadership::group_state::{GroupState, Outcome};
+use gaugestep_config::schema::{Keep, Member};
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard, PersistError};
+use gaugestep_leadership::group_state::{Command, GroupState, Outcome};
+use gaugestep_leadership::{CONFIGURATION_ROLE, RoleHolder};
 use prost::Message as _;
 use stateright::{Checker, Model, Property};
 
-/// What is wrong with the program, in a variant of the model.
+/// A fault in the program, in a variant of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bug {
     None,
-    /// The guard takes whatever it is told.
+    /// The receiver accepts every message.
     NoCheck,
-    /// The guard acts before its term is on the disk.
-    ActsFirst,
-    /// A new owner goes on under the old one's term.
-    TermKept,
-    /// What is group_state on does not look at the term of an act.
-    LogBlind,
+    /// The receiver accepts a message before its term is persisted.
+    AcceptsBeforePersisting,
+    /// A new holder continues under the term of the old one.
+    TermReused,
+    /// The replicated state ignores the term of a command.
+    StateIgnoresTerm,
 }
 
-/// The group, told apart by what is stored of it.
+/// The group state, hashed by its stored form.
 #[derive(Clone, Debug)]
 struct HashedState(GroupState);
 
@@ -46,19 +46,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     group_state: HashedState,
-    /// What each member believes to own, and under which term: as late as can be.
-    believes: [u64; 2],
-    /// Acts on their way: the member and the term. They stay, as a message may come twice.
+    /// The term under which each member believed_terms that it holds the role; 0: it does not.
+    believed_terms: [u64; 2],
+    /// Messages under way, by member and term. They stay, as a message may arrive twice.
     sent: BTreeSet<(u64, u64)>,
     guard: FencingGuard<(u64, u64)>,
-    /// A term is being stored.
-    storing: bool,
-    /// The terms taken, in order.
-    taken: Vec<u64>,
-    /// Terms under which state was written into the group, in order.
+    /// A term is being persisted.
+    persisting: bool,
+    /// Terms of the messages that were accepted, in order.
+    accepted: Vec<u64>,
+    /// Terms under which the role's state was written, in order.
     written: Vec<u64>,
-    /// Owners by term.
-    owners: BTreeSet<(u64, u64)>,
+    /// Each term with its holder.
+    holders: BTreeSet<(u64, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -67,7 +67,7 @@
     Learn(u64),
     Send(u64),
     Deliver(u64, u64),
-    Stored(bool),
+    Persisted(bool),
     Restart,
     Write(u64),
 }
@@ -78,12 +78,12 @@
 }
 
 impl World {
-    fn take(&self, state: &mut State, actions: Vec<FencingAction<(u64, u64)>>) {
+    fn carry_out(&self, state: &mut State, actions: Vec<FencingAction<(u64, u64)>>) {
         for action in actions {
             match action {
-                FencingAction::Persist(_) => state.storing = true,
-                FencingAction::Accept((_, term)) => state.taken.push(term),
-                FencingAction::Reject((_, term), _) if self.bug == Bug::NoCheck => state.taken.push(term),
+                FencingAction::Persist(_) => state.persisting = true,
+                FencingAction::Accept((_, term)) => state.accepted.push(term),
+                FencingAction::Reject((_, term), _) if self.bug == Bug::NoCheck => state.accepted.push(term),
                 FencingAction::Reject(..) => {}
             }
         }
@@ -100,30 +100,30 @@
         group.add_member(member(2));
         vec![State {
             group_state: HashedState(group),
-            believes: [0; 2],
+            believed_terms: [0; 2],
             sent: BTreeSet::new(),
             guard: FencingGuard::new(BTreeMap::new()),
-            storing: false,
-            taken: Vec::new(),
+            persisting: false,
+            accepted: Vec::new(),
             written: Vec::new(),
-            owners: BTreeSet::new(),
+            holders: BTreeSet::new(),
         }]
     }
 
     fn actions(&self, state: &State, out: &mut Vec<Step>) {
         for member in [1, 2] {
-            if state.group_state.0.holder(CONFIGURATION_ROLE).1 < self.terms {
+            if state.group_state.0.holder(CONFIGURATION_ROLE).term < self.terms {
                 out.push(Step::Assign(member));
             }
             out.push(Step::Learn(member));
-            if state.believes[member as usize - 1] > 0 {
+            if state.believed_terms[member as usize - 1] > 0 {
                 out.push(Step::Send(member));
                 out.push(Step::Write(member));
             }
         }
         out.extend(state.sent.iter().map(|(member, term)| Step::Deliver(*member, *term)));
-        if state.storing {
-            out.extend([Step::Stored(true), Step::Stored(false)]);
+        if state.persisting {
+            out.extend([Step::Persisted(true), Step::Persisted(false)]);
         }
         out.push(Step::Restart);
     }
@@ -132,64 +132,68 @@
         let mut state = last.clone();
         match step {
             Step::Assign(to) => {
-                let term = state.group_state.0.holder(CONFIGURATION_ROLE).1;
-                let act = Act {
+                let term = state.group_state.0.holder(CONFIGURATION_ROLE).term;
+                let command = Command {
                     duty: CONFIGURATION_ROLE.into(),
                     term,
                     what: Some(What::Assign(to)),
-                    ..Act::default()
+                    ..Command::default()
                 };
-                assert_eq!(state.group_state.0.apply(&act).0, Outcome::Applied);
-                if self.bug == Bug::TermKept {
-                    if let Some(duty) = state.group_state.0.roles.get_mut(CONFIGURATION_ROLE) {
-                        duty.term = term.max(1);
+                assert_eq!(state.group_state.0.apply(&command).0, Outcome::Applied);
+                if self.bug == Bug::TermReused {
+                    if let Some(role) = state.group_state.0.roles.get_mut(CONFIGURATION_ROLE) {
+                        role.term = term.max(1);
                     }
                 }
             }
             Step::Learn(member) => {
-                let (owner, term) = state.group_state.0.holder(CONFIGURATION_ROLE);
-                // One that hears that it owns nothing acts no more; one that hears nothing goes on.
-                state.believes[member as usize - 1] = if owner == member { term } else { 0 };
-                if owner == member {
-                    state.owners.insert((term, member));
+                let RoleHolder { member: holder, term } = state.group_state.0.holder(CONFIGURATION_ROLE);
+                // A member that learns that it holds nothing stops; one that learns nothing continues.
+                state.believed_terms[member as usize - 1] = if holder == member { term } else { 0 };
+                if holder == member {
+                    state.holders.insert((term, member));
                 }
             }
-            Step::Send(member) => drop(state.sent.insert((member, state.believes[member as usize - 1]))),
+            Step::Send(member) => {
+                state.sent.insert((member, state.believed_terms[member as usize - 1]));
+            }
             Step::Deliver(member, term) => {
-                if self.bug == Bug::ActsFirst && term >= state.guard.term(CONFIGURATION_ROLE) {
-                    state.taken.push(term);
+                if self.bug == Bug::AcceptsBeforePersisting && term >= state.guard.term(CONFIGURATION_ROLE) {
+                    state.accepted.push(term);
                     let _ = state.guard.check(CONFIGURATION_ROLE, term, (member, term));
                 } else {
                     let actions = state.guard.check(CONFIGURATION_ROLE, term, (member, term));
-                    self.take(&mut state, actions);
+                    self.carry_out(&mut state, actions);
                 }
             }
-            Step::Stored(done) => {
-                state.storing = false;
-                let actions = state.guard.on_persisted(if done { Ok(()) } else { Err("full".into()) });
-                self.take(&mut state, actions);
+            Step::Persisted(succeeded) => {
+                state.persisting = false;
+                let result = if succeeded { Ok(()) } else { Err(PersistError::new("full")) };
+                let actions = state.guard.on_persisted(result);
+                self.carry_out(&mut state, actions);
             }
             Step::Restart => {
                 state.guard = FencingGuard::new(state.guard.terms().clone());
-                state.storing = false;
+                state.persisting = false;
             }
             Step::Write(member) => {
-                let term = state.believes[member as usize - 1];
-                let blind = self.bug == Bug::LogBlind;
-                let (owner, present) = state.group_state.0.holder(CONFIGURATION_ROLE);
-                let act = Act {
+                let term = state.believed_terms[member as usize - 1];
+                let blind = self.bug == Bug::StateIgnoresTerm;
+                let RoleHolder { member: holder, term: current } =
+                    state.group_state.0.holder(CONFIGURATION_ROLE);
+                let command = Command {
                     duty: CONFIGURATION_ROLE.into(),
-                    term: if blind { present } else { term },
-                    by: if blind { owner } else { member },
-                    what: Some(What::Keep(gaugestep_config::schema::Keep { state: vec![1], order: 1 })),
+                    term: if blind { current } else { term },
+                    by: if blind { holder } else { member },
+                    what: Some(What::Keep(Keep { state: vec![1], order: 1 })),
                 };
-                if state.group_state.0.apply(&act).0 == Outcome::Applied {
+                if state.group_state.0.apply(&command).0 == Outcome::Applied {
                     state.written.push(term);
                 }
             }
         }
-        // What was taken or written again and again tells nothing new.
-        state.taken.dedup();
+        // Repeated terms add nothing to the properties.
+        state.accepted.dedup();
         state.written.dedup();
         (state != *last).then_some(state)
     }
@@ -199,47 +203,52 @@
             terms.windows(2).all(|pair| pair[0] <= pair[1])
         }
         vec![
-            Property::always("nothing of an old term is taken", |_, state: &State| rises(&state.taken)),
-            Property::always("nothing of an old term is written", |_, state: &State| rises(&state.written)),
-            Property::always("a term has one owner", |_, state: &State| {
-                let terms: BTreeSet<u64> = state.owners.iter().map(|it| it.0).collect();
-                terms.len() == state.owners.len()
+            Property::always("no message of an old term is accepted", |_, state: &State| {
+                rises(&state.accepted)
+            }),
+            Property::always("no state of an old term is written", |_, state: &State| rises(&state.written)),
+            Property::always("a term has one holder", |_, state: &State| {
+                let terms: BTreeSet<u64> = state.holders.iter().map(|(term, _)| *term).collect();
+                terms.len() == state.holders.len()
             }),
-            Property::sometimes("a later owner is obeyed", |_, state: &State| state.taken.len() > 1),
-            Property::sometimes("a later owner writes", |_, state: &State| state.written.len() > 1),
+            Property::sometimes("a later holder is obeyed", |_, state: &State| state.accepted.len() > 1),
+            Property::sometimes("a later holder writes", |_, state: &State| state.written.len() > 1),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.taken.len() <= 3 && state.written.len() <= 3
+        state.accepted.len() <= 3 && state.written.len() <= 3
     }
 }
 
 fn broken(world: World, depth: usize) -> BTreeSet<&'static str> {
     let found = world.checker().target_max_depth(depth).spawn_bfs().join();
-    let all =
-        ["nothing of an old term is taken", "nothing of an old term is written", "a term has one owner"];
+    let all = [
+        "no message of an old term is accepted",
+        "no state of an old term is written",
+        "a term has one holder",
+    ];
     all.into_iter().filter(|name| found.discovery(name).is_some()).collect()
 }
 
 #[test]
-fn whoever_is_paused_wherever_old_terms_do_nothing() {
-    // All up to some steps: a guard counts what it refuses, so there is no end to the states.
-    let whole = World { bug: Bug::None, terms: 2 }.checker().target_max_depth(13).spawn_bfs().join();
-    println!("{} states", whole.unique_state_count());
-    assert!(whole.unique_state_count() > 1_000, "{}", whole.unique_state_count());
-    whole.assert_properties();
+fn old_terms_change_nothing_wherever_holders_are_suspended() {
+    // All states up to a depth: the receiver counts what it rejects, so there is no end to them.
+    let checked = World { bug: Bug::None, terms: 2 }.checker().target_max_depth(13).spawn_bfs().join();
+    println!("{} states", checked.unique_state_count());
+    assert!(checked.unique_state_count() > 1_000, "{}", checked.unique_state_count());
+    checked.assert_properties();
     assert!(broken(World { bug: Bug::None, terms: 3 }, 9).is_empty());
 }
 
 #[test]
-fn each_bug_is_found_by_the_property_that_it_breaks() {
-    let taken = "nothing of an old term is taken";
+fn each_bug_violates_the_property_that_guards_against_it() {
+    let accepted = "no message of an old term is accepted";
     for (bug, property) in [
-        (Bug::NoCheck, taken),
-        (Bug::ActsFirst, taken),
-        (Bug::TermKept, "a term has one owner"),
-        (Bug::LogBlind, "nothing of an old term is written"),
+        (Bug::NoCheck, accepted),
+        (Bug::AcceptsBeforePersisting, accepted),
+        (Bug::TermReused, "a term has one holder"),
+        (Bug::StateIgnoresTerm, "no state of an old term is written"),
     ] {
         let broken = broken(World { bug, terms: 2 }, 13);
         assert!(broken.contains(property), "{bug:?}: {broken:?}");
--- a/crates/leadership/tests/pause_detector.rs
+++ b/crates/leadership/tests/pause_detector.rs
@@ -1,15 +1,23 @@
-//! Tests of `pause_detector`.
+//! A service that is alone fences itself after a suspension.
 
+use std::time::Duration;
+
+use gaugestep_clock::Timestamp;
 use gaugestep_leadership::pause_detector::PauseDetector;
 
+const LEASE: Duration = Duration::from_secs(2);
+
 #[test]
-fn who_stood_still_waits_for_a_proxy_that_has_seen_nobody_else() {
-    let mut detector = PauseDetector::new(0.0);
-    assert!(!detector.observe(1_999.0, 2_000.0, true));
-    assert!(!detector.observe(9_000.0, 2_000.0, false), "nobody could have turned to another");
-    assert!(detector.observe(20_000.0, 2_000.0, true));
-    assert!(!detector.observe(20_100.0, 2_000.0, true));
-    assert_eq!(detector.suspended_for(), Some(11_000.0));
+fn a_suspended_service_waits_for_a_proxy_that_has_seen_no_other_holder() {
+    let mut detector = PauseDetector::new(Timestamp::ORIGIN);
+    assert!(!detector.observe(Timestamp::from_millis(1_999), LEASE, true));
+    assert!(
+        !detector.observe(Timestamp::from_millis(9_000), LEASE, false),
+        "no proxy could have followed another"
+    );
+    assert!(detector.observe(Timestamp::from_millis(20_000), LEASE, true));
+    assert!(!detector.observe(Timestamp::from_millis(20_100), LEASE, true));
+    assert_eq!(detector.suspended_for(), Some(Duration::from_secs(11)));
     detector.clear();
     assert_eq!(detector.suspended_for(), None);
 }
--- a/crates/leadership/tests/peer_directory.rs
+++ b/crates/leadership/tests/peer_directory.rs
@@ -1,7 +1,10 @@
-//! Tests of `peer_directory`.
+//! Which peers may take part, and where each member is reached.
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::PROTOCOL;
 use gaugestep_config::schema::{Member, PeerHello};
+use std::time::Duration;
+
 use gaugestep_leadership::group_state::GroupState;
 use gaugestep_leadership::peer_directory::{ALIVE_WINDOW, PeerDirectory, PeerRejected};
 use std::collections::BTreeMap;
@@ -19,7 +22,7 @@
 }
 
 #[test]
-fn whoever_forgot_was_removed_or_is_somebody_else_is_not_let_in() {
+fn a_peer_that_is_stale_removed_or_another_is_rejected() {
     let (directory, state) = (PeerDirectory::new(member(1, 1)), group_state());
     let hello = |from, to| PeerHello { protocol: PROTOCOL, lineage: 9, from: Some(from), to };
     let verdict = |hello: PeerHello| directory.check_hello(&state, &hello);
@@ -37,13 +40,13 @@
     assert_eq!(
         verdict(hello(member(2, 3), 2)),
         Err(PeerRejected::WrongMember(1)),
-        "its address is another's by now"
+        "its address is that of another member by now"
     );
     assert_eq!(verdict(hello(member(1, 3), 1)), Err(PeerRejected::DuplicateMember(1)));
     assert_eq!(
         directory.check_membership(&state, 3),
         Err(PeerRejected::Removed(3)),
-        "also one that was let in before"
+        "also a peer that was accepted before"
     );
     assert_eq!(directory.check_membership(&state, 2), Ok(()));
     let other = PeerHello { lineage: 8, ..hello(member(2, 3), 1) };
@@ -55,15 +58,16 @@
 }
 
 #[test]
-fn a_later_start_is_reached_where_it_says_and_an_earlier_one_changes_nothing() {
+fn a_later_start_replaces_the_address_and_an_earlier_one_changes_nothing() {
     let (mut directory, state) = (PeerDirectory::new(member(1, 2)), group_state());
     directory.record(&state, &[member(2, 5), member(2, 4), member(4, 1)]);
     assert_eq!(directory.member(&state, 2), Some(member(2, 5)));
     assert_eq!(directory.other_members(&state), [2]);
     assert_eq!(directory.unreplicated_starts(&state), [member(2, 5), member(1, 2)]);
-    directory.mark_alive(2, 0.0);
+    directory.mark_alive(2, Timestamp::ORIGIN);
+    let end = Timestamp::ORIGIN + ALIVE_WINDOW;
     assert_eq!(
-        (directory.alive_members(ALIVE_WINDOW - 1.0), directory.alive_members(ALIVE_WINDOW)),
+        (directory.alive_members(end - Duration::from_millis(1)), directory.alive_members(end)),
         (vec![2, 1], vec![1])
     );
     let mut fresh = PeerDirectory::new(member(4, 1));
@@ -71,6 +75,6 @@
     assert_eq!(
         fresh.other_members(&GroupState::default()),
         [1],
-        "one that joins learns of the others from whoever comes"
+        "a member that joins learns of the others from whoever connects"
     );
 }
--- a/crates/leadership/tests/pending_proposals.rs
+++ b/crates/leadership/tests/pending_proposals.rs
@@ -1,27 +1,32 @@
-//! Tests of `pending_proposals`.
+//! Proposals are retried, and time out.
 
-use gaugestep_config::schema::Act;
+use std::time::Duration;
+
+use gaugestep_clock::Timestamp;
+use gaugestep_leadership::group_state::Command;
 use gaugestep_leadership::pending_proposals::{
-    Due, MAX_PENDING, PROPOSAL_RETRY_INTERVAL, PROPOSAL_TIMEOUT, PendingProposals,
+    Due, MAX_PENDING, PROPOSAL_RETRY_INTERVAL, PROPOSAL_TIMEOUT, PendingProposals, Proposal, TooManyProposals,
 };
 
 #[test]
-fn what_is_lost_is_proposed_anew_and_given_up_in_the_end() {
+fn a_lost_proposal_is_retried_and_times_out() {
     let mut proposals = PendingProposals::new(7 << 32);
-    let act = Act { duty: "d".into(), ..Act::default() };
-    let number = proposals.add(0.0, Some(act.clone())).unwrap();
-    assert_eq!(number, (7 << 32) + 1, "none is used twice by one process");
-    let change = proposals.add(0.0, None).unwrap();
-    assert_eq!(proposals.due(0.0).propose, [(number, act.clone())]);
-    assert_eq!(proposals.due(PROPOSAL_RETRY_INTERVAL - 1.0), Due::default());
+    let start = Timestamp::ORIGIN;
+    let command = Command { duty: "d".into(), ..Command::default() };
+    let number = proposals.add_command(start, command.clone()).unwrap();
+    assert_eq!(number, (7 << 32) + 1, "no number is used twice by one process");
+    let change = proposals.add_membership_change(start).unwrap();
+    assert_eq!(proposals.due(start).propose, [Proposal { number, command: command.clone() }]);
+    assert_eq!(proposals.due(start + PROPOSAL_RETRY_INTERVAL - Duration::from_millis(1)), Due::default());
     assert_eq!(
-        proposals.due(PROPOSAL_RETRY_INTERVAL).propose,
-        [(number, act.clone())],
-        "a change of members is not told twice"
+        proposals.due(start + PROPOSAL_RETRY_INTERVAL).propose,
+        [Proposal { number, command: command.clone() }],
+        "a change of membership is not proposed twice"
     );
-    assert!(proposals.contains(|it| *it == act) && proposals.complete(number));
-    assert!(!proposals.complete(number), "an act that comes through twice has ended once");
-    assert_eq!(proposals.due(PROPOSAL_TIMEOUT).timed_out, [change]);
-    let full: Vec<Option<u64>> = (0..=MAX_PENDING).map(|_| proposals.add(0.0, None)).collect();
-    assert!(full[MAX_PENDING].is_none() && full[MAX_PENDING - 1].is_some());
+    assert!(proposals.contains(|pending| *pending == command) && proposals.complete(number));
+    assert!(!proposals.complete(number), "a command that is committed twice completes once");
+    assert_eq!(proposals.due(start + PROPOSAL_TIMEOUT).timed_out, [change]);
+    let full: Vec<Result<u64, TooManyProposals>> =
+        (0..=MAX_PENDING).map(|_| proposals.add_membership_change(start)).collect();
+    assert!(full[MAX_PENDING].is_err() && full[MAX_PENDING - 1].is_ok());
 }
--- a/crates/leadership/tests/rollback_guard.rs
+++ b/crates/leadership/tests/rollback_guard.rs
@@ -1,23 +1,31 @@
-//! Tests of `rollback_guard`.
+//! A store that was rolled back or copied is refused.
 
-use gaugestep_leadership::rollback_guard::{FoundStore, StoreRejected, is_stale_start, next_boot};
+use gaugestep_leadership::rollback_guard::{
+    FoundStore, Generation, ProcessStart, RestorePolicy, StoreRejected, is_stale_start, next_boot,
+};
 
 #[test]
-fn yesterdays_store_a_copy_and_one_without_its_seal_are_refused() {
-    let found = |boots, file, generation| FoundStore { boots, file, generation };
-    assert_eq!(next_boot(found(0, 1, None), false), Ok(1), "new, or of an older build");
-    assert_eq!(next_boot(found(3, 1, Some((3, 1))), false), Ok(4));
-    assert_eq!(next_boot(found(4, 1, Some((3, 1))), false), Ok(5), "killed between store and seal");
-    let older = StoreRejected::RolledBack { boots: 2, recorded: 3 };
-    assert_eq!(next_boot(found(2, 1, Some((3, 1))), false), Err(older));
-    assert_eq!(next_boot(found(3, 2, Some((3, 1))), false), Err(StoreRejected::Copied));
-    assert_eq!(next_boot(found(3, 1, None), false), Err(StoreRejected::GenerationMissing));
-    assert_eq!(next_boot(found(2, 1, Some((3, 1))), true), Ok(4), "above both");
-    assert_eq!(next_boot(found(0, 1, Some((u64::MAX, 1))), true), Ok(u64::MAX));
+fn a_restored_store_a_copy_and_one_without_its_generation_file_are_refused() {
+    let found = |boots, file, generation: Option<(u64, u64)>| {
+        let generation = generation.map(|(boots, file)| Generation { boots, file });
+        FoundStore { boots, file, generation }
+    };
+    let check = |found| next_boot(found, RestorePolicy::Refuse);
+    let restore = |found| next_boot(found, RestorePolicy::Accept);
+    assert_eq!(check(found(0, 1, None)), Ok(1), "new, or of an older build");
+    assert_eq!(check(found(3, 1, Some((3, 1)))), Ok(4));
+    assert_eq!(check(found(4, 1, Some((3, 1)))), Ok(5), "killed between the two writes");
+    let rolled_back = StoreRejected::RolledBack { boots: 2, recorded: 3 };
+    assert_eq!(check(found(2, 1, Some((3, 1)))), Err(rolled_back));
+    assert_eq!(check(found(3, 2, Some((3, 1)))), Err(StoreRejected::Copied));
+    assert_eq!(check(found(3, 1, None)), Err(StoreRejected::GenerationMissing));
+    assert_eq!(restore(found(2, 1, Some((3, 1)))), Ok(4), "above both");
+    assert_eq!(restore(found(0, 1, Some((u64::MAX, 1)))), Ok(u64::MAX));
 }
 
 #[test]
-fn the_others_know_a_later_boot() {
-    assert!(!is_stale_start((3, 9), (3, 9)) && !is_stale_start((3, 9), (4, 1)));
-    assert!(is_stale_start((3, 9), (2, 9)) && is_stale_start((3, 9), (3, 8)));
+fn other_members_know_a_later_start() {
+    let start = |boot, nonce| ProcessStart { boot, nonce };
+    assert!(!is_stale_start(start(3, 9), start(3, 9)) && !is_stale_start(start(3, 9), start(4, 1)));
+    assert!(is_stale_start(start(3, 9), start(2, 9)) && is_stale_start(start(3, 9), start(3, 8)));
 }
