--- a/crates/leadership/src/identity.rs
+++ b/crates/leadership/src/identity.rs
@@ -1,7 +1,7 @@
 //! Which process has a proxy's name.
 //!
 //! A name has one holder under a rising term, like a role. A process that claims the name of another takes it with a
-//! higher term; the earlier process is told, and does not take the name back while the later one is connected.
+//! higher term; the earlier process is notified, and does not take the name back while the later one is connected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     Granted {
         /// The name's term.
         term: u64,
-        /// The stream of the process that had the name and must be told.
+        /// The stream of the process that had the name and must be notified.
         superseded: Option<u64>,
     },
     /// A later process has the name.
--- a/crates/leadership/src/pending_proposals.rs
+++ b/crates/leadership/src/pending_proposals.rs
@@ -1,5 +1,5 @@
 //! Commands that this member has proposed and that are not committed yet: when each is proposed again, and when its
-//! caller is told that it timed out.
+//! caller learns that it timed out.
 //!
 //! A proposal may be lost with a message or a leader. A command that is committed twice does no harm by itself.
 
--- a/crates/leadership/tests/group_state.rs
+++ b/crates/leadership/tests/group_state.rs
@@ -51,7 +51,7 @@
 
 /// The text with which a member is refused.
 fn join_error(state: &GroupState, number: u64) -> String {
-    state.check_join(&member(number)).unwrap_err().to_string()
+    state.check_join(&member(number)).expect_err("it may not join").to_string()
 }
 
 #[test]
--- a/crates/leadership/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -88,6 +88,39 @@
             }
         }
     }
+
+    /// A leader assigns the role to a member.
+    fn assign(&self, state: &mut State, to: u64) {
+        let term = state.group_state.0.holder(CONFIGURATION_ROLE).term;
+        let command = Command {
+            duty: CONFIGURATION_ROLE.into(),
+            term,
+            what: Some(What::Assign(to)),
+            ..Command::default()
+        };
+        assert_eq!(state.group_state.0.apply(&command).0, Outcome::Applied);
+        if self.bug == Bug::TermReused {
+            if let Some(role) = state.group_state.0.roles.get_mut(CONFIGURATION_ROLE) {
+                role.term = term.max(1);
+            }
+        }
+    }
+
+    /// A member writes the role's state under the term that it believes in.
+    fn write(&self, state: &mut State, member: u64) {
+        let term = state.believed_terms[member as usize - 1];
+        let blind = self.bug == Bug::StateIgnoresTerm;
+        let RoleHolder { member: holder, term: current } = state.group_state.0.holder(CONFIGURATION_ROLE);
+        let command = Command {
+            duty: CONFIGURATION_ROLE.into(),
+            term: if blind { current } else { term },
+            by: if blind { holder } else { member },
+            what: Some(What::Keep(Keep { state: vec![1], order: 1 })),
+        };
+        if state.group_state.0.apply(&command).0 == Outcome::Applied {
+            state.written.push(term);
+        }
+    }
 }
 
 impl Model for World {
@@ -131,21 +164,7 @@
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Assign(to) => {
-                let term = state.group_state.0.holder(CONFIGURATION_ROLE).term;
-                let command = Command {
-                    duty: CONFIGURATION_ROLE.into(),
-                    term,
-                    what: Some(What::Assign(to)),
-                    ..Command::default()
-                };
-                assert_eq!(state.group_state.0.apply(&command).0, Outcome::Applied);
-                if self.bug == Bug::TermReused {
-                    if let Some(role) = state.group_state.0.roles.get_mut(CONFIGURATION_ROLE) {
-                        role.term = term.max(1);
-                    }
-                }
-            }
+            Step::Assign(to) => self.assign(&mut state, to),
             Step::Learn(member) => {
                 let RoleHolder { member: holder, term } = state.group_state.0.holder(CONFIGURATION_ROLE);
                 // A member that learns that it holds nothing stops; one that learns nothing continues.
@@ -176,21 +195,7 @@
                 state.guard = FencingGuard::new(state.guard.terms().clone());
                 state.persisting = false;
             }
-            Step::Write(member) => {
-                let term = state.believed_terms[member as usize - 1];
-                let blind = self.bug == Bug::StateIgnoresTerm;
-                let RoleHolder { member: holder, term: current } =
-                    state.group_state.0.holder(CONFIGURATION_ROLE);
-                let command = Command {
-                    duty: CONFIGURATION_ROLE.into(),
-                    term: if blind { current } else { term },
-                    by: if blind { holder } else { member },
-                    what: Some(What::Keep(Keep { state: vec![1], order: 1 })),
-                };
-                if state.group_state.0.apply(&command).0 == Outcome::Applied {
-                    state.written.push(term);
-                }
-            }
+            Step::Write(member) => self.write(&mut state, member),
         }
         // Repeated terms add nothing to the properties.
         state.accepted.dedup();
