--- a/crates/leadership/src/group_state/rejection.rs
+++ b/crates/leadership/src/group_state/rejection.rs
@@ -55,9 +55,6 @@
     /// The last member cannot be removed.
     #[error("the last member cannot be removed")]
     LastMember,
-    /// The member's address cannot be parsed.
-    #[error("'{0}' is no address")]
-    InvalidAddress(String),
 
     /// The publication's key is too long.
     #[error("the key is too long")]
