--- a/crates/subsetting/tests/slow_start.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -1,5 +1,7 @@
 //! What a whole fleet sends a cold engine, whoever sends when: the sum in every window stays under the rule's limit.
 
+#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
+
 use gaugestep_subsetting::slow_start::{MAX_CLOCK_SKEW, SlowStartBudget, SlowStartLimit, SlowStartSettings};
 use gaugestep_subsetting::subset::RotationSlot;
 use oorandom::Rand64;
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,5 +1,7 @@
 //! Subsets over a whole fleet: how often each engine is drawn, what a change moves, and what holds without seats.
 
+#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use gaugestep_subsetting::fairness::{Fairness, fairness};
