--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -14,6 +14,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::proxy_state::ProxyState;
 use gaugestep_config::schema::{
     Answer, Charter, Duty, Figures, FromClient, FromService, Hello, Offer, Seated, Seen, Welcome,
@@ -28,8 +29,8 @@
 use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
 use gaugestep_storage::StorageError;
 use gaugestep_storage::snapshot_slots::{SnapshotSlots, read_unlocked};
-use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
-use gaugestep_subsetting::position::FleetPosition;
+use gaugestep_subsetting::ordinal_lease::{LeasedPosition, OrdinalGrant, OrdinalLease};
+use gaugestep_subsetting::position::{FleetPosition, OrdinalAssignment};
 use may::net::TcpStream;
 
 use crate::transport::backoff::Backoff;
@@ -124,7 +125,7 @@
     /// A version, on a stream.
     Offer(u64, Box<Offer>),
     /// The proxy's seat, confirmed for what it asked at that time.
-    Seat(f64, OrdinalGrant),
+    Seat(Timestamp, OrdinalGrant),
 }
 
 /// What the stream's coroutine shares with the thread that stores.
@@ -268,6 +269,7 @@
             })),
             _ => None,
         });
+        let now = Timestamp::from_millis_f64(clock::now());
         serde_json::json!({
             "version": in_force.map_or(0, |taken| taken.version.number),
             "digest": in_force.map_or_else(String::new, |taken| short_digest(&taken.version.digest)),
@@ -279,10 +281,10 @@
             "process": format!("{:016x}", self.incarnation),
             "name_term": desk.name_term,
             "displaced": desk.displaced.is_some(),
-            "seat": desk.holder.position(clock::now()).map(|(place, until)| match place {
+            "seat": desk.holder.position(now).map(|leased| match leased.position {
                 FleetPosition::Ordinal { ordinal: seat, fleet_size: seats } => serde_json::json!({
-                    "seat": seat, "seats": seats, "epoch": desk.holder.last_grant().map(|told| told.epoch),
-                    "term": desk.fencing.term(ORDINALS_ROLE), "left_ms": (until - clock::now()).max(0.0).round(),
+                    "seat": seat, "seats": seats, "epoch": desk.holder.last_grant().map(|grant| grant.epoch),
+                    "term": desk.fencing.term(ORDINALS_ROLE), "left_ms": (leased.expires_at.duration_since(now).as_secs_f64() * 1e3).round(),
                 }),
                 FleetPosition::NameKey(_) => serde_json::Value::Null,
             }),
@@ -359,7 +361,11 @@
                     self.answer(&mut lock(&self.desk), id, number, Some(refusal));
                 }
                 FencingAction::Accept(Said::Seat(asked, told)) => {
-                    let asked = if failpoints::is_check_disabled("seat") { f64::MAX } else { asked };
+                    let asked = if failpoints::is_check_disabled("seat") {
+                        Timestamp::from_millis_f64(f64::MAX)
+                    } else {
+                        asked
+                    };
                     if lock(&self.desk).holder.confirm(asked, told) {
                         self.look_at_seat(true);
                     }
@@ -381,17 +387,21 @@
 
     /// Looks at the seat: it is told on where it has changed, was confirmed, or holds no more.
     fn look_at_seat(&self, confirmed: bool) {
-        let now = clock::now();
+        let now = Timestamp::from_millis_f64(clock::now());
         let mut desk = lock(&self.desk);
         let (held, term) = (desk.holder.position(now), desk.fencing.term(ORDINALS_ROLE));
-        let place = held.map(|(place, _)| place);
+        let place = held.map(|leased| leased.position);
         let changed = std::mem::replace(&mut desk.place, place) != place;
         if !(changed || confirmed && held.is_some()) {
             return;
         }
         let epoch = desk.holder.last_grant().map_or(0, |told| told.epoch);
         drop(desk);
-        if let Some((FleetPosition::Ordinal { ordinal: seat, fleet_size: seats }, until)) = held {
+        if let Some(LeasedPosition {
+            position: FleetPosition::Ordinal { ordinal: seat, fleet_size: seats },
+            expires_at,
+        }) = held
+        {
             if changed {
                 tracing::info!(duty = ORDINALS_ROLE, term, epoch, seat, seats, "seat");
             }
@@ -401,14 +411,15 @@
                 epoch,
                 seat,
                 seats,
-                at = now,
-                until,
+                at = now.as_millis_f64(),
+                until = expires_at.as_millis_f64(),
                 "seat confirmed"
             );
         } else {
             tracing::warn!(duty = ORDINALS_ROLE, term, epoch, "no seat any more");
         }
-        self.host.assign_ordinal(held.map(|(place, until)| (place, until - now)));
+        let remaining = |leased: LeasedPosition| leased.expires_at.as_millis_f64() - now.as_millis_f64();
+        self.host.assign_ordinal(held.map(|leased| (leased.position, remaining(leased))));
     }
 
     /// Tells the tracker of something, and carries out what it wants done.
@@ -632,10 +643,15 @@
                         self.said(CONFIGURATION_ROLE, offer.term, Said::Offer(stream, Box::new(offer)));
                     }
                     Some(from_service::Said::Seated(Seated { term, epoch, asked_ms, seat, seats })) => {
-                        let told = OrdinalGrant { term, epoch, ordinal: seat.map(|seat| (seat, seats)) };
+                        let assignment = seat.map(|ordinal| OrdinalAssignment { ordinal, fleet_size: seats });
+                        let told = OrdinalGrant { term, epoch, assignment };
                         // Nothing was asked for yet: it holds once the first figures are answered.
                         if welcome && asked_ms > 0 {
-                            self.said(ORDINALS_ROLE, term, Said::Seat(asked_ms as f64, told));
+                            self.said(
+                                ORDINALS_ROLE,
+                                term,
+                                Said::Seat(Timestamp::from_millis(asked_ms), told),
+                            );
                         }
                     }
                     // What a later build says is not for this one; what comes before the welcome is no service's.
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -2,6 +2,7 @@
 //! every member, what proxies are told of it. Members tell the owner which proxies they hear; the roster is agreed on like
 //! all else, so every member knows it.
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{self, Act, Keep, Present, Seated, from_service};
@@ -46,7 +47,8 @@
                 (Some(term), Some((_, roster))) => {
                     let (epoch, seats) = (roster.epoch, roster.names.len());
                     tracing::info!(role = ORDINALS_ROLE, term, epoch, seats, "lease acquired");
-                    inner.seating.keeping = Some((term, RosterManager::resume(now, roster)));
+                    inner.seating.keeping =
+                        Some((term, RosterManager::resume(Timestamp::from_millis_f64(now), roster)));
                 }
                 _ => tracing::warn!(role = ORDINALS_ROLE, "lease lost"),
             }
@@ -65,6 +67,7 @@
             }
         }
         let Some((term, keeper)) = &mut inner.seating.keeping else { return };
+        let now = Timestamp::from_millis_f64(now);
         for told in self.group.take_presence_reports() {
             keeper.record_heartbeats(now, told.proxies.iter().map(String::as_str));
         }
@@ -84,7 +87,9 @@
             let there = service.agreed().is_some_and(|(_, roster)| roster == next);
             let mut inner = lock(&service.inner);
             match inner.seating.keeping.as_mut().filter(|(own, _)| *own == term) {
-                Some((_, keeper)) if there => keeper.change_decided(clock::now(), epoch, true),
+                Some((_, keeper)) if there => {
+                    keeper.change_decided(Timestamp::from_millis_f64(clock::now()), epoch, true);
+                }
                 // It may be agreed on yet, or another one was: begins again with whatever is there.
                 Some(_) => inner.seating.keeping = None,
                 None => {}
@@ -132,7 +137,7 @@
 fn seated(inner: &ServerState, stream: u64, (duty, roster): &(schema::Duty, Roster)) -> Option<Seated> {
     let line = inner.lines.get(&stream)?;
     let (hello, _) = line.hello.as_ref().filter(|(hello, _)| inner.names.is_holder(&hello.proxy, stream))?;
-    let seat = roster.ordinal_of(&hello.proxy).map(|(seat, _)| seat);
+    let seat = roster.ordinal_of(&hello.proxy).map(|assignment| assignment.ordinal);
     let (term, epoch, seats) = (duty.term, roster.epoch, roster.names.len() as u32);
     Some(Seated { term, epoch, asked_ms: line.asked, seat, seats })
 }
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use gaugestep_subsetting::slow_start::{SlowStartBudget, SlowStartLimit, stagger_factor};
+use gaugestep_subsetting::slow_start::{SlowStartBudget, SlowStartLimit};
 use gaugestep_subsetting::subset::Subset;
 
 use crate::interface::*;
@@ -568,7 +568,7 @@
                     out.push(Action::Log(format!("engine {}: left alone, {:?}", end.engine.0, end.outcome)));
                     let doubled = f64::from((engine.strikes / STRIKES_OUT).min(8) - 1).exp2();
                     let wait = (BAR_FIRST * doubled).min(BAR_MOST)
-                        * stagger_factor(self.subset.rotation_slot(end.engine.0));
+                        * self.subset.rotation_slot(end.engine.0).stagger_factor();
                     engine.barred_until = now + wait;
                     if end.outcome == Outcome::ConnectFailed {
                         // A process that comes back after this is cold, whenever the list says so.
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -95,7 +95,7 @@
         };
         let longest = (config.limits.memory_bytes / MEMORY_PART / sessions).max(LEAST_MESSAGE);
         let settings = bounded(config.settings, &config.limits);
-        let spread = gaugestep_subsetting::slow_start::stagger_factor(settings.place.rotation_slot());
+        let spread = settings.place.rotation_slot().stagger_factor();
         let told = Told {
             proxy: config.name.clone(),
             names: config.names.clone(),
--- a/crates/subsetting/src/fairness.rs
+++ b/crates/subsetting/src/fairness.rs
@@ -1,42 +1,37 @@
-//! How evenly something lies over those who have a part of it.
+//! How evenly something is spread over those who share it.
 
-/// How evenly something lies. Each figure is 1 where every part is what it should be.
+/// How evenly something is spread. Each figure is 1 if everybody has exactly the share that its weight entitles it to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fairness {
-    /// The largest part over what it should be.
+    /// The largest ratio of what somebody has to what it should have.
     pub max_ratio: f64,
-    /// The smallest part over what it should be.
+    /// The smallest such ratio.
     pub min_ratio: f64,
-    /// Jain's index of the parts over what they should be: 1 / n where one has all (Jain, Chiu, Hawe, 1984).
+    /// Jain's fairness index of these ratios: 1 / n if one of n has everything (Jain, Chiu, Hawe, 1984).
     pub jain_index: f64,
 }
 
-/// How evenly `parts` lie: what each has, and its weight against the others. Parts without weight count nothing.
-pub fn fairness(parts: impl IntoIterator<Item = (f64, f64)>) -> Fairness {
-    let parts: Vec<(f64, f64)> = parts.into_iter().filter(|(_, weight)| *weight > 0.0).collect();
-    let (had, weights) = parts.iter().fold((0.0, 0.0), |sum, part| (sum.0 + part.0, sum.1 + part.1));
-    if had <= 0.0 {
-        return Fairness { max_ratio: 1.0, min_ratio: 1.0, jain_index: 1.0 };
-    }
-    let over = |(has, weight): &(f64, f64)| has / (had * weight / weights);
-    let (mut most, mut least, mut sum, mut squares) = (0.0f64, f64::INFINITY, 0.0, 0.0);
-    for ratio in parts.iter().map(over) {
-        (most, least) = (most.max(ratio), least.min(ratio));
-        (sum, squares) = (sum + ratio, squares + ratio * ratio);
-    }
-    Fairness { max_ratio: most, min_ratio: least, jain_index: sum * sum / (parts.len() as f64 * squares) }
+impl Fairness {
+    const PERFECT: Fairness = Fairness { max_ratio: 1.0, min_ratio: 1.0, jain_index: 1.0 };
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_that_has_all_and_all_that_have_the_same() {
-        let even = fairness([(2.0, 1.0), (4.0, 2.0), (0.0, 0.0)]);
-        assert_eq!((even.max_ratio, even.min_ratio, even.jain_index), (1.0, 1.0, 1.0));
-        let one = fairness([(8.0, 1.0), (0.0, 1.0), (0.0, 1.0), (0.0, 1.0)]);
-        assert_eq!((one.max_ratio, one.min_ratio, one.jain_index), (4.0, 0.0, 0.25));
-        assert_eq!(fairness([(0.0, 1.0)]).jain_index, 1.0, "nothing lies evenly");
+/// Measures how evenly something is spread. `shares` are, for each party, what it has and its weight. Parties without weight
+/// are ignored; if nobody has anything, it is spread evenly.
+pub fn fairness(shares: impl IntoIterator<Item = (f64, f64)>) -> Fairness {
+    let shares: Vec<(f64, f64)> = shares.into_iter().filter(|(_, weight)| *weight > 0.0).collect();
+    let total: f64 = shares.iter().map(|(amount, _)| amount).sum();
+    let total_weight: f64 = shares.iter().map(|(_, weight)| weight).sum();
+    if total <= 0.0 {
+        return Fairness::PERFECT;
+    }
+    let (mut max_ratio, mut min_ratio) = (0.0f64, f64::INFINITY);
+    let (mut sum, mut sum_of_squares) = (0.0, 0.0);
+    for (amount, weight) in &shares {
+        let ratio = amount / (total * weight / total_weight);
+        max_ratio = max_ratio.max(ratio);
+        min_ratio = min_ratio.min(ratio);
+        sum += ratio;
+        sum_of_squares += ratio * ratio;
     }
+    Fairness { max_ratio, min_ratio, jain_index: sum * sum / (shares.len() as f64 * sum_of_squares) }
 }
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -3,10 +3,11 @@
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
+use gaugestep_subsetting::assignment::AssignmentTable;
 use gaugestep_subsetting::key;
 use gaugestep_subsetting::position::FleetPosition;
 use gaugestep_subsetting::slow_start::{SlowStartBudget, SlowStartLimit, SlowStartSettings};
-use gaugestep_subsetting::subset::{AssignmentTable, Member, Subset};
+use gaugestep_subsetting::subset::{Member, Subset};
 use oorandom::Rand64;
 
 /// FNV-1a over 64-bit words.
--- a/crates/subsetting/tests/slow_start.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -2,8 +2,8 @@
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
+use gaugestep_subsetting::rotation::RotationSlot;
 use gaugestep_subsetting::slow_start::{MAX_CLOCK_SKEW, SlowStartBudget, SlowStartLimit, SlowStartSettings};
-use gaugestep_subsetting::subset::RotationSlot;
 use oorandom::Rand64;
 use proptest::prelude::*;
 
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -4,10 +4,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use gaugestep_subsetting::assignment::AssignmentTable;
 use gaugestep_subsetting::fairness::{Fairness, fairness};
 use gaugestep_subsetting::key;
 use gaugestep_subsetting::position::FleetPosition;
-use gaugestep_subsetting::subset::{AssignmentTable, Member, Subset};
+use gaugestep_subsetting::subset::{Member, Subset};
 use proptest::prelude::*;
 
 fn members(count: u32) -> Vec<Member> {
