--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -1,5 +1,5 @@
 //! What one owner at a time costs: `cargo bench --bench leadership`. Prints figures and asserts none; those of note are kept in
-//! docs/one-owner.md, as ratios within one run. `GAUGESTEP_ROUNDS` sets how often an owner is lost (50). If
+//! docs/leadership.md, as ratios within one run. `GAUGESTEP_ROUNDS` sets how often a lease holder is lost (50). If
 //! `GAUGESTEP_EARLIER` names a control service of an earlier build, it is measured in the same run.
 
 #[path = "../tests/common/group.rs"]
--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -1,5 +1,5 @@
 //! What choosing by seats costs: `cargo bench --bench subsets`. Prints figures and asserts none; those of note are kept in
-//! docs/seats-and-turns.md.
+//! docs/subsetting.md.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
