--- a/crates/control-plane/src/failpoints.rs
+++ b/crates/control-plane/src/failpoints.rs
@@ -1,21 +1,27 @@
-//! Checks that tests take out, to show that what they guard against is held by the others too, or by them alone. Builds
-//! without debug assertions, and so everything that ships, have none.
+//! Hooks for tests in builds with debug assertions. Builds that ship have none: there every function here does nothing.
 
-/// Whether this check is taken out: `GAUGESTEP_TEST_OUT` names it, in a build for tests.
+use rustix::process::{Signal, getpid, kill_process};
+
+/// Names the checks that are disabled, separated by commas.
+const DISABLED_CHECKS: &str = "GAUGESTEP_TEST_OUT";
+/// Names a file that holds the name of the place at which the process suspends itself.
+const SUSPEND_FILE: &str = "GAUGESTEP_TEST_STOP";
+
+/// Whether a check is disabled, so that tests can show that the others hold without it, or fail.
 pub fn is_check_disabled(check: &str) -> bool {
     cfg!(debug_assertions)
-        && std::env::var("GAUGESTEP_TEST_OUT").is_ok_and(|out| out.split(',').any(|one| one == check))
+        && std::env::var(DISABLED_CHECKS).is_ok_and(|checks| checks.split(',').any(|it| it == check))
 }
 
-/// Stops this process (SIGSTOP) where a test asks for it: once, if the file that `GAUGESTEP_TEST_STOP` names is there and
-/// holds the name of this place. In a build for tests only.
+/// Suspends this process (SIGSTOP), once, if a test asks for it at this place.
 pub fn suspend_at(place: &str) {
     if !cfg!(debug_assertions) {
         return;
     }
-    let Ok(path) = std::env::var("GAUGESTEP_TEST_STOP") else { return };
-    if std::fs::read_to_string(&path).is_ok_and(|told| told == place) {
+    let Ok(path) = std::env::var(SUSPEND_FILE) else { return };
+    if std::fs::read_to_string(&path).is_ok_and(|requested| requested == place) {
+        // The test sees by the missing file that the process has come this far.
         let _ = std::fs::remove_file(&path);
-        let _ = rustix::process::kill_process(rustix::process::getpid(), rustix::process::Signal::STOP);
+        let _ = kill_process(getpid(), Signal::STOP);
     }
 }
--- a/crates/control-plane/src/raft/codec.rs
+++ b/crates/control-plane/src/raft/codec.rs
@@ -1,12 +1,13 @@
-//! Raft's messages as they travel and are stored: in the project's own schema, so that no byte of a peer or of a file
-//! reaches the decoder that the library brings.
+//! Conversion of the Raft library's messages to and from the project's own schema, in which they are sent and stored.
+//!
+//! No byte of a peer or of a file reaches the decoder of the library.
 
 use gaugestep_config::schema::{RaftEntry, RaftHard, RaftMembers, RaftMessage, RaftSnapshot};
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
 
-fn kind(kind: i32) -> Option<MessageType> {
+fn decode_message_kind(kind: i32) -> Option<MessageType> {
     use MessageType::*;
-    // What comes from a peer: never what a member only tells itself. Proposals are not passed on.
+    // The kinds that a peer may send: none that a member only sends to itself.
     const KINDS: [MessageType; 12] = [
         MsgAppend,
         MsgAppendResponse,
@@ -24,12 +25,12 @@
     KINDS.into_iter().find(|known| *known as i32 == kind)
 }
 
-fn entry_kind(kind: i32) -> Option<EntryType> {
+fn decode_entry_kind(kind: i32) -> Option<EntryType> {
     [EntryType::EntryNormal, EntryType::EntryConfChange].into_iter().find(|known| *known as i32 == kind)
 }
 
-/// An entry as it is told and stored.
-pub fn entry(entry: &Entry) -> RaftEntry {
+/// An entry as it is sent and stored.
+pub(crate) fn encode_entry(entry: &Entry) -> RaftEntry {
     RaftEntry {
         kind: entry.get_entry_type() as i32,
         term: entry.term,
@@ -39,18 +40,18 @@
     }
 }
 
-/// The entry that was told; none if this build does not know its kind.
-pub fn of_entry(told: RaftEntry) -> Option<Entry> {
+/// The entry that was sent or stored; `None` if this build does not know its kind.
+pub(crate) fn decode_entry(sent: RaftEntry) -> Option<Entry> {
     let mut entry = Entry::default();
-    entry.set_entry_type(entry_kind(told.kind)?);
-    (entry.term, entry.index) = (told.term, told.index);
-    entry.data = told.data.into();
-    entry.context = told.context.into();
+    entry.set_entry_type(decode_entry_kind(sent.kind)?);
+    (entry.term, entry.index) = (sent.term, sent.index);
+    entry.data = sent.data.into();
+    entry.context = sent.context.into();
     Some(entry)
 }
 
-/// Members as they are told and stored.
-pub fn members(state: &ConfState) -> RaftMembers {
+/// The members as they are sent and stored.
+pub(crate) fn encode_membership(state: &ConfState) -> RaftMembers {
     RaftMembers {
         voters: state.voters.to_vec(),
         learners: state.learners.to_vec(),
@@ -60,39 +61,39 @@
     }
 }
 
-/// Members that were told.
-pub fn of_members(told: RaftMembers) -> ConfState {
+/// The members that were sent or stored.
+pub(crate) fn decode_membership(sent: RaftMembers) -> ConfState {
     ConfState {
-        voters: told.voters,
-        learners: told.learners,
-        voters_outgoing: told.voters_outgoing,
-        learners_next: told.learners_next,
-        auto_leave: told.auto_leave,
+        voters: sent.voters,
+        learners: sent.learners,
+        voters_outgoing: sent.voters_outgoing,
+        learners_next: sent.learners_next,
+        auto_leave: sent.auto_leave,
         ..ConfState::default()
     }
 }
 
-/// What a member has voted for, as it is stored.
-pub fn hard(state: &HardState) -> RaftHard {
+/// Term, vote and commit index as they are stored.
+pub(crate) fn encode_hard_state(state: &HardState) -> RaftHard {
     RaftHard { term: state.term, vote: state.vote, commit: state.commit }
 }
 
-/// What was stored.
-pub fn of_hard(told: RaftHard) -> HardState {
+/// Term, vote and commit index that were stored.
+pub(crate) fn decode_hard_state(stored: &RaftHard) -> HardState {
     let mut state = HardState::default();
-    (state.term, state.vote, state.commit) = (told.term, told.vote, told.commit);
+    (state.term, state.vote, state.commit) = (stored.term, stored.vote, stored.commit);
     state
 }
 
-/// A message as it is told.
-pub fn message(message: &Message) -> RaftMessage {
+/// A message as it is sent.
+pub(crate) fn encode_message(message: &Message) -> RaftMessage {
     let snapshot = message.has_snapshot().then(|| {
         let (snapshot, meta) = (message.get_snapshot(), message.get_snapshot().get_metadata());
         RaftSnapshot {
             data: snapshot.data.to_vec(),
             index: meta.index,
             term: meta.term,
-            members: Some(members(meta.get_conf_state())),
+            members: Some(encode_membership(meta.get_conf_state())),
         }
     });
     RaftMessage {
@@ -102,7 +103,7 @@
         term: message.term,
         log_term: message.log_term,
         index: message.index,
-        entries: message.entries.iter().map(entry).collect(),
+        entries: message.entries.iter().map(encode_entry).collect(),
         commit: message.commit,
         commit_term: message.commit_term,
         snapshot: snapshot.filter(|snapshot| snapshot.index > 0),
@@ -114,30 +115,30 @@
     }
 }
 
-/// The message that was told; none if this build does not know it, or a peer must not say it.
-pub fn of_message(told: RaftMessage) -> Option<Message> {
+/// The message that was sent; `None` if this build does not know it, or a peer must not send it.
+pub(crate) fn decode_message(sent: RaftMessage) -> Option<Message> {
     let mut message = Message::default();
-    let kind = kind(told.kind)?;
+    let kind = decode_message_kind(sent.kind)?;
     message.set_msg_type(kind);
-    (message.to, message.from, message.term) = (told.to, told.from, told.term);
-    (message.log_term, message.index) = (told.log_term, told.index);
-    (message.commit, message.commit_term) = (told.commit, told.commit_term);
-    (message.request_snapshot, message.reject) = (told.request_snapshot, told.reject);
-    (message.reject_hint, message.priority) = (told.reject_hint, told.priority);
-    message.context = told.context.into();
-    // Changes of the members are proposed where the command came in, and nowhere else: the library would read a proposed
-    // one with its own decoder.
-    let plain =
+    (message.to, message.from, message.term) = (sent.to, sent.from, sent.term);
+    (message.log_term, message.index) = (sent.log_term, sent.index);
+    (message.commit, message.commit_term) = (sent.commit, sent.commit_term);
+    (message.request_snapshot, message.reject) = (sent.request_snapshot, sent.reject);
+    (message.reject_hint, message.priority) = (sent.reject_hint, sent.priority);
+    message.context = sent.context.into();
+    // Changes of membership are proposed only by the member that received the operator's call: the library would read a
+    // proposed one with its own decoder.
+    let is_command =
         |entry: &RaftEntry| kind != MessageType::MsgPropose || entry.kind == EntryType::EntryNormal as i32;
-    if !told.entries.iter().all(plain) {
+    if !sent.entries.iter().all(is_command) {
         return None;
     }
-    message.entries = told.entries.into_iter().map(of_entry).collect::<Option<Vec<_>>>()?.into();
-    if let Some(told) = told.snapshot {
-        let mut snapshot = Snapshot { data: told.data.into(), ..Snapshot::default() };
+    message.entries = sent.entries.into_iter().map(decode_entry).collect::<Option<Vec<_>>>()?.into();
+    if let Some(sent) = sent.snapshot {
+        let mut snapshot = Snapshot { data: sent.data.into(), ..Snapshot::default() };
         let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (told.index, told.term);
-        meta.set_conf_state(of_members(told.members?));
+        (meta.index, meta.term) = (sent.index, sent.term);
+        meta.set_conf_state(decode_membership(sent.members?));
         message.set_snapshot(snapshot);
     }
     Some(message)
--- /dev/null
+++ b/crates/control-plane/src/raft/driver/leadership.rs
@@ -0,0 +1,148 @@
+//! Leases, and what the Raft leader does for the group.
+
+use gaugestep_clock::Timestamp;
+use gaugestep_config::schema::act::What;
+use gaugestep_config::schema::peer::Said;
+use gaugestep_config::schema::{Renew, Renewed, Yield};
+use gaugestep_leadership::NO_MEMBER;
+use gaugestep_leadership::group_state::Command;
+use gaugestep_leadership::lease::LeaseAction;
+use raft::StateRole;
+
+use super::RaftDriver;
+use crate::clock;
+use crate::raft::request::ignore_result;
+use crate::raft::state::ReplicaState;
+
+impl RaftDriver<'_> {
+    /// Looks at the clock: proposals, this member's lease, and the leader's duties.
+    ///
+    /// `all_roles`: also looks at each role, who should hold it and whose hand-over has stalled. That is done at ticks
+    /// and after changes only, as otherwise every message of an idle group would go through a thousand roles.
+    pub(super) fn maintain_leases(&mut self, all_roles: bool) {
+        let now = clock::now();
+        self.propose_due(now);
+        let leads = self.raw.raft.state == StateRole::Leader && self.raw.raft.commit_to_current_term();
+        self.grantor.set_leading(now, leads);
+        self.update_leader();
+        self.request_lease(now);
+        if all_roles {
+            self.raise_stalled_terms(now);
+        }
+        if leads {
+            self.announce_addresses();
+            self.promote_learner();
+        }
+        let actions = match all_roles {
+            true => self.lease_actions(now, leads),
+            false => Vec::from_iter(self.grantor.next_confirmation(now)),
+        };
+        self.carry_out(actions);
+    }
+
+    fn update_leader(&self) {
+        let leader = self.raw.raft.leader_id;
+        let mut state = self.replica.lock_state();
+        if state.leader != leader {
+            let (member, term) = (self.replica.own.number, self.raw.raft.term);
+            tracing::info!(member, leader, term, "leader changed");
+            state.leader = leader;
+        }
+    }
+
+    /// Requests this member's lease from the leader, if a request is due.
+    fn request_lease(&mut self, now: Timestamp) {
+        let (leader, own) = (self.raw.raft.leader_id, self.replica.own.number);
+        if leader == NO_MEMBER {
+            return;
+        }
+        let Some(number) = self.replica.lock_state().lease.next_request(now) else { return };
+        if leader == own {
+            self.grantor.on_request(now, own, number);
+        } else {
+            // A request that is lost is followed by the next one.
+            self.replica.links.send(leader, Said::Renew(Renew { member: own, number }));
+        }
+    }
+
+    /// Continues under a higher term where a hand-over was not committed: the one under the old term may be yet.
+    fn raise_stalled_terms(&self, now: Timestamp) {
+        let stalled = {
+            let mut state = self.replica.lock_state();
+            let ReplicaState { lease, group, .. } = &mut *state;
+            let held = group.roles_of(self.replica.own.number);
+            lease.stalled_handovers(now, held.map(|role| (role.name.as_str(), role.term)))
+        };
+        for (role, term) in stalled {
+            tracing::warn!(role, term, "a hand-over was not committed: continuing under a higher term");
+            let what = Some(What::Raise(term));
+            self.replica.propose(Command { duty: role, term, what, ..Command::default() }, ignore_result());
+        }
+    }
+
+    /// Proposes the addresses of members that have started again since.
+    fn announce_addresses(&mut self) {
+        let members = {
+            let state = self.replica.lock_state();
+            state.peers.unreplicated_starts(&state.group)
+        };
+        for member in members {
+            let what = Some(What::Member(member));
+            if !self.proposals.contains(|command| command.what == what) {
+                let by = self.replica.own.number;
+                self.on_propose(Command { by, what, ..Command::default() }, ignore_result());
+            }
+        }
+    }
+
+    /// What the leader has to do for the leases of all members. A member that does not lead has nothing to do.
+    fn lease_actions(&mut self, now: Timestamp, leads: bool) -> Vec<LeaseAction> {
+        if !leads {
+            return Vec::new();
+        }
+        let (roles, voters) = {
+            let state = self.replica.lock_state();
+            (state.role_holders(), state.voters.clone())
+        };
+        self.grantor.tick(now, &roles, &voters)
+    }
+
+    pub(super) fn carry_out(&mut self, actions: Vec<LeaseAction>) {
+        for action in actions {
+            match action {
+                LeaseAction::ConfirmLeadership(number) => {
+                    self.raw.read_index(number.to_be_bytes().to_vec());
+                }
+                LeaseAction::Grant { member, number } => self.grant_lease(member, number),
+                LeaseAction::Assign { role, term, to } => {
+                    tracing::info!(role, term, to, "assigning a role");
+                    let what = Some(What::Assign(to));
+                    let by = self.replica.own.number;
+                    self.on_propose(Command { duty: role, term, by, what }, ignore_result());
+                }
+                LeaseAction::RequestHandOver { role, term, from, to } => {
+                    tracing::info!(role, term, from, to, "requesting the hand-over of a role");
+                    self.request_hand_over(from, Yield { duty: role, term, to });
+                }
+            }
+        }
+    }
+
+    fn grant_lease(&self, member: u64, number: u64) {
+        let applied = self.raw.raft.raft_log.committed;
+        if member == self.replica.own.number {
+            self.replica.lock_state().lease.on_granted(number, applied);
+        } else {
+            let granted = Renewed { member, number, applied };
+            self.replica.links.send(member, Said::Renewed(granted));
+        }
+    }
+
+    fn request_hand_over(&self, from: u64, request: Yield) {
+        if from == self.replica.own.number {
+            self.on_hand_over(&request);
+        } else {
+            self.replica.links.send(from, Said::Yield(request));
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/raft/driver/log_bridge.rs
@@ -0,0 +1,24 @@
+//! Passes the log lines of the Raft library on to `tracing`.
+
+use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
+
+struct TracingDrain;
+
+impl Drain for TracingDrain {
+    type Ok = ();
+    type Err = Never;
+
+    fn log(&self, record: &Record<'_>, _: &OwnedKVList) -> Result<(), Never> {
+        match record.level() {
+            Level::Critical | Level::Error => tracing::error!("raft: {}", record.msg()),
+            Level::Warning => tracing::debug!("raft: {}", record.msg()),
+            Level::Info | Level::Debug | Level::Trace => tracing::trace!("raft: {}", record.msg()),
+        }
+        Ok(())
+    }
+}
+
+/// The logger for the library. Its warnings are frequent and of interest to developers only.
+pub(super) fn logger() -> Logger {
+    Logger::root(TracingDrain, o!())
+}
--- /dev/null
+++ b/crates/control-plane/src/raft/driver/mod.rs
@@ -0,0 +1,209 @@
+//! One turn with the Raft library and the store, on the replica's thread: it ends when the store fails.
+//!
+//! Each round of [`RaftDriver::run`] takes requests, ticks the library's clock, persists and sends what the library has
+//! ready ([`persistence`]), applies what is committed ([`apply`]), does the duties of leases and leadership
+//! ([`leadership`]), and answers the proposals that were committed ([`proposals`]).
+
+mod apply;
+mod leadership;
+mod log_bridge;
+mod persistence;
+mod proposals;
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
+use std::time::{Duration, Instant};
+
+use gaugestep_leadership::group_state::{Outcome, StateChange};
+use gaugestep_leadership::lease::{LeaseGrantor, LeaseTiming};
+use gaugestep_leadership::pending_proposals::PendingProposals;
+use gaugestep_storage::control_store::ControlStore;
+use prost::Message as _;
+use raft::{Config, RawNode};
+
+use crate::raft::error::ReplicaError;
+use crate::raft::recovery::RecoveredState;
+use crate::raft::replica::Replica;
+use crate::raft::request::{Request, Responder, Unavailable};
+use crate::raft::storage::{LogContents, RaftStorage};
+use crate::raft::transport::outbound;
+
+/// The interval of the library's clock.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// An election begins after one to two times this many ticks without a message of the leader.
+const ELECTION_TICKS: usize = 10;
+/// A leader sends heartbeats at this many ticks.
+const HEARTBEAT_TICKS: usize = 2;
+/// The most bytes of entries in one message.
+const MAX_BYTES_PER_MESSAGE: u64 = 256 * 1024;
+/// The most messages with entries that a member has not acknowledged.
+const MAX_MESSAGES_IN_FLIGHT: usize = 64;
+/// The most requests that are taken before what they lead to is persisted.
+const MAX_REQUESTS_PER_ROUND: usize = 256;
+/// How often the files of the keys are looked at.
+const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Is called with what has changed; with nothing when a lease may have.
+pub type OnChange = Box<dyn Fn(&[StateChange]) + Send>;
+
+/// A proposal of this process that was committed.
+struct CommittedProposal {
+    number: u64,
+    outcome: Outcome,
+}
+
+/// One turn with the library and the store.
+pub(crate) struct RaftDriver<'a> {
+    replica: &'a Arc<Replica>,
+    on_change: &'a OnChange,
+    raw: RawNode<RaftStorage>,
+    log: RaftStorage,
+    store: ControlStore,
+    grantor: LeaseGrantor,
+    proposals: PendingProposals,
+    /// Who waits for each proposal, by its number.
+    responders: BTreeMap<u64, Responder>,
+    /// What has changed in this round.
+    changes: Vec<StateChange>,
+    /// The proposals of this process that were committed in this round.
+    committed: Vec<CommittedProposal>,
+    next_tick: Instant,
+    keys_checked_at: Instant,
+}
+
+impl<'a> RaftDriver<'a> {
+    /// Begins a turn from the content of the store. `turn` counts the turns of this process.
+    pub(crate) fn start(
+        replica: &'a Arc<Replica>,
+        recovered: RecoveredState,
+        turn: u64,
+        on_change: &'a OnChange,
+    ) -> Result<Self, ReplicaError> {
+        let RecoveredState { store, group, log, .. } = recovered;
+        let voters = &log.membership.voters;
+        let is_single_voter = *voters == [replica.own.number];
+        {
+            let mut state = replica.lock_state();
+            state.group = group;
+            state.applied_index = log.applied_index;
+            state.voters = voters.iter().copied().collect();
+            state.store_failure = None;
+        }
+        let (raw, log) = open_raft(replica, log)?;
+        let now = Instant::now();
+        let mut driver = RaftDriver {
+            replica,
+            on_change,
+            raw,
+            log,
+            store,
+            grantor: LeaseGrantor::new(LeaseTiming::default()),
+            // A proposal of an earlier turn may be committed yet, and must not be taken for one of this turn.
+            proposals: PendingProposals::new(turn << 32),
+            responders: BTreeMap::new(),
+            changes: Vec::new(),
+            committed: Vec::new(),
+            next_tick: now,
+            keys_checked_at: now,
+        };
+        if is_single_voter {
+            // Nobody else can lead: no need to wait for a message of a leader.
+            driver.raw.campaign()?;
+        }
+        Ok(driver)
+    }
+
+    /// Serves requests until the store fails, or until nobody can send any.
+    pub(crate) fn run(mut self, requests: &Receiver<Request>) -> Result<(), ReplicaError> {
+        let result = self.serve(requests);
+        for responder in std::mem::take(&mut self.responders).into_values() {
+            responder(Err(Unavailable::StoreFailed));
+        }
+        result
+    }
+
+    fn serve(&mut self, requests: &Receiver<Request>) -> Result<(), ReplicaError> {
+        loop {
+            let timeout = self.next_tick.saturating_duration_since(Instant::now());
+            match requests.recv_timeout(timeout) {
+                Ok(request) => self.handle_batch(request, requests),
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => return Ok(()),
+            }
+            let ticked = self.tick_if_due();
+            self.process_ready()?;
+            self.maintain_leases(ticked || !self.changes.is_empty());
+            self.process_ready()?;
+            self.announce_changes();
+            self.answer_committed();
+        }
+    }
+
+    /// Takes a request, and those that wait behind it.
+    fn handle_batch(&mut self, first: Request, requests: &Receiver<Request>) {
+        self.handle(first);
+        for request in requests.try_iter().take(MAX_REQUESTS_PER_ROUND) {
+            self.handle(request);
+        }
+    }
+
+    /// Ticks the library's clock once if that is due, however long the process was suspended: it must receive messages
+    /// of the other members before it starts an election.
+    fn tick_if_due(&mut self) -> bool {
+        let now = Instant::now();
+        if now < self.next_tick {
+            return false;
+        }
+        self.next_tick = now + TICK_INTERVAL;
+        self.raw.tick();
+        self.replica.links.wake_all();
+        if self.keys_checked_at.elapsed() >= KEY_RELOAD_INTERVAL {
+            self.keys_checked_at = Instant::now();
+            if let Some(tls) = self.replica.tls() {
+                tls.keys.reload_if_changed();
+            }
+        }
+        true
+    }
+
+    /// Tells the server what has changed in this round; connects to new members.
+    fn announce_changes(&mut self) {
+        let changes = std::mem::take(&mut self.changes);
+        if changes.contains(&StateChange::MembersChanged) {
+            outbound::connect_missing(self.replica);
+            let own = self.replica.own.number;
+            if self.replica.with_state(|group| group.removed.contains(&own)) {
+                self.replica.abort_process("this member was removed from its group");
+            }
+        }
+        (self.on_change)(&changes);
+    }
+}
+
+/// Opens the library on a log.
+fn open_raft(
+    replica: &Arc<Replica>,
+    log: LogContents,
+) -> Result<(RawNode<RaftStorage>, RaftStorage), ReplicaError> {
+    let config = Config {
+        id: replica.own.number,
+        election_tick: ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied: log.applied_index,
+        max_size_per_msg: MAX_BYTES_PER_MESSAGE,
+        max_inflight_msgs: MAX_MESSAGES_IN_FLIGHT,
+        check_quorum: true,
+        pre_vote: true,
+        ..Config::default()
+    };
+    // The log must not keep the replica alive.
+    let weak = Arc::downgrade(replica);
+    let encode_snapshot = move || {
+        let encode = |replica: Arc<Replica>| replica.with_state(|group| group.to_snapshot().encode_to_vec());
+        weak.upgrade().map(encode).unwrap_or_default()
+    };
+    let storage = RaftStorage::new(log, Box::new(encode_snapshot));
+    let raw = RawNode::new(&config, storage.clone(), &log_bridge::logger())?;
+    Ok((raw, storage))
+}
--- /dev/null
+++ b/crates/control-plane/src/raft/driver/persistence.rs
@@ -0,0 +1,112 @@
+//! Persists and sends what the library has ready. What is persisted is on disk before another member learns of it.
+
+use gaugestep_storage::control_store::WriteBatch;
+use prost::Message as _;
+use raft::eraftpb::{Entry, Message, MessageType};
+use raft::{LightReady, ReadState, Ready};
+
+use super::RaftDriver;
+use crate::failpoints;
+use crate::raft::error::ReplicaError;
+use crate::raft::request::Request;
+use crate::raft::{codec, stored_values};
+use gaugestep_config::schema::peer::Said;
+
+/// Entries that are kept behind the last applied one, for members that are a little behind.
+const KEPT_ENTRIES: u64 = 256;
+/// The log is compacted once this many entries can be dropped.
+const MIN_COMPACTED_ENTRIES: u64 = 1_024;
+
+impl RaftDriver<'_> {
+    /// Persists, sends and applies all that the library has ready.
+    pub(super) fn process_ready(&mut self) -> Result<(), ReplicaError> {
+        while self.raw.has_ready() {
+            let mut ready = self.raw.ready();
+            self.persist(&mut ready)?;
+            self.log.append(ready.entries());
+            self.send(ready.take_persisted_messages());
+            let reads = ready.take_read_states();
+            let light = self.raw.advance(ready);
+            self.process_light_ready(light)?;
+            self.raw.advance_apply();
+            self.compact_log()?;
+            self.on_confirmed(reads);
+        }
+        Ok(())
+    }
+
+    /// Writes the new entries with the effect of those that are committed.
+    fn persist(&mut self, ready: &mut Ready) -> Result<(), ReplicaError> {
+        self.send(ready.take_messages());
+        let mut batch = WriteBatch { sync: ready.must_sync(), ..WriteBatch::default() };
+        if !ready.snapshot().is_empty() {
+            self.install_snapshot(ready.snapshot(), &mut batch)?;
+        }
+        put_entries(&mut batch, ready.entries());
+        if let Some(hard_state) = ready.hs() {
+            stored_values::put_hard_state(&mut batch, hard_state);
+            self.log.set_hard_state(hard_state.clone());
+        }
+        let committed = ready.take_committed_entries();
+        self.apply(committed, &mut batch)?;
+        self.store.write(&batch)?;
+        if !ready.entries().is_empty() {
+            failpoints::suspend_at("stored");
+        }
+        Ok(())
+    }
+
+    /// Handles what became ready as soon as the entries were persisted.
+    fn process_light_ready(&mut self, mut light: LightReady) -> Result<(), ReplicaError> {
+        let mut batch = WriteBatch::default();
+        if let Some(commit) = light.commit_index() {
+            stored_values::put_hard_state(&mut batch, &self.log.set_commit(commit));
+        }
+        self.send(light.take_messages());
+        let committed = light.take_committed_entries();
+        if !committed.is_empty() {
+            self.apply(committed, &mut batch)?;
+            self.store.write(&batch)?;
+        }
+        Ok(())
+    }
+
+    fn compact_log(&mut self) -> Result<(), ReplicaError> {
+        let Some(compacted) = self.log.compact(KEPT_ENTRIES, MIN_COMPACTED_ENTRIES) else { return Ok(()) };
+        // Synced: the effect of the entries must be on disk before they are dropped.
+        let mut batch =
+            WriteBatch { compact_log_below: Some(compacted.index + 1), sync: true, ..WriteBatch::default() };
+        stored_values::put_compacted(&mut batch, compacted);
+        self.store.write(&batch)?;
+        Ok(())
+    }
+
+    /// Majorities have confirmed that this member leads.
+    fn on_confirmed(&mut self, reads: Vec<ReadState>) {
+        for read in reads {
+            if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
+                let granted = self.grantor.on_confirmed(u64::from_be_bytes(number));
+                self.carry_out(granted);
+            }
+        }
+    }
+
+    fn send(&self, messages: Vec<Message>) {
+        for message in messages {
+            let member = message.to;
+            let is_snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
+            let sent = self.replica.links.send(member, Said::Raft(codec::encode_message(&message)));
+            if is_snapshot {
+                // A snapshot that is lost later is sent again once the member says what it lacks.
+                self.replica.submit(Request::ReportSnapshot { member, sent });
+            }
+        }
+    }
+}
+
+fn put_entries(batch: &mut WriteBatch, entries: &[Entry]) {
+    let Some(first) = entries.first() else { return };
+    batch.truncate_log_from = Some(first.index);
+    let encode = |entry: &Entry| (entry.index, codec::encode_entry(entry).encode_to_vec());
+    batch.log_entries = entries.iter().map(encode).collect();
+}
--- /dev/null
+++ b/crates/control-plane/src/raft/driver/proposals.rs
@@ -0,0 +1,162 @@
+//! Requests to the replica's thread: proposals, changes of membership, and messages of other members.
+
+use gaugestep_clock::Timestamp;
+use gaugestep_config::schema::{Member, Yield};
+use gaugestep_leadership::group_state::{Command, CommandRejected};
+use gaugestep_leadership::pending_proposals::Proposal;
+use prost::Message as _;
+use raft::SnapshotStatus;
+use raft::eraftpb::{ConfChange, ConfChangeType, Message, MessageType};
+
+use super::{CommittedProposal, RaftDriver};
+use crate::clock;
+use crate::raft::request::{Request, Responder, Unavailable, ignore_result, reject};
+
+/// Bytes of a proposal's context: three numbers.
+const CONTEXT_LENGTH: usize = 24;
+/// Bytes of the part of it that names the process.
+const PROCESS_LENGTH: usize = 16;
+
+impl RaftDriver<'_> {
+    pub(super) fn handle(&mut self, request: Request) {
+        match request {
+            Request::Propose { command, responder } => self.on_propose(*command, responder),
+            Request::AddMember { member, responder } => self.on_add_member(&member, responder),
+            Request::RemoveMember { member, responder } => self.on_remove_member(member, responder),
+            Request::Step(message) => self.on_message(*message),
+            Request::GrantLease { member, number } => {
+                self.grantor.on_request(clock::now(), member, number);
+            }
+            Request::HandOver(request) => self.on_hand_over(&request),
+            Request::ReportUnreachable { member } => {
+                self.raw.report_unreachable(member);
+                self.raw.report_snapshot(member, SnapshotStatus::Failure);
+            }
+            Request::ReportSnapshot { member, sent } => {
+                let status = if sent { SnapshotStatus::Finish } else { SnapshotStatus::Failure };
+                self.raw.report_snapshot(member, status);
+            }
+        }
+    }
+
+    pub(super) fn on_propose(&mut self, command: Command, responder: Responder) {
+        let now = clock::now();
+        match self.proposals.add_command(now, command) {
+            Ok(number) => {
+                self.responders.insert(number, responder);
+                self.propose_due(now);
+            }
+            Err(too_many) => responder(Err(too_many.into())),
+        }
+    }
+
+    /// Proposes what is due, and answers what has timed out.
+    pub(super) fn propose_due(&mut self, now: Timestamp) {
+        let due = self.proposals.due(now);
+        for Proposal { number, command } in due.propose {
+            // Without a leader the library drops it; it is proposed again.
+            let _ = self.raw.propose(self.context(number), command.encode_to_vec());
+        }
+        for number in due.timed_out {
+            if let Some(responder) = self.responders.remove(&number) {
+                responder(Err(Unavailable::NoMajority));
+            }
+        }
+    }
+
+    /// Answers the proposals of this process that were committed in this round.
+    pub(super) fn answer_committed(&mut self) {
+        for CommittedProposal { number, outcome } in std::mem::take(&mut self.committed) {
+            let Some(responder) = self.responders.remove(&number) else { continue };
+            if self.proposals.complete(number) {
+                responder(Ok(outcome));
+            }
+        }
+    }
+
+    fn on_add_member(&mut self, member: &Member, responder: Responder) {
+        if let Err(rejected) = self.replica.with_state(|group| group.check_join(member)) {
+            return reject(responder, rejected);
+        }
+        // A learner first: a majority must not depend on a member that has nothing yet.
+        let mut change = membership_change(ConfChangeType::AddLearnerNode, member.number);
+        change.context = member.encode_to_vec().into();
+        self.propose_membership_change(change, responder);
+    }
+
+    fn on_remove_member(&mut self, member: u64, responder: Responder) {
+        if !self.replica.with_state(|group| group.members.contains_key(&member)) {
+            return reject(responder, CommandRejected::UnknownMember(member));
+        }
+        if self.replica.is_single_voter() && member == self.replica.own.number {
+            return reject(responder, CommandRejected::LastMember);
+        }
+        self.propose_membership_change(membership_change(ConfChangeType::RemoveNode, member), responder);
+    }
+
+    /// Makes a voter of a learner that has caught up.
+    pub(super) fn promote_learner(&mut self) {
+        let committed = self.raw.raft.raft_log.committed;
+        let progress = self.raw.raft.prs();
+        let has_caught_up = |member: &&u64| progress.get(**member).is_some_and(|it| it.matched >= committed);
+        let Some(member) = progress.conf().learners().iter().find(has_caught_up).copied() else { return };
+        tracing::info!(member, "a member has caught up");
+        self.propose_membership_change(membership_change(ConfChangeType::AddNode, member), ignore_result());
+    }
+
+    fn propose_membership_change(&mut self, change: ConfChange, responder: Responder) {
+        let number = match self.proposals.add_membership_change(clock::now()) {
+            Ok(number) => number,
+            Err(too_many) => return responder(Err(too_many.into())),
+        };
+        match self.raw.propose_conf_change(self.context(number), change) {
+            Ok(()) => {
+                self.responders.insert(number, responder);
+            }
+            Err(_) => {
+                self.proposals.complete(number);
+                responder(Err(Unavailable::MembershipChangeRefused));
+            }
+        }
+    }
+
+    fn on_message(&mut self, message: Message) {
+        let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
+        if is_heartbeat && message.commit > self.raw.raft.raft_log.last_index() {
+            // The library panics where a member has lost entries that it acknowledged.
+            self.replica.abort_process(
+                "the store has lost what it acknowledged: remove this member, and add a new one",
+            );
+        }
+        // An error says that the message is of no use, such as one of a former member.
+        let _ = self.raw.step(message);
+    }
+
+    pub(super) fn on_hand_over(&self, request: &Yield) {
+        if self.replica.acting_term(&request.duty) == Some(request.term) {
+            self.replica.hand_over(&request.duty, request.term, request.to, ignore_result());
+        }
+    }
+
+    /// The context of a proposal: it names the process and the proposal.
+    fn context(&self, number: u64) -> Vec<u8> {
+        let own = &self.replica.own;
+        [own.number, own.nonce, number].map(u64::to_be_bytes).concat()
+    }
+
+    /// The number of a proposal, if this process proposed it.
+    pub(super) fn own_proposal(&self, context: &[u8]) -> Option<u64> {
+        if context.len() != CONTEXT_LENGTH {
+            return None;
+        }
+        let (process, number) = context.split_at(PROCESS_LENGTH);
+        let number = u64::from_be_bytes(number.try_into().ok()?);
+        (process == &self.context(number)[..PROCESS_LENGTH]).then_some(number)
+    }
+}
+
+fn membership_change(kind: ConfChangeType, member: u64) -> ConfChange {
+    let mut change = ConfChange { node_id: member, ..ConfChange::default() };
+    change.set_change_type(kind);
+    change
+}
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -1,161 +1,201 @@
-//! What a member finds in its store at a start, and whether it may use it.
+//! What a replica finds in its store when it starts, and whether it may use the store.
 
 use std::collections::BTreeMap;
+use std::path::Path;
 use std::sync::Arc;
 
 use gaugestep_config::Document;
-use gaugestep_config::schema::{self, Entry, Member};
+use gaugestep_config::schema::{Charter, Entry, Member, RaftEntry, RaftHard, RaftMembers};
 use gaugestep_leadership::group_state::{GroupState, StoredVersion};
-use gaugestep_leadership::rollback_guard::{self, FoundStore, RestorePolicy, next_boot};
-use gaugestep_storage::StorageError;
+use gaugestep_leadership::rollback_guard::{self, FoundStore, RestorePolicy, StoreRejected};
 use gaugestep_storage::control_store::{ControlStore, WriteBatch};
 use gaugestep_storage::generation_file::{self, Generation};
-use prost::Message as _;
-use raft::eraftpb::{ConfState, HardState};
+use prost::Message;
+use raft::eraftpb;
 
-use crate::raft::codec;
-use crate::raft::replica::ReplicaSettings;
+use crate::raft::error::ReplicaError;
+use crate::raft::settings::ReplicaSettings;
+use crate::raft::storage::{LogContents, LogPosition};
+use crate::raft::{codec, stored_values};
 
-/// A store as it was found.
+/// The log of a new group begins behind an entry at this position, which stands for what an older build left.
+const FIRST_POSITION: LogPosition = LogPosition { index: 1, term: 1 };
+
+/// A store that was opened, with its contents.
 pub(crate) struct RecoveredState {
     pub(crate) store: ControlStore,
+    /// The number of this start of the process.
     pub(crate) boot: u64,
-    pub(crate) charter: GroupState,
-    pub(crate) hard: HardState,
-    pub(crate) members: ConfState,
-    pub(crate) base: (u64, u64),
-    pub(crate) applied: u64,
-    pub(crate) entries: Vec<raft::eraftpb::Entry>,
-}
-
-pub(crate) fn corrupt(what: &str, error: impl std::fmt::Display) -> String {
-    format!("{what} cannot be read: {error}")
+    pub(crate) group: GroupState,
+    pub(crate) log: LogContents,
 }
 
-fn decode_pair(bytes: &[u8]) -> Option<(u64, u64)> {
-    let (first, second) = bytes.split_first_chunk::<8>()?;
-    Some((u64::from_be_bytes(*first), u64::from_be_bytes(second.try_into().ok()?)))
-}
+impl RecoveredState {
+    /// Opens the store for the first time in this process, and counts the start.
+    pub(crate) fn open(settings: &ReplicaSettings) -> Result<Self, ReplicaError> {
+        let store = ControlStore::open(&settings.store)?;
+        let boot = count_start(&store, settings)?;
+        Self::load(store, boot, settings)
+    }
 
-pub(crate) fn encode_pair((first, second): (u64, u64)) -> Vec<u8> {
-    [first.to_be_bytes(), second.to_be_bytes()].concat()
-}
+    /// Opens the store again, after it has failed. `boot` is the number of this start of the process.
+    pub(crate) fn reopen(settings: &ReplicaSettings, boot: u64) -> Result<Self, ReplicaError> {
+        Self::load(ControlStore::open(&settings.store)?, boot, settings)
+    }
 
-impl RecoveredState {
-    /// Opens the store; `again`: the number of this boot, if the store was opened before.
-    pub(crate) fn open(settings: &ReplicaSettings, again: Option<u64>) -> Result<Self, String> {
-        let path = &settings.store;
-        let failed = |error: StorageError| error.to_string();
-        let store = ControlStore::open(path).map_err(failed)?;
-        let kept = |name: &str| store.value(name).map_err(failed);
-        let single = |bytes: Vec<u8>| bytes.try_into().map(u64::from_be_bytes).unwrap_or(0);
-        let charter = kept("charter")?;
-        let charter = charter.map(|bytes| schema::Charter::decode(bytes.as_slice())).transpose();
-        let charter = charter.map_err(|error| corrupt("what is agreed", error))?;
-        let boot = match again {
-            Some(boot) => boot,
-            None => {
-                let boots = kept("boots")?.map_or(0, single);
-                let file = generation_file::file_id(path).map_err(failed)?;
-                let found = FoundStore {
-                    boots,
-                    file,
-                    generation: generation_file::read(path)
-                        .map_err(failed)?
-                        .map(|it| rollback_guard::Generation { boots: it.starts, file: it.file_id }),
-                };
-                let several = charter.as_ref().is_some_and(|charter| charter.members.len() > 1);
-                let policy =
-                    if settings.restored && !several { RestorePolicy::Accept } else { RestorePolicy::Refuse };
-                let boot = next_boot(found, policy).map_err(|refused| {
-                    let way = match several {
-                        true => {
-                            "remove this member with `members remove`, and add a new one with an empty store"
-                        }
-                        false => "if whoever used it is gone for good, start with `serve --restored`",
-                    };
-                    format!("{}: {refused}; {way}", path.display())
-                })?;
-                // Store before seal: a kill in between leaves the store one ahead, never behind.
-                let values = vec![("boots", boot.to_be_bytes().to_vec())];
-                store.write(&WriteBatch { values, sync: true, ..WriteBatch::default() }).map_err(failed)?;
-                let generation = Generation { starts: boot, file_id: file };
-                generation_file::write(path, generation).map_err(failed)?;
-                boot
-            }
+    fn load(store: ControlStore, boot: u64, settings: &ReplicaSettings) -> Result<Self, ReplicaError> {
+        let versions = load_versions(&store)?;
+        let Some(group) = load_group_state(&store)? else {
+            return Self::initialize(store, boot, versions, settings);
         };
-        let mut versions = BTreeMap::new();
-        for stored in store.versions().map_err(failed)? {
-            let entry =
-                Entry::decode(stored.entry.as_slice()).map_err(|error| corrupt("a version", error))?;
-            let document = Document::decode(stored.document.as_slice());
-            let document = Arc::new(document.map_err(|error| corrupt("a document", error))?);
-            versions.insert(stored.number, StoredVersion { entry, document });
-        }
-        if let Some(told) = charter {
-            let hard = kept("hard")?.unwrap_or_default();
-            let hard =
-                schema::RaftHard::decode(hard.as_slice()).map_err(|error| corrupt("the vote", error))?;
-            let members = kept("members")?.unwrap_or_default();
-            let members = schema::RaftMembers::decode(members.as_slice());
-            let members = members.map_err(|error| corrupt("the members", error))?;
-            let base =
-                kept("base")?.and_then(|bytes| decode_pair(&bytes)).ok_or("the log has no beginning")?;
-            let mut entries = Vec::new();
-            for (index, bytes) in
-                store.log().map_err(failed)?.into_iter().filter(|(index, _)| *index > base.0)
-            {
-                let told =
-                    schema::RaftEntry::decode(bytes.as_slice()).map_err(|error| corrupt("the log", error))?;
-                let entry = codec::of_entry(told).filter(|_| index == base.0 + 1 + entries.len() as u64);
-                entries.push(entry.ok_or("the log has a gap")?);
-            }
-            let applied = kept("applied")?.map_or(0, single);
-            let charter = GroupState { versions, ..GroupState::from_schema(told) };
-            let (hard, members) = (codec::of_hard(hard), codec::of_members(members));
-            return Ok(RecoveredState { store, boot, charter, hard, members, base, applied, entries });
-        }
-        let (mut hard, mut members) = (HardState::default(), ConfState::default());
-        let (charter, base) = match settings.joins {
-            true => (GroupState::default(), (0, 0)),
+        let log = load_log(&store)?;
+        Ok(RecoveredState { store, boot, group: GroupState { versions, ..group }, log })
+    }
+
+    /// Writes the first state into a store without one: empty for a member that joins a group, otherwise a group of one.
+    fn initialize(
+        store: ControlStore,
+        boot: u64,
+        versions: BTreeMap<u64, StoredVersion>,
+        settings: &ReplicaSettings,
+    ) -> Result<Self, ReplicaError> {
+        let (group, log) = match settings.joins {
+            true => (GroupState::default(), LogContents::default()),
             false => {
-                // Alone, with what an older build left: as if it had been agreed on by a first entry.
-                members.voters = vec![settings.member.number];
-                (hard.term, hard.vote, hard.commit) = (1, settings.member.number, 1);
-                let member = Member { boot, nonce: settings.seed | 1, ..settings.member.clone() };
-                (
-                    GroupState::single_member(
-                        store.lineage(settings.seed.max(1)).map_err(failed)?,
-                        member,
-                        versions,
-                    ),
-                    (1, 1),
-                )
+                let lineage = store.lineage(settings.seed.max(1))?;
+                let member = process_member(settings, boot);
+                (GroupState::single_member(lineage, member, versions), single_member_log(settings))
             }
         };
-        let opened = RecoveredState {
-            store,
-            boot,
-            charter,
-            hard,
-            members,
-            base,
-            applied: base.0,
-            entries: Vec::new(),
-        };
+        let recovered = RecoveredState { store, boot, group, log };
+        recovered.store.write(&recovered.first_batch())?;
+        Ok(recovered)
+    }
+
+    fn first_batch(&self) -> WriteBatch {
         let mut batch = WriteBatch { sync: true, ..WriteBatch::default() };
-        opened.append_to(&mut batch);
-        opened.store.write(&batch).map_err(failed)?;
-        Ok(opened)
+        stored_values::put_group_state(&mut batch, &self.group);
+        stored_values::put_hard_state(&mut batch, &self.log.hard_state);
+        stored_values::put_membership(&mut batch, &self.log.membership);
+        stored_values::put_compacted(&mut batch, self.log.compacted);
+        stored_values::put_applied(&mut batch, self.log.applied_index);
+        batch
+    }
+}
+
+/// This process as a member of its group.
+pub(crate) fn process_member(settings: &ReplicaSettings, boot: u64) -> Member {
+    Member { boot, nonce: settings.seed | 1, ..settings.member.clone() }
+}
+
+/// The log of a group of one, in which this member has voted for itself and committed the first entry.
+fn single_member_log(settings: &ReplicaSettings) -> LogContents {
+    let mut log = LogContents {
+        compacted: FIRST_POSITION,
+        applied_index: FIRST_POSITION.index,
+        ..LogContents::default()
+    };
+    log.membership.voters = vec![settings.member.number];
+    log.hard_state.term = FIRST_POSITION.term;
+    log.hard_state.vote = settings.member.number;
+    log.hard_state.commit = FIRST_POSITION.index;
+    log
+}
+
+/// Checks that the store is neither rolled back nor a copy, and counts this start in it.
+fn count_start(store: &ControlStore, settings: &ReplicaSettings) -> Result<u64, ReplicaError> {
+    let path = &settings.store;
+    let has_peers = load_group_state(store)?.is_some_and(|group| group.members.len() > 1);
+    let file_id = generation_file::file_id(path)?;
+    let generation = generation_file::read(path)?;
+    let found = FoundStore {
+        boots: load_number(store, stored_values::BOOTS)?,
+        file: file_id,
+        generation: generation.map(|generation| rollback_guard::Generation {
+            boots: generation.starts,
+            file: generation.file_id,
+        }),
+    };
+    let policy = match settings.restored && !has_peers {
+        true => RestorePolicy::Accept,
+        false => RestorePolicy::Refuse,
+    };
+    let boot = rollback_guard::next_boot(found, policy)
+        .map_err(|rejected| store_rejected(path, rejected, has_peers))?;
+    // The store first: a process that is killed between the two writes leaves the store one ahead, never behind.
+    let mut batch = WriteBatch { sync: true, ..WriteBatch::default() };
+    stored_values::put_boots(&mut batch, boot);
+    store.write(&batch)?;
+    generation_file::write(path, Generation { starts: boot, file_id })?;
+    Ok(boot)
+}
+
+fn store_rejected(path: &Path, source: StoreRejected, has_peers: bool) -> ReplicaError {
+    let remedy = match has_peers {
+        true => "remove this member with `members remove`, and add a new one with an empty store",
+        false => "if whoever used it is gone for good, start with `serve --restored`",
+    };
+    ReplicaError::StoreRejected { path: path.to_owned(), source, remedy }
+}
+
+fn load_number(store: &ControlStore, name: &str) -> Result<u64, ReplicaError> {
+    Ok(store.value(name)?.map_or(0, stored_values::decode_number))
+}
+
+/// A message from the store; the default if it is not there.
+fn load_message<M: Message + Default>(
+    store: &ControlStore,
+    name: &str,
+    what: &'static str,
+) -> Result<M, ReplicaError> {
+    let bytes = store.value(name)?.unwrap_or_default();
+    decode(&bytes, what)
+}
+
+fn decode<M: Message + Default>(bytes: &[u8], what: &'static str) -> Result<M, ReplicaError> {
+    M::decode(bytes).map_err(ReplicaError::undecodable(what))
+}
+
+/// The replicated state without the versions; `None` if the store is new or was written by a build without groups.
+fn load_group_state(store: &ControlStore) -> Result<Option<GroupState>, ReplicaError> {
+    let Some(bytes) = store.value(stored_values::GROUP_STATE)? else { return Ok(None) };
+    let stored: Charter = decode(&bytes, "what is agreed")?;
+    Ok(Some(GroupState::from_schema(stored)))
+}
+
+fn load_versions(store: &ControlStore) -> Result<BTreeMap<u64, StoredVersion>, ReplicaError> {
+    let mut versions = BTreeMap::new();
+    for row in store.versions()? {
+        let entry: Entry = decode(&row.entry, "a version")?;
+        let document: Document = decode(&row.document, "a document")?;
+        versions.insert(row.number, StoredVersion { entry, document: Arc::new(document) });
     }
+    Ok(versions)
+}
+
+fn load_log(store: &ControlStore) -> Result<LogContents, ReplicaError> {
+    let hard_state: RaftHard = load_message(store, stored_values::HARD_STATE, "the vote")?;
+    let membership: RaftMembers = load_message(store, stored_values::MEMBERSHIP, "the members")?;
+    let compacted = store.value(stored_values::COMPACTED)?;
+    let compacted = compacted.and_then(|bytes| stored_values::decode_position(&bytes));
+    let compacted = compacted.ok_or(ReplicaError::MissingLogStart)?;
+    Ok(LogContents {
+        hard_state: codec::decode_hard_state(&hard_state),
+        membership: codec::decode_membership(membership),
+        compacted,
+        entries: load_entries(store, compacted)?,
+        applied_index: load_number(store, stored_values::APPLIED)?,
+    })
+}
 
-    fn append_to(&self, batch: &mut WriteBatch) {
-        batch.values.extend([
-            ("charter", self.charter.to_stored().encode_to_vec()),
-            ("hard", codec::hard(&self.hard).encode_to_vec()),
-            ("members", codec::members(&self.members).encode_to_vec()),
-            ("base", encode_pair(self.base)),
-            ("applied", self.applied.to_be_bytes().to_vec()),
-        ]);
+/// The entries behind a position, each at the index that follows the one before.
+fn load_entries(store: &ControlStore, compacted: LogPosition) -> Result<Vec<eraftpb::Entry>, ReplicaError> {
+    let mut entries = Vec::new();
+    let kept = store.log()?.into_iter().filter(|(index, _)| *index > compacted.index);
+    for (expected, (index, bytes)) in (compacted.index + 1..).zip(kept) {
+        let stored: RaftEntry = decode(&bytes, "the log")?;
+        let entry = codec::decode_entry(stored).filter(|_| index == expected);
+        entries.push(entry.ok_or(ReplicaError::LogGap)?);
     }
+    Ok(entries)
 }
--- /dev/null
+++ b/crates/control-plane/src/raft/state.rs
@@ -0,0 +1,93 @@
+//! What the coroutines and the thread of a replica share.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use gaugestep_clock::Timestamp;
+use gaugestep_config::schema::{Duties, Duty, DutyState, Member, Members};
+use gaugestep_leadership::group_state::GroupState;
+use gaugestep_leadership::lease::{LeaseSession, LeaseTiming};
+use gaugestep_leadership::peer_directory::PeerDirectory;
+use gaugestep_leadership::{NO_MEMBER, RoleHolder};
+
+/// The shared state of a replica. Only the replica's thread changes [`ReplicaState::group`].
+pub(crate) struct ReplicaState {
+    /// The replicated state, up to `applied_index`.
+    pub(crate) group: GroupState,
+    /// The index of the last log entry that was applied.
+    pub(crate) applied_index: u64,
+    /// This member's lease.
+    pub(crate) lease: LeaseSession,
+    /// The Raft leader; [`NO_MEMBER`] if none is known.
+    pub(crate) leader: u64,
+    /// Members that vote. The others are catching up.
+    pub(crate) voters: BTreeSet<u64>,
+    /// The other members, as they are known beyond the replicated state.
+    pub(crate) peers: PeerDirectory,
+    /// When this member applied the last change of holder of each role.
+    pub(crate) held_since: BTreeMap<String, Timestamp>,
+    /// Commands rejected for a stale term, by role.
+    pub(crate) stale_commands: BTreeMap<String, u64>,
+    /// Why the store cannot be used at present.
+    pub(crate) store_failure: Option<String>,
+}
+
+impl ReplicaState {
+    /// The state of a member that starts. Numbers of its lease requests follow `last_request`.
+    pub(crate) fn new(own: Member, group: GroupState, last_request: u64) -> Self {
+        ReplicaState {
+            group,
+            applied_index: 0,
+            lease: LeaseSession::new(LeaseTiming::default(), last_request),
+            leader: NO_MEMBER,
+            voters: BTreeSet::new(),
+            peers: PeerDirectory::new(own),
+            held_since: BTreeMap::new(),
+            stale_commands: BTreeMap::new(),
+            store_failure: None,
+        }
+    }
+
+    /// Whether this member has its lease, and has applied the log up to where the lease was granted.
+    pub(crate) fn has_lease(&self, now: Timestamp) -> bool {
+        self.lease.is_valid(now, self.applied_index)
+    }
+
+    /// Whether this member may act for a role under a term.
+    pub(crate) fn may_act(&self, now: Timestamp, role: &str, term: u64) -> bool {
+        self.lease.may_act(now, self.applied_index, role, term)
+    }
+
+    /// The holder of every role.
+    pub(crate) fn role_holders(&self) -> BTreeMap<String, RoleHolder> {
+        self.group.roles.keys().map(|role| (role.clone(), self.group.holder(role))).collect()
+    }
+
+    /// What the command `members` shows.
+    pub(crate) fn member_report(&self, own: u64, now: Timestamp) -> Members {
+        let mut members = self.peers.all_members(&self.group);
+        members.retain(|member| self.group.members.contains_key(&member.number));
+        Members {
+            own,
+            leader: self.leader,
+            members,
+            heard: self.peers.alive_members(now),
+            voters: self.voters.iter().copied().collect(),
+        }
+    }
+
+    /// What the command `duties` shows.
+    pub(crate) fn role_report(&self, now: Timestamp) -> Duties {
+        let report = |role: &Duty| {
+            let held_since = self.held_since.get(&role.name);
+            DutyState {
+                name: role.name.clone(),
+                owner: role.owner,
+                term: role.term,
+                changes: role.changes,
+                held_ms: held_since.map_or(0, |since| now.duration_since(*since).as_millis() as u64),
+                stale: self.stale_commands.get(&role.name).copied().unwrap_or(0),
+            }
+        };
+        Duties { duties: self.group.roles.values().map(report).collect() }
+    }
+}
--- a/crates/control-plane/src/raft/storage.rs
+++ b/crates/control-plane/src/raft/storage.rs
@@ -1,4 +1,6 @@
-//! The log of a group as the raft library reads it: in memory what the store holds on disk.
+//! The Raft log as the library reads it: in memory what the store holds on disk.
+//!
+//! The library wants a value that can be shared, so the log lies behind a lock. Only the thread of the replica uses it.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,151 +8,170 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, StorageError};
 
+/// Position of a log entry.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct LogPosition {
+    pub(crate) index: u64,
+    pub(crate) term: u64,
+}
+
+/// What a log begins with.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct LogContents {
+    /// Term, vote and commit index.
+    pub(crate) hard_state: HardState,
+    /// The members as of the last applied entry.
+    pub(crate) membership: ConfState,
+    /// The last entry that is not kept any more.
+    pub(crate) compacted: LogPosition,
+    /// The entries behind `compacted`, without a gap.
+    pub(crate) entries: Vec<Entry>,
+    /// The index of the last entry that was applied.
+    pub(crate) applied_index: u64,
+}
+
+/// Encodes the replicated state as of the last applied entry.
+type EncodeSnapshot = Box<dyn Fn() -> Vec<u8> + Send>;
+
 /// The log.
 #[derive(Clone)]
-pub struct RaftStorage(Arc<Mutex<Inner>>);
+pub(crate) struct RaftStorage(Arc<Mutex<Inner>>);
 
 struct Inner {
-    hard: HardState,
-    members: ConfState,
-    /// Index and term of the last entry that is not held any more.
-    base: (u64, u64),
-    entries: Vec<Entry>,
-    /// The last entry that is applied, and all that is agreed by then, as it is sent.
-    applied: u64,
-    charter: Box<dyn Fn() -> Vec<u8> + Send>,
+    log: LogContents,
+    encode_snapshot: EncodeSnapshot,
 }
 
-impl Inner {
-    fn last(&self) -> u64 {
-        self.base.0 + self.entries.len() as u64
+impl LogContents {
+    fn last_index(&self) -> u64 {
+        self.compacted.index + self.entries.len() as u64
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        if index == self.base.0 {
-            return Ok(self.base.1);
+        if index == self.compacted.index {
+            return Ok(self.compacted.term);
         }
-        if index < self.base.0 {
+        if index < self.compacted.index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let entry = self.entries.get((index - self.base.0 - 1) as usize);
+        let entry = self.entries.get(self.offset(index));
         entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
     }
+
+    /// Where an entry behind `compacted` lies in `entries`.
+    fn offset(&self, index: u64) -> usize {
+        index.saturating_sub(self.compacted.index + 1) as usize
+    }
 }
 
 impl RaftStorage {
-    /// A log as it was found; `charter` gives all that is agreed up to the entry that was applied last.
-    pub fn new(
-        hard: HardState,
-        members: ConfState,
-        base: (u64, u64),
-        entries: Vec<Entry>,
-        applied: u64,
-        charter: Box<dyn Fn() -> Vec<u8> + Send>,
-    ) -> Self {
-        RaftStorage(Arc::new(Mutex::new(Inner { hard, members, base, entries, applied, charter })))
-    }
-
-    /// Adds entries, instead of those that stood there.
-    pub fn append(&self, entries: &[Entry]) {
-        let mut inner = lock(&self.0);
-        if let Some(first) = entries.first() {
-            let keep = first.index.saturating_sub(inner.base.0 + 1) as usize;
-            inner.entries.truncate(keep);
-            inner.entries.extend_from_slice(entries);
-        }
+    /// A log with these contents.
+    pub(crate) fn new(log: LogContents, encode_snapshot: EncodeSnapshot) -> Self {
+        RaftStorage(Arc::new(Mutex::new(Inner { log, encode_snapshot })))
+    }
+
+    /// Appends entries, in place of those at and behind the index of the first.
+    pub(crate) fn append(&self, entries: &[Entry]) {
+        let Some(first) = entries.first() else { return };
+        let log = &mut lock(&self.0).log;
+        let keep = log.offset(first.index);
+        log.entries.truncate(keep);
+        log.entries.extend_from_slice(entries);
     }
 
-    /// Sets what was voted for and committed.
-    pub fn set_hard(&self, hard: HardState) {
-        lock(&self.0).hard = hard;
+    /// Sets term, vote and commit index.
+    pub(crate) fn set_hard_state(&self, hard_state: HardState) {
+        lock(&self.0).log.hard_state = hard_state;
     }
 
-    /// Sets how far entries are committed.
-    pub fn set_commit(&self, commit: u64) -> HardState {
-        let mut inner = lock(&self.0);
-        inner.hard.commit = commit;
-        inner.hard.clone()
+    /// Sets the commit index; the hard state with it.
+    pub(crate) fn set_commit(&self, commit: u64) -> HardState {
+        let log = &mut lock(&self.0).log;
+        log.hard_state.commit = commit;
+        log.hard_state.clone()
     }
 
     /// Sets the members.
-    pub fn set_members(&self, members: ConfState) {
-        lock(&self.0).members = members;
+    pub(crate) fn set_membership(&self, membership: ConfState) {
+        lock(&self.0).log.membership = membership;
     }
 
-    /// Entries up to this one are applied.
-    pub fn set_applied(&self, applied: u64) {
-        lock(&self.0).applied = applied;
+    /// Sets the index of the last entry that was applied.
+    pub(crate) fn set_applied(&self, index: u64) {
+        lock(&self.0).log.applied_index = index;
     }
 
-    /// The log begins anew behind a snapshot.
-    pub fn restart(&self, base: (u64, u64), members: ConfState) {
-        let mut inner = lock(&self.0);
-        inner.entries.clear();
-        (inner.base, inner.members, inner.applied) = (base, members, base.0);
-        inner.hard.commit = inner.hard.commit.max(base.0);
+    /// Drops all entries, as a snapshot up to this position was installed.
+    pub(crate) fn reset_to_snapshot(&self, position: LogPosition, membership: ConfState) {
+        let log = &mut lock(&self.0).log;
+        log.entries.clear();
+        log.compacted = position;
+        log.membership = membership;
+        log.applied_index = position.index;
+        log.hard_state.commit = log.hard_state.commit.max(position.index);
     }
 
-    /// Lets go of what lies `keep` and more entries behind the applied one, if that is much; the new base.
-    pub fn compact(&self, keep: u64, much: u64) -> Option<(u64, u64)> {
-        let mut inner = lock(&self.0);
-        let index = inner.applied.saturating_sub(keep);
-        if index.saturating_sub(inner.base.0) < much {
+    /// Drops entries that lie `keep` or more behind the applied one, if there are `at_least` of them; the last entry
+    /// that was dropped.
+    pub(crate) fn compact(&self, keep: u64, at_least: u64) -> Option<LogPosition> {
+        let log = &mut lock(&self.0).log;
+        let index = log.applied_index.saturating_sub(keep);
+        let dropped = index.saturating_sub(log.compacted.index);
+        if dropped < at_least {
             return None;
         }
-        let term = inner.term(index).ok()?;
-        let gone = (index - inner.base.0) as usize;
-        inner.entries.drain(..gone);
-        inner.base = (index, term);
-        Some(inner.base)
+        let term = log.term(index).ok()?;
+        log.entries.drain(..dropped as usize);
+        log.compacted = LogPosition { index, term };
+        Some(log.compacted)
     }
 }
 
 impl raft::Storage for RaftStorage {
     fn initial_state(&self) -> Result<RaftState> {
-        let inner = lock(&self.0);
-        Ok(RaftState::new(inner.hard.clone(), inner.members.clone()))
+        let log = &lock(&self.0).log;
+        Ok(RaftState::new(log.hard_state.clone(), log.membership.clone()))
     }
 
     fn entries(
         &self,
         low: u64,
         high: u64,
-        most: impl Into<Option<u64>>,
+        max_size: impl Into<Option<u64>>,
         _context: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        let inner = lock(&self.0);
-        if low <= inner.base.0 {
+        let log = &lock(&self.0).log;
+        if low <= log.compacted.index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let at = |index: u64| (index - inner.base.0 - 1) as usize;
-        let Some(found) = inner.entries.get(at(low)..at(high)) else {
+        let Some(found) = log.entries.get(log.offset(low)..log.offset(high)) else {
             return Err(Error::Store(StorageError::Unavailable));
         };
         let mut found = found.to_vec();
-        raft::util::limit_size(&mut found, most.into());
+        raft::util::limit_size(&mut found, max_size.into());
         Ok(found)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        lock(&self.0).term(index)
+        lock(&self.0).log.term(index)
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(lock(&self.0).base.0 + 1)
+        Ok(lock(&self.0).log.compacted.index + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(lock(&self.0).last())
+        Ok(lock(&self.0).log.last_index())
     }
 
     fn snapshot(&self, _request: u64, _to: u64) -> Result<Snapshot> {
         let inner = lock(&self.0);
-        let mut snapshot = Snapshot { data: (inner.charter)().into(), ..Snapshot::default() };
-        let term = inner.term(inner.applied)?;
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (inner.applied, term);
-        meta.set_conf_state(inner.members.clone());
+        let mut snapshot = Snapshot { data: (inner.encode_snapshot)().into(), ..Snapshot::default() };
+        let log = &inner.log;
+        let metadata = snapshot.mut_metadata();
+        metadata.index = log.applied_index;
+        metadata.term = log.term(log.applied_index)?;
+        metadata.set_conf_state(log.membership.clone());
         Ok(snapshot)
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/raft/transport/inbound.rs
@@ -0,0 +1,119 @@
+//! Receives from the members that have connected to this one.
+
+use std::sync::Arc;
+
+use gaugestep_config::schema::peer::Said;
+use gaugestep_config::schema::{Member, Peer, PeerHello, PeerWelcome, Piece, RaftMessage};
+use gaugestep_leadership::peer_directory::PeerRejected;
+use prost::Message as _;
+use thiserror::Error;
+
+use super::MAX_MESSAGE_BYTES;
+use super::outbound::connect_missing;
+use crate::raft::codec;
+use crate::raft::replica::Replica;
+
+/// Why the stream of a peer is closed.
+#[derive(Debug, Error)]
+pub enum InboundError {
+    /// A message in pieces is too long.
+    #[error("a message of too many pieces")]
+    MessageTooLong,
+    /// A message in pieces cannot be decoded.
+    #[error("a message in pieces cannot be read: {0}")]
+    Undecodable(#[from] prost::DecodeError),
+    /// A Raft message names another sender or receiver.
+    #[error("a message of another member, or for one")]
+    WrongMember,
+    /// This build does not know a Raft message, or a peer must not send it.
+    #[error("a message that this build does not know")]
+    UnknownMessage,
+}
+
+/// A peer that opened a stream and was accepted.
+pub struct InboundPeer {
+    member: u64,
+    /// The bytes of a message in pieces that have arrived so far.
+    pieces: Vec<u8>,
+}
+
+impl InboundPeer {
+    /// Accepts a peer or rejects it; the answer to it, and the peer if it was accepted.
+    pub fn accept(replica: &Arc<Replica>, hello: &PeerHello) -> (PeerWelcome, Option<Self>) {
+        let from: Member = hello.from.clone().unwrap_or_default();
+        let (member, boot) = (from.number, from.boot);
+        if let Err(rejected) = replica.check_hello(hello) {
+            tracing::warn!(member, boot, "peer rejected: {rejected}");
+            return (rejection(replica.welcome(), &rejected), None);
+        }
+        tracing::info!(member, boot, "peer connected");
+        let welcome = replica.welcome();
+        replica.record_members(std::slice::from_ref(&from));
+        connect_missing(replica);
+        (welcome, Some(InboundPeer { member, pieces: Vec::new() }))
+    }
+
+    /// Processes a message of the peer; the answer, if one is due.
+    ///
+    /// # Errors
+    ///
+    /// If the message is invalid; the stream must be closed then.
+    pub fn handle(
+        &mut self,
+        replica: &Arc<Replica>,
+        message: Peer,
+    ) -> Result<Option<PeerWelcome>, InboundError> {
+        replica.mark_alive(self.member);
+        match message.said {
+            Some(Said::Ping(_)) => return Ok(Some(self.answer_ping(replica))),
+            Some(Said::Piece(piece)) => self.on_piece(replica, &piece)?,
+            Some(Said::Raft(message)) => self.step(replica, message)?,
+            Some(Said::Renew(request)) if request.member == self.member => {
+                replica.on_lease_request(request.member, request.number);
+            }
+            Some(Said::Renewed(granted)) if granted.member == replica.member_number() => {
+                replica.on_lease_granted(&granted);
+            }
+            Some(Said::Yield(request)) => replica.on_hand_over_requested(request),
+            Some(Said::Present(report)) => replica.report_presence(report),
+            Some(Said::Renew(_) | Said::Renewed(_)) | None => {}
+        }
+        Ok(None)
+    }
+
+    fn answer_ping(&self, replica: &Replica) -> PeerWelcome {
+        let welcome = replica.welcome();
+        match replica.check_membership(self.member) {
+            Ok(()) => welcome,
+            Err(rejected) => rejection(welcome, &rejected),
+        }
+    }
+
+    fn on_piece(&mut self, replica: &Replica, piece: &Piece) -> Result<(), InboundError> {
+        if self.pieces.len() + piece.part.len() > MAX_MESSAGE_BYTES {
+            return Err(InboundError::MessageTooLong);
+        }
+        self.pieces.extend_from_slice(&piece.part);
+        if !piece.last {
+            return Ok(());
+        }
+        let message = Peer::decode(std::mem::take(&mut self.pieces).as_slice())?;
+        match message.said {
+            Some(Said::Raft(message)) => self.step(replica, message),
+            _ => Ok(()),
+        }
+    }
+
+    fn step(&self, replica: &Replica, message: RaftMessage) -> Result<(), InboundError> {
+        if message.from != self.member || message.to != replica.member_number() {
+            return Err(InboundError::WrongMember);
+        }
+        replica.step(codec::decode_message(message).ok_or(InboundError::UnknownMessage)?);
+        Ok(())
+    }
+}
+
+fn rejection(welcome: PeerWelcome, rejected: &PeerRejected) -> PeerWelcome {
+    let (refused, fatal) = (rejected.to_string(), rejected.is_fatal());
+    PeerWelcome { refused, fatal, members: Vec::new(), ..welcome }
+}
--- a/crates/control-plane/src/server/admin/group.rs
+++ b/crates/control-plane/src/server/admin/group.rs
@@ -32,7 +32,7 @@
         let known = if leader > 0 { self.address_of(leader, 0) } else { None };
         Err(match known {
             Some(leader) => CallFailure::HeldElsewhere(leader),
-            None => CallFailure::Unavailable(self.replica.unavailable_reason()),
+            None => CallFailure::Unavailable(self.replica.unavailable_reason().to_string()),
         })
     }
 
--- a/crates/control-plane/src/server/admin/mod.rs
+++ b/crates/control-plane/src/server/admin/mod.rs
@@ -12,7 +12,7 @@
 use gaugestep_leadership::group_state::Outcome;
 use gaugestep_leadership::{ORDINALS_ROLE, RoleHolder};
 
-use crate::raft::replica::Responder;
+use crate::raft::request::Responder;
 use crate::server::error::SessionError;
 use crate::server::session::SILENCE_TIMEOUT;
 use crate::server::state::{ServerContext, SessionId};
@@ -146,7 +146,7 @@
             holder > 0 && holder != self.replica.member_number() && self.replica.leader() > 0;
         match self.address_of(holder, term).filter(|_| held_elsewhere) {
             Some(holder) => Err(CallFailure::HeldElsewhere(holder)),
-            None => Err(CallFailure::Unavailable(self.replica.unavailable_reason())),
+            None => Err(CallFailure::Unavailable(self.replica.unavailable_reason().to_string())),
         }
     }
 }
@@ -165,7 +165,7 @@
         Ok(Ok(Outcome::StaleTerm { .. })) => {
             Err(CallFailure::Unavailable("the duty has another owner by now".into()))
         }
-        Ok(Err(reason)) => Err(CallFailure::Unavailable(reason)),
+        Ok(Err(unavailable)) => Err(CallFailure::Unavailable(unavailable.to_string())),
         Err(_) => Err(CallFailure::Unavailable("the service is ending".into())),
     }
 }
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -3,6 +3,8 @@
 use std::io;
 use std::net::SocketAddr;
 
+use crate::raft::error::ReplicaError;
+use crate::raft::transport::inbound::InboundError;
 use crate::transport::connection::ConnectionError;
 use crate::transport::tls::TlsError;
 
@@ -10,8 +12,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The replicated state cannot be used.
-    #[error("{0}")]
-    Replica(String),
+    #[error(transparent)]
+    Replica(#[from] ReplicaError),
     /// The keys cannot be used.
     #[error(transparent)]
     Keys(TlsError),
@@ -40,6 +42,8 @@
     Io(#[from] io::Error),
     #[error(transparent)]
     Connection(#[from] ConnectionError),
+    #[error(transparent)]
+    Peer(#[from] InboundError),
     #[error("too many streams are open")]
     TooManySessions,
     #[error("too many calls are open")]
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,6 +1,6 @@
 //! The control server: serves proxies, operators and the other members of its group.
 //!
-//! What the group agrees on lies in the [`Replica`]. Here are, from the bottom up:
+//! What the group agrees on lies in the [`Replica`](crate::raft::replica::Replica). Here are, from the bottom up:
 //!
 //! - [`settings`], and `state` with what all parts share and the order of locks;
 //! - `lease_holder` (who is told to be the lease holder), `publication` (numbers and offers of versions);
@@ -27,7 +27,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::raft::replica::{Replica, ReplicaSettings};
+use crate::raft::replica_thread;
+use crate::raft::settings::{PeerKeys, ReplicaSettings};
 use crate::server::listener::{Audience, ListenerTls};
 use crate::server::state::ServerContext;
 
@@ -46,15 +47,13 @@
     ///
     /// If the store or the keys cannot be used, if an address cannot be listened on, or if a thread cannot be started.
     pub fn start(settings: Settings, seed: u64) -> Result<Self, StartError> {
-        let (replica, start_replica) =
-            Replica::open(replica_settings(&settings, seed)).map_err(StartError::Replica)?;
+        let (replica, replica_thread) = replica_thread::open(replica_settings(&settings, seed))?;
         let context = ServerContext::new(replica, &settings);
         let tls = ListenerTls::load(settings.keys)?;
         listener::spawn(&context, settings.listen, Audience::Peers, &tls)?;
         listener::spawn(&context, settings.operators, Audience::Operators, &tls)?;
         let notified = Arc::clone(&context);
-        start_replica(Box::new(move |changes| notified.on_state_change(changes)))
-            .map_err(StartError::Replica)?;
+        replica_thread.start(Box::new(move |changes| notified.on_state_change(changes)))?;
         maintenance::spawn(&context)?;
         tls.spawn_reloading()?;
         Ok(ControlServer { context })
@@ -74,7 +73,10 @@
         joins: settings.joins,
         store: settings.store.clone(),
         restored: settings.restored,
-        keys: keys.map(|keys| (keys.proxies.clone(), settings.service_name.clone())),
+        keys: keys.map(|keys| PeerKeys {
+            files: keys.proxies.clone(),
+            service_name: settings.service_name.clone(),
+        }),
         seed,
     }
 }
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -15,6 +15,7 @@
 use prost::Message as _;
 
 use crate::clock;
+use crate::raft::request::CommandResult;
 use crate::server::publication::build_offer;
 use crate::server::state::{RolloutState, ServerContext, ServerState, SessionId};
 
@@ -202,7 +203,7 @@
     }
 
     fn propose_for_rollout(&self, term: u64, command: What) {
-        let log_failure = |outcome: Result<Outcome, String>| {
+        let log_failure = |outcome: CommandResult| {
             let reason = match outcome {
                 Ok(Outcome::Rejected(rejected)) => rejected.to_string(),
                 Ok(_) => return,
@@ -219,7 +220,7 @@
         let Some(checkpoint) = state.rollout.checkpoint.checkpoint(now, progress) else { return };
         let context = self.downgrade();
         let proposed = checkpoint.clone();
-        let responder = move |outcome| {
+        let responder = move |outcome: CommandResult| {
             let committed = outcome == Ok(Outcome::Applied);
             log_progress(&proposed, term, committed);
             if let Some(context) = context.upgrade() {
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -17,7 +17,8 @@
 use gaugestep_leadership::pause_detector::PauseDetector;
 use gaugestep_subsetting::roster::RosterManager;
 
-use crate::raft::replica::{Replica, Responder};
+use crate::raft::replica::Replica;
+use crate::raft::request::Responder;
 use crate::server::settings::Settings;
 use crate::{clock, lock};
 
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -489,7 +489,7 @@
                         let duty = line["role"].as_str().unwrap_or_default().to_owned();
                         records.push(Record::Acts { service: service.clone(), duty, term });
                     }
-                    Some("stale act refused") => records.push(Record::Refused { at: service.clone(), term }),
+                    Some("stale command rejected") => records.push(Record::Refused { at: service.clone(), term }),
                     _ => {}
                 }
             }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -594,7 +594,7 @@
     assert!(ended.success());
     let (next, later) = group.owner_beside(old);
     assert_eq!(later, term + 1);
-    let assigned = |log: String| log.lines().any(|line| line.contains("assigns a duty"));
+    let assigned = |log: String| log.lines().any(|line| line.contains("assigning a role"));
     assert!(
         group.but(old).into_iter().all(|it| !assigned(group.node(it).log())),
         "nobody had to wait for a lease"
@@ -677,7 +677,7 @@
         group.until_done(call::What::Declare("further".into()));
     }
     let second = group.published("limits { max_open: 12 }", "b", at_once());
-    let took = |group: &Group| group.node(3).log().matches("took all that is agreed").count();
+    let took = |group: &Group| group.node(3).log().matches("installed a snapshot of another member").count();
     let before = took(&group);
     group.node_mut(3).start();
     wait("it has been sent all of it", || took(&group) > before);
