--- a/crates/control-plane/src/raft/replica_thread.rs
+++ b/crates/control-plane/src/raft/replica_thread.rs
@@ -32,7 +32,7 @@
     requests: Receiver<Request>,
 }
 
-/// Opens the store of a replica. The thread is started apart, once whoever is told of changes exists.
+/// Opens the store of a replica. The thread is started apart, once the receiver of changes exists.
 ///
 /// # Errors
 ///
--- a/crates/leadership/src/group_state/mod.rs
+++ b/crates/leadership/src/group_state/mod.rs
@@ -1,5 +1,5 @@
 //! The replicated state machine of the control services: their members, the roles with holders and terms, and the
-//! configuration versions that the holder of [`CONFIGURATION_ROLE`](crate::CONFIGURATION_ROLE) published.
+//! configuration versions that the holder of [`CONFIGURATION_ROLE`] published.
 //!
 //! Every member applies the same commands in the same order and comes to the same state. A command under a stale term is
 //! rejected here by all members alike, whatever its proposer believed about its lease.
