--- a/crates/control-plane/src/cli/serve.rs
+++ b/crates/control-plane/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! The command `serve`, which runs the control server until it is told to stop.
+//! The command `serve`, which runs the control server until a signal stops it.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,12 +10,11 @@
 use signal_hook::iterator::Signals;
 use tracing_subscriber::EnvFilter;
 
-use crate::cli::exit::{CommandResult, ExitStatus};
 use crate::server::settings::{Settings, SettingsError};
 use crate::server::{ControlServer, StartError};
 use crate::text_file::{TextFileError, read_text_file};
 
-/// How long a server that is to stop waits until other members hold its roles.
+/// How long a server waits for other members to take its roles over before it stops.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The environment variable that sets what is logged.
 const LOG_FILTER_VARIABLE: &str = "GAUGESTEP_LOG";
@@ -44,12 +43,7 @@
 }
 
 /// Runs the server in the foreground until SIGTERM or SIGINT.
-pub(crate) fn serve(config: &Path, restored: bool, json: bool) -> CommandResult {
-    run_until_signal(config, restored, json)?;
-    Ok(ExitStatus::Success)
-}
-
-fn run_until_signal(config: &Path, restored: bool, json: bool) -> Result<(), ServeError> {
+pub(crate) fn serve(config: &Path, restored: bool, json: bool) -> Result<(), ServeError> {
     let settings = Settings { restored, ..read_settings(config)? };
     start_log(json);
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(ServeError::Signals)?;
--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -8,7 +8,7 @@
 use gaugestep_leadership::identity::NameHolder;
 
 use crate::clock;
-use crate::server::admin::CallResult;
+use crate::server::admin::outcome::CallResult;
 use crate::server::state::{ConnectedProxy, ServerContext, ServerState, SessionId};
 
 impl ServerContext {
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -3,7 +3,7 @@
 use gaugestep_clock::Timestamp;
 use gaugestep_config::PROTOCOL;
 use gaugestep_config::rollout::{Event, RequestCounts};
-use gaugestep_config::schema::{Answer, Displaced, Figures, Hello, from_service};
+use gaugestep_config::schema::{Displaced, Figures, Hello, from_service};
 use gaugestep_leadership::CONFIGURATION_ROLE;
 use gaugestep_leadership::group_state::MAX_ROLES;
 use gaugestep_leadership::identity::{Claim, ClaimRequest};
@@ -74,51 +74,6 @@
         answers
     }
 
-    /// A proxy has accepted or rejected an offer.
-    pub(crate) fn on_answer(&self, proxy: &str, id: SessionId, answer: Answer) {
-        let Answer { nonce, number, refusal } = answer;
-        let mut state = self.lock_state();
-        match &refusal {
-            None => {
-                tracing::info!(proxy, version = number, nonce, "version in force");
-                self.record_acceptance(&mut state, id, number);
-            }
-            Some(reason) => {
-                let (code, path) = (&reason.code, &reason.path);
-                tracing::warn!(
-                    proxy,
-                    version = number,
-                    nonce,
-                    code,
-                    path,
-                    "version rejected: {}",
-                    reason.reason
-                );
-            }
-        }
-        self.drive(&mut state, Event::Answered { proxy: proxy.into(), stream: id, nonce, refusal });
-    }
-
-    /// Brings the hello of a session up to date, so that the next lease holder's rollout sees what the proxy has now.
-    fn record_acceptance(&self, state: &mut ServerState, id: SessionId, number: u64) {
-        let version = self.replica.with_state(|group| group.versions.get(&number)?.entry.version.clone());
-        let term = state.rollout.acting_term;
-        let Some(proxy) = state.sessions.get_mut(id).and_then(|session| session.proxy.as_mut()) else {
-            return;
-        };
-        proxy.updated_at = clock::now();
-        let hello = &mut proxy.hello;
-        hello.age_ms = 0;
-        if version.is_some() {
-            hello.in_force = version;
-        }
-        // The proxy has kept the term of what it accepted.
-        let seen = hello.seen.iter_mut().find(|seen| seen.duty == CONFIGURATION_ROLE);
-        if let (Some(seen), Some(term)) = (seen, term) {
-            seen.term = seen.term.max(term);
-        }
-    }
-
     /// A proxy reports what became of its requests. Returns the answers to send.
     pub(crate) fn on_figures(
         &self,
@@ -142,8 +97,8 @@
         std::iter::once(welcome).chain(grant).collect()
     }
 
-    /// A proxy that sends figures has read this server's welcome, and so follows no later term: that ends the doubt after a
-    /// suspension. A hello proves less, as it may have waited while the process was suspended.
+    /// A proxy that sends figures has read this server's welcome, and so follows no later term: that settles what
+    /// a suspension left open. A hello proves less, as it may have waited while the process was suspended.
     fn confirm_followed(&self, state: &ServerState, id: SessionId) {
         let term = self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE)).term;
         let follows = state
@@ -175,7 +130,7 @@
                 continue;
             };
             let hello = &proxy.hello;
-            // It was told the term of its successor, and so never counts as newer.
+            // Under a term of 0 it would claim the name as a process that never had it, and so as the newer one.
             let term = hello.name_term.max(1);
             let claim = state.identities.claim(now, claim_request(hello, term, id));
             if matches!(claim, Claim::Granted { .. }) {
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -1,7 +1,7 @@
 //! The ordinals of proxies: the lease holder of the ordinals role assigns them by a [`RosterManager`], which decides; every
-//! member tells its proxies which ordinal the committed roster gives them.
+//! member sends its proxies the ordinals of the committed roster.
 //!
-//! Members report to the lease holder which proxies they hear. The roster is committed by the group, so every member
+//! Members report to the lease holder which proxies are connected to them. The roster is committed by the group, so every member
 //! knows it.
 
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::clock;
 use crate::server::state::{ManagedRoster, ServerContext, ServerState, SessionId};
 
-/// How often members report which proxies they hear.
+/// How often members report which proxies are connected to them.
 const PRESENCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The roster as the group has committed it.
@@ -45,7 +45,7 @@
             term: self.term,
             epoch: self.roster.epoch,
             asked_ms: session.figures_sent_ms,
-            seat: self.roster.ordinal_of(&proxy.hello.proxy).map(|(ordinal, _)| ordinal),
+            seat: self.roster.ordinal_of(&proxy.hello.proxy).map(|assignment| assignment.ordinal),
             seats: self.roster.names.len() as u32,
         })
     }
@@ -57,7 +57,7 @@
         self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map(CommittedRoster::from_role))
     }
 
-    /// Does what is due: reports which proxies this server hears, and assigns ordinals if it holds the lease.
+    /// Reports which proxies are connected here, and assigns ordinals if this server holds the lease.
     pub(crate) fn maintain_roster(&self, state: &mut ServerState, now: Timestamp) {
         self.refresh_roster_lease(state, now);
         self.report_presence(state, now);
@@ -77,8 +77,7 @@
         };
         let (epoch, ordinals) = (roster.epoch, roster.names.len());
         tracing::info!(role = ORDINALS_ROLE, term, epoch, ordinals, "lease acquired");
-        state.roster.managed =
-            Some(ManagedRoster { term, manager: RosterManager::resume(now.as_millis_f64(), roster) });
+        state.roster.managed = Some(ManagedRoster { term, manager: RosterManager::resume(now, roster) });
     }
 
     fn report_presence(&self, state: &mut ServerState, now: Timestamp) {
@@ -106,9 +105,9 @@
     fn propose_roster(&self, state: &mut ServerState, now: Timestamp) {
         let Some(ManagedRoster { term, manager }) = &mut state.roster.managed else { return };
         for report in self.replica.take_presence_reports() {
-            manager.record_heartbeats(now.as_millis_f64(), report.proxies.iter().map(String::as_str));
+            manager.record_heartbeats(now, report.proxies.iter().map(String::as_str));
         }
-        let Some(next) = manager.next_change(now.as_millis_f64()) else { return };
+        let Some(next) = manager.next_change(now) else { return };
         let (term, context) = (*term, self.downgrade());
         let command = What::Keep(self.roster_checkpoint(&next));
         let responder = move |outcome| {
@@ -134,7 +133,7 @@
         let mut state = self.lock_state();
         match state.roster.managed.as_mut().filter(|managed| managed.term == term) {
             Some(managed) if is_current => {
-                managed.manager.change_decided(clock::now().as_millis_f64(), proposed.epoch, true);
+                managed.manager.change_decided(clock::now(), proposed.epoch, true);
             }
             // It may be committed yet, or another one was: begins again with whatever is committed.
             Some(_) => state.roster.managed = None,
@@ -151,12 +150,12 @@
         self.committed_roster().filter(|committed| has_lease && committed.term > 0)
     }
 
-    /// The ordinal that a proxy is told.
+    /// The ordinal to send to a proxy.
     pub(crate) fn ordinal_grant(&self, state: &ServerState, id: SessionId) -> Option<Seated> {
         self.grantable_roster()?.grant(state, id)
     }
 
-    /// Tells all proxies their ordinals.
+    /// Sends all proxies their ordinals.
     pub(crate) fn send_ordinals(&self, state: &mut ServerState) {
         let Some(roster) = self.grantable_roster() else { return };
         for id in state.sessions.proxy_ids() {
