--- a/crates/control-plane/src/client/fencing.rs
+++ b/crates/control-plane/src/client/fencing.rs
@@ -2,6 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
+use gaugestep_clock::Timestamp;
 use gaugestep_config::RejectReason;
 use gaugestep_config::schema::Offer;
 use gaugestep_config::version_tracker::{Event, OfferId};
@@ -15,14 +16,17 @@
 use super::persistence::StorageRequest;
 use super::subscriber::ConfigSubscriber;
 
+/// Later than any time that a lease is counted from.
+const END_OF_TIME: Timestamp = Timestamp::from_millis(u64::MAX);
+
 /// A message that was sent under a term.
 pub(super) enum FencedMessage {
     /// The server on this stream holds the lease on the configuration.
     LeaseHolder { stream: u64 },
     /// A version is offered on a stream.
     Offer { stream: u64, offer: Box<Offer> },
-    /// The proxy's ordinal, confirmed for a report of that time on the proxy's clock, in milliseconds.
-    Ordinal { requested_at: f64, grant: OrdinalGrant },
+    /// The proxy's ordinal, confirmed for a report of that time on the proxy's [`clock`](crate::clock).
+    Ordinal { requested_at: Timestamp, grant: OrdinalGrant },
 }
 
 impl ConfigSubscriber {
@@ -60,8 +64,8 @@
                 self.handle_version_event(Event::Offered { stream, offer });
             }
             FencedMessage::Ordinal { requested_at, grant } => {
-                let requested_at =
-                    if failpoints::is_check_disabled("seat") { f64::MAX } else { requested_at };
+                let never_expires = failpoints::is_check_disabled("seat");
+                let requested_at = if never_expires { END_OF_TIME } else { requested_at };
                 let is_confirmed = lock(&self.state).ordinal.lease.confirm(requested_at, grant);
                 if is_confirmed {
                     self.update_ordinal(OrdinalCheck::Confirmation);
@@ -98,7 +102,7 @@
     match reason {
         FencingRejected::StaleTerm { term, highest } => RejectReason::StaleTerm { term, seen: highest },
         FencingRejected::MissingTerm => RejectReason::StaleTerm { term: 0, seen: 0 },
-        FencingRejected::NotPersisted(reason) => RejectReason::NotStored(reason),
+        FencingRejected::NotPersisted(error) => RejectReason::NotStored(error.to_string()),
         FencingRejected::QueueFull => RejectReason::NotStored(reason.to_string()),
     }
 }
--- a/crates/control-plane/src/client/mod.rs
+++ b/crates/control-plane/src/client/mod.rs
@@ -33,7 +33,7 @@
 mod subscriber;
 mod versions;
 
-pub use proxy_handle::{OrdinalAssignment, ProxyHandle, RequestTotals};
+pub use proxy_handle::{PositionLease, ProxyHandle, RequestTotals};
 pub use settings::{SubscriberSettings, SubscriberSettingsError, TlsIdentity};
 pub use status::{OrdinalStatus, RejectionStatus, SubscriberStatus};
 pub use subscriber::{ConfigSubscriber, StartError};
--- a/crates/control-plane/src/client/persistence.rs
+++ b/crates/control-plane/src/client/persistence.rs
@@ -12,6 +12,7 @@
 use gaugestep_config::MAX_DOCUMENT_LENGTH;
 use gaugestep_config::schema::{Charter, Duty};
 use gaugestep_config::version_tracker::{Event, StorageFailure};
+use gaugestep_leadership::fencing::PersistError;
 use gaugestep_storage::StorageError;
 use gaugestep_storage::snapshot_slots::{SnapshotSlots, read_unlocked};
 use prost::Message as _;
@@ -159,7 +160,7 @@
                         tracing::info!(role, term, "term stored");
                     }
                 }
-                let result = result.map_err(|error| error.to_string());
+                let result = result.map_err(PersistError::new);
                 let actions = lock(&self.subscriber.state).fencing.on_persisted(result);
                 self.subscriber.carry_out_fencing(actions);
             }
--- a/crates/control-plane/src/client/proxy_handle.rs
+++ b/crates/control-plane/src/client/proxy_handle.rs
@@ -15,8 +15,8 @@
     fn apply(&self, document: &Document);
     /// What became of requests since the proxy's start.
     fn request_totals(&self) -> RequestTotals;
-    /// The proxy holds this ordinal from now on; `None`: none, so that its position follows from what else it knows.
-    fn assign_ordinal(&self, assignment: Option<OrdinalAssignment>);
+    /// The proxy holds a lease on this position from now on; `None`: on none, so that its position follows from its name.
+    fn assign_position(&self, lease: Option<PositionLease>);
 }
 
 /// Requests since the proxy's start, by outcome.
@@ -32,7 +32,7 @@
 
 /// A position in the fleet that the proxy holds a lease on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OrdinalAssignment {
+pub struct PositionLease {
     /// The position.
     pub position: FleetPosition,
     /// For how long the lease holds from now on.
--- a/crates/control-plane/src/client/session.rs
+++ b/crates/control-plane/src/client/session.rs
@@ -6,12 +6,15 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+use gaugestep_clock::Timestamp;
+use gaugestep_config::PROTOCOL;
 use gaugestep_config::schema::{
     Displaced, Figures, FromClient, FromService, Hello, Seated, Seen, Welcome, from_client, from_service,
 };
-use gaugestep_config::{PROTOCOL, schema};
-use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
+use gaugestep_leadership::leader_discovery::StreamDecision;
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE, RoleHolder};
 use gaugestep_subsetting::ordinal_lease::OrdinalGrant;
+use gaugestep_subsetting::position::OrdinalAssignment;
 use may::net::TcpStream;
 
 use crate::transport::connection::{ConnectionError, FramedConnection};
@@ -46,8 +49,8 @@
     UnsupportedProtocol(u32),
     #[error("the server offers a version before its welcome")]
     OfferBeforeWelcome,
-    #[error("member {member} holds the lease on the configuration, under term {term}")]
-    OtherLeaseHolder { member: u64, term: u64 },
+    #[error("member {} holds the lease on the configuration, under term {}", .0.member, .0.term)]
+    OtherLeaseHolder(RoleHolder),
     #[error("the server names no holder of the lease on the configuration")]
     NoLeaseHolder,
 }
@@ -161,8 +164,9 @@
         let Seated { term, epoch, asked_ms, seat, seats } = ordinal;
         // Before the first report nothing was requested: the answer to that report counts.
         if asked_ms > 0 {
-            let grant = OrdinalGrant { term, epoch, ordinal: seat.map(|seat| (seat, seats)) };
-            let message = FencedMessage::Ordinal { requested_at: asked_ms as f64, grant };
+            let assignment = seat.map(|ordinal| OrdinalAssignment { ordinal, fleet_size: seats });
+            let grant = OrdinalGrant { term, epoch, assignment };
+            let message = FencedMessage::Ordinal { requested_at: Timestamp::from_millis(asked_ms), grant };
             self.subscriber.check_fencing(ORDINALS_ROLE, term, message);
         }
     }
@@ -227,7 +231,7 @@
             declined: totals.rejected,
             aborted: totals.failed,
             number,
-            asked_ms: clock::now() as u64,
+            asked_ms: clock::now().as_millis_f64() as u64,
         }
     }
 
@@ -241,31 +245,28 @@
     /// A server says who it is and who the leader is. An error if another server is to be tried.
     fn on_welcome(&self, stream: u64, welcome: &Welcome) -> Result<(), StreamError> {
         let holder = lease_holder(welcome);
-        let must_leave = {
+        let decision = {
             let mut state = lock(&self.state);
             state.identity.on_name_granted(welcome.name_term);
             let is_unfenced = failpoints::is_check_disabled("receiver");
             let highest_term = if is_unfenced { 0 } else { state.fencing.term(CONFIGURATION_ROLE) };
-            let now = self.now().as_millis();
-            state.discovery.on_welcome(now, welcome.member, holder, highest_term)
+            state.discovery.on_welcome(self.now(), welcome.member, holder, highest_term)
         };
-        match holder {
-            Some((member, term)) if must_leave => Err(StreamError::OtherLeaseHolder { member, term }),
-            None if must_leave => Err(StreamError::NoLeaseHolder),
-            Some((member, term)) if member == welcome.member => {
+        if decision == StreamDecision::Close {
+            return Err(holder.map_or(StreamError::NoLeaseHolder, StreamError::OtherLeaseHolder));
+        }
+        match holder.filter(|holder| holder.member == welcome.member) {
+            Some(RoleHolder { term, .. }) => {
                 self.check_fencing(CONFIGURATION_ROLE, term, FencedMessage::LeaseHolder { stream });
-                Ok(())
-            }
-            _ => {
-                self.is_following.store(false, Ordering::Relaxed);
-                Ok(())
             }
+            None => self.is_following.store(false, Ordering::Relaxed),
         }
+        Ok(())
     }
 }
 
 /// The member that holds the lease on the configuration, and its term, as a server says.
-fn lease_holder(welcome: &Welcome) -> Option<(u64, u64)> {
-    let is_of_configuration = |owner: &&schema::Owner| owner.duty == CONFIGURATION_ROLE;
-    welcome.owner.as_ref().filter(is_of_configuration).map(|owner| (owner.member, owner.term))
+fn lease_holder(welcome: &Welcome) -> Option<RoleHolder> {
+    let owner = welcome.owner.as_ref().filter(|owner| owner.duty == CONFIGURATION_ROLE)?;
+    Some(RoleHolder { member: owner.member, term: owner.term })
 }
--- a/crates/control-plane/src/client/status.rs
+++ b/crates/control-plane/src/client/status.rs
@@ -130,14 +130,14 @@
 
 fn ordinal_status(state: &SubscriberState) -> Option<OrdinalStatus> {
     let now = clock::now();
-    let (position, until) = state.ordinal.lease.position(now)?;
-    let FleetPosition::Ordinal { ordinal, fleet_size } = position else { return None };
+    let leased = state.ordinal.lease.position(now)?;
+    let FleetPosition::Ordinal { ordinal, fleet_size } = leased.position else { return None };
     Some(OrdinalStatus {
         ordinal,
         fleet_size,
         epoch: state.ordinal.lease.last_grant().map(|grant| grant.epoch),
         term: state.fencing.term(ORDINALS_ROLE),
-        remaining_ms: (until - now).max(0.0).round(),
+        remaining_ms: (leased.expires_at.duration_since(now).as_secs_f64() * 1e3).round(),
     })
 }
 
--- a/crates/control-plane/src/client/stream.rs
+++ b/crates/control-plane/src/client/stream.rs
@@ -6,6 +6,7 @@
 
 use gaugestep_config::version_tracker::Event;
 use gaugestep_coroutine_io::task;
+use gaugestep_leadership::leader_discovery::Reconnect;
 
 use crate::lock;
 use crate::transport::backoff::Backoff;
@@ -23,7 +24,7 @@
             let stream = self.begin_stream();
             let Err(error) = Session::open(self, server, stream).and_then(Session::run);
             let was_following = self.end_stream(stream);
-            let useful_for = if lock(&self.state).discovery.on_disconnect() {
+            let useful_for = if lock(&self.state).discovery.on_disconnect() == Reconnect::Promptly {
                 // The leader was named and not tried yet: the only reason to wait is that others do not come at once.
                 Duration::MAX
             } else if was_following {
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use gaugestep_config::Timestamp;
+use gaugestep_clock::Timestamp;
 use gaugestep_coroutine_io::task;
 use gaugestep_storage::StorageError;
 
