--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -210,7 +210,7 @@
 
 /// Whether the earlier route matches every request that the later one matches.
 fn shadows(earlier: &schema::Route, later: &schema::Route) -> bool {
-    // An empty list of names stands for all.
+    // An empty list names all of them.
     let covers = |wide: &[String], narrow: &[String]| {
         wide.is_empty() || !narrow.is_empty() && narrow.iter().all(|name| wide.contains(name))
     };
--- a/crates/config/src/reject_reason.rs
+++ b/crates/config/src/reject_reason.rs
@@ -90,7 +90,7 @@
         name: String,
     },
     /// A name that occurs twice.
-    #[error("'{path}': '{name}' stands there already")]
+    #[error("'{path}': '{name}' occurs twice")]
     Duplicate {
         /// The second field.
         path: String,
@@ -254,7 +254,7 @@
 
 fn describe_stale_term(term: u64, seen: u64) -> String {
     match term {
-        0 => "it names no term, so no owner stands behind it".into(),
+        0 => "it names no term, so no owner sent it".into(),
         term => format!("it is of term {term}, and an owner of term {seen} was seen"),
     }
 }
--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -31,8 +31,7 @@
     pub last_seen: Timestamp,
     /// It has a version in force that this server has not published.
     pub is_ahead: bool,
-    /// The counts that it reported last, and the version in force then.
-    last_counts: Option<(RequestCounts, u64)>,
+    last_counts: Option<CountReport>,
     /// It is offered no version up to this one, as it rejected this one.
     pub(super) skipped_up_to: u64,
 }
@@ -48,6 +47,14 @@
     pub offered_at: Timestamp,
 }
 
+/// Outcomes of requests as a proxy has reported them.
+#[derive(Clone, Copy, Debug)]
+struct CountReport {
+    counts: RequestCounts,
+    /// The version in force then.
+    number: u64,
+}
+
 /// A version that a proxy has rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejection {
@@ -120,8 +127,8 @@
         number: u64,
     ) -> Option<RequestCounts> {
         self.last_seen = now;
-        let (earlier, earlier_number) = self.last_counts.replace((counts, number))?;
-        (earlier_number == number).then(|| counts.since(earlier))
+        let earlier = self.last_counts.replace(CountReport { counts, number })?;
+        (earlier.number == number).then(|| counts.since(earlier.counts))
     }
 
     /// Why the proxy counts against a version that it was offered or has taken: it has been silent for too long.
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// As of [`read`].
+/// See [`read`].
 pub fn parse(text: &str) -> Result<Document, TextError> {
     read("Document", text)
 }
--- a/crates/config/tests/rollout.rs
+++ b/crates/config/tests/rollout.rs
@@ -241,7 +241,7 @@
         let mut fleet = Fleet::new(10);
         let first = fleet.publish(1, staged());
         fleet.answer(first, None);
-        let told = |fleet: &mut Fleet, served, unserved: u64| {
+        let report = |fleet: &mut Fleet, served, unserved: u64| {
             let mut seen = Vec::new();
             for proxy in 0..10 {
                 let on = fleet.rollout.proxies()[&name(proxy)].in_force;
@@ -252,8 +252,8 @@
             }
             seen
         };
-        told(&mut fleet, 0, 0);
-        let seen = told(&mut fleet, 1_000, unserved);
+        report(&mut fleet, 0, 0);
+        let seen = report(&mut fleet, 1_000, unserved);
         let halted = seen.iter().any(|it| matches!(it, Action::RollBack { halted: 1, .. }));
         assert_eq!(halted, halts, "{unserved} of 1,000 not served");
     }
--- a/crates/control-plane/src/client/fencing.rs
+++ b/crates/control-plane/src/client/fencing.rs
@@ -1,4 +1,4 @@
-//! Which messages for the whole fleet take effect: those of the present leader only.
+//! Which messages take effect: those of the latest lease holder only.
 
 use std::sync::atomic::Ordering;
 
@@ -16,7 +16,7 @@
 use super::persistence::StorageRequest;
 use super::subscriber::ConfigSubscriber;
 
-/// Later than any time that a lease is counted from.
+/// A lease that is counted from this reading never expires.
 const END_OF_TIME: Timestamp = Timestamp::from_millis(u64::MAX);
 
 /// A message that was sent under a term.
--- a/crates/control-plane/src/client/mod.rs
+++ b/crates/control-plane/src/client/mod.rs
@@ -1,19 +1,23 @@
 //! A proxy's side of the configuration stream.
 //!
-//! [`ConfigSubscriber`] follows the leader of the control plane and has the versions applied that it offers. What is decided
-//! is decided in crates without I/O: the [`VersionTracker`](gaugestep_config::version_tracker::VersionTracker) says what
-//! becomes of a version, the [`FencingGuard`](gaugestep_leadership::fencing::FencingGuard) rejects messages of former
-//! leaders, the [`LeaderDiscovery`](gaugestep_leadership::leader_discovery::LeaderDiscovery) chooses the server. Here is
-//! the I/O round them, one job a module:
+//! [`ConfigSubscriber`] follows the holder of the configuration role and applies the versions that it offers. The decisions
+//! are made by state machines without I/O:
 //!
-//! - `stream`: connects to one server after the other; `session`: the messages on one stream;
-//! - `fencing`: which messages take effect;
-//! - `versions`: versions are applied and answered;
-//! - `ordinal`: the ordinal that the proxy holds a lease on;
-//! - `persistence`: the last good version and the highest terms, on disk;
-//! - `status`: what operators are shown.
+//! - [`VersionTracker`](gaugestep_config::version_tracker::VersionTracker): whether a version is accepted or rejected;
+//! - [`FencingGuard`](gaugestep_leadership::fencing::FencingGuard): whether a message is of a former holder;
+//! - [`LeaderDiscovery`](gaugestep_leadership::leader_discovery::LeaderDiscovery): which server to connect to;
+//! - [`OrdinalLease`](gaugestep_subsetting::ordinal_lease::OrdinalLease): which ordinal the proxy may use.
 //!
-//! Whatever goes wrong here, the proxy goes on under the version in force.
+//! The modules here do the I/O for them:
+//!
+//! - `stream` connects to one server after the other, and `session` exchanges the messages on one stream;
+//! - `fencing` passes on the messages that take effect and rejects the others;
+//! - `versions` applies versions and answers offers;
+//! - `ordinal` assigns the proxy its ordinal;
+//! - `persistence` stores the last good version and the highest terms;
+//! - `status` shows all that to operators.
+//!
+//! Without any server, and after any failure here, the proxy serves on under the version in force.
 //!
 //! # Threads and locks
 //!
--- a/crates/control-plane/src/client/state.rs
+++ b/crates/control-plane/src/client/state.rs
@@ -1,4 +1,4 @@
-//! What the stream's coroutine, the clock's coroutine and the storage thread share.
+//! The state that the coroutine of the stream, the coroutine of the clocks and the storage thread share.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/control-plane/src/client/stream.rs
+++ b/crates/control-plane/src/client/stream.rs
@@ -25,7 +25,7 @@
             let Err(error) = Session::open(self, server, stream).and_then(Session::run);
             let was_following = self.end_stream(stream);
             let useful_for = if lock(&self.state).discovery.on_disconnect() == Reconnect::Promptly {
-                // The leader was named and not tried yet: the only reason to wait is that others do not come at once.
+                // The lease holder is known and was not tried yet: the delay only spreads the load of many proxies.
                 Duration::MAX
             } else if was_following {
                 began.elapsed()
