--- a/crates/control-plane/src/client/fencing.rs
+++ b/crates/control-plane/src/client/fencing.rs
@@ -8,27 +8,17 @@
 use gaugestep_config::version_tracker::{Event, OfferId};
 use gaugestep_leadership::fencing::{FencingAction, FencingRejected};
 use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
-use gaugestep_subsetting::ordinal_lease::OrdinalGrant;
 
 use crate::{failpoints, lock};
 
 use super::ordinal::OrdinalCheck;
-use super::persistence::StorageRequest;
+use super::state::FencedMessage;
+use super::storage_queue::StorageRequest;
 use super::subscriber::ConfigSubscriber;
 
 /// A lease that is counted from this reading never expires.
 const END_OF_TIME: Timestamp = Timestamp::from_millis(u64::MAX);
 
-/// A message that was sent under a term.
-pub(super) enum FencedMessage {
-    /// The server on this stream holds the lease on the configuration.
-    LeaseHolder { stream: u64 },
-    /// A version is offered on a stream.
-    Offer { stream: u64, offer: Box<Offer> },
-    /// The proxy's ordinal, confirmed for a report of that time on the proxy's [`clock`](crate::clock).
-    Ordinal { requested_at: Timestamp, grant: OrdinalGrant },
-}
-
 impl ConfigSubscriber {
     /// Has a message take effect unless it was sent under a former term of the role.
     pub(super) fn check_fencing(&self, role: &str, term: u64, message: FencedMessage) {
--- a/crates/control-plane/src/client/mod.rs
+++ b/crates/control-plane/src/client/mod.rs
@@ -14,8 +14,9 @@
 //! - `fencing` passes on the messages that take effect and rejects the others;
 //! - `versions` applies versions and answers offers;
 //! - `ordinal` assigns the proxy its ordinal;
-//! - `persistence` stores the last good version and the highest terms;
-//! - `status` shows all that to operators.
+//! - `persistence` stores the last good version and the highest terms, as `storage_queue` asks it to;
+//! - `status` shows all that to operators;
+//! - `start` sets these up, with what is found on disk.
 //!
 //! Without any server, and after any failure here, the proxy serves on under the version in force.
 //!
@@ -31,13 +32,16 @@
 mod proxy_handle;
 mod session;
 mod settings;
+mod start;
 mod state;
 mod status;
+mod storage_queue;
 mod stream;
 mod subscriber;
 mod versions;
 
 pub use proxy_handle::{PositionLease, ProxyHandle, RequestTotals};
 pub use settings::{SubscriberSettings, SubscriberSettingsError, TlsIdentity};
+pub use start::StartError;
 pub use status::{OrdinalStatus, RejectionStatus, SubscriberStatus};
-pub use subscriber::{ConfigSubscriber, StartError};
+pub use subscriber::ConfigSubscriber;
--- a/crates/control-plane/src/client/persistence.rs
+++ b/crates/control-plane/src/client/persistence.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
-use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
 
 use gaugestep_config::MAX_DOCUMENT_LENGTH;
 use gaugestep_config::schema::{Charter, Duty};
@@ -19,6 +19,7 @@
 
 use crate::lock;
 
+use super::storage_queue::StorageRequest;
 use super::subscriber::{ConfigSubscriber, POLL_INTERVAL};
 
 /// The most bytes of a stored version: a document, and what is stored along with it.
@@ -28,16 +29,6 @@
 /// The directory of the terms within that of the proxy.
 const TERMS_DIRECTORY: &str = "terms";
 
-/// What the storage thread has to do.
-pub(super) enum StorageRequest {
-    /// Store a version where a start does not look yet.
-    StageVersion { number: u64, bytes: Vec<u8> },
-    /// Make the staged version the one that a start finds.
-    CommitVersion { number: u64 },
-    /// Store the highest terms, by role.
-    StoreTerms(BTreeMap<String, u64>),
-}
-
 /// Why something cannot be stored.
 #[derive(Debug, thiserror::Error)]
 enum PersistenceError {
@@ -86,23 +77,6 @@
     message.encode_to_vec()
 }
 
-/// The queue of the storage thread.
-pub(super) struct StorageQueue {
-    requests: Mutex<Sender<StorageRequest>>,
-}
-
-impl StorageQueue {
-    pub(super) fn new() -> (Self, Receiver<StorageRequest>) {
-        let (sender, receiver) = channel();
-        (StorageQueue { requests: Mutex::new(sender) }, receiver)
-    }
-
-    pub(super) fn submit(&self, request: StorageRequest) {
-        // Only fails once the storage thread has ended, which runs as long as the process.
-        let _ = lock(&self.requests).send(request);
-    }
-}
-
 /// The thread that writes to disk.
 pub(super) struct StorageThread {
     subscriber: Arc<ConfigSubscriber>,
--- a/crates/control-plane/src/client/session.rs
+++ b/crates/control-plane/src/client/session.rs
@@ -21,8 +21,7 @@
 use crate::transport::tls::ClientTls;
 use crate::{clock, failpoints, lock};
 
-use super::fencing::FencedMessage;
-use super::state::SubscriberState;
+use super::state::{FencedMessage, SubscriberState};
 use super::subscriber::ConfigSubscriber;
 
 /// A server that cannot be connected to within this time is given up for now.
--- a/crates/control-plane/src/client/state.rs
+++ b/crates/control-plane/src/client/state.rs
@@ -2,16 +2,15 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use gaugestep_config::schema::Answer;
+use gaugestep_clock::Timestamp;
+use gaugestep_config::schema::{Answer, Offer};
 use gaugestep_config::version_tracker::VersionTracker;
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_leadership::fencing::FencingGuard;
 use gaugestep_leadership::leader_discovery::LeaderDiscovery;
-use gaugestep_subsetting::ordinal_lease::OrdinalLease;
+use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
 use gaugestep_subsetting::position::FleetPosition;
 
-use super::fencing::FencedMessage;
-
 /// The state of a subscriber; see the [module](super) for who locks it when.
 pub(super) struct SubscriberState {
     pub(super) tracker: VersionTracker,
@@ -22,6 +21,16 @@
     pub(super) identity: IdentityState,
 }
 
+/// A message that was sent under a term.
+pub(super) enum FencedMessage {
+    /// The server on this stream holds the lease on the configuration.
+    LeaseHolder { stream: u64 },
+    /// A version is offered on a stream.
+    Offer { stream: u64, offer: Box<Offer> },
+    /// The proxy's ordinal, confirmed for a report of that time on the proxy's [`clock`](crate::clock).
+    Ordinal { requested_at: Timestamp, grant: OrdinalGrant },
+}
+
 /// The stream that is open.
 #[derive(Default)]
 pub(super) struct CurrentStream {
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -1,24 +1,18 @@
-//! A proxy that follows the control plane: its parts and its start.
+//! The subscriber itself: what its thread and its coroutines share.
 
-use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 use gaugestep_clock::Timestamp;
-use gaugestep_coroutine_io::task;
-use gaugestep_storage::StorageError;
 
 use crate::lock;
-use crate::transport::connection::STACK_WORDS;
-use crate::transport::tls::{ClientTls, TlsError};
+use crate::transport::tls::ClientTls;
 
-use super::ordinal::OrdinalCheck;
-use super::persistence::{self, StorageQueue, StorageThread};
 use super::proxy_handle::ProxyHandle;
 use super::settings::SubscriberSettings;
 use super::state::SubscriberState;
-use super::versions;
+use super::storage_queue::StorageQueue;
 
 /// How often clocks, keys and a store that another process holds are looked at.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -30,7 +24,7 @@
     pub(super) proxy: Arc<dyn ProxyHandle>,
     pub(super) state: Mutex<SubscriberState>,
     pub(super) storage: StorageQueue,
-    started_at: Instant,
+    pub(super) started_at: Instant,
     /// The open stream is to the leader.
     pub(super) is_following: AtomicBool,
     /// Versions rejected so far.
@@ -39,58 +33,7 @@
     pub(super) incarnation: u64,
 }
 
-/// Why a proxy cannot follow the control plane.
-#[derive(Debug, thiserror::Error)]
-pub enum StartError {
-    /// Its keys cannot be used.
-    #[error(transparent)]
-    Tls(#[from] TlsError),
-    /// The directory of the last good version cannot be used.
-    #[error(transparent)]
-    Storage(#[from] StorageError),
-    /// The system does not allow another thread.
-    #[error("cannot start a thread: {0}")]
-    Thread(#[source] io::Error),
-    /// The system does not allow another coroutine.
-    #[error("cannot start a coroutine: {0}")]
-    Coroutine(#[source] io::Error),
-}
-
 impl ConfigSubscriber {
-    /// Applies the last good version, if there is one, and begins to follow.
-    ///
-    /// # Errors
-    ///
-    /// [`StartError`] if the keys or the directory cannot be used, or a thread or coroutine cannot be started.
-    pub fn start(settings: SubscriberSettings, proxy: Arc<dyn ProxyHandle>) -> Result<Arc<Self>, StartError> {
-        let tls = settings.tls.as_ref().map(|tls| ClientTls::load(tls.files.clone())).transpose()?;
-        let slots = persistence::open_versions(&settings.state_directory)?;
-        let terms = persistence::read_terms(&settings.state_directory);
-        let incarnation = draw_incarnation(settings.seed);
-        let stored = persistence::read_versions(&settings.state_directory);
-        let tracker = versions::recover(stored, &*proxy);
-        let state = SubscriberState::new(tracker, terms, settings.servers.len());
-        let (storage, requests) = StorageQueue::new();
-        let subscriber = Arc::new(ConfigSubscriber {
-            settings,
-            tls,
-            proxy,
-            state: Mutex::new(state),
-            storage,
-            started_at: Instant::now(),
-            is_following: AtomicBool::new(false),
-            rejected: AtomicU64::new(0),
-            incarnation,
-        });
-        StorageThread::spawn(subscriber.clone(), slots, requests).map_err(StartError::Thread)?;
-        let following = subscriber.clone();
-        task::spawn_with_large_stack("versions", STACK_WORDS, move || following.follow_servers())
-            .map_err(StartError::Coroutine)?;
-        let polling = subscriber.clone();
-        task::spawn("version clocks", move || polling.poll_clocks()).map_err(StartError::Coroutine)?;
-        Ok(subscriber)
-    }
-
     /// Whether another process has the proxy's name: nothing is offered to this one any more.
     pub fn name_is_superseded(&self) -> bool {
         lock(&self.state).identity.is_superseded
@@ -100,20 +43,4 @@
     pub(super) fn now(&self) -> Timestamp {
         Timestamp::default() + self.started_at.elapsed()
     }
-
-    /// Looks at clocks for as long as the process runs.
-    fn poll_clocks(&self) {
-        loop {
-            task::sleep(POLL_INTERVAL);
-            self.update_ordinal(OrdinalCheck::Clock);
-            lock(&self.state).stream.wake();
-        }
-    }
-}
-
-/// A number that no other process of the fleet should have drawn; not 0.
-fn draw_incarnation(seed: u64) -> u64 {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let drawn = seed ^ since_epoch.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
-    drawn.max(1)
 }
--- a/crates/control-plane/src/client/versions.rs
+++ b/crates/control-plane/src/client/versions.rs
@@ -10,9 +10,9 @@
 
 use crate::lock;
 
-use super::persistence::StorageRequest;
 use super::proxy_handle::ProxyHandle;
 use super::state::SubscriberState;
+use super::storage_queue::StorageRequest;
 use super::subscriber::ConfigSubscriber;
 
 /// Applies the newest stored version that can be used, and returns the tracker that begins with it.
--- a/crates/control-plane/src/transport/connection.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -33,7 +33,7 @@
     /// The peer sent something that is no message.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The peer does not read: [`MAX_UNSENT`] bytes wait for it.
+    /// The peer does not read: as many bytes wait for it as may.
     #[error("the peer does not read")]
     PeerNotReading,
 }
