--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,6 +1,6 @@
 //! Whether a document is valid by itself, whatever the proxy: ranges, names, references, weights.
 //!
-//! What depends on the proxy as it runs is checked in [`crate::proxy_state`].
+//! What depends on the proxy as it runs is checked in [`crate::proxy_check`].
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,8 +2,8 @@
 //! Versions of the operators' configuration: what they hold, whether they are valid and who gets which.
 //!
 //! - [`schema`] and [`text`]: a document as protobuf and as operators write it; [`delta`]: the difference of two.
-//! - [`check`]: whether a document is valid by itself; [`proxy_state`]: whether it may be in force at a proxy that runs. Each
-//!   fault is a [`RejectReason`].
+//! - [`check`]: whether a document is valid by itself; [`proxy_check`]: whether it may be in force at a proxy as it runs, which
+//!   [`proxy_state`] describes. Each fault is a [`RejectReason`].
 //! - [`routing`] and [`effective_config`]: what a document means for a proxy.
 //! - [`version_tracker`]: what a proxy does with the versions that it is offered.
 //! - [`rollout`]: which proxy a server offers which version.
@@ -14,6 +14,7 @@
 pub mod check;
 pub mod delta;
 pub mod effective_config;
+pub mod proxy_check;
 pub mod proxy_state;
 pub mod reject_reason;
 pub mod rollout;
--- a/crates/config/src/proxy_state.rs
+++ b/crates/config/src/proxy_state.rs
@@ -1,7 +1,4 @@
-//! The proxy as it runs, and whether a document may be in force there: the validation context of a version.
-
-use crate::schema::target::Which;
-use crate::{Document, RejectReason, routing, schema};
+//! The proxy as it runs: the validation context of a version.
 
 /// Whether an engine takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,133 +78,11 @@
 }
 
 impl ProxyState {
-    fn has_class(&self, name: &str) -> bool {
+    pub(crate) fn has_class(&self, name: &str) -> bool {
         self.classes.iter().any(|class| class.name == name)
     }
 
-    fn has_tenant(&self, name: &str) -> bool {
+    pub(crate) fn has_tenant(&self, name: &str) -> bool {
         self.platform.tenants.iter().any(|tenant| tenant.name == name)
     }
 }
-
-/// Why the document may not be in force at the proxy now, in the order of its fields; empty if it may. The document itself
-/// has been checked by [`crate::check`].
-///
-/// While no list of engines has arrived, routes are not checked against it: a proxy that starts on its last good version
-/// must not lose it because the coordinator is late.
-pub fn check(document: &Document, proxy: &ProxyState) -> Vec<RejectReason> {
-    let mut faults = Vec::new();
-    check_classes(document, proxy, &mut faults);
-    for (index, route) in document.routes.iter().enumerate() {
-        check_route_names(document, proxy, index, route, &mut faults);
-        faults.extend(check_route_engines(document, proxy, index, route));
-    }
-    check_tenants(document, proxy, &mut faults);
-    check_limits(document, proxy, &mut faults);
-    faults
-}
-
-fn unknown_class(path: String, name: &str) -> RejectReason {
-    RejectReason::UnknownName { path, kind: "class", name: name.to_owned() }
-}
-
-fn unknown_tenant(path: String, name: &str) -> RejectReason {
-    RejectReason::UnknownName { path, kind: "tenant", name: name.to_owned() }
-}
-
-fn check_classes(document: &Document, proxy: &ProxyState, faults: &mut Vec<RejectReason>) {
-    for (index, name) in document.classes.iter().enumerate() {
-        if !proxy.has_class(name) {
-            faults.push(unknown_class(format!("classes[{index}]"), name));
-        }
-    }
-    let dropped = proxy.classes.iter().filter(|class| !routing::serves(document, &class.name));
-    for class in dropped.filter(|class| class.open > 0) {
-        let (path, open) = ("classes".to_owned(), class.open);
-        faults.push(RejectReason::ClassInUse { path, class: class.name.clone(), open });
-    }
-}
-
-fn check_route_names(
-    document: &Document,
-    proxy: &ProxyState,
-    route_index: usize,
-    route: &schema::Route,
-    faults: &mut Vec<RejectReason>,
-) {
-    for (index, name) in route.classes.iter().enumerate() {
-        if !proxy.has_class(name) {
-            faults.push(unknown_class(format!("routes[{route_index}].classes[{index}]"), name));
-        }
-    }
-    for (index, name) in route.tenants.iter().enumerate() {
-        let is_in_document = document.tenants.iter().any(|tenant| tenant.name == *name);
-        if !is_in_document && !proxy.has_tenant(name) {
-            faults.push(unknown_tenant(format!("routes[{route_index}].tenants[{index}]"), name));
-        }
-    }
-}
-
-/// The fault of a route whose requests must wait for its engines although none of them takes work.
-fn check_route_engines(
-    document: &Document,
-    proxy: &ProxyState,
-    route_index: usize,
-    route: &schema::Route,
-) -> Option<RejectReason> {
-    let engines = proxy.engines.as_ref()?;
-    if !routing::is_strict(route) || routing::has_usable_engine(route, engines) {
-        return None;
-    }
-    let matching = engines.iter().filter(|engine| routing::weight(route, engine).is_some());
-    let is_listed = |name: &str| engines.iter().any(|engine| engine.name == name);
-    let unlisted = route.targets.iter().filter_map(|target| match &target.which {
-        Some(Which::Engine(name)) if !is_listed(name) => Some(name.clone()),
-        _ => None,
-    });
-    Some(RejectReason::NoUsableEngine {
-        path: format!("routes[{route_index}].targets"),
-        class: example_class(document, proxy, route),
-        draining: matching.map(|engine| engine.name.clone()).collect(),
-        unlisted: unlisted.collect(),
-    })
-}
-
-/// A class that the route applies to: the first that it names, or the first that the document serves.
-fn example_class(document: &Document, proxy: &ProxyState, route: &schema::Route) -> String {
-    let mut served =
-        proxy.classes.iter().map(|class| &class.name).filter(|name| routing::serves(document, name));
-    route.classes.first().or_else(|| served.next()).cloned().unwrap_or_default()
-}
-
-fn check_tenants(document: &Document, proxy: &ProxyState, faults: &mut Vec<RejectReason>) {
-    for (index, tenant) in document.tenants.iter().enumerate() {
-        if !proxy.has_tenant(&tenant.name) {
-            faults.push(unknown_tenant(format!("tenants[{index}].name"), &tenant.name));
-        }
-    }
-}
-
-fn check_limits(document: &Document, proxy: &ProxyState, faults: &mut Vec<RejectReason>) {
-    let platform = &proxy.platform;
-    let limits = document.limits.unwrap_or_default();
-    if let Some(limit) = limits.max_open.map(u64::from).filter(|limit| *limit < proxy.open) {
-        let path = "limits.max_open".into();
-        faults.push(RejectReason::BelowUse { path, limit, in_use: proxy.open });
-    }
-    let mut check_upper_bound = |path: &str, value: Option<f64>, rule: f64| {
-        if let Some(value) = value.filter(|value| *value > rule) {
-            faults.push(RejectReason::BeyondRule { path: path.into(), value, rule });
-        }
-    };
-    check_upper_bound("limits.max_open", limits.max_open.map(f64::from), platform.max_open as f64);
-    check_upper_bound(
-        "limits.max_attempts",
-        limits.max_attempts.map(f64::from),
-        platform.max_attempts as f64,
-    );
-    if let (Some(retries), Some(budget)) = (&document.retries, platform.retries) {
-        check_upper_bound("retries.ratio", retries.ratio, budget.ratio);
-        check_upper_bound("retries.free", retries.free, budget.free);
-    }
-}
--- a/crates/config/src/version_tracker/mod.rs
+++ b/crates/config/src/version_tracker/mod.rs
@@ -15,9 +15,9 @@
 mod events;
 mod history;
 
-use crate::proxy_state::{self, ProxyState};
+use crate::proxy_state::ProxyState;
 use crate::schema::offer::Content;
-use crate::{Document, RejectReason, Timestamp, Version, check, delta, digest, routing, schema};
+use crate::{Document, RejectReason, Timestamp, Version, check, delta, digest, proxy_check, routing, schema};
 
 pub use accepted::AcceptedVersion;
 pub use events::{Action, Event, OfferId, StorageFailure};
@@ -366,6 +366,6 @@
 
 /// Whether the document may be in force now; the first fault that is found.
 fn check_document(document: &Document, proxy: &ProxyState) -> Result<(), RejectReason> {
-    let mut faults = check::check(document).into_iter().chain(proxy_state::check(document, proxy));
+    let mut faults = check::check(document).into_iter().chain(proxy_check::check(document, proxy));
     faults.next().map_or(Ok(()), Err)
 }
--- a/crates/config/tests/proxy_state.rs
+++ b/crates/config/tests/proxy_state.rs
@@ -2,8 +2,9 @@
 
 use gaugestep_config::RejectReason;
 use gaugestep_config::effective_config::effective_config;
+use gaugestep_config::proxy_check::check;
 use gaugestep_config::proxy_state::{
-    Class, Engine, EngineState, PlatformLimits, ProxyState, RetryBudget, Tenant, check,
+    Class, Engine, EngineState, PlatformLimits, ProxyState, RetryBudget, Tenant,
 };
 use gaugestep_config::routing::{WeightedEngine, resolve};
 use gaugestep_config::text::parse;
--- a/crates/config/tests/version_tracker.rs
+++ b/crates/config/tests/version_tracker.rs
@@ -9,7 +9,7 @@
 use gaugestep_config::version_tracker::{
     AcceptedVersion, Action, Event, OfferId, Recovery, StorageFailure, VersionTracker,
 };
-use gaugestep_config::{Document, RejectReason, Timestamp, check, delta, proxy_state, version};
+use gaugestep_config::{Document, RejectReason, Timestamp, check, delta, proxy_check, version};
 use proptest::prelude::*;
 use prost::Message as _;
 
@@ -104,7 +104,7 @@
             match action {
                 Action::Apply(document) => {
                     let valid = check::check(&document).is_empty()
-                        && proxy_state::check(&document, &self.proxy).is_empty();
+                        && proxy_check::check(&document, &self.proxy).is_empty();
                     let known = self.offered.values().flatten().any(|it| *it == *document);
                     // A document that was in force, or none at all, may come back as it was.
                     let again = *document == was || *document == Document::default() || {
