--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -12,7 +12,7 @@
 };
 use gaugestep_config::routing::{self, ResolvedRoute};
 use gaugestep_config::schema::logging::Level;
-use gaugestep_control_plane::client::subscriber::ProxyHandle;
+use gaugestep_control_plane::client::{PositionLease, ProxyHandle, RequestTotals};
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{
     EngineId, FleetPosition, Readiness, RetryBudgetSettings, Route, TenantId,
@@ -213,13 +213,15 @@
         (self.set_log)(directives(document));
     }
 
-    fn assign_ordinal(&self, seat: Option<(FleetPosition, f64)>) {
+    fn assign_position(&self, lease: Option<PositionLease>) {
         let _changes = lock(&self.handler.update_lock);
-        let (place, left) = seat.unwrap_or((FleetPosition::NameKey(0), 0.0));
-        self.handler.facade.set_fleet_position(place, left);
+        let (position, valid_for_ms) = lease
+            .map_or((FleetPosition::NameKey(0), 0.0), |it| (it.position, it.valid_for.as_secs_f64() * 1e3));
+        self.handler.facade.set_fleet_position(position, valid_for_ms);
     }
 
-    fn request_counts(&self) -> (u64, u64, u64) {
-        self.handler.classes.totals()
+    fn request_totals(&self) -> RequestTotals {
+        let (succeeded, rejected, failed) = self.handler.classes.totals();
+        RequestTotals { succeeded, rejected, failed }
     }
 }
