--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -16,7 +16,7 @@
         self.require_lease(CONFIGURATION_ROLE)?;
         let state = self.lock_state();
         let now = clock::now();
-        let known = state.rollout.rollout.proxies().iter();
+        let known = state.rollout_lease.rollout.proxies().iter();
         let known = known.map(|(name, status)| known_proxy(&state, now, name, status));
         let others = state.sessions.proxies().filter_map(|(id, proxy)| unmanaged_proxy(&state, id, proxy));
         let mut proxies: Vec<Proxy> = known.chain(others).collect();
@@ -49,7 +49,7 @@
 fn unmanaged_proxy(state: &ServerState, id: SessionId, proxy: &ConnectedProxy) -> Option<Proxy> {
     let hello = &proxy.hello;
     let displaced = !state.identities.is_holder(&hello.proxy, id);
-    let term = state.rollout.acting_term.unwrap_or(0);
+    let term = state.rollout_lease.acting_term.unwrap_or(0);
     let newer_term = Some(proxy.highest_term_seen()).filter(|seen| *seen > term);
     (displaced || newer_term.is_some()).then(|| Proxy {
         name: hello.proxy.clone(),
--- a/crates/control-plane/src/server/admin/versions.rs
+++ b/crates/control-plane/src/server/admin/versions.rs
@@ -46,9 +46,8 @@
         }
         check_plan(new.plan.get_or_insert_default())?;
         let term = self.require_lease(CONFIGURATION_ROLE)?;
-        if let Some(reason) = self.newer_term_reason(&self.lock_state(), term) {
-            return Err(CallFailure::Rejected(reason));
-        }
+        self.check_no_newer_term(&self.lock_state(), term)
+            .map_err(|newer| CallFailure::Rejected(newer.to_string()))?;
         self.check_not_superseded_while_suspended()?;
         let new = self.complete_publication(&self.lock_state(), new);
         await_outcome(|responder| self.propose(CONFIGURATION_ROLE, term, What::Version(new), responder))
--- a/crates/control-plane/src/server/lease_holder.rs
+++ b/crates/control-plane/src/server/lease_holder.rs
@@ -23,7 +23,7 @@
     /// The lease holder of the configuration role, as far as this server knows.
     fn configuration_holder(&self, state: &ServerState) -> Option<Owner> {
         let own = self.replica.member_number();
-        if let Some(term) = state.rollout.acting_term {
+        if let Some(term) = state.rollout_lease.acting_term {
             return self.address_of(own, term);
         }
         let RoleHolder { member: holder, term } =
--- a/crates/control-plane/src/server/publication.rs
+++ b/crates/control-plane/src/server/publication.rs
@@ -9,13 +9,24 @@
 use gaugestep_leadership::group_state::{GroupState, StoredVersion, version_number};
 use prost::Message as _;
 
-use crate::server::state::{ServerContext, ServerState, Session};
+use crate::server::state::{ServerContext, ServerState};
+
+/// Most proxies have seen a later term than the one under which something was to be published.
+#[derive(Debug, thiserror::Error)]
+#[error(
+    "proxies follow an owner of term {highest}, this one's is {term}: if that owner is gone for good, \
+     `take-over {CONFIGURATION_ROLE}`"
+)]
+pub(crate) struct NewerTermSeen {
+    highest: u64,
+    term: u64,
+}
 
 impl ServerContext {
     /// Completes a publication: the least number that it may have, and the versions that are kept whatever their age, as
     /// proxies have them in force or a rollback would restore them.
     pub(crate) fn complete_publication(&self, state: &ServerState, new: NewVersion) -> NewVersion {
-        let rollout = &state.rollout.rollout;
+        let rollout = &state.rollout_lease.rollout;
         let newest = self.replica.with_state(GroupState::newest_version);
         let mut needed: Vec<u64> = rollout.proxies().values().map(|proxy| proxy.in_force).collect();
         needed.push(rollout.complete_before(newest + 1));
@@ -30,19 +41,15 @@
         }
     }
 
-    /// Why nothing may be published under this term: the proxies follow a lease holder of a later one.
-    pub(crate) fn newer_term_reason(&self, state: &ServerState, term: u64) -> Option<String> {
-        let sessions = state.sessions.values().filter(|session| session.proxy.is_some());
-        let seen = sessions.map(Session::highest_term_seen);
+    /// Checks that the proxies do not follow a lease holder of a later term, which alone may publish to them.
+    pub(crate) fn check_no_newer_term(&self, state: &ServerState, term: u64) -> Result<(), NewerTermSeen> {
+        let seen = state.sessions.proxies().map(|(_, proxy)| proxy.highest_term_seen());
         let (newer, others): (Vec<u64>, Vec<u64>) = seen.partition(|seen| *seen > term);
-        let highest = newer.iter().max()?;
-        // One odd proxy of many does not stop a fleet from being changed.
-        (newer.len() >= others.len()).then(|| {
-            format!(
-                "proxies follow an owner of term {highest}, this one's is {term}: if that owner is gone for good, \
-                 `take-over {CONFIGURATION_ROLE}`"
-            )
-        })
+        match newer.iter().max() {
+            // One odd proxy of many does not stop a fleet from being changed.
+            Some(highest) if newer.len() >= others.len() => Err(NewerTermSeen { highest: *highest, term }),
+            _ => Ok(()),
+        }
     }
 }
 
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -7,7 +7,7 @@
 use gaugestep_config::rollout::{Action, ConnectedProxy, Event, ReportedVersion, Rollout, StoredRollout};
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::entry::State;
-use gaugestep_config::schema::{Answer, Keep, NewState, NewVersion, Plan, Progress, from_service};
+use gaugestep_config::schema::{Answer, Hello, Keep, NewState, NewVersion, Plan, Progress, from_service};
 use gaugestep_config::short_digest;
 use gaugestep_leadership::CONFIGURATION_ROLE;
 use gaugestep_leadership::checkpoint::CheckpointBarrier;
@@ -16,7 +16,7 @@
 
 use crate::clock;
 use crate::server::publication::build_offer;
-use crate::server::state::{RolloutState, ServerContext, ServerState, SessionId};
+use crate::server::state::{RolloutLease, ServerContext, ServerState, SessionId};
 
 /// The author of versions that the server publishes by itself.
 const SERVER_AUTHOR: &str = "gaugestep-control";
@@ -35,10 +35,10 @@
     /// Looks whether this server holds the lease, and takes the rollout up or lets it go accordingly.
     pub(crate) fn refresh_rollout_lease(&self, state: &mut ServerState) {
         let acting_term = self.replica.acting_term(CONFIGURATION_ROLE);
-        if acting_term == state.rollout.acting_term {
+        if acting_term == state.rollout_lease.acting_term {
             return;
         }
-        state.rollout = RolloutState { acting_term, ..RolloutState::default() };
+        state.rollout_lease = RolloutLease { acting_term, ..RolloutLease::default() };
         match acting_term {
             None => tracing::warn!(role = CONFIGURATION_ROLE, "lease lost"),
             Some(term) => self.resume_rollout(state, term),
@@ -64,9 +64,9 @@
         let progress = Progress::decode(role.state.as_slice()).unwrap_or_default();
         let (version, step, rejections) = (progress.number, progress.step, progress.against.len());
         tracing::info!(role = CONFIGURATION_ROLE, term, version, step, rejections, "lease acquired");
-        state.rollout.rollout = Rollout::recover(clock::now(), versions);
-        state.rollout.checkpoint = CheckpointBarrier::resume(role.order, progress.clone());
-        state.rollout.rollout.resume(progress);
+        state.rollout_lease.rollout = Rollout::recover(clock::now(), versions);
+        state.rollout_lease.checkpoint = CheckpointBarrier::resume(role.order, progress.clone());
+        state.rollout_lease.rollout.resume(progress);
         for id in state.sessions.proxy_ids() {
             self.register_proxy(state, id);
         }
@@ -74,13 +74,13 @@
 
     /// A version is committed: its rollout begins.
     pub(crate) fn on_version_published(&self, state: &mut ServerState, number: u64) {
-        if state.rollout.acting_term.is_none() || state.rollout.rollout.state(number).is_some() {
+        if state.rollout_lease.acting_term.is_none() || state.rollout_lease.rollout.state(number).is_some() {
             return;
         }
         let entry = self.replica.with_state(|group| Some(group.versions.get(&number)?.entry.clone()));
         let Some(entry) = entry else { return };
         let digest = entry.version.as_ref().map(|version| short_digest(&version.digest)).unwrap_or_default();
-        let (term, rolls_back_to) = (state.rollout.acting_term, entry.rolls_back_to);
+        let (term, rolls_back_to) = (state.rollout_lease.acting_term, entry.rolls_back_to);
         tracing::info!(version = number, digest, term, rolls_back_to, "version published");
         let plan = entry.plan.unwrap_or_default();
         self.drive(state, Event::Published { number, plan, rolls_back_to });
@@ -89,35 +89,38 @@
     /// Old versions are not kept any more.
     pub(crate) fn on_versions_dropped(&self, state: &mut ServerState) {
         let oldest = self.replica.with_state(|group| group.versions.keys().next().copied().unwrap_or(0));
-        state.rollout.rollout.forget_below(oldest);
+        state.rollout_lease.rollout.forget_below(oldest);
     }
 
     /// Makes a proxy known to the rollout, if its process holds its name and it has seen no later term.
     pub(crate) fn register_proxy(&self, state: &mut ServerState, id: SessionId) {
         let Some(proxy) = state.identified_proxy(id) else { return };
         let (hello, updated_at, seen) = (proxy.hello.clone(), proxy.updated_at, proxy.highest_term_seen());
-        let newer = state.rollout.acting_term.filter(|term| seen > *term);
+        let newer = state.rollout_lease.acting_term.filter(|term| seen > *term);
         if let Some(term) = newer.filter(|_| !crate::failpoints::is_check_disabled("owner")) {
             tracing::warn!(proxy = hello.proxy, seen, term, "the proxy has seen a newer term");
             self.raise_term_of_restored_store(seen, term);
             return;
         }
+        let in_force = self.reported_version(&hello);
+        let connected_for = clock::now().duration_since(updated_at);
+        let in_force_for = Duration::from_millis(hello.age_ms).saturating_add(connected_for);
+        let (proxy, build) = (hello.proxy, hello.build);
+        let proxy = ConnectedProxy { proxy, stream: id, in_force, build, in_force_for };
+        self.drive(state, Event::Connected(proxy));
+    }
+
+    /// What a proxy has in force, and whether it is the version that the group published under that number.
+    fn reported_version(&self, hello: &Hello) -> ReportedVersion {
         let number = hello.in_force.as_ref().map_or(0, |version| version.number);
-        let known = self.replica.with_state(|group| {
+        let published = self.replica.with_state(|group| {
             group.versions.get(&number).is_some_and(|version| version.entry.version == hello.in_force)
         });
-        let in_force = match (number, known) {
+        match (number, published) {
             (0, _) => ReportedVersion::None,
             (number, true) => ReportedVersion::Published(number),
             (number, false) => ReportedVersion::Unpublished(number),
-        };
-        let connected_for = clock::now().duration_since(updated_at);
-        let in_force_for = Duration::from_millis(hello.age_ms).saturating_add(connected_for);
-        let (proxy, build) = (hello.proxy, hello.build);
-        self.drive(
-            state,
-            Event::Connected(ConnectedProxy { proxy, stream: id, in_force, build, in_force_for }),
-        );
+        }
     }
 
     /// The operator of a restored store said that whoever used it before is gone for good: goes on above its terms.
@@ -155,7 +158,7 @@
     /// Brings the hello of a session up to date, so that the next lease holder's rollout sees what the proxy has now.
     fn record_acceptance(&self, state: &mut ServerState, id: SessionId, number: u64) {
         let version = self.replica.with_state(|group| group.versions.get(&number)?.entry.version.clone());
-        let term = state.rollout.acting_term;
+        let term = state.rollout_lease.acting_term;
         let Some(proxy) = state.sessions.get_mut(id).and_then(|session| session.proxy.as_mut()) else {
             return;
         };
@@ -174,14 +177,14 @@
 
     /// Feeds an event into the rollout and carries out what it decides. Nothing while another server drives it.
     pub(crate) fn drive(&self, state: &mut ServerState, event: Event) {
-        let Some(term) = state.rollout.acting_term else { return };
+        let Some(term) = state.rollout_lease.acting_term else { return };
         let now = clock::now();
-        let actions = state.rollout.rollout.handle(now, event);
+        let actions = state.rollout_lease.rollout.handle(now, event);
         self.commit_progress(state, now, term);
         for action in actions {
             // The next lease holder must know of a stage before any proxy does.
             let ready = match action {
-                Action::Offer { .. } => state.rollout.checkpoint.submit(action),
+                Action::Offer { .. } => state.rollout_lease.checkpoint.submit(action),
                 _ => Some(action),
             };
             if let Some(action) = ready {
@@ -198,15 +201,15 @@
             }
             // The version that superseded it was published, and that alone makes it so.
             Action::StateChanged { state: State::Overtaken, .. } => {}
-            Action::StateChanged { number, state: version_state, reason: why } => {
+            Action::StateChanged { number, state: version_state, reason } => {
                 let name = version_state.as_str_name();
-                tracing::info!(version = number, state = name, why, term, "rollout state changed");
-                let change = NewState { number, state: version_state as i32, halted_for: why };
+                tracing::info!(version = number, state = name, reason, term, "rollout state changed");
+                let change = NewState { number, state: version_state as i32, halted_for: reason };
                 self.propose_for_rollout(term, What::State(change));
             }
-            Action::RollBack { halted, restored, reason: why } => {
-                tracing::error!(version = halted, to = restored, why, term, "rolled back");
-                let rollback = self.rollback_of(halted, restored, &why);
+            Action::RollBack { halted, restored, reason } => {
+                tracing::error!(version = halted, to = restored, reason, term, "rolled back");
+                let rollback = self.rollback_of(halted, restored, &reason);
                 let rollback = self.complete_publication(state, rollback);
                 self.propose_for_rollout(term, What::Version(rollback));
             }
@@ -229,7 +232,7 @@
     }
 
     /// The version that restores the content of an earlier one (0: an empty document) after a rollout was halted.
-    fn rollback_of(&self, halted: u64, restored: u64, why: &str) -> NewVersion {
+    fn rollback_of(&self, halted: u64, restored: u64, reason: &str) -> NewVersion {
         let document = self.replica.with_state(|group| {
             let version = group.versions.get(&restored);
             version.map(|version| (*version.document).clone()).unwrap_or_default()
@@ -237,7 +240,7 @@
         NewVersion {
             document: Some(document),
             author: SERVER_AUTHOR.into(),
-            note: format!("brings back version {restored}, as version {halted} was halted: {why}"),
+            note: format!("brings back version {restored}, as version {halted} was halted: {reason}"),
             plan: Some(Plan::default()),
             rolls_back_to: restored,
             // Whichever lease holder comes to it first: it is restored once.
@@ -260,8 +263,8 @@
 
     /// Proposes how far the rollout is, where that has changed.
     fn commit_progress(&self, state: &mut ServerState, now: Timestamp, term: u64) {
-        let progress = state.rollout.rollout.progress();
-        let Some(checkpoint) = state.rollout.checkpoint.checkpoint(now, progress) else { return };
+        let progress = state.rollout_lease.rollout.progress();
+        let Some(checkpoint) = state.rollout_lease.checkpoint.checkpoint(now, progress) else { return };
         let context = self.downgrade();
         let proposed = checkpoint.clone();
         let responder = move |outcome| {
@@ -277,10 +280,10 @@
     /// Sends the offers that waited for the progress to be committed.
     fn on_progress_decided(&self, term: u64, order: u64, committed: bool) {
         let mut state = self.lock_state();
-        if state.rollout.acting_term != Some(term) {
+        if state.rollout_lease.acting_term != Some(term) {
             return;
         }
-        for action in state.rollout.checkpoint.on_commit(order, committed) {
+        for action in state.rollout_lease.checkpoint.on_commit(order, committed) {
             self.carry_out(&mut state, term, action);
         }
     }
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -142,9 +142,9 @@
     }
 }
 
-/// The rollout of versions, which the lease holder of the configuration role drives.
+/// The lease of the configuration role, and the rollout that its holder drives; empty while this server does not hold it.
 #[derive(Default)]
-pub(crate) struct RolloutState {
+pub(crate) struct RolloutLease {
     /// The term under which this server drives the rollout; none while it does not hold the lease.
     pub(crate) acting_term: Option<u64>,
     /// Decides which proxy is offered which version.
@@ -171,7 +171,7 @@
 /// What changes while a server runs.
 #[derive(Default)]
 pub(crate) struct ServerState {
-    pub(crate) rollout: RolloutState,
+    pub(crate) rollout_lease: RolloutLease,
     pub(crate) roster: RosterState,
     /// Which process holds the name of a proxy.
     pub(crate) identities: IdentityRegistry,
