--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -85,7 +85,7 @@
         if !told.is_object() {
             return Err("'settings' is missing".into());
         }
-        let mut settings = gaugestep_settings::settings(told)?;
+        let mut settings = gaugestep_settings::decode(told).map_err(|error| error.to_string())?;
         let name = json["name"].as_str().unwrap_or("gaugestep").to_owned();
         if settings.place == FleetPosition::NameKey(0) {
             settings.place = FleetPosition::NameKey(gaugestep_subsetting::key(&name));
--- a/crates/simulator-adapter/src/command.rs
+++ b/crates/simulator-adapter/src/command.rs
@@ -1,23 +1,34 @@
-//! Hosts dispatchers on the simulator's wire: standard input to standard output.
+//! The program: the protocol on standard input and output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use crate::Host;
+use crate::{Host, WireError};
 
-fn serve() -> Result<(), String> {
+/// Why the program ends with a failure.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error("cannot read the input: {0}")]
+    Read(#[source] io::Error),
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    #[error("cannot write the reply: {0}")]
+    Write(#[source] io::Error),
+}
+
+fn serve() -> Result<(), CommandError> {
     let mut host = Host::new();
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut line = String::new();
     loop {
         line.clear();
-        if input.read_line(&mut line).map_err(|error| format!("cannot read the input: {error}"))? == 0 {
-            return host.end().map_err(|error| error.to_string());
+        if input.read_line(&mut line).map_err(CommandError::Read)? == 0 {
+            return Ok(host.finish()?);
         }
-        if let Some(reply) = host.line(&line).map_err(|error| error.to_string())? {
+        if let Some(reply) = host.handle_line(&line)? {
             let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-            written.map_err(|error| format!("cannot write the reply: {error}"))?;
+            written.map_err(CommandError::Write)?;
         }
     }
 }
@@ -26,8 +37,8 @@
 pub fn run() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("gaugestep-adapter: {message}");
+        Err(error) => {
+            eprintln!("gaugestep-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Stdio};
 
 use gaugestep_dispatch::interface::*;
-use gaugestep_settings::settings;
-use gaugestep_simulator_adapter::{Host, print};
+use gaugestep_settings::decode;
+use gaugestep_simulator_adapter::{Host, write_action};
 
 const SETTINGS: &str = r#"{"zone": 0, "balancers": 1, "unknown": {"a": 1}, "kinds": ["k"],
  "family_info": {"class_threads": [1], "size_cores": [8], "ram_of_kind_mb": [16384], "tells_cost": true,
@@ -19,11 +19,14 @@
 
 /// Runs the lines of a batch and returns its reply, or the error.
 fn batch(host: &mut Host, at: &str, lines: &[&str]) -> Result<String, String> {
-    host.line(&format!("tick wall_ms={at}")).map_err(|error| error.to_string())?;
+    host.handle_line(&format!("tick wall_ms={at}")).map_err(|error| error.to_string())?;
     for line in lines {
-        assert_eq!(host.line(line).map_err(|error| error.to_string())?, None);
+        assert_eq!(host.handle_line(line).map_err(|error| error.to_string())?, None);
     }
-    Ok(host.line("eob").map_err(|error| error.to_string())?.expect("the closing line brings the reply"))
+    Ok(host
+        .handle_line("eob")
+        .map_err(|error| error.to_string())?
+        .expect("the closing line brings the reply"))
 }
 
 fn started() -> Host {
@@ -84,7 +87,7 @@
     assert!(batch(&mut host, "1030", &lists).unwrap().contains("forward dispatcher_id=3 req=r-2 node=74\n"));
     batch(&mut host, "1040", &["shutdown dispatcher_id=3", &provision()]).unwrap();
     assert_eq!(batch(&mut host, "1050", &[]).unwrap(), "done\n");
-    assert!(host.end().is_ok());
+    assert!(host.finish().is_ok());
 }
 
 #[test]
@@ -110,7 +113,7 @@
     ];
     for (action, expected) in cases {
         let mut line = String::new();
-        print(1, &action, &mut line);
+        write_action(1, &action, &mut line);
         assert_eq!(line, expected);
     }
 }
@@ -128,7 +131,7 @@
 fn absent_settings_take_the_meaning_of_the_wires_page() {
     let json =
         serde_json::from_str(r#"{"services": [{"effect": "keyed", "group": "cell", "window_ms": 9}]}"#);
-    let read = settings(&json.unwrap()).unwrap();
+    let read = decode(&json.unwrap()).unwrap();
     assert_eq!(read.classes[0].effect, Effect::Keyed(DedupGroup::Cell, 9.0));
     assert_eq!(read.classes[0].target_stretch, 0.0);
     assert_eq!((read.retry_budget, read.order_pause, read.tenants.len()), (None, 0.0, 0));
