--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -42,7 +42,7 @@
         match kind {
             "kill" => group.node_mut(old).start(),
             "stop" => group.node_mut(old).go_on(),
-            _ => group.net.heal(),
+            _ => group.net.heal_all(),
         }
     }
     let (middle, worst) = median(spans);
@@ -140,14 +140,14 @@
     std::thread::sleep(Duration::from_secs(3));
     let span = 10.0;
     let spent = || group.nodes.iter().map(|node| cpu(node.process.as_ref().unwrap().id())).sum::<f64>();
-    let (before, (bytes, pieces)) = (spent(), group.net.passed());
+    let (before, earlier) = (spent(), group.net.traffic());
     std::thread::sleep(Duration::from_secs_f64(span));
     println!(
         "idle, {duties:>5} duties on 3 services: {:.2} ms of processor a second for each; over all links {:.0} messages and {:.0} \
          bytes a second",
         (spent() - before) / span / 3.0,
-        (group.net.passed().1 - pieces) as f64 / span,
-        (group.net.passed().0 - bytes) as f64 / span
+        (group.net.traffic().pieces - earlier.pieces) as f64 / span,
+        (group.net.traffic().bytes - earlier.bytes) as f64 / span
     );
 }
 
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -5,7 +5,7 @@
 
 use crate::lenient::{Lenient, List, Number, Section};
 
-/// The whole document.
+/// The document.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Document {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,16 +1,19 @@
 #![forbid(unsafe_code)]
-//! The project's laboratory: what stand-ins record ([`record`]), whether the rules held ([`audit`]), and how an engine
-//! behaves ([`engine`]); what the records of many processes say of duties and versions ([`duties`]); and which faults come
-//! when ([`faults`]); whether choices of many proxies add up ([`crowd`]). None of these does I/O, reads a clock or starts a thread. Beside them stand the means of breaking a
-//! fleet of processes: links between them that drop, stall and cut ([`network`]), and processes that are stopped, continued
-//! and killed ([`process`]), engines and a list of them for a fleet to talk to ([`stand`]).
+//! Emulated environments and independent audits for tests of whole fleets.
+//!
+//! Without I/O, clocks or threads: what happened ([`record`]) and whether requests were treated by the rules
+//! ([`audit`]); whether roles and versions were ([`leadership_audit`]); whether the choices of many proxies add up
+//! ([`fleet_audit`]); how an engine behaves ([`engine_model`]); which faults come when ([`faults`]).
+//!
+//! With processes and sockets: links that drop, stall and cut ([`network`]), processes that are suspended, resumed and
+//! killed ([`process`]), and engines with their list for a fleet to talk to ([`emulated_fleet`]).
 
 pub mod audit;
-pub mod crowd;
-pub mod duties;
-pub mod engine;
+pub mod emulated_fleet;
+pub mod engine_model;
 pub mod faults;
+pub mod fleet_audit;
+pub mod leadership_audit;
 pub mod network;
 pub mod process;
 pub mod record;
-pub mod stand;
--- a/crates/testbed/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -1,76 +1,100 @@
 //! Links on loopback between processes. Each process is reached through a relay of its own, which finds out who has
-//! connected and treats its bytes as the link between the two says: it drops, stalls (the connection stays open and
-//! silent), cuts one way, delays, cuts in the middle of a message, or resets.
+//! connected and treats the bytes as the link between the two demands: it drops, stalls (the connection stays open and
+//! silent), delays, cuts one direction or in the middle of a message, or resets.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read as _, Write as _};
-use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use socket2::SockRef;
 
-/// How a link treats one way.
+/// How a link treats one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Way {
-    /// What comes is passed on.
+pub enum LinkFault {
+    /// All bytes are passed on.
     #[default]
-    Open,
+    None,
     /// Nothing is passed on, and nothing is read: the connection is silent.
     Stalled,
-    /// What comes is passed on after so many milliseconds.
-    Delayed(u64),
-    /// After so many further bytes the connection ends, wherever in a message that is.
+    /// Bytes are passed on after this time.
+    Delayed(Duration),
+    /// After this many further bytes the connection ends, wherever in a message that is.
     CutAfter(u64),
 }
 
-/// How a link is.
+/// The state of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct Link {
-    /// From whoever connected to whom it connected to.
-    pub there: Way,
-    /// The way back.
-    pub back: Way,
+    /// From the process that connected to the one that accepted.
+    pub forward: LinkFault,
+    /// The other direction.
+    pub backward: LinkFault,
     /// Connections are ended, and new ones closed at once.
     pub down: bool,
     /// Connections are ended by a reset, once.
     pub reset: bool,
 }
 
-/// Finds out from the first bytes who has connected: none while they do not say.
+/// What two processes see that are cut off from each other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Partition {
+    /// Connections stay open, and nothing arrives.
+    Silent,
+    /// Connections end, and new ones fail.
+    Closed,
+}
+
+/// What all links have passed on, in both directions.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
+pub struct Traffic {
+    /// Bytes.
+    pub bytes: u64,
+    /// Pieces in which the bytes came: mostly a message each.
+    pub pieces: u64,
+}
+
+/// Finds out from the first bytes of a connection who has connected; `None` while they do not tell.
 pub type Identify = fn(&[u8]) -> Option<String>;
 
 #[derive(Default)]
-struct Inner {
+struct State {
     links: BTreeMap<(String, String), Link>,
     /// Where each relay passes connections on to.
     targets: BTreeMap<String, SocketAddr>,
-    passed: (u64, u64),
+    traffic: Traffic,
 }
 
-/// All links of a fleet. Whatever is not said otherwise is open.
+/// All links of a fleet. A link that was not set is open.
 #[derive(Clone)]
 pub struct Network {
-    inner: Arc<Mutex<Inner>>,
+    state: Arc<Mutex<State>>,
     identify: Identify,
 }
 
-/// How often links are looked at.
-const LOOK: Duration = Duration::from_millis(10);
-/// Whoever has not said who it is within this time is taken for a stranger.
-const SAYS_WITHIN: Duration = Duration::from_secs(5);
+/// How often the state of a link is read.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// A process that has not identified itself within this time is a stranger.
+const IDENTIFY_TIMEOUT: Duration = Duration::from_secs(5);
+/// The name of a process that has not identified itself.
+const STRANGER: &str = "stranger";
 
 impl Network {
     /// A network without processes.
     pub fn new(identify: Identify) -> Self {
-        Network { inner: Arc::default(), identify }
+        Network { state: Arc::default(), identify }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A relay before a process; where it is reached.
+    /// Starts a relay before a process; the address at which others reach the process.
+    ///
+    /// # Errors
+    ///
+    /// If no socket can be bound.
     pub fn relay(&self, name: &str, target: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -79,159 +103,212 @@
         std::thread::spawn(move || {
             for accepted in listener.incoming().flatten() {
                 let (network, name) = (network.clone(), name.clone());
-                std::thread::spawn(move || network.connection(&name, accepted));
+                std::thread::spawn(move || network.serve_connection(&name, accepted));
             }
         });
         Ok(address)
     }
 
-    /// Sets the link from one to another.
+    /// Sets the link of the connections that one process opens to another.
     pub fn set(&self, from: &str, to: &str, link: Link) {
         self.lock().links.insert((from.to_owned(), to.to_owned()), link);
     }
 
-    /// Cuts two off from each other: connections stay open and silent, or end.
-    pub fn part(&self, one: &str, other: &str, silently: bool) {
-        let stalled = Link { there: Way::Stalled, back: Way::Stalled, ..Link::default() };
-        let link = if silently { stalled } else { Link { down: true, ..Link::default() } };
+    /// Cuts two processes off from each other.
+    pub fn partition(&self, one: &str, other: &str, partition: Partition) {
+        let (forward, backward) = (LinkFault::Stalled, LinkFault::Stalled);
+        let link = match partition {
+            Partition::Silent => Link { forward, backward, ..Link::default() },
+            Partition::Closed => Link { down: true, ..Link::default() },
+        };
         self.set(one, other, link);
         self.set(other, one, link);
     }
 
-    /// Opens the links between two.
-    pub fn join(&self, one: &str, other: &str) {
+    /// Opens the links between two processes.
+    pub fn heal(&self, one: &str, other: &str) {
         self.set(one, other, Link::default());
         self.set(other, one, Link::default());
     }
 
-    /// Resets the connections between two, once.
+    /// Resets the connections that one process has opened to another, once.
     pub fn reset(&self, from: &str, to: &str) {
         self.set(from, to, Link { reset: true, ..Link::default() });
-        std::thread::sleep(5 * LOOK);
+        std::thread::sleep(5 * POLL_INTERVAL);
         self.set(from, to, Link::default());
     }
 
     /// Opens all links.
-    pub fn heal(&self) {
+    pub fn heal_all(&self) {
         self.lock().links.clear();
     }
 
-    /// Bytes passed on so far, both ways, over all links, and in how many pieces: mostly a message each.
-    pub fn passed(&self) -> (u64, u64) {
-        self.lock().passed
+    /// What all links have passed on so far.
+    pub fn traffic(&self) -> Traffic {
+        self.lock().traffic
     }
 
     fn link(&self, from: &str, to: &str) -> Link {
         self.lock().links.get(&(from.to_owned(), to.to_owned())).copied().unwrap_or_default()
     }
 
-    fn connection(&self, to: &str, mut here: TcpStream) {
-        let _ = here.set_nodelay(true);
-        let _ = here.set_read_timeout(Some(LOOK));
-        let (began, mut first) = (Instant::now(), Vec::new());
-        let from = loop {
-            if let Some(from) = (self.identify)(&first) {
-                break from;
-            }
-            if began.elapsed() >= SAYS_WITHIN {
-                break "stranger".to_owned();
-            }
-            match read(&mut here, &mut first) {
-                Ok(true) => {}
-                Ok(false) => return,
-                Err(_) => return,
-            }
-        };
+    /// Connects through to the process behind a relay and passes bytes on until the connection ends.
+    fn serve_connection(&self, to: &str, mut client: TcpStream) {
+        // Without these options the relay is slower, but right.
+        let _ = client.set_nodelay(true);
+        let _ = client.set_read_timeout(Some(POLL_INTERVAL));
+        let mut first_bytes = Vec::new();
+        let Some(from) = self.identify_client(&mut client, &mut first_bytes) else { return };
         if self.link(&from, to).down {
             return;
         }
         let Some(target) = self.lock().targets.get(to).copied() else { return };
-        let Ok(there) = TcpStream::connect(target) else { return };
-        let _ = there.set_nodelay(true);
-        let (Ok(from_there), Ok(to_here)) = (there.try_clone(), here.try_clone()) else { return };
-        let (network, names) = (self.clone(), (from.clone(), to.to_owned()));
-        let back = std::thread::spawn(move || {
-            network.pump(&names.0, &names.1, from_there, to_here, Vec::new(), |link| link.back);
-        });
-        self.pump(&from, to, here, there, first, |link| link.there);
-        let _ = back.join();
-    }
-
-    /// Passes bytes on one way, until the connection ends.
-    fn pump(
-        &self,
-        from: &str,
-        to: &str,
-        mut source: TcpStream,
-        mut sink: TcpStream,
-        mut waiting: Vec<u8>,
-        way: fn(Link) -> Way,
-    ) {
-        let _ = source.set_read_timeout(Some(LOOK));
-        let mut due: Option<Instant> = None;
-        let mut passed_since_cut: Option<u64> = None;
+        let Ok(server) = TcpStream::connect(target) else { return };
+        let _ = server.set_nodelay(true);
+        let (Ok(server_reader), Ok(client_writer)) = (server.try_clone(), client.try_clone()) else { return };
+        let pump = |source, sink, pending, fault| Pump {
+            network: self.clone(),
+            from: from.clone(),
+            to: to.to_owned(),
+            source,
+            sink,
+            pending,
+            fault,
+            delivery_due: None,
+            passed_since_cut: None,
+        };
+        let backward = pump(server_reader, client_writer, Vec::new(), |link| link.backward);
+        let forward = pump(client, server, first_bytes, |link| link.forward);
+        let backward = std::thread::spawn(move || backward.run());
+        forward.run();
+        // A panic of the other direction has been printed by its thread.
+        let _ = backward.join();
+    }
+
+    /// Reads until it is known who has connected; `None` if the connection ends before that.
+    fn identify_client(&self, client: &mut TcpStream, first_bytes: &mut Vec<u8>) -> Option<String> {
+        let began = Instant::now();
         loop {
-            let link = self.link(from, to);
-            if link.reset {
-                let _ = SockRef::from(&source).set_linger(Some(Duration::ZERO));
-                let _ = SockRef::from(&sink).set_linger(Some(Duration::ZERO));
-            }
-            if link.down || link.reset {
-                break;
-            }
-            let way = way(link);
-            if way == Way::Stalled {
-                std::thread::sleep(LOOK);
-                continue;
+            if let Some(from) = (self.identify)(first_bytes) {
+                return Some(from);
             }
-            if !matches!(way, Way::CutAfter(_)) {
-                passed_since_cut = None;
+            if began.elapsed() >= IDENTIFY_TIMEOUT {
+                return Some(STRANGER.to_owned());
             }
-            if waiting.is_empty() {
-                due = None;
-                match read(&mut source, &mut waiting) {
-                    Ok(true) => {}
-                    Ok(false) | Err(_) => break,
-                }
-                if waiting.is_empty() {
-                    continue;
-                }
+            if !read_available(client, first_bytes).is_ok_and(|open| open) {
+                return None;
             }
-            match way {
-                Way::Delayed(wait) => {
-                    let due = *due.get_or_insert_with(|| Instant::now() + Duration::from_millis(wait));
-                    if Instant::now() < due {
-                        std::thread::sleep(LOOK);
-                        continue;
-                    }
-                }
-                Way::CutAfter(bytes) => {
-                    let passed = passed_since_cut.get_or_insert(0);
-                    let left = bytes.saturating_sub(*passed);
-                    if waiting.len() as u64 >= left {
-                        let _ = sink.write_all(&waiting[..left as usize]);
-                        break;
-                    }
-                    *passed += waiting.len() as u64;
-                }
-                Way::Open | Way::Stalled => {}
+        }
+    }
+}
+
+/// What a pump does next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Step {
+    /// Look at the link again.
+    Continue,
+    /// End the connection.
+    Close,
+}
+
+/// One direction of a connection.
+struct Pump {
+    network: Network,
+    from: String,
+    to: String,
+    source: TcpStream,
+    sink: TcpStream,
+    /// Bytes that were read and not yet passed on.
+    pending: Vec<u8>,
+    /// Reads this direction's fault from the link.
+    fault: fn(Link) -> LinkFault,
+    /// When delayed bytes are passed on.
+    delivery_due: Option<Instant>,
+    /// Bytes passed on since the link was set to be cut.
+    passed_since_cut: Option<u64>,
+}
+
+impl Pump {
+    /// Passes bytes on until the connection ends.
+    fn run(mut self) {
+        let _ = self.source.set_read_timeout(Some(POLL_INTERVAL));
+        while self.step() == Step::Continue {}
+        // Either may have been closed by the other side already.
+        let _ = self.source.shutdown(Shutdown::Both);
+        let _ = self.sink.shutdown(Shutdown::Both);
+    }
+
+    fn step(&mut self) -> Step {
+        let link = self.network.link(&self.from, &self.to);
+        if link.reset {
+            // With this option, closing a socket sends a reset.
+            let _ = SockRef::from(&self.source).set_linger(Some(Duration::ZERO));
+            let _ = SockRef::from(&self.sink).set_linger(Some(Duration::ZERO));
+        }
+        if link.down || link.reset {
+            return Step::Close;
+        }
+        let fault = (self.fault)(link);
+        if fault == LinkFault::Stalled {
+            std::thread::sleep(POLL_INTERVAL);
+            return Step::Continue;
+        }
+        if !matches!(fault, LinkFault::CutAfter(_)) {
+            self.passed_since_cut = None;
+        }
+        if self.pending.is_empty() {
+            self.delivery_due = None;
+            if !read_available(&mut self.source, &mut self.pending).is_ok_and(|open| open) {
+                return Step::Close;
             }
-            {
-                let (bytes, pieces) = &mut self.lock().passed;
-                (*bytes, *pieces) = (*bytes + waiting.len() as u64, *pieces + 1);
+            if self.pending.is_empty() {
+                return Step::Continue;
             }
-            if sink.write_all(&waiting).is_err() {
-                break;
+        }
+        match fault {
+            LinkFault::Delayed(delay) if !self.is_due(delay) => {
+                std::thread::sleep(POLL_INTERVAL);
+                Step::Continue
             }
-            waiting.clear();
+            LinkFault::CutAfter(bytes) => self.pass_on_or_cut(bytes),
+            LinkFault::None | LinkFault::Stalled | LinkFault::Delayed(_) => self.pass_on(),
         }
-        let _ = source.shutdown(std::net::Shutdown::Both);
-        let _ = sink.shutdown(std::net::Shutdown::Both);
+    }
+
+    /// Whether delayed bytes are due; the delay begins with the first call for them.
+    fn is_due(&mut self, delay: Duration) -> bool {
+        Instant::now() >= *self.delivery_due.get_or_insert_with(|| Instant::now() + delay)
+    }
+
+    /// Passes bytes on up to the cut.
+    fn pass_on_or_cut(&mut self, limit: u64) -> Step {
+        let passed = self.passed_since_cut.get_or_insert(0);
+        let left = limit.saturating_sub(*passed);
+        if self.pending.len() as u64 >= left {
+            // The connection ends here in any case.
+            let _ = self.sink.write_all(&self.pending[..left as usize]);
+            return Step::Close;
+        }
+        *passed += self.pending.len() as u64;
+        self.pass_on()
+    }
+
+    fn pass_on(&mut self) -> Step {
+        {
+            let traffic = &mut self.network.lock().traffic;
+            traffic.bytes += self.pending.len() as u64;
+            traffic.pieces += 1;
+        }
+        if self.sink.write_all(&self.pending).is_err() {
+            return Step::Close;
+        }
+        self.pending.clear();
+        Step::Continue
     }
 }
 
 /// Reads what there is; false once the other side has closed.
-fn read(socket: &mut TcpStream, into: &mut Vec<u8>) -> io::Result<bool> {
+fn read_available(socket: &mut TcpStream, into: &mut Vec<u8>) -> io::Result<bool> {
     let mut chunk = [0; 16 * 1024];
     match socket.read(&mut chunk) {
         Ok(0) => Ok(false),
@@ -239,8 +316,11 @@
             into.extend_from_slice(&chunk[..read]);
             Ok(true)
         }
-        Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => Ok(true),
-        Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(true),
+        Err(error) if is_retryable(error.kind()) => Ok(true),
         Err(error) => Err(error),
     }
 }
+
+fn is_retryable(kind: io::ErrorKind) -> bool {
+    matches!(kind, io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted)
+}
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,24 +1,28 @@
-//! A process of the program that can be stopped, continued and killed. It ends with whoever holds it.
+//! A process of the program that can be suspended, resumed and killed. It is killed when its handle is dropped.
 
 use std::io;
 use std::process::{Child, Command, ExitStatus};
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A process.
+/// A child process.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    stopped: bool,
+    suspended: bool,
 }
 
 impl Process {
     /// Starts it.
+    ///
+    /// # Errors
+    ///
+    /// If the command cannot be started.
     pub fn start(command: &mut Command) -> io::Result<Self> {
-        Ok(Process { child: command.spawn()?, stopped: false })
+        Ok(Process { child: command.spawn()?, suspended: false })
     }
 
-    /// Its number.
+    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -29,37 +33,57 @@
         kill_process(pid, signal).map_err(io::Error::from)
     }
 
-    /// Stops it (SIGSTOP): its connections stay open and silent.
-    pub fn stop(&mut self) -> io::Result<()> {
-        self.stopped = true;
+    /// Suspends it (SIGSTOP): its connections stay open and silent.
+    ///
+    /// # Errors
+    ///
+    /// If the signal cannot be sent.
+    pub fn suspend(&mut self) -> io::Result<()> {
+        self.suspended = true;
         self.signal(Signal::STOP)
     }
 
-    /// Continues it.
-    pub fn go_on(&mut self) -> io::Result<()> {
-        self.stopped = false;
+    /// Resumes it (SIGCONT).
+    ///
+    /// # Errors
+    ///
+    /// If the signal cannot be sent.
+    pub fn resume(&mut self) -> io::Result<()> {
+        self.suspended = false;
         self.signal(Signal::CONT)
     }
 
-    /// Whether it was stopped.
-    pub fn stopped(&self) -> bool {
-        self.stopped
+    /// Whether it is suspended.
+    pub fn is_suspended(&self) -> bool {
+        self.suspended
     }
 
     /// Asks it to end (SIGTERM) and waits until it has.
-    pub fn end(&mut self) -> io::Result<ExitStatus> {
+    ///
+    /// # Errors
+    ///
+    /// If the signal cannot be sent, or the process cannot be waited for.
+    pub fn terminate(&mut self) -> io::Result<ExitStatus> {
         self.signal(Signal::TERM)?;
         self.child.wait()
     }
 
-    /// Kills it outright and waits for its end.
+    /// Kills it (SIGKILL) and waits for its end.
+    ///
+    /// # Errors
+    ///
+    /// If the signal cannot be sent, or the process cannot be waited for.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(drop)
     }
 
     /// How it ended, if it has.
-    pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
+    ///
+    /// # Errors
+    ///
+    /// If its state cannot be read.
+    pub fn exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.try_wait()
     }
 }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a client was told.
+/// The final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Answer {
-    /// The whole result.
+    /// The complete result.
     Served,
-    /// A refusal: coming again does no harm.
-    Refused,
+    /// A rejection: a retry by the client does no harm.
+    Rejected,
     /// A failure.
     Failed,
 }
@@ -20,11 +20,11 @@
 pub enum End {
     /// The result was written.
     Served,
-    /// An error was written; it may have run.
-    Errored,
-    /// It was turned away, and never ran.
-    Shed,
-    /// The forwarder called it off, or closed its connection.
+    /// An error was written; the query may have run.
+    Failed,
+    /// It was rejected, and never ran.
+    Rejected,
+    /// The forwarder cancelled it, or closed its connection.
     Cancelled,
     /// The engine died, or broke the connection.
     Broken,
@@ -33,11 +33,11 @@
 impl End {
     /// Whether it is proved that the attempt did nothing.
     pub fn never_ran(self) -> bool {
-        self == End::Shed
+        self == End::Rejected
     }
 }
 
-/// How an engine stands in a forwarder's list.
+/// The state of an engine in a forwarder's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
@@ -51,13 +51,13 @@
 
 /// One thing that happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(tag = "what", rename_all = "lowercase")]
+#[serde(tag = "event", rename_all = "snake_case")]
 pub enum Record {
-    /// A client's request has gone out whole.
-    Asked {
+    /// A client has sent a complete request.
+    Requested {
         /// When.
         at: f64,
-        /// To which forwarder or proxy.
+        /// The forwarder or proxy that it was sent to.
         via: String,
         /// The request.
         id: String,
@@ -66,44 +66,44 @@
         /// How long the client waits, in milliseconds.
         budget: f64,
     },
-    /// The client has a whole final answer.
+    /// The client has the complete final answer.
     Answered {
         /// When.
         at: f64,
         /// The request.
         id: String,
-        /// What it was told.
+        /// The answer.
         how: Answer,
     },
-    /// The client left, and is owed nothing more.
-    Left {
+    /// The client closed its connection, and is owed nothing more.
+    ClientGone {
         /// When.
         at: f64,
         /// The request.
         id: String,
     },
-    /// The forwarder ended by no doing of its own (killed by the test): what it had open is owed nothing.
-    Killed {
+    /// The test killed a forwarder: its open requests are owed nothing.
+    ForwarderKilled {
         /// When.
         at: f64,
         /// Which.
         via: String,
     },
-    /// An engine has a whole command.
-    Took {
+    /// An engine has received a complete command.
+    AttemptStarted {
         /// When.
         at: f64,
         /// The engine.
         engine: String,
-        /// From which forwarder or proxy.
+        /// The forwarder or proxy that sent it.
         via: String,
         /// The request.
         id: String,
         /// Its work on one core, in milliseconds.
         work: f64,
     },
-    /// What the engine took has ended.
-    Ended {
+    /// An attempt has ended at its engine.
+    AttemptEnded {
         /// When.
         at: f64,
         /// The engine.
@@ -113,19 +113,19 @@
         /// How.
         how: End,
     },
-    /// A forwarder was told how an engine stands.
-    Listed {
+    /// A forwarder learned the state of an engine.
+    EngineListed {
         /// When.
         at: f64,
-        /// Which forwarder or proxy.
+        /// The forwarder or proxy.
         via: String,
         /// The engine.
         engine: String,
-        /// How it stands.
+        /// Its state.
         phase: Phase,
     },
-    /// An engine has started, and is cold.
-    Started {
+    /// An engine has started, and is warming up.
+    EngineStarted {
         /// When.
         at: f64,
         /// The engine.
@@ -139,28 +139,49 @@
     /// When it happened.
     pub fn at(&self) -> f64 {
         match self {
-            Record::Asked { at, .. }
+            Record::Requested { at, .. }
             | Record::Answered { at, .. }
-            | Record::Left { at, .. }
-            | Record::Killed { at, .. }
-            | Record::Took { at, .. }
-            | Record::Ended { at, .. }
-            | Record::Listed { at, .. }
-            | Record::Started { at, .. } => *at,
+            | Record::ClientGone { at, .. }
+            | Record::ForwarderKilled { at, .. }
+            | Record::AttemptStarted { at, .. }
+            | Record::AttemptEnded { at, .. }
+            | Record::EngineListed { at, .. }
+            | Record::EngineStarted { at, .. } => *at,
         }
     }
 }
 
-/// Reads records, one a line; the error names the line.
-pub fn read(text: &str) -> Result<Vec<Record>, String> {
-    let line = |(number, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|error| format!("line {}: {error}", number + 1))
-    };
-    text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()).map(line).collect()
+/// A line that is no record.
+#[derive(Debug, thiserror::Error)]
+#[error("line {line}: {source}")]
+pub struct ReadError {
+    /// Its number, counted from 1.
+    pub line: usize,
+    /// What is wrong with it.
+    pub source: serde_json::Error,
+}
+
+/// Reads records, one a line; empty lines are skipped.
+///
+/// # Errors
+///
+/// The first line that is no record.
+pub fn read(text: &str) -> Result<Vec<Record>, ReadError> {
+    let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
+    lines
+        .map(|(index, line)| {
+            serde_json::from_str(line).map_err(|source| ReadError { line: index + 1, source })
+        })
+        .collect()
 }
 
 /// Writes records, one a line.
+///
+/// # Panics
+///
+/// Never: records hold nothing that JSON cannot express.
 pub fn write(records: &[Record]) -> String {
-    // Records hold nothing that JSON cannot.
-    records.iter().map(|record| serde_json::to_string(record).unwrap_or_default() + "\n").collect()
+    let line =
+        |record| serde_json::to_string(record).expect("records hold nothing that JSON cannot express") + "\n";
+    records.iter().map(line).collect()
 }
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,6 +1,6 @@
-//! The auditor on runs that keep every rule, and on runs that break each.
+//! The audit of requests on runs that keep every rule, and on runs that break each.
 
-use gaugestep_testbed::audit::{Breach, Cold, Effect, Rules, audit};
+use gaugestep_testbed::audit::{Effect, RetryBudget, Rules, SlowStartRule, Violation, audit};
 use gaugestep_testbed::record::{Answer, End, Phase, Record, read, write};
 
 fn rules() -> Rules {
@@ -9,140 +9,164 @@
         classes: classes.into(),
         answer_slack: 20.0,
         drain_grace: 250.0,
-        ration: Some((1.0, 0.5, 5_000.0)),
-        cold: Some(Cold { share: 0.3, warm_within: 10_000.0, multiple: 2.0, span: 1_000.0 }),
-        skew: 5.0,
+        retry_budget: Some(RetryBudget { free: 1.0, ratio: 0.5, window: 5_000.0 }),
+        slow_start: Some(SlowStartRule {
+            initial_share: 0.3,
+            warm_up: 10_000.0,
+            capacity_multiple: 2.0,
+            window: 1_000.0,
+        }),
+        clock_skew: 5.0,
     }
 }
 
-fn asked(at: f64, id: &str, class: &str) -> Record {
-    Record::Asked { at, via: "f".into(), id: id.into(), class: class.into(), budget: 1_000.0 }
+fn requested(at: f64, id: &str, class: &str) -> Record {
+    Record::Requested { at, via: "f".into(), id: id.into(), class: class.into(), budget: 1_000.0 }
 }
 
-fn took(at: f64, id: &str, engine: &str) -> Record {
-    Record::Took { at, engine: engine.into(), via: "f".into(), id: id.into(), work: 100.0 }
+fn attempt_started(at: f64, id: &str, engine: &str) -> Record {
+    Record::AttemptStarted { at, engine: engine.into(), via: "f".into(), id: id.into(), work: 100.0 }
 }
 
-fn ended(at: f64, id: &str, engine: &str, how: End) -> Record {
-    Record::Ended { at, engine: engine.into(), id: id.into(), how }
+fn attempt_ended(at: f64, id: &str, engine: &str, how: End) -> Record {
+    Record::AttemptEnded { at, engine: engine.into(), id: id.into(), how }
 }
 
 fn answered(at: f64, id: &str, how: Answer) -> Record {
     Record::Answered { at, id: id.into(), how }
 }
 
-fn listed(at: f64, engine: &str, phase: Phase) -> Record {
-    Record::Listed { at, via: "f".into(), engine: engine.into(), phase }
+fn engine_listed(at: f64, engine: &str, phase: Phase) -> Record {
+    Record::EngineListed { at, via: "f".into(), engine: engine.into(), phase }
 }
 
-/// A run that keeps every rule, with a cut and relaunch, a load that was shed and went again, a refusal, a client that
-/// left, and an engine that drains.
-fn clean() -> Vec<Record> {
+/// A run that keeps every rule: with a timeout cancel and relaunch, a load that was rejected and retried, a rejection, a
+/// client that left, and an engine that drains.
+fn valid_run() -> Vec<Record> {
     vec![
-        asked(0.0, "a", "lookup"),
-        asked(0.0, "b", "load"),
-        asked(0.0, "c", "lookup"),
-        asked(0.0, "d", "lookup"),
-        asked(0.0, "e", "load"),
-        took(1.0, "a", "x"),
-        took(1.0, "b", "x"),
-        ended(2.0, "b", "x", End::Shed),
-        took(3.0, "b", "y"),
-        listed(10.0, "x", Phase::Draining),
-        took(200.0, "e", "x"),
-        ended(300.0, "a", "x", End::Cancelled),
-        took(301.0, "a", "y"),
-        ended(400.0, "a", "y", End::Served),
+        requested(0.0, "a", "lookup"),
+        requested(0.0, "b", "load"),
+        requested(0.0, "c", "lookup"),
+        requested(0.0, "d", "lookup"),
+        requested(0.0, "e", "load"),
+        attempt_started(1.0, "a", "x"),
+        attempt_started(1.0, "b", "x"),
+        attempt_ended(2.0, "b", "x", End::Rejected),
+        attempt_started(3.0, "b", "y"),
+        engine_listed(10.0, "x", Phase::Draining),
+        attempt_started(200.0, "e", "x"),
+        attempt_ended(300.0, "a", "x", End::Cancelled),
+        attempt_started(301.0, "a", "y"),
+        attempt_ended(400.0, "a", "y", End::Served),
         answered(401.0, "a", Answer::Served),
-        ended(500.0, "b", "y", End::Served),
+        attempt_ended(500.0, "b", "y", End::Served),
         answered(501.0, "b", Answer::Served),
-        answered(600.0, "c", Answer::Refused),
-        Record::Left { at: 700.0, id: "d".into() },
-        ended(800.0, "e", "x", End::Broken),
+        answered(600.0, "c", Answer::Rejected),
+        Record::ClientGone { at: 700.0, id: "d".into() },
+        attempt_ended(800.0, "e", "x", End::Broken),
         answered(801.0, "e", Answer::Failed),
     ]
 }
 
-fn breaches(records: &[Record]) -> Vec<Breach> {
+fn violations(records: &[Record]) -> Vec<Violation> {
     audit(records, &rules()).0
 }
 
 #[test]
-fn a_clean_run_has_no_breach_and_is_counted_in_any_order() {
-    let mut run = clean();
+fn a_valid_run_has_no_violation_and_its_counts_do_not_depend_on_the_order_of_records() {
+    let mut run = valid_run();
     let (found, counts) = audit(&run, &rules());
     assert_eq!(found, []);
-    assert_eq!((counts.asked, counts.served, counts.refused, counts.failed, counts.left), (5, 2, 1, 1, 1));
+    assert_eq!(
+        (counts.requested, counts.served, counts.rejected, counts.failed, counts.client_gone),
+        (5, 2, 1, 1, 1)
+    );
     assert_eq!(counts.attempts, 5);
     run.sort_by_key(|record| (record.at() * 7.0) as u64 % 13);
-    assert_eq!(breaches(&run), []);
+    assert_eq!(violations(&run), []);
     assert_eq!(read(&write(&run)).unwrap(), run);
-    assert!(read("{\"what\":\"asked\"}\n").unwrap_err().starts_with("line 1:"));
+    assert!(read("{\"event\":\"requested\"}\n").unwrap_err().to_string().starts_with("line 1:"));
 }
 
-/// The clean run with one thing more, or less, and the one breach that this is.
+/// Retries of "z" beyond the budget, and the violation.
+fn retries_beyond_the_budget() -> (Vec<Record>, Violation) {
+    let mut records = vec![requested(5.0, "z", "lookup"), answered(900.0, "z", Answer::Failed)];
+    for number in 0..4 {
+        let at = 20.0 + 10.0 * f64::from(number);
+        records.extend([attempt_started(at, "z", "y"), attempt_ended(at + 1.0, "z", "y", End::Failed)]);
+    }
+    // Three of "z" and those of "a" and "b" are retries: six requests allow for four.
+    (records, Violation::RetryBudgetExceeded { via: "f".into(), at: 301.0, made: 5, allowed: 4.0 })
+}
+
+/// More work than an engine can bear that has just started, and the violation.
+fn overload_of_an_engine_that_warms_up() -> (Vec<Record>, Violation) {
+    let engine = "cold";
+    let mut records = vec![Record::EngineStarted { at: 0.0, engine: engine.into(), cores: 1.0 }];
+    for number in 0..7 {
+        let (id, at) = (format!("p{number}"), 10.0 * f64::from(number));
+        records.extend([
+            requested(at, &id, "lookup"),
+            attempt_started(at, &id, engine),
+            attempt_ended(at + 1.0, &id, engine, End::Served),
+            answered(at + 2.0, &id, Answer::Served),
+        ]);
+    }
+    // 100 ms of work each, and 2 times 0.3 of a core for a second can bear 600.
+    let bearable = 2.0 * (0.3 + 0.7 * 60.0 / 10_000.0) * 1_000.0;
+    (records, Violation::Overloaded { engine: engine.into(), at: 60.0, times: 700.0 / bearable })
+}
+
+/// The valid run with one record more, or less, and the one violation that this is.
 #[test]
-fn each_rule_that_is_broken_is_named() {
+fn each_broken_rule_is_reported_as_its_violation() {
     let id = |text: &str| text.to_owned();
-    let mut cases: Vec<(Vec<Record>, Breach)> = vec![
-        (vec![answered(900.0, "a", Answer::Failed)], Breach::AnsweredTwice { id: id("a") }),
-        (vec![asked(5.0, "z", "lookup")], Breach::Unanswered { id: id("z"), due: 1_005.0 }),
+    let mut cases: Vec<(Vec<Record>, Violation)> = vec![
+        (vec![answered(900.0, "a", Answer::Failed)], Violation::AnsweredTwice { id: id("a") }),
+        (vec![requested(5.0, "z", "lookup")], Violation::Unanswered { id: id("z"), due: 1_005.0 }),
         (
-            vec![asked(5.0, "z", "lookup"), answered(1_100.0, "z", Answer::Refused)],
-            Breach::AnsweredLate { id: id("z"), by: 95.0 },
+            vec![requested(5.0, "z", "lookup"), answered(1_100.0, "z", Answer::Rejected)],
+            Violation::AnsweredLate { id: id("z"), by: 95.0 },
         ),
         (
-            vec![asked(5.0, "z", "lookup"), answered(50.0, "z", Answer::Served)],
-            Breach::ServedByNobody { id: id("z") },
+            vec![requested(5.0, "z", "lookup"), answered(50.0, "z", Answer::Served)],
+            Violation::ServedByNoEngine { id: id("z") },
         ),
-        (vec![took(350.0, "a", "w")], Breach::TwoOut { id: id("a"), engines: (id("y"), id("w")) }),
-        (vec![took(820.0, "e", "y")], Breach::RanTwice { id: id("e") }),
         (
-            vec![asked(5.0, "z", "load"), took(6.0, "z", "y"), answered(50.0, "z", Answer::Refused)],
-            Breach::RefusedAfterRun { id: id("z") },
+            vec![attempt_started(350.0, "a", "w")],
+            Violation::ConcurrentAttempts { id: id("a"), engines: [id("y"), id("w")] },
         ),
+        (vec![attempt_started(820.0, "e", "y")], Violation::RanTwice { id: id("e") }),
         (
             vec![
-                asked(5.0, "z", "lookup"),
-                took(290.0, "z", "x"),
-                ended(295.0, "z", "x", End::Served),
+                requested(5.0, "z", "load"),
+                attempt_started(6.0, "z", "y"),
+                answered(50.0, "z", Answer::Rejected),
+            ],
+            Violation::RejectedAfterRun { id: id("z") },
+        ),
+        (
+            vec![
+                requested(5.0, "z", "lookup"),
+                attempt_started(290.0, "z", "x"),
+                attempt_ended(295.0, "z", "x", End::Served),
                 answered(299.0, "z", Answer::Served),
             ],
-            Breach::SentToDraining { id: id("z"), engine: id("x"), after: 280.0 },
+            Violation::SentToDraining { id: id("z"), engine: id("x"), after: 280.0 },
         ),
     ];
-    let ration = (0..4).flat_map(|again| {
-        let at = 20.0 + 10.0 * f64::from(again);
-        vec![took(at, "z", "y"), ended(at + 1.0, "z", "y", End::Errored)]
-    });
-    let mut over = vec![asked(5.0, "z", "lookup"), answered(900.0, "z", Answer::Failed)];
-    over.extend(ration);
-    // Three of "z" and those of "a" and "b" are beyond the first: six requests allow for four.
-    cases.push((over, Breach::OverRation { via: id("f"), at: 301.0, made: 5, allowed: 4.0 }));
-    let mut pushed = vec![Record::Started { at: 0.0, engine: id("cold"), cores: 1.0 }];
-    for number in 0..7 {
-        let (id, at) = (format!("p{number}"), 10.0 * f64::from(number));
-        pushed.extend([
-            asked(at, &id, "lookup"),
-            took(at, &id, "cold"),
-            ended(at + 1.0, &id, "cold", End::Served),
-        ]);
-        pushed.push(answered(at + 2.0, &id, Answer::Served));
-    }
-    // 100 ms of work each, and 2 times 0.3 of a core for a second bears 600.
-    let bears = 2.0 * (0.3 + 0.7 * 60.0 / 10_000.0) * 1_000.0;
-    cases.push((pushed, Breach::PushedOver { engine: id("cold"), at: 60.0, times: 700.0 / bears }));
-    for (more, breach) in cases {
-        let run = [clean(), more].concat();
-        assert_eq!(breaches(&run), std::slice::from_ref(&breach), "{breach}");
+    cases.extend([retries_beyond_the_budget(), overload_of_an_engine_that_warms_up()]);
+    for (more, violation) in cases {
+        let run = [valid_run(), more].concat();
+        assert_eq!(violations(&run), std::slice::from_ref(&violation), "{violation}");
     }
 }
 
-/// A forwarder that the test killed owes nothing for what it had open, and everything for what came later.
+/// A forwarder that the test killed owes no answers for its open requests, and all answers for later ones.
 #[test]
-fn what_a_killed_forwarder_had_open_is_owed_nothing() {
-    let mut run = vec![asked(0.0, "a", "lookup"), Record::Killed { at: 10.0, via: "f".into() }];
-    assert_eq!(breaches(&run), []);
-    run.push(asked(20.0, "b", "lookup"));
-    assert_eq!(breaches(&run), [Breach::Unanswered { id: "b".into(), due: 1_020.0 }]);
+fn open_requests_of_a_killed_forwarder_are_owed_no_answer() {
+    let mut run = vec![requested(0.0, "a", "lookup"), Record::ForwarderKilled { at: 10.0, via: "f".into() }];
+    assert_eq!(violations(&run), []);
+    run.push(requested(20.0, "b", "lookup"));
+    assert_eq!(violations(&run), [Violation::Unanswered { id: "b".into(), due: 1_020.0 }]);
 }
--- a/crates/two-level/tests/fleet.rs
+++ b/crates/two-level/tests/fleet.rs
@@ -8,8 +8,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use gaugestep_testbed::audit::{self, Rules, audit};
-use gaugestep_testbed::engine::{Engine as Machine, Query, Shape};
+use gaugestep_testbed::audit::{self, RetryBudget, Rules, audit};
+use gaugestep_testbed::engine_model::{EngineModel, EngineProfile, Query};
 use gaugestep_testbed::record::{Answer as Told, End, Phase, Record};
 use gaugestep_two_level::PlannerId;
 use gaugestep_two_level::book::{Book, FORGET_AFTER, LEASE, RENEW_EVERY, Welcome};
@@ -143,7 +143,7 @@
 }
 
 struct Place {
-    machine: Machine<(Id, usize)>,
+    machine: EngineModel<(Id, usize)>,
     phase: Phase,
     /// Whose attempts run there.
     of: BTreeMap<(Id, usize), (usize, u64)>,
@@ -304,7 +304,7 @@
                 let here = &mut self.forwarders[forwarder];
                 if here.life == life {
                     let acts = here.guard.client_gone(&id);
-                    self.records.push(Record::Left { at: self.now, id });
+                    self.records.push(Record::ClientGone { at: self.now, id });
                     self.act(forwarder, acts);
                 }
             }
@@ -358,7 +358,7 @@
         assert!(here.guard.arrived(self.now, id.clone(), facts));
         let life = here.life;
         let (at, via, class) = (self.now, format!("f{forwarder}"), class.into());
-        self.records.push(Record::Asked { at, via, id: id.clone(), class, budget });
+        self.records.push(Record::Requested { at, via, id: id.clone(), class, budget });
         if self.one_in(30) {
             let wait = self.between(1.0, budget);
             self.after(wait, What::Leaves { forwarder, life, id });
@@ -483,7 +483,7 @@
                 Act::Answer { id, answer } => {
                     let how = match answer {
                         Answer::Served => Told::Served,
-                        Answer::Refused(_) => Told::Refused,
+                        Answer::Refused(_) => Told::Rejected,
                         Answer::Failed => Told::Failed,
                     };
                     self.records.push(Record::Answered { at: self.now, id, how });
@@ -617,8 +617,8 @@
     fn new_engine(&mut self, warm: bool) {
         let engine = EngineId(self.next_engine);
         self.next_engine += 1;
-        let shape = Shape { cores: 8.0, ..Shape::default() };
-        let machine = Machine::start(self.now, shape, warm);
+        let profile = EngineProfile { cores: 8.0, ..EngineProfile::default() };
+        let machine = EngineModel::start(self.now, profile, warm);
         self.places.insert(engine, Place { machine, phase: Phase::Serving, of: BTreeMap::new(), change: 0 });
         self.tell_all(engine, Phase::Serving, warm && self.now == 0.0);
     }
@@ -643,7 +643,7 @@
             (phase != Phase::Gone).then_some(Engine { up: phase == Phase::Serving, zone: 0, cell: 0 });
         here.guard.listed([(engine, entry)], false);
         let (at, via) = (self.now, format!("f{forwarder}"));
-        self.records.push(Record::Listed { at, via, engine: format!("e{}", engine.0), phase });
+        self.records.push(Record::EngineListed { at, via, engine: format!("e{}", engine.0), phase });
     }
 
     fn command(
@@ -670,14 +670,20 @@
         let query = Query { work, threads: 1.0, set, load: class == "load", waits: false, priority: 1 };
         let via = format!("f{forwarder}");
         let key = (id.clone(), attempt);
-        let taken = place.machine.take(now, key.clone(), query);
+        let taken = place.machine.submit(now, key.clone(), query);
         place.change += 1;
-        let record = |how| Record::Ended { at: now, engine: name.clone(), id: id.clone(), how };
-        self.records.push(Record::Took { at: now, engine: name.clone(), via, id: id.clone(), work });
+        let record = |how| Record::AttemptEnded { at: now, engine: name.clone(), id: id.clone(), how };
+        self.records.push(Record::AttemptStarted {
+            at: now,
+            engine: name.clone(),
+            via,
+            id: id.clone(),
+            work,
+        });
         if taken {
             place.of.insert(key, (forwarder, life));
         } else {
-            self.records.push(record(End::Shed));
+            self.records.push(record(End::Rejected));
             let (served, stand) = (false, Stand::NeverRan);
             self.after(1.0, What::Result { forwarder, life, id, attempt, served, stand });
         }
@@ -692,7 +698,12 @@
         if place.machine.cancel(now, &key) {
             let (forwarder, life) = place.of.remove(&key).expect("what runs is somebody's");
             let name = format!("e{}", engine.0);
-            self.records.push(Record::Ended { at: now, engine: name, id: id.clone(), how: End::Cancelled });
+            self.records.push(Record::AttemptEnded {
+                at: now,
+                engine: name,
+                id: id.clone(),
+                how: End::Cancelled,
+            });
             let (served, stand) = (false, Stand::MayHaveRun);
             self.after(0.5, What::Result { forwarder, life, id, attempt, served, stand });
         }
@@ -704,8 +715,8 @@
         let now = self.now;
         let Some(place) = self.places.get_mut(&engine) else { return };
         let name = format!("e{}", engine.0);
-        let ended = place.machine.ended(now);
-        let next = place.machine.next_end();
+        let ended = place.machine.take_completed(now);
+        let next = place.machine.next_completion();
         place.change += 1;
         let change = place.change;
         for (_, key) in ended {
@@ -713,8 +724,8 @@
             let Some((forwarder, life)) = place.of.remove(&key) else { continue };
             let (id, attempt) = key;
             let errored = self.one_in(60);
-            let how = if errored { End::Errored } else { End::Served };
-            self.records.push(Record::Ended { at: now, engine: name.clone(), id: id.clone(), how });
+            let how = if errored { End::Failed } else { End::Served };
+            self.records.push(Record::AttemptEnded { at: now, engine: name.clone(), id: id.clone(), how });
             let (served, stand) = (!errored, Stand::MayHaveRun);
             let wait = self.between(0.1, 1.0);
             self.after(wait, What::Result { forwarder, life, id, attempt, served, stand });
@@ -768,7 +779,7 @@
                 let place = self.places.remove(&engine).unwrap();
                 for ((id, attempt), (forwarder, life)) in place.of {
                     let name = format!("e{}", engine.0);
-                    self.records.push(Record::Ended {
+                    self.records.push(Record::AttemptEnded {
                         at: now,
                         engine: name,
                         id: id.clone(),
@@ -794,7 +805,7 @@
 
     fn kill_forwarder(&mut self, forwarder: usize) {
         let now = self.now;
-        self.records.push(Record::Killed { at: now, via: format!("f{forwarder}") });
+        self.records.push(Record::ForwarderKilled { at: now, via: format!("f{forwarder}") });
         let before = std::mem::replace(&mut self.forwarders[forwarder], Forwarder::new(forwarder, 0));
         // Its connections are closed: engines give up what they ran for it.
         for ((id, attempt), engine) in before.where_out {
@@ -803,7 +814,12 @@
                 if place.machine.cancel(now, &(id.clone(), attempt)) {
                     place.of.remove(&(id.clone(), attempt));
                     let name = format!("e{}", engine.0);
-                    self.records.push(Record::Ended { at: now, engine: name, id, how: End::Cancelled });
+                    self.records.push(Record::AttemptEnded {
+                        at: now,
+                        engine: name,
+                        id,
+                        how: End::Cancelled,
+                    });
                 }
                 self.look(engine);
             }
@@ -853,9 +869,9 @@
         answer_slack: 20.0,
         drain_grace: GRACE,
         // The guard counts by its own clock, the engines see attempts up to a millisecond later.
-        ration: Some((5.0, 0.2, 5_000.0)),
-        cold: None,
-        skew: 2.0,
+        retry_budget: Some(RetryBudget { free: 5.0, ratio: 0.2, window: 5_000.0 }),
+        slow_start: None,
+        clock_skew: 2.0,
     }
 }
 
@@ -881,7 +897,7 @@
     let breaches: Vec<&String> = all.iter().flat_map(|(breaches, ..)| breaches).collect();
     assert!(breaches.is_empty(), "{breaches:#?}");
     let sum = |of: fn(&Seen) -> usize| all.iter().map(of).sum::<usize>();
-    let (asked, served) = (sum(|it| it.1.asked), sum(|it| it.1.served));
+    let (asked, served) = (sum(|it| it.1.requested), sum(|it| it.1.served));
     let [troubles, vetoes, hand_overs, alone] =
         [0, 1, 2, 3].map(|at| all.iter().map(|it| it.2[at]).sum::<u32>());
     println!(
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -14,9 +14,9 @@
 use gaugestep_config::{short_digest, text};
 use gaugestep_control_plane::cli::admin_client::{AdminClient, Delivery};
 use gaugestep_control_plane::error_line;
-use gaugestep_testbed::duties::Record;
-use gaugestep_testbed::faults::{Fault, Schedule};
-use gaugestep_testbed::network::{Link, Network, Way};
+use gaugestep_testbed::faults::{Fault, Schedule, ScheduledFault};
+use gaugestep_testbed::leadership_audit::Record;
+use gaugestep_testbed::network::{Link, LinkFault, Network, Partition};
 use gaugestep_testbed::process::Process;
 use prost::Message as _;
 use serde_json::Value;
@@ -103,21 +103,21 @@
     }
 
     pub fn stop(&mut self) {
-        self.process.as_mut().unwrap().stop().unwrap();
+        self.process.as_mut().unwrap().suspend().unwrap();
     }
 
     pub fn go_on(&mut self) {
-        self.process.as_mut().unwrap().go_on().unwrap();
+        self.process.as_mut().unwrap().resume().unwrap();
     }
 
     /// Whether it runs.
     pub fn runs(&self) -> bool {
-        self.process.as_ref().is_some_and(|process| !process.stopped())
+        self.process.as_ref().is_some_and(|process| !process.is_suspended())
     }
 
     /// Whether its process has ended by itself.
     pub fn has_ended(&mut self) -> bool {
-        self.process.as_mut().is_some_and(|process| process.ended().unwrap().is_some())
+        self.process.as_mut().is_some_and(|process| process.exit_status().unwrap().is_some())
     }
 
     /// Calls this one, and whomever it names.
@@ -266,8 +266,8 @@
     pub fn only_away(&self, proxy: &str, from: &[u64]) {
         for node in &self.nodes {
             match from.contains(&node.number) {
-                true => self.net.part(proxy, &node.name(), false),
-                false => self.net.join(proxy, &node.name()),
+                true => self.net.partition(proxy, &node.name(), Partition::Closed),
+                false => self.net.heal(proxy, &node.name()),
             }
         }
     }
@@ -275,7 +275,7 @@
     /// Cuts a service off from all other services, silently.
     pub fn isolate(&self, number: u64) {
         for other in self.nodes.iter().filter(|node| node.number != number) {
-            self.net.part(&number.to_string(), &other.name(), true);
+            self.net.partition(&number.to_string(), &other.name(), Partition::Silent);
         }
     }
 
@@ -370,38 +370,40 @@
     /// Plays a schedule of faults among the services and these proxies, and leaves all healed.
     pub fn play(&mut self, schedule: &Schedule, proxies: &[String]) {
         let name = |it: usize| (it + 1).to_string();
-        for (pause, fault) in &schedule.faults {
+        for ScheduledFault { pause, fault } in &schedule.faults {
             std::thread::sleep(Duration::from_millis(250 * pause));
             match fault {
                 Fault::Kill(it) => self.nodes[*it].kill(),
-                Fault::Start(it) if self.nodes[*it].process.is_none() => self.nodes[*it].start(),
-                Fault::Start(_) => {}
-                Fault::Stop(it) if self.nodes[*it].process.is_some() => self.nodes[*it].stop(),
-                Fault::Stop(_) => {}
-                Fault::GoOn(it) if self.nodes[*it].process.is_some() => self.nodes[*it].go_on(),
-                Fault::GoOn(_) => {}
-                Fault::Part(one, other, silently) => self.net.part(&name(*one), &name(*other), *silently),
+                Fault::Restart(it) if self.nodes[*it].process.is_none() => self.nodes[*it].start(),
+                Fault::Restart(_) => {}
+                Fault::Suspend(it) if self.nodes[*it].process.is_some() => self.nodes[*it].stop(),
+                Fault::Suspend(_) => {}
+                Fault::Resume(it) if self.nodes[*it].process.is_some() => self.nodes[*it].go_on(),
+                Fault::Resume(_) => {}
+                Fault::Partition(one, other, kind) => self.net.partition(&name(*one), &name(*other), *kind),
                 Fault::OneWay(one, other) => {
-                    let deaf = Link { there: Way::Stalled, ..Link::default() };
-                    self.net.set(&name(*other), &name(*one), deaf);
+                    let stalled = Link { forward: LinkFault::Stalled, ..Link::default() };
+                    self.net.set(&name(*other), &name(*one), stalled);
                 }
-                Fault::Delay(one, other, wait) => {
-                    let late = Link { there: Way::Delayed(*wait), ..Link::default() };
-                    self.net.set(&name(*one), &name(*other), late);
+                Fault::Delay(one, other, delay) => {
+                    let delayed = Link { forward: LinkFault::Delayed(*delay), ..Link::default() };
+                    self.net.set(&name(*one), &name(*other), delayed);
                 }
                 Fault::Cut(one, other, bytes) => {
-                    let cut = Link { there: Way::CutAfter(*bytes), ..Link::default() };
+                    let cut = Link { forward: LinkFault::CutAfter(*bytes), ..Link::default() };
                     self.net.set(&name(*one), &name(*other), cut);
                 }
                 Fault::Reset(one, other) => self.net.reset(&name(*one), &name(*other)),
-                Fault::Away(proxy, service) => self.net.part(&proxies[*proxy], &name(*service), true),
-                Fault::HandOver => drop(self.hand_over(0)),
+                Fault::ProxyCutOff(proxy, service) => {
+                    self.net.partition(&proxies[*proxy], &name(*service), Partition::Silent);
+                }
+                Fault::TransferRole => drop(self.hand_over(0)),
                 Fault::Heal => {
-                    self.net.heal();
+                    self.net.heal_all();
                     for node in &mut self.nodes {
                         match &node.process {
                             None => node.start(),
-                            Some(process) if process.stopped() => node.go_on(),
+                            Some(process) if process.is_suspended() => node.go_on(),
                             Some(_) => {}
                         }
                     }
@@ -491,15 +493,17 @@
                 let term = line["term"].as_u64().unwrap_or(0);
                 match line["message"].as_str() {
                     Some("lease acquired") => {
-                        let duty = line["role"].as_str().unwrap_or_default().to_owned();
-                        records.push(Record::Acts { service: service.clone(), duty, term });
+                        let role = line["role"].as_str().unwrap_or_default().to_owned();
+                        records.push(Record::LeaseAcquired { service: service.clone(), role, term });
+                    }
+                    Some("stale act refused") => {
+                        records.push(Record::StaleRejected { at: service.clone(), term })
                     }
-                    Some("stale act refused") => records.push(Record::Refused { at: service.clone(), term }),
                     _ => {}
                 }
             }
             let held = if node.runs() { node.versions() } else { Vec::new() };
-            records.extend(held.into_iter().map(|(number, digest, key)| Record::Holds {
+            records.extend(held.into_iter().map(|(number, digest, key)| Record::Stored {
                 service: service.clone(),
                 number,
                 digest,
@@ -537,17 +541,17 @@
         let number = |key: &str| line[key].as_u64().unwrap_or(0);
         let (proxy, digest) = (proxy.to_owned(), line["digest"].as_str().unwrap_or_default().to_owned());
         match line["message"].as_str() {
-            Some("term kept") => records.push(Record::Seen { proxy, term: number("term") }),
+            Some("term kept") => records.push(Record::TermSeen { proxy, term: number("term") }),
             Some("version offered") => offered = (number("version"), number("term")),
             Some("version in force") => {
                 let term = if offered.0 == number("version") { offered.1 } else { 0 };
-                records.push(Record::Force { proxy, number: number("version"), digest, term });
+                records.push(Record::InForce { proxy, number: number("version"), digest, term });
             }
             Some("starts on the last good version") => {
-                records.push(Record::Force { proxy, number: number("version"), digest, term: 0 });
+                records.push(Record::InForce { proxy, number: number("version"), digest, term: 0 });
             }
             _ if line["code"] == "stale-term" => {
-                records.push(Record::Refused { at: proxy, term: number("term") });
+                records.push(Record::StaleRejected { at: proxy, term: number("term") });
             }
             _ => {}
         }
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -15,8 +15,9 @@
 use gaugestep_config::schema::call;
 use gaugestep_leadership::ORDINALS_ROLE;
 use gaugestep_subsetting::fairness::fairness;
-use gaugestep_testbed::crowd::{Rule, cold, drawn, late};
-use gaugestep_testbed::stand::{Arrival, Engine, List, Records};
+use gaugestep_testbed::audit::SlowStartRule;
+use gaugestep_testbed::emulated_fleet::{Arrival, ArrivalLog, EmulatedEngine, EngineList};
+use gaugestep_testbed::fleet_audit::{EngineCapacity, arrivals_after_drain, proxies_by_engine, warm_up_load};
 use group::{Group, wait};
 use oorandom::Rand64;
 use proxy::{Client, Launch, Proxy};
@@ -25,7 +26,10 @@
 /// Held by the test that runs: twenty or thirty proxies and their clients want the machine alone.
 static ALONE: Mutex<()> = Mutex::new(());
 /// As the settings below have it.
-const RULE: Rule = Rule { cores: 8.0, share: 0.3, warm_within: 8_000.0, multiple: 2.5, span: 1_000.0 };
+const RULE: SlowStartRule =
+    SlowStartRule { initial_share: 0.3, warm_up: 8_000.0, capacity_multiple: 2.5, window: 1_000.0 };
+/// Of the engines that are started here.
+const CAPACITY: EngineCapacity = EngineCapacity { cores: 8.0, rule: RULE };
 
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
@@ -40,10 +44,10 @@
 type Answers = Arc<Mutex<BTreeMap<u64, (u64, u64)>>>;
 
 struct Crowd {
-    records: Records,
-    engines: Vec<Engine>,
+    log: ArrivalLog,
+    engines: Vec<EmulatedEngine>,
     /// The list in time, and the one that some proxies follow, which is told late.
-    lists: [List; 2],
+    lists: [EngineList; 2],
     proxies: Vec<Proxy>,
     answers: Answers,
     ends: Arc<AtomicBool>,
@@ -55,12 +59,12 @@
 impl Crowd {
     fn start(engines: usize) -> Self {
         let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-        let records = Records::default();
-        let engines: Vec<Engine> =
-            (0..engines).map(|at| Engine::start(&format!("s-{at}"), 1.0, &records).unwrap()).collect();
-        let lists = [List::start().unwrap(), List::start().unwrap()];
+        let log = ArrivalLog::default();
+        let engines: Vec<EmulatedEngine> =
+            (0..engines).map(|at| EmulatedEngine::start(&format!("s-{at}"), 1.0, &log).unwrap()).collect();
+        let lists = [EngineList::start().unwrap(), EngineList::start().unwrap()];
         Crowd {
-            records,
+            log,
             engines,
             lists,
             proxies: Vec::new(),
@@ -73,11 +77,11 @@
 
     /// The configuration of a proxy; every fourth hears of changes late.
     fn change(&self, text: String, number: u64, seat: &str) -> String {
-        let members: Vec<String> = self.engines.iter().map(|it| it.entry("SERVING", 0)).collect();
+        let members: Vec<String> = self.engines.iter().map(|it| it.list_entry("SERVING", 0)).collect();
         let list = self.lists[usize::from(number % 4 == 3)].address;
         let rules = format!(
             r#""rules": {{"cold_share": {}, "warm_within_ms": {}, "tip_multiple": {}, "overload_for_ms": {}, "#,
-            RULE.share, RULE.warm_within, RULE.multiple, RULE.span
+            RULE.initial_share, RULE.warm_up, RULE.capacity_multiple, RULE.window
         );
         let text = text.replace(r#""settings":"#, &format!(r#""coordinator":"{list}","settings":"#));
         let text = text.replace(r#""balancers": 1,"#, &format!(r#""balancers": {PROXIES}, {seat}"#));
@@ -159,12 +163,12 @@
     /// Replaces an engine by a cold one; where the new one is, and when the old one began to drain.
     fn replace(&mut self, at: usize, late_by: Duration) -> (usize, f64, f64) {
         let name = format!("s-{}", self.engines.len());
-        let new = Engine::start(&name, 1.0, &self.records).unwrap();
-        let (drained, started) = (self.records.now(), unix_ms());
-        let told = [self.engines[at].entry("DRAINING", 0), new.entry("SERVING", started)];
-        self.lists[0].tell(&told);
+        let new = EmulatedEngine::start(&name, 1.0, &self.log).unwrap();
+        let (drained, started) = (self.log.now(), unix_ms());
+        let told = [self.engines[at].list_entry("DRAINING", 0), new.list_entry("SERVING", started)];
+        self.lists[0].publish(&told);
         std::thread::sleep(late_by);
-        self.lists[1].tell(&told);
+        self.lists[1].publish(&told);
         self.engines.push(new);
         (self.engines.len() - 1, drained, drained)
     }
@@ -189,8 +193,8 @@
     crowd.load(seed, 0..PROXIES);
     crowd.pass(6_000);
     // Every engine is drawn by as many proxies as its part says, rounded up or down: 20 proxies with 8 of 12 each.
-    let steady = crowd.records.arrivals();
-    let counts = drawn(&steady, proxy_of);
+    let steady = crowd.log.arrivals();
+    let counts = proxies_by_engine(&steady, proxy_of);
     assert_eq!(counts.len(), 12);
     assert!(counts.values().all(|count| (13..=14).contains(count)), "{counts:?}");
     assert!(even(&crowd.answers) > 0.95, "{:?}", crowd.answers);
@@ -205,7 +209,8 @@
                 for it in [8, 9, 10, 12] {
                     // A platform has them start with what the coordinator has told so far.
                     for engine in &crowd.engines[..=at] {
-                        let (before, now) = (engine.entry("SERVING", 0), engine.entry("DRAINING", 0));
+                        let (before, now) =
+                            (engine.list_entry("SERVING", 0), engine.list_entry("DRAINING", 0));
                         crowd.proxies[it].rewrite(&before, &now);
                     }
                     crowd.proxies[it].restart();
@@ -216,15 +221,16 @@
         crowd.pass(150);
     }
     // They wake up with notices of drained engines waiting in their streams, and with rights that have long lapsed.
-    let woken = crowd.records.now();
+    let woken = crowd.log.now();
     [4, 5].iter().for_each(|it| crowd.proxies[*it].go_on());
     crowd.pass(3_000);
     crowd.end();
-    let arrivals = crowd.records.arrivals();
+    let arrivals = crowd.log.arrivals();
     let mut worst = Vec::new();
     for (old, (new, started, drained)) in &replaced {
         let name = &crowd.engines[*new].name;
-        let (window, proxies, sum) = cold(&arrivals, name, *started, &RULE, proxy_of);
+        let load = warm_up_load(&arrivals, name, *started, &CAPACITY, proxy_of);
+        let (window, proxies, sum) = (load.worst_window, load.proxies, load.work);
         worst.push((window * 100.0).round() / 100.0);
         assert!(
             window <= 1.0,
@@ -232,7 +238,7 @@
         );
         assert!(proxies > 5 && sum > 0.0, "{name} is used: {proxies} proxies, {sum} ms");
         // The late ones hear 150 ms later; a busy machine is given as much again.
-        let told_late = late(&arrivals, &format!("s-{old}"), *drained, 150.0 + 250.0 + 400.0);
+        let told_late = arrivals_after_drain(&arrivals, &format!("s-{old}"), *drained, 150.0 + 250.0 + 400.0);
         let stopped = |it: &&&Arrival| [4, 5].contains(&proxy_of(&it.id)) && it.at < woken + 400.0;
         let foul: Vec<&&Arrival> = told_late.iter().filter(|it| !stopped(it)).collect();
         assert!(foul.is_empty(), "s-{old}: {foul:?}, drained at {drained}");
@@ -242,7 +248,7 @@
     // id that a client was answered for reached engines, and proxies killed aside nobody went without an answer.
     let ids: BTreeSet<&str> = arrivals.iter().map(|it| it.id.as_str()).collect();
     assert!(ids.len() as u64 >= crowd.served(), "{} ids, {} served", ids.len(), crowd.served());
-    let most = crowd.engines.iter().map(Engine::most_open).max().unwrap_or(0);
+    let most = crowd.engines.iter().map(EmulatedEngine::most_connections).max().unwrap_or(0);
     assert!(most <= PROXIES * 5, "{most} connections at one engine");
     assert!(even(&crowd.answers) > 0.8, "{:?}", crowd.answers);
 }
@@ -259,10 +265,10 @@
     crowd.load(3, 0..10);
     // Engines that are drawn by how many proxies, from when all have the roster until some requests later.
     let drawn_now = |crowd: &Crowd, more: u64| {
-        let from = crowd.records.now() + 500.0;
+        let from = crowd.log.now() + 500.0;
         crowd.pass(more);
-        let recent: Vec<Arrival> = crowd.records.arrivals().into_iter().filter(|it| it.at > from).collect();
-        drawn(&recent, proxy_of)
+        let recent: Vec<Arrival> = crowd.log.arrivals().into_iter().filter(|it| it.at > from).collect();
+        proxies_by_engine(&recent, proxy_of)
     };
     let few = drawn_now(&crowd, 4_000);
     assert!(few.len() == 12 && few.values().all(|count| (6..=7).contains(count)), "{few:?}");
@@ -278,7 +284,7 @@
     crowd.load(4, 10..20);
     group.seated(&crowd.proxies.iter().collect::<Vec<_>>(), 20);
     wait("the replaced engines are warm", || {
-        replaced.iter().all(|(_, started, _)| crowd.records.now() > started + RULE.warm_within)
+        replaced.iter().all(|(_, started, _)| crowd.log.now() > started + RULE.warm_up)
     });
     let many = drawn_now(&crowd, 8_000);
     assert!(many.len() == 12 && many.values().all(|count| (13..=14).contains(count)), "{many:?}");
@@ -287,9 +293,10 @@
     let half = drawn_now(&crowd, 4_000);
     assert!(half.len() == 12 && half.values().all(|count| (6..=7).contains(count)), "{half:?}");
     crowd.end();
-    let arrivals = crowd.records.arrivals();
+    let arrivals = crowd.log.arrivals();
     for (new, started, _) in &replaced {
-        let (window, proxies, _) = cold(&arrivals, &crowd.engines[*new].name, *started, &RULE, proxy_of);
+        let load = warm_up_load(&arrivals, &crowd.engines[*new].name, *started, &CAPACITY, proxy_of);
+        let (window, proxies) = (load.worst_window, load.proxies);
         assert!(window <= 1.0, "{window} of what the rule allows in one window, from {proxies} proxies");
         assert!(proxies > 3, "it is used");
     }
@@ -315,12 +322,13 @@
         crowd.pass(300);
     }
     let last = replaced[3].1;
-    wait("the replaced engines are warm", || crowd.records.now() > last + RULE.warm_within);
+    wait("the replaced engines are warm", || crowd.log.now() > last + RULE.warm_up);
     crowd.end();
-    let arrivals = crowd.records.arrivals();
+    let arrivals = crowd.log.arrivals();
     for (new, started, _) in &replaced {
         let name = &crowd.engines[*new].name;
-        let (window, proxies, sum) = cold(&arrivals, name, *started, &RULE, proxy_of);
+        let load = warm_up_load(&arrivals, name, *started, &CAPACITY, proxy_of);
+        let (window, proxies, sum) = (load.worst_window, load.proxies, load.work);
         eprintln!(
             "{name}: {window:.2} of what the rule allows in the worst window, {proxies} proxies, {sum:.0} ms"
         );
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -10,9 +10,9 @@
 use gaugestep_config::rollout::selection_rank;
 use gaugestep_config::schema::{Hello, Plan, Seen, call};
 use gaugestep_control_plane::cli::admin_client::Delivery;
-use gaugestep_testbed::duties::{Breach, judge};
 use gaugestep_testbed::faults::Schedule;
-use gaugestep_testbed::network::{Link, Way};
+use gaugestep_testbed::leadership_audit::{self, Violation, audit};
+use gaugestep_testbed::network::{Link, LinkFault, Partition};
 use group::{Group, Publisher, wait};
 use proxy::Proxy;
 
@@ -95,7 +95,7 @@
 
     // It stands still; its proxy does not reach it any more, as if it followed another by now.
     group.node_mut(1).stop();
-    group.net.part("n0", "1", false);
+    group.net.partition("n0", "1", Partition::Closed);
     wait("the proxy has left", || {
         proxies[0].figures().pointer("/configuration/connected") == Some(&false.into())
     });
@@ -107,7 +107,7 @@
     let refused = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
     assert!(refused.contains("stood still") && refused.contains("take-over"), "{refused}");
     assert_eq!(group.node(1).versions().len(), 1, "nothing was published");
-    group.net.heal();
+    group.net.heal_all();
     let second = group.published("limits { max_open: 12 }", "b", at_once());
     group.in_force(&proxies, second);
 }
@@ -154,9 +154,9 @@
     assert_eq!(last, back + 1, "the old owner has published nothing");
     group.in_force(&proxies, last);
     group.settled();
-    let verdict = judge(&group.records(&["n0", "n1", "n2", "n3"]));
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.terms >= 2, "{verdict:?}");
+    let report = audit(&group.records(&["n0", "n1", "n2", "n3"]));
+    assert_eq!(report.violations, []);
+    assert!(report.terms >= 2, "{report:?}");
 }
 
 #[test]
@@ -178,9 +178,9 @@
     wait("both proxies have seen the successor", || proxies.iter().all(|it| self::term(it) >= Some(term)));
     group.settled();
     records.extend(group.records(&["n0", "n1"]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.acknowledged > 1);
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.acknowledged > 1);
 }
 
 #[test]
@@ -192,10 +192,10 @@
     let (old, _) = group.owner();
     let name = old.to_string();
     for other in group.nodes.iter().filter(|node| node.number != old) {
-        group.net.part(&name, &other.name(), true);
+        group.net.partition(&name, &other.name(), Partition::Silent);
     }
     for proxy in ["n0", "n1"] {
-        group.net.part(proxy, &name, false);
+        group.net.partition(proxy, &name, Partition::Closed);
     }
     let why = |told: Result<(u64, String), String>| told.err();
     let only_old = group.service(&[old]);
@@ -210,11 +210,11 @@
     });
     // Those that reached the old owner leave it, as it names nobody, and find the new one.
     group.in_force(&proxies, first + 1);
-    group.net.heal();
+    group.net.heal_all();
     let third = group.published("limits { max_open: 13 }", "c", at_once());
     group.in_force(&proxies, third);
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1", "n2", "n3"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1", "n2", "n3"])).violations, []);
 }
 
 #[test]
@@ -228,7 +228,7 @@
         // What the owner says is not heard, and then what is said to it; then one of the others alone is deaf to it.
         for other in if round < 2 { &others[..] } else { &others[..1] } {
             let (from, to) = if round == 1 { (*other, owner) } else { (owner, *other) };
-            let deaf = Link { there: Way::Stalled, ..Link::default() };
+            let deaf = Link { forward: LinkFault::Stalled, ..Link::default() };
             group.net.set(&from.to_string(), &to.to_string(), deaf);
         }
         let number = group.published(
@@ -237,10 +237,10 @@
             at_once(),
         );
         group.in_force(&proxies, number);
-        group.net.heal();
+        group.net.heal_all();
     }
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
 #[test]
@@ -265,9 +265,9 @@
     let newest = group.nodes[0].versions()[0].0;
     group.in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.acknowledged >= 8, "{verdict:?}");
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.acknowledged >= 8, "{report:?}");
 }
 
 #[test]
@@ -325,7 +325,7 @@
     let second = group.published("limits { max_open: 12 }", "b", at_once());
     group.in_force(&proxies, second);
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1", "n2"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1", "n2"])).violations, []);
 }
 
 #[test]
@@ -405,7 +405,7 @@
     node.shell.clear();
     node.start();
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
 #[test]
@@ -468,9 +468,9 @@
     let mut records = publisher.end();
     group.settled();
     records.extend(group.records(&[]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.acknowledged > 0 && verdict.terms > 10, "{verdict:?}");
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.acknowledged > 0 && report.terms > 10, "{report:?}");
 }
 
 #[test]
@@ -487,9 +487,9 @@
     let newest = group.nodes[0].versions().first().map_or(0, |it| it.0);
     group.in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.terms >= 50, "{verdict:?}");
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.terms >= 50, "{report:?}");
 }
 
 /// With the owner's own checks taken out, an old owner goes on as if its duty were its own for good. The proxies refuse
@@ -548,9 +548,11 @@
             }
             _ => group.in_force(&proxies[1..], overtaken),
         }
-        let breaches = judge(&group.records(&["n0", "n1"])).breaches;
-        let harm = breaches.iter().any(|it| matches!(it, Breach::Stale(proxy, ..) if proxy == "n1"));
-        assert_eq!(harm, out == "receiver", "{breaches:?}");
+        let violations = audit(&group.records(&["n0", "n1"])).violations;
+        let harm = violations
+            .iter()
+            .any(|it| matches!(it, Violation::StaleTermApplied { proxy, .. } if proxy == "n1"));
+        assert_eq!(harm, out == "receiver", "{violations:?}");
     }
 }
 
@@ -582,7 +584,7 @@
     let last = group.published("limits { max_open: 13 }", "c", at_once());
     group.in_force(&proxies, last);
     assert!(group.nodes[0].call(call::What::RemoveMember(1)).unwrap_err().contains("last member"));
-    assert_eq!(judge(&group.records(&["n0"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0"])).violations, []);
 }
 
 #[test]
@@ -590,7 +592,7 @@
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
     let (old, term) = group.owner();
-    let ended = group.node_mut(old).process.take().unwrap().end().unwrap();
+    let ended = group.node_mut(old).process.take().unwrap().terminate().unwrap();
     assert!(ended.success());
     let (next, later) = group.owner_beside(old);
     assert_eq!(later, term + 1);
@@ -621,13 +623,13 @@
     wait("there is no majority", || group.publish("limits { max_open: 13 }", "c", at_once()).is_err());
     // What was under way at the moment of the cut may have been agreed on still.
     assert!(proxies.iter().all(|proxy| version(proxy) >= Some(second)));
-    group.net.heal();
+    group.net.heal_all();
     let third = group.published("limits { max_open: 13 }", "c", at_once());
     group.in_force(&proxies, third);
     group.node_mut(owner).start();
     group.node_mut(next).start();
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
 /// A store as earlier builds left it: versions and a lineage, and nothing that anybody agreed on.
@@ -734,7 +736,7 @@
 }
 
 /// One schedule of faults, drawn from its seed, under publications; what the records say of it.
-fn storm(seed: u64, faults: usize) -> gaugestep_testbed::duties::Verdict {
+fn storm(seed: u64, faults: usize) -> leadership_audit::Report {
     eprintln!("seed {seed}");
     let mut group = Group::start(3);
     let names: Vec<String> = (0..3).map(|at| format!("n{at}")).collect();
@@ -750,9 +752,9 @@
     assert!(group.nodes.iter_mut().all(|node| !node.has_ended()), "no process ends by itself");
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     records.extend(group.records(&names));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, [], "seed {seed}");
-    verdict
+    let report = audit(&records);
+    assert_eq!(report.violations, [], "seed {seed}");
+    report
 }
 
 /// A few schedules; `GAUGESTEP_SEED` names another one to replay.
@@ -761,8 +763,8 @@
     let told = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
     let seeds = told.map_or(vec![1, 2], |seed| vec![seed]);
     for seed in seeds {
-        let verdict = storm(seed, 10);
-        assert!(verdict.acknowledged > 0, "{verdict:?}");
+        let report = storm(seed, 10);
+        assert!(report.acknowledged > 0, "{report:?}");
     }
 }
 
@@ -778,12 +780,12 @@
             scope.spawn(|| {
                 loop {
                     let Some(seed) = seeds.lock().unwrap().pop() else { return };
-                    let verdict = storm(seed, 14);
+                    let report = storm(seed, 14);
                     let mut sums = sums.lock().unwrap();
                     sums.0 += 1;
-                    sums.1 += verdict.acknowledged;
-                    sums.2 += verdict.terms;
-                    sums.3 += verdict.refused;
+                    sums.1 += report.acknowledged;
+                    sums.2 += report.terms;
+                    sums.3 += report.rejected;
                 }
             });
         }
--- a/tests/ordinals.rs
+++ b/tests/ordinals.rs
@@ -10,9 +10,9 @@
 
 use gaugestep_config::schema::{HandOver, Plan, call};
 use gaugestep_leadership::ORDINALS_ROLE;
-use gaugestep_testbed::crowd::{Held, Shared, shared};
 use gaugestep_testbed::faults::Schedule;
-use gaugestep_testbed::network::{Link, Way};
+use gaugestep_testbed::fleet_audit::{OrdinalConflict, OrdinalGrant, ordinal_conflicts};
+use gaugestep_testbed::network::{Link, LinkFault};
 use group::{Group, wait};
 use oorandom::Rand64;
 use proxy::Proxy;
@@ -39,7 +39,7 @@
 }
 
 /// Confirmations that the logs of these processes hold, by folder.
-fn held(group: &Group, folders: &[String]) -> Vec<Held> {
+fn grants(group: &Group, folders: &[String]) -> Vec<OrdinalGrant> {
     let mut out = Vec::new();
     for folder in folders {
         // A process that was started anew under the same name is another one: its first line says so.
@@ -48,10 +48,10 @@
             let number = |key: &str| line[key].as_u64().unwrap_or(0);
             match line["message"].as_str() {
                 Some("serving") => starts += 1,
-                Some("seat confirmed") => out.push(Held {
+                Some("seat confirmed") => out.push(OrdinalGrant {
                     process: format!("{folder}/{starts}"),
-                    seat: number("seat"),
-                    seats: number("seats"),
+                    ordinal: number("seat"),
+                    fleet_size: number("seats"),
                     epoch: number("epoch"),
                     from: line["at"].as_f64().unwrap_or(0.0),
                     until: line["until"].as_f64().unwrap_or(0.0),
@@ -64,10 +64,10 @@
 }
 
 /// Two processes at one seat. A process that was killed and its successor under the same name are not two: it is gone.
-fn foul(group: &Group, folders: &[String]) -> Vec<Shared> {
+fn conflicts(group: &Group, folders: &[String]) -> Vec<OrdinalConflict> {
     let name = |process: &str| process.split('/').next().unwrap_or_default().to_owned();
-    let mut found = shared(&held(group, folders));
-    found.retain(|one| name(&one.by[0]) != name(&one.by[1]));
+    let mut found = ordinal_conflicts(&grants(group, folders));
+    found.retain(|one| name(&one.processes[0]) != name(&one.processes[1]));
     found
 }
 
@@ -116,7 +116,7 @@
     group.seated(&all, 11);
     let terms: Vec<u64> = all.iter().filter_map(|it| it.figure("/configuration/seat/term")).collect();
     assert!(terms.iter().all(|term| *term > old_term), "{terms:?}, {old_term} before");
-    assert_eq!(foul(&group, &known), []);
+    assert_eq!(conflicts(&group, &known), []);
 }
 
 #[test]
@@ -128,7 +128,7 @@
     let before = seat(&proxies[0]);
     // What it says does not arrive, what it is told does.
     for node in &group.nodes {
-        group.net.set("n0", &node.name(), Link { there: Way::Stalled, ..Link::default() });
+        group.net.set("n0", &node.name(), Link { forward: LinkFault::Stalled, ..Link::default() });
     }
     wait("it goes by its name", || seat(&proxies[0]).is_none());
     wait("it says so", || group.lines("n0").iter().any(|line| line["message"] == "no seat any more"));
@@ -138,10 +138,10 @@
     wait("nobody has a seat", || proxies.iter().all(|proxy| seat(proxy).is_none()));
     assert!(proxies.iter().all(|proxy| proxy.client().ask("") == "I"));
     group.nodes.iter_mut().for_each(|node| node.go_on());
-    group.net.heal();
+    group.net.heal_all();
     group.seated(&proxies.iter().collect::<Vec<_>>(), 4);
     assert!(before.is_some());
-    assert_eq!(foul(&group, &known), []);
+    assert_eq!(conflicts(&group, &known), []);
 }
 
 /// The proxy's own check taken out: one that wakes up late goes on at a seat that is another's by then, and the audit finds it.
@@ -157,7 +157,9 @@
     wait("the newcomer has a seat for good", || seat(&late).is_some() && group.nodes[0].seats().len() == 2);
     careless.go_on();
     known.truncate(3);
-    wait("the audit finds it", || foul(&group, &known).iter().any(|one| one.by[0].starts_with("n0/")));
+    wait("the audit finds it", || {
+        conflicts(&group, &known).iter().any(|one| one.processes[0].starts_with("n0/"))
+    });
 }
 
 /// Faults of services and proxies from a seed: `GAUGESTEP_SEED` names one to replay.
@@ -190,6 +192,6 @@
     }
     stopped.iter().for_each(|one| proxies[*one].go_on());
     group.seated(&proxies.iter().collect::<Vec<_>>(), 10);
-    assert_eq!(foul(&group, &known), [], "seed {seed}");
+    assert_eq!(conflicts(&group, &known), [], "seed {seed}");
     assert!(group.nodes.iter_mut().all(|node| !node.has_ended()), "no process ends by itself");
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -37,7 +37,7 @@
 use gaugestep_config::text;
 use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
 use gaugestep_storage::control_store::ControlStore;
-use gaugestep_testbed::duties::judge;
+use gaugestep_testbed::leadership_audit::audit;
 use gaugestep_testbed::process::Process;
 use prost::Message as _;
 
@@ -159,7 +159,7 @@
         assert_eq!(running.versions[1..], stored.versions);
         running.no_term_went_back(&stored);
     }
-    assert_eq!(judge(&group.records(&[PROXY])).breaches, []);
+    assert_eq!(audit(&group.records(&[PROXY])).violations, []);
 
     // What the programs wrote since then is of the same form.
     for (node, before) in group.nodes.iter().zip(generations) {
@@ -218,7 +218,7 @@
     let mut process = Process::start(&mut command).unwrap();
     let mut exit = None;
     wait("a control service refuses the store", || {
-        exit = process.ended().unwrap();
+        exit = process.exit_status().unwrap();
         exit.is_some()
     });
     let error = std::fs::read_to_string(&log).unwrap();
@@ -315,7 +315,7 @@
     group.settled();
 
     proxies[0].kill();
-    group.nodes[0].process.take().unwrap().end().unwrap();
+    group.nodes[0].process.take().unwrap().terminate().unwrap();
     group.nodes[1..].iter_mut().for_each(Node::kill);
     save(&group);
 }
