--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -45,7 +45,7 @@
             term: self.term,
             epoch: self.roster.epoch,
             asked_ms: session.figures_sent_ms,
-            seat: self.roster.ordinal_of(&proxy.hello.proxy).map(|(ordinal, _)| ordinal),
+            seat: self.roster.ordinal_of(&proxy.hello.proxy).map(|assignment| assignment.ordinal),
             seats: self.roster.names.len() as u32,
         })
     }
@@ -77,8 +77,7 @@
         };
         let (epoch, ordinals) = (roster.epoch, roster.names.len());
         tracing::info!(role = ORDINALS_ROLE, term, epoch, ordinals, "lease acquired");
-        state.roster.managed =
-            Some(ManagedRoster { term, manager: RosterManager::resume(now.as_millis_f64(), roster) });
+        state.roster.managed = Some(ManagedRoster { term, manager: RosterManager::resume(now, roster) });
     }
 
     fn report_presence(&self, state: &mut ServerState, now: Timestamp) {
@@ -106,9 +105,9 @@
     fn propose_roster(&self, state: &mut ServerState, now: Timestamp) {
         let Some(ManagedRoster { term, manager }) = &mut state.roster.managed else { return };
         for report in self.replica.take_presence_reports() {
-            manager.record_heartbeats(now.as_millis_f64(), report.proxies.iter().map(String::as_str));
+            manager.record_heartbeats(now, report.proxies.iter().map(String::as_str));
         }
-        let Some(next) = manager.next_change(now.as_millis_f64()) else { return };
+        let Some(next) = manager.next_change(now) else { return };
         let (term, context) = (*term, self.downgrade());
         let command = What::Keep(self.roster_checkpoint(&next));
         let responder = move |outcome| {
@@ -134,7 +133,7 @@
         let mut state = self.lock_state();
         match state.roster.managed.as_mut().filter(|managed| managed.term == term) {
             Some(managed) if is_current => {
-                managed.manager.change_decided(clock::now().as_millis_f64(), proposed.epoch, true);
+                managed.manager.change_decided(clock::now(), proposed.epoch, true);
             }
             // It may be committed yet, or another one was: begins again with whatever is committed.
             Some(_) => state.roster.managed = None,
