--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -297,7 +297,10 @@
     let third = control.publish("limits { max_open: 13 }", &[]);
     assert!(third > second, "{third} is above what the proxy has in force");
     until("the third is in force", || in_force(&proxy) == third);
+    // The proxy applies a version before the service receives its answer.
+    until("the service has received the proxy's answer", || control.proxy("n0")["in_force"] == third);
     assert_eq!(control.proxy("n0")["ahead"], false);
+    assert_eq!(in_force(&proxy), third);
 }
 
 #[test]
