--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -11,7 +11,7 @@
 
 /// Guards the door against callers that stay silent, and the figures against what clients and databases do.
 #[test]
-fn the_door_tells_what_became_of_requests_while_others_say_nothing() {
+fn statistics_count_request_outcomes_while_silent_admin_connections_are_open() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let _silent: Vec<_> = (0..8).map(|_| proxy.door()).collect();
@@ -49,7 +49,7 @@
 
 /// Guards against clients that stay on a drained proxy, and against one that does not come back.
 #[test]
-fn a_drained_proxy_lets_its_clients_go_and_comes_back() {
+fn a_drained_proxy_closes_its_sessions_and_serves_again_once_the_drain_is_stopped() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut busy, idle) = (proxy.client(), proxy.client());
@@ -72,7 +72,7 @@
 
 /// Guards requests that are open against rules that came after them, and the proxy against files that are spoilt.
 #[test]
-fn new_settings_hold_for_new_requests_and_spoilt_ones_are_turned_down() {
+fn new_settings_apply_to_new_requests_and_invalid_ones_are_rejected() {
     let (first, second) = (Database::new(), Database::new());
     let proxy = Proxy::start(&[&first]);
     for (from, to) in [
@@ -105,7 +105,7 @@
 
 /// Guards what clients have open, and what they send next, while a successor takes over.
 #[test]
-fn a_successor_takes_over_on_the_same_socket() {
+fn a_successor_takes_over_the_listening_socket() {
     let database = Database::new();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut old = Proxy::inherit(&listener, &[&database]);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -29,7 +29,7 @@
 
 /// Routes hold for the requests that they name, and a version that sends lookups to a draining node is refused whole.
 #[test]
-fn a_route_binds_and_one_to_a_draining_node_is_refused_and_not_half_applied() {
+fn a_route_takes_effect_and_one_to_a_draining_engine_is_rejected_without_partial_effect() {
     let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let (a, b, coordinator) = (Engine::new(), Engine::new(), Coordinator::new());
     let databases = [&a.database, &b.database];
@@ -66,7 +66,7 @@
 /// The drain notice and the version at one moment, over and over: whichever comes first, no lookup goes to the node
 /// once it was told to drain for 250 ms.
 #[test]
-fn a_drain_notice_between_check_and_apply_lets_nothing_through() {
+fn an_engine_that_drains_between_validation_and_apply_receives_no_request() {
     let (service, kept) = (StandIn::new(), tempfile::tempdir().unwrap());
     let (a, b, coordinator) = (Engine::new(), Engine::new(), Coordinator::new());
     let databases = [&a.database, &b.database];
@@ -109,7 +109,7 @@
 
 /// What is cut off, changed on its way, of another number or no message at all never comes into force.
 #[test]
-fn spoilt_versions_are_refused_and_spoilt_streams_closed() {
+fn invalid_versions_are_rejected_and_malformed_streams_closed() {
     let (service, kept) = (StandIn::new(), tempfile::tempdir().unwrap());
     let engine = Engine::new();
     let databases = [&engine.database];
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_proxy_starts_on_its_last_good_version_while_the_service_is_down_and_a_spoilt_one_is_no_crash() {
+fn a_proxy_starts_on_its_last_good_version_without_the_service_and_survives_a_corrupt_one() {
     let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let engine = Engine::new();
     let databases = [&engine.database];
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_kill_of_either_side_at_any_moment_loses_nothing_that_was_acknowledged() {
+fn killing_the_proxy_or_the_service_at_any_moment_loses_no_acknowledged_version() {
     let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&state(&kept)));
     let mut proxy = Launch { operator, ..Launch::new(&[]) }.start();
@@ -241,7 +241,7 @@
 
 /// A service that is killed while it publishes finds all that it answered for.
 #[test]
-fn a_service_killed_while_it_publishes_finds_what_it_answered_for() {
+fn a_service_killed_while_publishing_recovers_every_acknowledged_version() {
     let mut control = Control::start();
     let file = control.file("d.textproto", "limits { max_open: 9 }");
     let mut most = 0;
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_service_restored_from_an_older_backup_takes_nothing_back_and_numbers_on() {
+fn a_service_restored_from_an_older_backup_rolls_nothing_back_and_continues_the_numbering() {
     let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&[]) }.start();
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn versions_at_one_moment_and_a_proxy_that_never_answers_leave_the_newest_in_force() {
+fn the_newest_of_concurrent_versions_comes_in_force_despite_a_proxy_that_never_answers() {
     let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&[]) }.start();
@@ -340,7 +340,7 @@
 /// A load that runs under a class which the new version drops ends as it would have, once, and only then may the class
 /// go.
 #[test]
-fn a_class_with_a_load_in_flight_is_not_dropped_under_it() {
+fn a_class_is_not_removed_while_a_load_of_it_is_in_flight() {
     let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let engine = Engine::new();
     let databases = [&engine.database];
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn sighup_and_a_version_at_one_moment_both_count() {
+fn a_sighup_and_a_concurrent_version_both_take_effect() {
     let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let engine = Engine::new();
     let databases = [&engine.database];
@@ -392,7 +392,7 @@
 
 /// Peers that send noise, claim too much, talk out of turn or say nothing: closed, and the service goes on.
 #[test]
-fn hostile_peers_are_closed_and_the_service_goes_on() {
+fn malformed_peers_are_disconnected_and_the_service_keeps_running() {
     let control = Control::start();
     let told: [&[u8]; 4] = [b"GET / HTTP/1.1\r\n\r\n", &[0xff; 64], &[0, 0, 0, 2, 0xff, 0xff], &[0, 0, 0, 0]];
     for (address, bytes) in [control.listen, control.operators].iter().flat_map(|at| told.map(|it| (at, it)))
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn an_operators_file_that_cannot_be_used_ends_the_start_with_one_plain_line() {
+fn an_unusable_operator_file_ends_the_start_with_one_error_line() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("operator.textproto");
     let cases = [
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn commands_say_what_they_did_in_words_json_and_exit_codes() {
+fn commands_report_their_results_as_text_json_and_exit_codes() {
     let control = Control::start();
     let (good, bad) =
         (control.file("good", "limits { max_open: 5 }"), control.file("bad", "limits { max_open: 0 }"));
@@ -473,7 +473,7 @@
 
 /// A few proxies first, then a share, then all; what one of the first turns down goes to nobody else and is taken back.
 #[test]
-fn a_rollout_goes_step_by_step_and_one_that_is_refused_stops_at_the_first() {
+fn a_rollout_proceeds_by_stages_and_a_rejected_one_halts_at_the_canary() {
     let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let engine = Engine::new();
     let databases = [&engine.database];
@@ -510,7 +510,7 @@
 
 /// A long document that changes a little goes as a change, and what the proxy makes of it is the document, whole.
 #[test]
-fn a_small_change_of_a_long_document_is_sent_as_a_change() {
+fn a_small_change_of_a_long_document_is_sent_as_a_delta() {
     let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
     let engine = Engine::new();
     let databases = [&engine.database];
--- a/tests/event_races.rs
+++ b/tests/event_races.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_cancel_that_comes_amid_its_query_holds_for_the_whole_of_it() {
+fn a_cancel_that_arrives_amid_its_query_cancels_all_of_it() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut lines = warm(&proxy, &database, 1);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn no_further_attempt_follows_once_the_client_has_left() {
+fn no_retry_follows_once_the_client_has_left() {
     let (first, second, coordinator) = (Database::new(), Database::new(), Coordinator::new());
     let proxy = Proxy::follow(&[&second], Some(&coordinator));
     let (mut stream, _) = coordinator.accept();
@@ -204,7 +204,7 @@
 
 /// The run of one is cut at its class's timeout at the moment in which its client leaves: it is not relaunched.
 #[test]
-fn a_run_that_is_cut_is_not_relaunched_once_its_client_has_left() {
+fn an_attempt_that_times_out_is_not_relaunched_once_its_client_has_left() {
     let databases = [Database::new(), Database::new()];
     let proxy = Proxy::start(&[&databases[0], &databases[1]]);
     let mut engines = Engines { databases, lines: Vec::new(), running: Vec::new() };
@@ -301,7 +301,7 @@
 
 /// A client that closes its side only is taken to have left, as nobody can tell: it gets its one answer, an error.
 #[test]
-fn a_client_that_closes_its_side_is_told_that_its_query_is_over() {
+fn a_client_that_half_closes_its_connection_receives_an_error() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -316,7 +316,7 @@
 /// Much is sent ahead of the answer, so that the close behind it is not read for long: the query that runs is called off, and
 /// none of the others begins.
 #[test]
-fn a_client_that_sends_much_at_once_and_goes_has_nothing_begun() {
+fn no_attempt_starts_for_pipelined_queries_of_a_client_that_disconnects() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -342,7 +342,7 @@
 /// The proxy closes a resting session as it shuts down, and its client's next query crosses that: it is not sent on, and the
 /// client sees an orderly close and no reset.
 #[test]
-fn a_query_that_crosses_the_close_of_its_session_is_neither_sent_on_nor_reset() {
+fn a_query_that_crosses_the_close_of_its_session_is_neither_forwarded_nor_reset() {
     let database = Database::new();
     let mut proxy = Proxy::start(&[&database]);
     let lines = warm(&proxy, &database, 1);
@@ -361,7 +361,7 @@
 
 /// A client that sends its query and its good-bye at once gets its answer, whatever it sends behind that.
 #[test]
-fn bytes_behind_a_good_bye_do_not_take_the_answer_with_them() {
+fn bytes_after_a_terminate_message_do_not_discard_the_answer() {
     let proxy = Proxy::start(&[&Database::new()]);
     let mut client = proxy.client();
     proxy.pause();
@@ -402,7 +402,7 @@
 /// The database closes a resting connection as the next request goes out on it: that request is sent on a new one, also if it
 /// must not be repeated, as nothing of it was written.
 #[test]
-fn a_request_that_meets_a_resting_connections_close_goes_on_a_new_one() {
+fn a_request_that_meets_the_close_of_an_idle_connection_is_sent_on_a_new_one() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let lines = warm(&proxy, &database, 1);
@@ -420,7 +420,7 @@
 
 /// A whole answer and the reset of its connection come together: the answer counts. Half a line is none.
 #[test]
-fn a_whole_answer_counts_though_its_connection_breaks_and_half_a_line_does_not() {
+fn a_complete_answer_counts_though_its_connection_breaks_and_a_partial_line_does_not() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     for (id, length, told) in [(1, 1_000, "TDC"), (2, 40, "E 58000 failed: the statement may have run")] {
@@ -441,7 +441,7 @@
 
 /// It may have run, as a note has told; that it was turned away proves nothing any more.
 #[test]
-fn a_database_that_told_of_progress_and_sheds_then_is_not_believed() {
+fn a_rejection_after_a_progress_report_does_not_prove_that_the_query_never_ran() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -458,7 +458,7 @@
 
 /// The dial of a repeat comes up behind the window in which databases drop repeats: it is not sent, and answered for.
 #[test]
-fn a_repeat_whose_dial_outlasts_its_window_is_not_sent() {
+fn a_retry_whose_dial_outlasts_its_deduplication_window_is_not_sent() {
     for (group, told) in [("all", "E 53000"), ("zone", "E 58000")] {
         let (first, coordinator) = (Database::new(), Coordinator::new());
         let (second, fills) = Database::narrow();
@@ -489,7 +489,7 @@
 
 /// The database begins to drain as a request is on its way to it.
 #[test]
-fn a_request_that_crosses_a_drain_is_not_sent_behind_it() {
+fn a_request_that_crosses_a_drain_is_not_sent_after_it() {
     let (database, first) = Database::narrow();
     let coordinator = Coordinator::new();
     let at = coordinator.0.local_addr().unwrap();
@@ -516,7 +516,7 @@
 
 /// A listed database is at another address from now on: what answers at the old one is another.
 #[test]
-fn a_database_that_moves_is_met_on_new_connections() {
+fn a_database_that_moves_is_reached_on_new_connections() {
     let (old, new, coordinator) = (Database::new(), Database::new(), Coordinator::new());
     let proxy = Proxy::follow(&[&old], Some(&coordinator));
     let (mut stream, _) = coordinator.accept();
@@ -537,7 +537,7 @@
 /// Idle clients by the hundred while discovery is down: descriptors stay within their bound, whoever comes last is served, and
 /// discovery is reached as soon as it is there.
 #[test]
-fn idle_clients_do_not_keep_the_proxy_from_discovery_and_databases() {
+fn idle_clients_do_not_exhaust_the_descriptors_for_discovery_and_databases() {
     let database = Database::new();
     let place = free_address();
     let change = |text: String| follows(text, place);
@@ -574,7 +574,7 @@
 
 /// A client asks on and on, faster than it is answered, and reads nothing: little of it is read ahead, and others are served.
 #[test]
-fn a_client_that_asks_without_end_is_not_read_without_end() {
+fn the_proxy_does_not_buffer_without_limit_for_a_client_that_sends_without_end() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut flood = proxy.client();
@@ -590,7 +590,7 @@
 
 /// A database that never stops sending, and a list that never ends, do not keep others from being served.
 #[test]
-fn endless_answers_and_an_endless_list_leave_others_served() {
+fn endless_answers_and_an_endless_engine_list_do_not_affect_other_requests() {
     let (endless, well, coordinator) = (Database::new(), Database::new(), Coordinator::new());
     // A busy machine may take long to dial; this is not about that.
     let coordinated = Some(&coordinator);
@@ -619,7 +619,7 @@
 
 /// All proxies restart together while discovery hangs, or refuses: each is ready as soon as it runs.
 #[test]
-fn restarted_proxies_are_ready_though_discovery_hangs_or_refuses() {
+fn restarted_proxies_become_ready_though_discovery_hangs_or_refuses() {
     let (database, (hangs, _first)) = (Database::new(), Database::narrow());
     for at in [hangs.0.local_addr().unwrap(), free_address()] {
         let change = |text: String| follows(text, at);
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_example_serves_its_two_rows_to_the_first_query_and_to_those_behind_it() {
+fn the_example_serves_its_two_rows_to_the_first_query_and_to_later_ones() {
     let at = free_address();
     let mut toy = Command::new("python3");
     toy.arg(file("examples/toy_database.py")).arg(at.to_string()).stdout(Stdio::null());
@@ -55,7 +55,7 @@
 
 /// A client that reads the error alone learns whether to come back, and why it was turned away.
 #[test]
-fn a_refusal_carries_its_code_and_says_why() {
+fn a_rejection_carries_its_code_and_reason() {
     let proxy = Proxy::start(&[]);
     let mut client = proxy.client();
     let answer = client.ask("/* method=lookup,rid=00000000000000aa,budget=300 */ SELECT 1");
@@ -65,7 +65,7 @@
 
 /// The files of the example with versions are of their forms, and the document is one that can be published.
 #[test]
-fn the_example_with_versions_can_be_read() {
+fn the_example_of_a_control_service_is_valid() {
     use gaugestep_config::schema::{Operator, Service};
     use gaugestep_config::text;
     let read = |name: &str| std::fs::read_to_string(file(name)).unwrap();
@@ -81,7 +81,7 @@
 
 /// The files of the example with a group are of their forms, and the proxy names all its services.
 #[test]
-fn the_example_with_a_group_can_be_read() {
+fn the_example_of_a_group_is_valid() {
     use gaugestep_config::schema::{Operator, Service};
     use gaugestep_config::text;
     let read = |name: &str| std::fs::read_to_string(file(name)).unwrap();
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn cold_engines_get_no_more_than_they_bear_while_proxies_die_stop_and_hear_late() {
+fn engines_that_warm_up_are_not_overloaded_while_proxies_die_pause_and_learn_of_changes_late() {
     let seed = 7;
     eprintln!("seed {seed}");
     let mut crowd = Crowd::start(12);
@@ -256,7 +256,7 @@
 /// A roster that follows the fleet, while the platform's number of proxies is wrong by a factor of two: ten proxies, twice
 /// as many under load while engines are replaced cold, and half of them killed at one moment.
 #[test]
-fn a_fleet_that_is_doubled_and_halved_under_load_draws_engines_evenly_again() {
+fn subsets_are_even_again_after_the_fleet_is_doubled_and_halved_under_load() {
     let group = Group::start(3);
     group.until_done(call::What::Declare(ORDINALS_ROLE.into()));
     let mut crowd = Crowd::start(12);
@@ -305,7 +305,7 @@
 /// What the operators count: the sum of what thirty proxies send a cold engine. They know no seats and are told of twenty; a
 /// third of them is killed and restarted while half of the engines are replaced, and five leave for good.
 #[test]
-fn thirty_proxies_without_seats_keep_cold_engines_within_their_budget_while_a_third_restarts() {
+fn thirty_proxies_without_ordinals_keep_the_slow_start_budget_while_a_third_restarts() {
     let mut crowd = Crowd::start(8);
     (0..30).for_each(|number| crowd.add_told(number, ""));
     crowd.load(9, 0..30);
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -41,7 +41,7 @@
 /// Measured before: both stayed connected, the earlier one was never offered anything again and not told so, and `status`
 /// showed one.
 #[test]
-fn two_processes_under_one_name_are_shown_as_two_and_the_earlier_one_is_told() {
+fn two_processes_with_one_name_are_listed_separately_and_the_earlier_one_is_notified() {
     let group = Group::start(1);
     let earlier = group.proxy_in("n0", "earlier", 0);
     group
@@ -68,7 +68,7 @@
 
 /// Measured before: a service on a copy of another's store published a second version 2, and each was told of success.
 #[test]
-fn a_copied_store_does_not_start_and_a_lone_service_that_stood_still_waits_for_a_proxy() {
+fn a_copied_store_is_refused_and_a_lone_service_that_was_suspended_waits_for_a_proxy() {
     let mut group = Group::start(1);
     let proxies = [group.proxy("n0", 0)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn an_owner_stopped_in_the_second_step_of_a_rollout_does_no_harm_after_its_successor_finished_it() {
+fn a_leader_suspended_in_the_second_stage_of_a_rollout_changes_nothing_after_its_successor_completed_it() {
     let mut group = Group::start(3);
     // By its lot in version 2 one proxy goes first, two more second, one last. The third and the last know no class
     // `lookup`, and turn down a document that names it.
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_owner_stopped_between_storing_and_telling_is_there_whole_or_not_at_all() {
+fn a_version_of_a_leader_suspended_between_storing_and_answering_is_complete_or_absent() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_owner_that_cannot_reach_the_others_but_is_reached_by_half_of_the_proxies_steps_back() {
+fn a_leader_cut_off_from_the_group_but_not_from_half_of_the_proxies_steps_down() {
     let group = Group::start(3);
     let proxies: Vec<Proxy> = (0..4).map(|at| group.proxy(&format!("n{at}"), at)).collect();
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn links_cut_one_way_only_leave_one_owner_that_acts() {
+fn one_way_link_failures_leave_one_active_leader() {
     let group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn all_services_killed_at_once_under_load_and_started_in_another_order_lose_nothing() {
+fn a_group_killed_at_once_under_load_and_restarted_in_another_order_loses_nothing() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(10));
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn without_a_majority_commands_say_so_soon_and_proxies_go_on_and_start_under_what_they_have() {
+fn without_a_majority_commands_fail_fast_and_proxies_run_and_start_on_their_last_version() {
     let mut group = Group::start(3);
     let mut proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn two_services_that_come_back_with_swapped_addresses_are_each_found_as_who_they_are() {
+fn two_services_that_restart_with_swapped_addresses_are_identified_correctly() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1), group.proxy("n2", 2)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_service_with_yesterdays_store_is_refused_by_its_seal_and_by_the_others() {
+fn a_service_with_an_old_store_is_refused_by_its_generation_file_and_by_its_peers() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
     group.published("limits { max_open: 11 }", "a", at_once());
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn an_owner_whose_disk_is_full_gives_way_and_comes_back_when_there_is_room() {
+fn a_leader_with_a_full_disk_steps_down_and_returns_when_there_is_space() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn a_proxy_that_has_seen_a_higher_term_than_any_service_follows_none_until_one_takes_over() {
+fn a_proxy_that_has_seen_a_higher_term_than_any_service_follows_none_until_a_takeover() {
     let mut group = Group::start(1);
     let mut proxies = [group.proxy("n0", 0)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -441,7 +441,7 @@
 }
 
 #[test]
-fn a_proxy_that_names_the_last_of_all_terms_neither_stops_the_fleet_nor_uses_terms_up() {
+fn a_proxy_that_reports_the_highest_possible_term_neither_blocks_the_fleet_nor_exhausts_terms() {
     let group = Group::start(1);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 0)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn a_command_in_flight_while_the_owner_changes_is_carried_out_once() {
+fn a_command_in_flight_across_a_change_of_leader_is_executed_once() {
     let group = Group::start(3);
     let publisher = Publisher::start(group.service(&group.but(0)), Duration::ZERO);
     let (mut changes, began) = (0, Instant::now());
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn fifty_changes_of_owner_in_a_row_under_publishes_leave_one_history() {
+fn fifty_consecutive_changes_of_leader_under_publications_leave_one_history() {
     let group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(100));
@@ -496,7 +496,7 @@
 /// what it says all the same; with their check taken out too, a version that was overtaken comes in force where it must
 /// not, and the auditor finds it.
 #[test]
-fn an_old_owner_without_its_own_checks_does_no_harm_and_without_the_receivers_check_it_does() {
+fn a_stale_leader_without_its_own_checks_is_fenced_by_receivers_and_by_nothing_else() {
     for out in ["", "receiver"] {
         let mut group = Group::start(3);
         let old = 1;
@@ -557,7 +557,7 @@
 }
 
 #[test]
-fn from_one_service_to_three_and_back_and_a_dead_member_is_replaced() {
+fn a_group_grows_to_three_and_shrinks_to_one_and_replaces_a_dead_member() {
     let mut group = Group::start(1);
     let proxies = [group.proxy("n0", 0)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -588,7 +588,7 @@
 }
 
 #[test]
-fn a_service_that_is_told_to_end_hands_its_duties_over_first() {
+fn a_service_that_is_terminated_transfers_its_roles_first() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
     let (old, term) = group.owner();
@@ -607,7 +607,7 @@
 }
 
 #[test]
-fn five_services_go_on_while_two_are_dead_and_a_third_is_cut_off_for_a_while() {
+fn five_services_keep_working_with_two_dead_and_a_third_cut_off_for_a_while() {
     let mut group = Group::start(5);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 3)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -634,7 +634,7 @@
 
 /// A store as earlier builds left it: versions and a lineage, and nothing that anybody agreed on.
 #[test]
-fn the_store_of_an_earlier_build_is_taken_over_by_a_lone_service() {
+fn a_lone_service_takes_over_the_store_of_an_earlier_build() {
     use gaugestep_config::schema::{Entry, entry::State};
     use prost::Message as _;
     let mut group = Group::start(1);
@@ -670,7 +670,7 @@
 
 /// More is agreed on while a member is away than anybody keeps as a log: it is sent all of it, and every member lets go.
 #[test]
-fn a_member_that_was_away_for_longer_than_the_log_is_kept_is_sent_all_that_is_agreed() {
+fn a_member_that_lags_behind_the_compacted_log_receives_a_snapshot() {
     let mut group = Group::start(3);
     let first = group.published("limits { max_open: 11 }", "a", at_once());
     group.node_mut(3).kill();
@@ -699,7 +699,7 @@
 }
 
 #[test]
-fn many_duties_are_spread_evenly_and_few_move_when_a_member_goes_and_comes() {
+fn many_roles_are_balanced_and_few_move_when_a_member_leaves_and_returns() {
     let mut group = Group::start(3);
     for at in 0..8 {
         group.until_done(call::What::Declare(format!("duty-{at}")));
@@ -759,7 +759,7 @@
 
 /// A few schedules; `GAUGESTEP_SEED` names another one to replay.
 #[test]
-fn schedules_of_faults_from_a_seed_leave_one_history() {
+fn seeded_fault_schedules_leave_one_history() {
     let told = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
     let seeds = told.map_or(vec![1, 2], |seed| vec![seed]);
     for seed in seeds {
--- a/tests/ordinals.rs
+++ b/tests/ordinals.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_third_that_is_killed_stops_that_wake_up_late_and_a_new_keeper_leave_one_process_at_each_seat() {
+fn ordinals_stay_unique_while_proxies_are_killed_or_suspended_and_the_roster_manager_changes() {
     let mut group = group(3);
     let mut known = names(0, 12);
     let mut proxies = start(&group, &known);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_proxy_that_loses_touch_goes_on_for_a_while_then_by_its_name_and_finds_its_seat_again() {
+fn a_disconnected_proxy_keeps_its_ordinal_for_a_while_falls_back_to_its_name_and_regains_it() {
     let group = group(3);
     let known = names(0, 4);
     let proxies = start(&group, &known);
@@ -146,7 +146,7 @@
 
 /// The proxy's own check taken out: one that wakes up late goes on at a seat that is another's by then, and the audit finds it.
 #[test]
-fn without_the_holders_check_one_that_wakes_up_late_is_at_anothers_seat_and_is_found() {
+fn without_the_proxys_own_check_one_that_resumes_late_duplicates_an_ordinal_and_the_audit_finds_it() {
     let group = group(1);
     let mut known = names(0, 3);
     let careless = group.proxy_without("seat", "n0", "n0", 0);
@@ -164,7 +164,7 @@
 
 /// Faults of services and proxies from a seed: `GAUGESTEP_SEED` names one to replay.
 #[test]
-fn a_storm_from_a_seed_leaves_one_process_at_each_seat_and_all_come_back() {
+fn seeded_fault_schedules_leave_ordinals_unique_and_every_proxy_with_one() {
     let told = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
     let seed: u64 = told.unwrap_or(11);
     eprintln!("seed {seed}");
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -9,7 +9,7 @@
 use proxy::{Client, Coordinator, Database, Proxy, event, query, rest};
 
 #[test]
-fn a_result_of_two_pages_is_served_whole_and_the_statement_goes_on_unchanged() {
+fn a_result_of_two_pages_is_served_completely_and_the_statement_is_forwarded_unchanged() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -27,7 +27,7 @@
 
 /// Guards against losing what the module ends while the deadline is being dealt with (facade.rs, last_word).
 #[test]
-fn a_silent_database_leaves_one_answer_at_the_deadline() {
+fn a_silent_database_yields_one_answer_at_the_deadline() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut safe, mut load) = (proxy.client(), proxy.client());
@@ -40,7 +40,7 @@
 
 /// Guards the unsafe class: a reset proves nothing, a refused connection does.
 #[test]
-fn a_load_is_not_sent_again_after_a_reset_but_is_when_turned_away() {
+fn a_load_is_retried_after_a_rejection_but_not_after_a_reset() {
     let (first, second) = (Database::new(), Database::new());
     let proxy = Proxy::start(&[&first]);
     let mut client = proxy.client();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_query_called_off() {
+fn the_query_of_a_client_that_disconnects_is_cancelled() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn sigterm_lets_what_is_open_finish() {
+fn sigterm_lets_open_requests_finish() {
     let database = Database::new();
     let mut proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -127,7 +127,7 @@
 
 /// Guards against ending on SIGHUP, waiting for the old coordinator's silence and applying an event twice.
 #[test]
-fn sighup_moves_to_the_new_coordinator_and_leaves_attempts_alone() {
+fn sighup_switches_to_the_new_coordinator_without_touching_attempts() {
     let (first, second) = (Database::new(), Database::new());
     let (old, new) = (Coordinator::new(), Coordinator::new());
     let proxy = Proxy::follow(&[&first], Some(&old));
@@ -154,7 +154,7 @@
 
 /// Guards against applying half an event, and against a list that never comes after a stream that breaks.
 #[test]
-fn an_event_cut_off_counts_only_once_it_has_come_whole() {
+fn a_truncated_event_counts_only_once_it_is_complete() {
     let (first, second) = (Database::new(), Database::new());
     let coordinator = Coordinator::new();
     let proxy = Proxy::follow(&[&first], Some(&coordinator));
@@ -187,7 +187,7 @@
 
 /// Guards the descriptors against those who connect and say nothing, or half of something.
 #[test]
-fn what_a_client_does_not_finish_is_ended_with_an_error() {
+fn an_unfinished_client_message_is_answered_with_an_error() {
     let proxy = Proxy::start(&[&Database::new()]);
     let silent = TcpStream::connect(proxy.address).unwrap();
     let mut half = proxy.client();
@@ -200,7 +200,7 @@
 
 /// Guards the error: a connection closed with bytes unread is reset, and what was sent last is lost.
 #[test]
-fn a_message_too_long_gets_its_error_while_the_client_still_sends() {
+fn an_oversized_message_is_answered_while_the_client_still_sends() {
     let proxy = Proxy::start(&[&Database::new()]);
     let mut client = proxy.client();
     client.socket.write_all(b"Q\x03\x93\x87\0").unwrap();
@@ -212,7 +212,7 @@
 
 /// Guards the request that is open: the answer would go to whoever names its id.
 #[test]
-fn the_id_of_an_open_request_is_refused_to_others() {
+fn the_id_of_an_open_request_is_rejected_for_other_requests() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut first, mut second) = (proxy.client(), proxy.client());
@@ -226,7 +226,7 @@
 
 /// Guards usual clients against those who ask once and keep their connection for good.
 #[test]
-fn the_longest_idle_session_makes_room_and_a_busy_one_does_not() {
+fn the_longest_idle_session_is_evicted_and_a_busy_one_is_not() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut busy = proxy.client();
@@ -243,7 +243,7 @@
 
 /// Guards what is taken against SIGKILL, which comes long before some deadlines.
 #[test]
-fn sigterm_answers_what_would_outlast_it() {
+fn sigterm_answers_requests_that_would_outlast_the_shutdown() {
     let database = Database::new();
     let mut proxy = Proxy::start(&[&database]);
     let (mut safe, mut load) = (proxy.client(), proxy.client());
@@ -257,7 +257,7 @@
 
 /// Guards both clients: what belongs to no request is dropped, and the connection goes on.
 #[test]
-fn an_unknown_id_ahead_and_a_second_copy_are_passed_over() {
+fn answers_with_an_unknown_id_and_duplicate_answers_are_ignored() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -278,7 +278,7 @@
 
 /// Guards the client against noise, and the unsafe class against being told that it never ran.
 #[test]
-fn a_spoilt_answer_fails_a_load_and_leaves_other_requests_alone() {
+fn a_malformed_answer_fails_a_load_without_affecting_other_requests() {
     let spoilt = [
         ("HIT", "total=1", "a\tb\n"),
         ("HIT", "total=1", "a\tb\tc"),
@@ -307,7 +307,7 @@
 
 /// Guards against a machine that has vanished: its connections stay open and say nothing.
 #[test]
-fn a_connection_found_silent_is_given_up() {
+fn a_silent_connection_is_closed() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -320,7 +320,7 @@
 
 /// Guards against a length that is too long: whatever comes is taken for the answer's own bytes.
 #[test]
-fn an_answer_that_never_becomes_whole_ends_its_connection() {
+fn an_answer_that_never_completes_ends_its_connection() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
@@ -337,7 +337,7 @@
 
 /// Guards against meeting an old connection, and old news of health, at an address or id that is used again.
 #[test]
-fn a_database_that_comes_back_elsewhere_is_met_on_new_connections() {
+fn a_database_that_returns_at_another_address_is_reached_on_new_connections() {
     let (first, second) = (Database::new(), Database::new());
     let coordinator = Coordinator::new();
     let proxy = Proxy::follow(&[&first], Some(&coordinator));
@@ -367,7 +367,7 @@
 /// Guards against a worker that stands still while the kernel makes room for descriptors.
 #[cfg(target_os = "linux")]
 #[test]
-fn there_is_room_for_all_descriptors_from_the_start() {
+fn the_descriptor_table_has_its_full_size_from_the_start() {
     let room: usize = Proxy::roomy(900).status("FDSize:").parse().unwrap();
     assert!(room >= 900, "room for {room}");
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn every_message_of_a_days_course_is_read() {
+fn every_message_of_the_protocol_is_decoded() {
     let mut host = started();
     let new = "new_request dispatcher_id=3 req=r-1 estimate_ms=12.0 due_ms=5000 owner=0 source_set=11 \
                ram_mb=384 category=0 is_retry=1";
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn every_action_is_printed_as_the_wire_has_it() {
+fn every_action_is_encoded_as_the_protocol_states() {
     let id = || RequestId("r".into());
     let cases = [
         (Action::Send { id: id(), engine: EngineId(4) }, "forward dispatcher_id=1 req=r node=4\n"),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn all_verdicts_are_known_and_no_others() {
+fn exactly_the_verdicts_of_the_protocol_are_accepted() {
     for verdict in [200, 502, 429, 408, 521, 520, 444, 409, 999] {
         let mut host = started();
         let line = format!("sampled dispatcher_id=3 time_taken_ms=1 verdict={verdict} node=51");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn absent_settings_take_the_meaning_of_the_wires_page() {
+fn absent_settings_take_the_defaults_of_the_protocol() {
     let json =
         serde_json::from_str(r#"{"services": [{"effect": "keyed", "group": "cell", "window_ms": 9}]}"#);
     let read = decode(&json.unwrap()).unwrap();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn malformed_lines_are_reported_with_their_number_and_cause() {
     let cases = [
         ("nonsense dispatcher_id=3", "unknown message 'nonsense'"),
         ("timer handle=1", "field 'dispatcher_id' is missing"),
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn the_program_ends_with_a_plain_message_and_a_failing_code() {
+fn the_program_ends_with_one_error_line_and_a_failing_exit_code() {
     for (input, message) in [
         ("tick wall_ms=1\nwhat=1\n", "line 2: "),
         ("eob\n", "outside a batch"),
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_proxy_with_its_own_key_follows_and_new_keys_are_taken_without_dropping_the_stream() {
+fn a_proxy_with_its_own_certificate_connects_and_certificates_are_reloaded_without_dropping_the_stream() {
     let (control, proxies, _) = service();
     proxies.sign(control.folder.path(), "n0", "n0");
     let kept = tempfile::tempdir().unwrap();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn keys_of_another_proxy_another_authority_or_another_purpose_are_not_believed() {
+fn certificates_of_another_proxy_another_authority_or_another_purpose_are_not_trusted() {
     let (control, proxies, operators) = service();
     let folder = control.folder.path();
     proxies.sign(folder, "other", "n7");
@@ -150,7 +150,7 @@
 
 /// Members show each other the service's certificate; one that shows a proxy's is of no group.
 #[test]
-fn members_of_a_group_believe_the_services_name_alone() {
+fn members_of_a_group_trust_only_the_name_of_the_service() {
     let (proxies, operators) = (Authority::new("proxies"), Authority::new("operators"));
     let of = |member: u32, joins: bool, name: &str| {
         let group = format!("group {{ member: {member} joins: {joins} service_name: \"control.test\" }}");
