--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Stdio};
 
 use gaugestep_dispatch::interface::*;
-use gaugestep_settings::settings;
-use gaugestep_simulator_adapter::{Host, print};
+use gaugestep_settings::decode;
+use gaugestep_simulator_adapter::{Host, write_action};
 
 const SETTINGS: &str = r#"{"zone": 0, "balancers": 1, "unknown": {"a": 1}, "kinds": ["k"],
  "family_info": {"class_threads": [1], "size_cores": [8], "ram_of_kind_mb": [16384], "tells_cost": true,
@@ -19,11 +19,14 @@
 
 /// Runs the lines of a batch and returns its reply, or the error.
 fn batch(host: &mut Host, at: &str, lines: &[&str]) -> Result<String, String> {
-    host.line(&format!("tick wall_ms={at}")).map_err(|error| error.to_string())?;
+    host.handle_line(&format!("tick wall_ms={at}")).map_err(|error| error.to_string())?;
     for line in lines {
-        assert_eq!(host.line(line).map_err(|error| error.to_string())?, None);
+        assert_eq!(host.handle_line(line).map_err(|error| error.to_string())?, None);
     }
-    Ok(host.line("eob").map_err(|error| error.to_string())?.expect("the closing line brings the reply"))
+    Ok(host
+        .handle_line("eob")
+        .map_err(|error| error.to_string())?
+        .expect("the closing line brings the reply"))
 }
 
 fn started() -> Host {
@@ -44,7 +47,7 @@
 }
 
 #[test]
-fn every_message_of_a_days_course_is_read() {
+fn every_message_of_the_protocol_is_decoded() {
     let mut host = started();
     let new = "new_request dispatcher_id=3 req=r-1 estimate_ms=12.0 due_ms=5000 owner=0 source_set=11 \
                ram_mb=384 category=0 is_retry=1";
@@ -84,11 +87,11 @@
     assert!(batch(&mut host, "1030", &lists).unwrap().contains("forward dispatcher_id=3 req=r-2 node=74\n"));
     batch(&mut host, "1040", &["shutdown dispatcher_id=3", &provision()]).unwrap();
     assert_eq!(batch(&mut host, "1050", &[]).unwrap(), "done\n");
-    assert!(host.end().is_ok());
+    assert!(host.finish().is_ok());
 }
 
 #[test]
-fn every_action_is_printed_as_the_wire_has_it() {
+fn every_action_is_encoded_as_the_protocol_states() {
     let id = || RequestId("r".into());
     let cases = [
         (Action::Send { id: id(), engine: EngineId(4) }, "forward dispatcher_id=1 req=r node=4\n"),
@@ -110,13 +113,13 @@
     ];
     for (action, expected) in cases {
         let mut line = String::new();
-        print(1, &action, &mut line);
+        write_action(1, &action, &mut line);
         assert_eq!(line, expected);
     }
 }
 
 #[test]
-fn all_verdicts_are_known_and_no_others() {
+fn exactly_the_verdicts_of_the_protocol_are_accepted() {
     for verdict in [200, 502, 429, 408, 521, 520, 444, 409, 999] {
         let mut host = started();
         let line = format!("sampled dispatcher_id=3 time_taken_ms=1 verdict={verdict} node=51");
@@ -125,10 +128,10 @@
 }
 
 #[test]
-fn absent_settings_take_the_meaning_of_the_wires_page() {
+fn absent_settings_take_the_defaults_of_the_protocol() {
     let json =
         serde_json::from_str(r#"{"services": [{"effect": "keyed", "group": "cell", "window_ms": 9}]}"#);
-    let read = settings(&json.unwrap()).unwrap();
+    let read = decode(&json.unwrap()).unwrap();
     assert_eq!(read.classes[0].effect, Effect::Keyed(DedupGroup::Cell, 9.0));
     assert_eq!(read.classes[0].target_stretch, 0.0);
     assert_eq!((read.retry_budget, read.order_pause, read.tenants.len()), (None, 0.0, 0));
@@ -138,7 +141,7 @@
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn malformed_lines_are_reported_with_their_number_and_cause() {
     let cases = [
         ("nonsense dispatcher_id=3", "unknown message 'nonsense'"),
         ("timer handle=1", "field 'dispatcher_id' is missing"),
@@ -161,7 +164,7 @@
 }
 
 #[test]
-fn the_program_ends_with_a_plain_message_and_a_failing_code() {
+fn the_program_ends_with_one_error_line_and_a_failing_exit_code() {
     for (input, message) in [
         ("tick wall_ms=1\nwhat=1\n", "line 2: "),
         ("eob\n", "outside a batch"),
