--- a/crates/proxy/src/class_registry.rs
+++ b/crates/proxy/src/class_registry.rs
@@ -1,4 +1,4 @@
-//! The classes and tenants by the names of the protocol, and what operators are to_json of them.
+//! The classes and tenants by the names of the protocol, with the counts of their requests.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 use crate::config::Names;
 use crate::lock;
 
-/// What became of the requests of one class since the start.
+/// The requests of one class: those that are open, and how the others ended since the start.
 #[derive(Debug, Default)]
 pub struct ClassCounts {
     open: AtomicU64,
@@ -19,38 +19,48 @@
     failed: AtomicU64,
 }
 
+impl ClassCounts {
+    fn to_json(&self) -> serde_json::Value {
+        serde_json::json!({
+            "succeeded": read(&self.succeeded),
+            "declined": read(&self.rejected),
+            "aborted": read(&self.failed),
+        })
+    }
+}
+
 /// A class under one set of rules; a request keeps it until it ends.
 #[derive(Debug)]
 pub struct Class {
-    /// The module's number.
+    /// The dispatcher's number of it.
     pub id: ClassId,
-    /// The protocol's name.
+    /// Its name in the protocol.
     pub name: String,
     counts: Arc<ClassCounts>,
 }
 
 impl Class {
-    /// ClassCounts a request that is taken.
+    /// Counts a request that is accepted.
     pub fn request_opened(&self) {
         self.counts.open.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// ClassCounts a request that was taken and has its answer.
+    /// Counts a request that was accepted and has its answer.
     pub fn request_closed(&self) {
         self.counts.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// ClassCounts a request served.
+    /// Counts a request that was served.
     pub fn succeeded(&self) {
         self.counts.succeeded.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// ClassCounts a request refused.
+    /// Counts a request that was rejected.
     pub fn rejected(&self) {
         self.counts.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// ClassCounts a request failed.
+    /// Counts a request that failed.
     pub fn failed(&self) {
         self.counts.failed.fetch_add(1, Ordering::Relaxed);
     }
@@ -69,92 +79,97 @@
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// The place of the tenant of this name.
+    /// The position of the tenant of this name in the settings.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|other| other == name)
     }
 }
 
-/// One of the module's classes.
+/// One of the dispatcher's classes.
 struct Slot {
     rules: ClassSettings,
+    /// Gone once the class is not in force and no request of it is open.
     class: Weak<Class>,
 }
 
 #[derive(Default)]
 struct State {
     active: Arc<ActiveClasses>,
+    /// By the dispatcher's numbers.
     slots: Vec<Slot>,
-    /// By name, for good: operators read them after a class has gone, and only they name classes.
+    /// By name. Never removed: operators read the counts of a class that is no longer in force, and only operators name
+    /// classes.
     counts: BTreeMap<String, Arc<ClassCounts>>,
 }
 
-/// All classes, also those that have gone and still have requests open.
+impl State {
+    /// The class of this name under these rules: the one in force, or else a new one.
+    fn class(&mut self, name: &str, rules: ClassSettings) -> Arc<Class> {
+        let slots = &self.slots;
+        let is_same = |class: &&Arc<Class>| class.name == name && slots[class.id.0].rules == rules;
+        if let Some(class) = self.active.classes.iter().find(is_same) {
+            return class.clone();
+        }
+        let free = slots.iter().position(|slot| slot.class.strong_count() == 0);
+        let id = ClassId(free.unwrap_or(slots.len()));
+        let counts = self.counts.entry(name.to_owned()).or_default().clone();
+        let class = Arc::new(Class { id, name: name.to_owned(), counts });
+        let slot = Slot { rules, class: Arc::downgrade(&class) };
+        match free {
+            Some(at) => self.slots[at] = slot,
+            None => self.slots.push(slot),
+        }
+        class
+    }
+}
+
+/// All classes, also those that are no longer in force and still have requests open.
 #[derive(Default)]
 pub struct ClassRegistry(Mutex<State>);
 
 impl ClassRegistry {
-    /// The active in force.
+    /// The classes and tenants in force.
     pub fn active(&self) -> Arc<ActiveClasses> {
         lock(&self.0).active.clone()
     }
 
-    /// Takes new settings: `apply` gets them with the classes at the module's places. A class whose rules change
-    /// becomes another one. Guards open requests, which end under the rules that they came under; the place of a
-    /// class that has gone is used again once its last request has ended.
+    /// Puts new settings into force. `apply` is given the settings with their classes in the order of the dispatcher's
+    /// numbers, and the classes in the order of `names`.
+    ///
+    /// A class whose rules change becomes another class: open requests end under the rules that they were opened under. The
+    /// number of a class that is no longer in force is used again once its last request has ended.
     pub fn update(&self, names: &Names, mut settings: Settings, apply: impl FnOnce(Settings, &[Arc<Class>])) {
         let mut state = lock(&self.0);
-        let State { active, slots, counts } = &mut *state;
-        let mut classes = Vec::with_capacity(names.classes.len());
-        for (name, rules) in names.classes.iter().zip(std::mem::take(&mut settings.classes)) {
-            let same = |class: &&Arc<Class>| class.name == *name && slots[class.id.0].rules == rules;
-            if let Some(class) = active.classes.iter().find(same) {
-                classes.push(class.clone());
-                continue;
-            }
-            let free = slots.iter().position(|slot| slot.class.strong_count() == 0);
-            let id = ClassId(free.unwrap_or(slots.len()));
-            let counts = counts.entry(name.clone()).or_default().clone();
-            let class = Arc::new(Class { id, name: name.clone(), counts });
-            let slot = Slot { rules, class: Arc::downgrade(&class) };
-            match free {
-                Some(at) => slots[at] = slot,
-                None => slots.push(slot),
-            }
-            classes.push(class);
-        }
-        settings.classes = slots.iter().map(|slot| slot.rules.clone()).collect();
+        let rules = std::mem::take(&mut settings.classes);
+        let named = names.classes.iter().zip(rules);
+        let classes: Vec<_> = named.map(|(name, rules)| state.class(name, rules)).collect();
+        settings.classes = state.slots.iter().map(|slot| slot.rules.clone()).collect();
         apply(settings, &classes);
-        *active = Arc::new(ActiveClasses { classes, tenants: names.tenants.clone() });
+        state.active = Arc::new(ActiveClasses { classes, tenants: names.tenants.clone() });
     }
 
-    /// The classes by name, with their requests that are open.
+    /// The classes by name, with the number of their open requests.
     pub fn open_requests(&self) -> Vec<(String, u64)> {
         let state = lock(&self.0);
-        let open = |counts: &ClassCounts| counts.open.load(Ordering::Relaxed);
-        state.counts.iter().map(|(name, counts)| (name.clone(), open(counts))).collect()
+        state.counts.iter().map(|(name, counts)| (name.clone(), read(&counts.open))).collect()
     }
 
-    /// Requests since the start, over all classes: served, refused, failed.
+    /// Requests since the start, over all classes: served, rejected, failed.
     pub fn totals(&self) -> (u64, u64, u64) {
         let state = lock(&self.0);
-        let sum = |of: fn(&ClassCounts) -> &AtomicU64| {
-            state.counts.values().map(|counts| of(counts).load(Ordering::Relaxed)).sum()
+        let sum = |count: fn(&ClassCounts) -> &AtomicU64| {
+            state.counts.values().map(|counts| read(count(counts))).sum()
         };
-        (sum(|it| &it.succeeded), sum(|it| &it.rejected), sum(|it| &it.failed))
+        (sum(|counts| &counts.succeeded), sum(|counts| &counts.rejected), sum(|counts| &counts.failed))
     }
 
-    /// The counts of each class.
+    /// The counts of each class by name, as operators read them.
     pub fn counts_json(&self) -> serde_json::Value {
-        let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let to_json = |counts: &ClassCounts| {
-            serde_json::json!({
-                "succeeded": read(&counts.succeeded),
-                "declined": read(&counts.rejected),
-                "aborted": read(&counts.failed),
-            })
-        };
         let state = lock(&self.0);
-        state.counts.iter().map(|(name, counts)| (name.clone(), to_json(counts))).collect()
+        state.counts.iter().map(|(name, counts)| (name.clone(), counts.to_json())).collect()
     }
 }
+
+fn read(count: &AtomicU64) -> u64 {
+    count.load(Ordering::Relaxed)
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/table_group.rs
@@ -0,0 +1,133 @@
+//! Finds the group of tables that a statement reads or writes.
+
+/// Words that are followed by the name of a table.
+const TABLE_KEYWORDS: [&[u8]; 5] = [b"from", b"into", b"update", b"join", b"table"];
+
+/// A schema whose number is not that of a group of tables.
+const STAGING_SCHEMA: &[u8] = b"staging";
+
+/// Returns the number of the group of tables that a statement reads or writes: the digits behind the last underscore of
+/// the schema's name.
+///
+/// Strings, comments and the schema `staging` do not count. A schema that follows a keyword such as `FROM` takes
+/// precedence over one elsewhere.
+pub fn table_group(statement: &[u8]) -> Option<u64> {
+    let mut scanner = NameScanner { text: statement, position: 0 };
+    let mut first_group = None;
+    let mut after_keyword = false;
+    while let Some(name) = scanner.next_name() {
+        let is_schema = scanner.text.get(scanner.position) == Some(&b'.');
+        let group = is_schema.then(|| group_of_schema(name)).flatten();
+        if after_keyword && group.is_some() {
+            return group;
+        }
+        first_group = first_group.or(group);
+        after_keyword = TABLE_KEYWORDS.iter().any(|keyword| name.eq_ignore_ascii_case(keyword));
+    }
+    first_group
+}
+
+fn group_of_schema(schema: &[u8]) -> Option<u64> {
+    let underscore = schema.iter().rposition(|byte| *byte == b'_')?;
+    let (name, number) = (&schema[..underscore], &schema[underscore + 1..]);
+    let is_number = !number.is_empty() && number.iter().all(u8::is_ascii_digit);
+    if name.eq_ignore_ascii_case(STAGING_SCHEMA) || !is_number {
+        return None;
+    }
+    std::str::from_utf8(number).ok()?.parse().ok()
+}
+
+/// Iterates over the names in a statement, by the lexical rules of PostgreSQL.
+struct NameScanner<'a> {
+    text: &'a [u8],
+    position: usize,
+}
+
+impl<'a> NameScanner<'a> {
+    /// Returns the next name outside strings and comments, and moves `position` to the byte behind it.
+    fn next_name(&mut self) -> Option<&'a [u8]> {
+        loop {
+            let rest = &self.text[self.position..];
+            match *rest {
+                [] => return None,
+                [b'-', b'-', ..] => self.skip_past(0, b"\n"),
+                [b'/', b'*', ..] => self.skip_block_comment(),
+                [b'\'', ..] => self.skip_past(1, b"'"),
+                [b'e' | b'E', b'\'', ..] => self.skip_escape_string(),
+                [b'$', ..] => self.skip_dollar_quoted_string(),
+                [b'"', ..] => return Some(self.quoted_name()),
+                [first, ..] if is_name_byte(first) => {
+                    let length = rest.iter().position(|byte| !is_name_byte(*byte)).unwrap_or(rest.len());
+                    self.position += length;
+                    let is_number = first.is_ascii_digit();
+                    if !is_number {
+                        return Some(&rest[..length]);
+                    }
+                }
+                _ => self.position += 1,
+            }
+        }
+    }
+
+    fn quoted_name(&mut self) -> &'a [u8] {
+        let name = &self.text[self.position + 1..];
+        let length = name.iter().position(|byte| *byte == b'"').unwrap_or(name.len());
+        self.position = (self.position + length + 2).min(self.text.len());
+        &name[..length]
+    }
+
+    /// Skips to the byte behind the next `end` that begins `offset` bytes from here or later.
+    fn skip_past(&mut self, offset: usize, end: &[u8]) {
+        let start = self.position + offset;
+        let found = self.text[start..].windows(end.len()).position(|part| part == end);
+        self.position = found.map_or(self.text.len(), |at| start + at + end.len());
+    }
+
+    /// Skips a block comment; these nest in PostgreSQL.
+    fn skip_block_comment(&mut self) {
+        let mut depth = 0;
+        while self.position < self.text.len() {
+            match self.text[self.position..] {
+                [b'/', b'*', ..] => (depth, self.position) = (depth + 1, self.position + 2),
+                [b'*', b'/', ..] => (depth, self.position) = (depth - 1, self.position + 2),
+                _ => self.position += 1,
+            }
+            if depth == 0 {
+                return;
+            }
+        }
+    }
+
+    /// Skips a string in which a backslash escapes the next byte, as in `E'...'`.
+    fn skip_escape_string(&mut self) {
+        self.position += 2;
+        while self.position < self.text.len() {
+            match self.text[self.position] {
+                b'\\' => self.position += 2,
+                b'\'' => {
+                    self.position += 1;
+                    return;
+                }
+                _ => self.position += 1,
+            }
+        }
+        self.position = self.text.len();
+    }
+
+    /// Skips a string between dollar signs, as in `$tag$...$tag$`.
+    fn skip_dollar_quoted_string(&mut self) {
+        let rest = &self.text[self.position..];
+        let tag_length = rest[1..].iter().position(|byte| !is_name_byte(*byte) || *byte == b'$');
+        match tag_length {
+            Some(length) if rest[length + 1] == b'$' => {
+                let tag = &rest[..length + 2];
+                self.skip_past(tag.len(), tag);
+            }
+            _ => self.position += 1,
+        }
+    }
+}
+
+fn is_name_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
+}
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -1,59 +1,59 @@
 //! A request on its way through the proxy.
 //!
-//! The client's side yields a [`Query`] and takes an [`Answer`]; the databases' side gets a [`Query`] and yields [`UpstreamEvent`].
-//! Neither knows the other: [`crate::request_lifecycle`] stands between them and asks the facade what to do.
+//! The client's side makes a [`Query`] and takes an [`Answer`]; the databases' side takes a [`Query`] and reports
+//! [`UpstreamEvent`]s. Neither knows the other: [`crate::request_lifecycle`] connects them, as the facade decides.
 
 use std::fmt::Debug;
 use std::sync::Arc;
 
-use gaugestep_dispatch::interface::{Cost, LoadReport, NewRequest, ProgressReport, RejectReason};
+use gaugestep_dispatch::interface::{Cost, LoadReport, NewRequest, ProgressReport};
 
 use crate::class_registry::Class;
-use crate::facade::RequestEvent;
+use crate::facade::{Rejection, RequestEvent};
 use crate::termination::Termination;
 
-/// Who waits for a request's answer, as can be asked at any moment.
+/// The client that waits for a request's answer, as it can be queried at any moment.
 pub trait Client: Debug + Send + Sync {
-    /// Whether it has closed its connection or called the request off, also if nobody else has noticed yet.
+    /// Whether it has closed its connection or cancelled the request, even if its session has not noticed yet.
     fn has_left(&self) -> bool;
 
-    /// Whether something has come from outside that is still to be heard and may be what calls the request off.
+    /// Whether there is input from clients that has not been read: it may cancel the request.
     fn has_unread_input(&self) -> bool;
 }
 
-/// A client's request, whatever front it came through.
+/// A client's request, independent of the protocol that it came by.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// What the module is told.
+    /// The request as the dispatcher sees it.
     pub new: NewRequest,
     /// Its class.
     pub class: Arc<Class>,
     /// The statement, byte for byte.
     pub statement: Vec<u8>,
-    /// Who waits for its answer.
+    /// Its client.
     pub client: Arc<dyn Client>,
 }
 
-/// A whole result: pages of rows, in order. A tab parts the columns of a row, a line feed ends it.
+/// A complete result: pages of rows, in order. A tab separates the columns of a row, a line feed ends it.
 pub type Pages = Vec<Vec<u8>>;
 
 /// The one final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// Served.
+    /// Its result.
     Served(Pages),
-    /// It never ran, or may be repeated: the client may come again, after so many milliseconds.
-    Rejected(f64, RejectReason),
-    /// Failed; nothing is promised.
+    /// It did not run, or may be repeated.
+    Rejected(Rejection),
+    /// It failed, and may have run.
     Failed,
-    /// Not taken: its id is that of a request which is open.
+    /// It was not accepted, as a request with its id is open.
     Duplicate,
 }
 
-/// What the databases' side tells of an attempt.
+/// What the databases' side reports about an attempt.
 #[derive(Debug)]
 pub enum UpstreamEvent {
-    /// It reported progress.
+    /// Progress while it runs.
     Progress(ProgressReport),
     /// Its end.
     Ended(AttemptResult),
@@ -64,9 +64,9 @@
 pub struct AttemptResult {
     /// How it ended.
     pub termination: Termination,
-    /// What it needed, where that was told.
+    /// The resources it used, if reported.
     pub cost: Option<Cost>,
-    /// The database's load, where that was told.
+    /// The database's load, if reported.
     pub load: Option<LoadReport>,
     /// The result, if it was served.
     pub pages: Pages,
@@ -78,7 +78,7 @@
     }
 }
 
-/// What a request's coroutine receives through its mailbox.
+/// What reaches a request's coroutine.
 pub type LifecycleEvent = RequestEvent<UpstreamEvent>;
-/// The sending end of a request's mailbox.
+/// Reaches the mailbox of a request's coroutine.
 pub type EventSender = may::sync::mpsc::Sender<LifecycleEvent>;
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -1,31 +1,32 @@
-//! One request's way from a front to the databases and back, as the facade says.
+//! The way of one request from a client to the databases and back, step by step as the facade says.
 
+use std::ops::ControlFlow;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
 use crate::class_registry::{Class, ClassRegistry};
 use crate::config::Names;
 use crate::facade::{AttemptOrder, AttemptReport, Facade, Mailbox, NextStep, RequestEvent, to_duration};
-use crate::query::{Answer, AttemptResult, Pages, Query, UpstreamEvent};
+use crate::query::{Answer, AttemptResult, LifecycleEvent, Query, UpstreamEvent};
 use crate::termination::Termination;
-use crate::upstream::line_protocol::Lines;
+use crate::upstream::line_protocol::{Handle, Lines};
 
 /// What all requests share.
 pub struct RequestHandler {
-    /// The module.
+    /// The dispatcher.
     pub facade: Facade<UpstreamEvent>,
-    /// The databases.
+    /// The connections to databases.
     pub upstream_pool: Arc<Lines>,
-    /// The names of places and machines.
+    /// The names of zones and machines.
     pub names: Names,
     /// The classes and tenants.
     pub classes: ClassRegistry,
-    /// Requests that may be open together.
+    /// How many requests may be open together.
     pub max_open: AtomicUsize,
-    /// Held while the list of engines or the settings change, so that a version is checked against a proxy that stays
-    /// as it is until the version is in force.
+    /// Held while the list of engines or the settings change, so that a version is put into force in the state of the proxy
+    /// that it was checked against.
     pub update_lock: Mutex<()>,
-    /// Requests that are taken and not yet answered in full.
+    /// Requests that were accepted and whose answers have not been written in full.
     pub open: AtomicUsize,
 }
 
@@ -34,34 +35,37 @@
     pub fn track_open(self: &Arc<Self>, class: &Arc<Class>) -> OpenRequestGuard {
         self.open.fetch_add(1, Ordering::Relaxed);
         class.request_opened();
-        OpenRequestGuard(self.clone(), class.clone())
+        OpenRequestGuard { handler: self.clone(), class: class.clone() }
     }
 }
 
-/// Counts one open request.
-pub struct OpenRequestGuard(Arc<RequestHandler>, Arc<Class>);
+/// Counts one request as open.
+pub struct OpenRequestGuard {
+    handler: Arc<RequestHandler>,
+    class: Arc<Class>,
+}
 
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
-        self.1.request_closed();
+        self.handler.open.fetch_sub(1, Ordering::Relaxed);
+        self.class.request_closed();
     }
 }
 
-/// Sees a request through; `answer` gets the one final answer, unless the client leaves before it.
+/// Handles a request to its end; blocks its coroutine. `respond` takes the one final answer, unless the client leaves first.
 pub fn handle_request(
     handler: &RequestHandler,
     query: Query,
     mailbox: &Mailbox<UpstreamEvent>,
-    answer: impl FnOnce(Answer),
+    respond: impl FnOnce(Answer),
 ) {
     let query = Arc::new(query);
-    let mut request = Request { handler, query: &query, mailbox, answer: Some(answer) };
+    let mut request = RequestInProgress { handler, query: &query, mailbox, respond: Some(respond) };
     let mut next_step = handler.facade.pick(query.new.clone(), mailbox);
     loop {
         next_step = match next_step {
             NextStep::Send(order) => request.attempt(order),
-            NextStep::Reject(backoff, reason) => return request.answer(Answer::Rejected(backoff, reason)),
+            NextStep::Reject(rejection) => return request.answer(Answer::Rejected(rejection)),
             NextStep::Fail => return request.answer(Answer::Failed),
             NextStep::Duplicate => return request.answer(Answer::Duplicate),
             NextStep::Finished => return,
@@ -69,22 +73,23 @@
     }
 }
 
-struct Request<'a, F> {
+struct RequestInProgress<'a, F> {
     handler: &'a RequestHandler,
     query: &'a Arc<Query>,
     mailbox: &'a Mailbox<UpstreamEvent>,
-    answer: Option<F>,
+    /// Takes the answer; none once it has been given, or the client has left.
+    respond: Option<F>,
 }
 
-impl<F: FnOnce(Answer)> Request<'_, F> {
-    /// Gives the final answer; a second one is impossible.
+impl<F: FnOnce(Answer)> RequestInProgress<'_, F> {
+    /// Gives the final answer, unless there is nobody to take it any more.
     fn answer(&mut self, answer: Answer) {
-        let Some(give) = self.answer.take() else { return };
+        let Some(respond) = self.respond.take() else { return };
         let (id, class) = (&*self.query.new.id.0, self.query.new.class.0);
-        match answer {
+        match &answer {
             Answer::Served(_) => self.query.class.succeeded(),
-            Answer::Rejected(_, reason) => {
-                tracing::debug!(id, class, ?reason, "rejected");
+            Answer::Rejected(rejection) => {
+                tracing::debug!(id, class, reason = ?rejection.reason, "rejected");
                 self.query.class.rejected();
             }
             Answer::Failed | Answer::Duplicate => {
@@ -92,87 +97,97 @@
                 self.query.class.failed();
             }
         }
-        give(answer);
+        respond(answer);
     }
 
-    /// Makes one attempt and reports its end.
+    /// Makes one attempt and reports its end, unless the client has left before it.
     fn attempt(&mut self, order: AttemptOrder) -> NextStep {
-        let facade = &self.handler.facade;
-        let id = &self.query.new.id;
         if self.query.client.has_left() {
-            return self.abandon(order);
+            return self.abandon_attempt(order);
         }
-        let left = to_duration(self.query.new.deadline - facade.now());
-        let handle = self.handler.upstream_pool.send(order, self.query, left, self.mailbox.sender());
-        let cancel_attempt = |termination: Termination| {
-            handle.cancel();
-            AttemptResult::from(termination)
-        };
-        let end = loop {
-            let event = self.mailbox.next();
-            match event {
-                RequestEvent::Cancel(attempt) if attempt == order.attempt => {
-                    break cancel_attempt(Termination::Cancelled);
-                }
-                RequestEvent::Deadline(attempt) if attempt == order.attempt => {
-                    break cancel_attempt(Termination::Deadline);
-                }
-                RequestEvent::Priority(priority) => handle.weigh(priority),
-                RequestEvent::Upstream(attempt, upstream_event) if attempt == order.attempt => {
-                    match upstream_event {
-                        UpstreamEvent::Progress(report) => {
-                            tracing::debug!(
-                                id = &*id.0,
-                                engine = order.engine.0,
-                                ?report,
-                                "progress reported"
-                            );
-                            facade.on_progress(id, attempt, report);
-                        }
-                        UpstreamEvent::Ended(end) => break end,
-                    }
-                }
-                RequestEvent::Reject(backoff, reason) => self.answer(Answer::Rejected(backoff, reason)),
-                RequestEvent::Fail => self.answer(Answer::Failed),
-                RequestEvent::ClientGone => {
-                    self.answer = None;
-                    facade.client_gone(id);
-                }
-                // What is left of attempts before; one attempt is out at a time.
-                RequestEvent::Send(_)
-                | RequestEvent::Cancel(_)
-                | RequestEvent::Deadline(_)
-                | RequestEvent::Upstream(..) => {}
-            }
-        };
-        let AttemptResult { termination, cost, load, pages } = end;
+        let result = self.run_attempt(order);
         tracing::debug!(
-            id = &*id.0,
+            id = &*self.query.new.id.0,
             class = self.query.new.class.0,
             engine = order.engine.0,
             attempt = order.attempt.0,
-            ?termination,
+            termination = ?result.termination,
             "attempt ended"
         );
+        let AttemptResult { termination, cost, load, pages } = result;
         match termination {
-            Termination::Served => self.served(pages),
-            Termination::ClientLeft => return self.abandon(order),
+            Termination::ClientLeft => return self.abandon_attempt(order),
+            Termination::Served => self.answer(Answer::Served(pages)),
             _ => {}
         }
-        facade.report(id, AttemptReport { outcome: termination.outcome(), cost, load }, self.mailbox)
+        self.report(AttemptReport { outcome: termination.outcome(), cost, load })
+    }
+
+    /// Sends an attempt and follows it to its end.
+    fn run_attempt(&mut self, order: AttemptOrder) -> AttemptResult {
+        let left = to_duration(self.query.new.deadline - self.handler.facade.now());
+        let handle = self.handler.upstream_pool.send(order, self.query, left, self.mailbox.sender());
+        loop {
+            let event = self.mailbox.next();
+            if let ControlFlow::Break(result) = self.on_event(order, &handle, event) {
+                return result;
+            }
+        }
+    }
+
+    /// Deals with an event that comes while an attempt is in flight. Breaks with the end of the attempt.
+    fn on_event(
+        &mut self,
+        order: AttemptOrder,
+        handle: &Handle,
+        event: LifecycleEvent,
+    ) -> ControlFlow<AttemptResult> {
+        let is_current = |attempt| attempt == order.attempt;
+        match event {
+            RequestEvent::Upstream(attempt, event) if is_current(attempt) => match event {
+                UpstreamEvent::Ended(result) => return ControlFlow::Break(result),
+                UpstreamEvent::Progress(report) => {
+                    let id = &self.query.new.id;
+                    tracing::debug!(id = &*id.0, engine = order.engine.0, ?report, "progress reported");
+                    self.handler.facade.on_progress(id, attempt, report);
+                }
+            },
+            RequestEvent::Cancel(attempt) if is_current(attempt) => {
+                handle.cancel();
+                return ControlFlow::Break(Termination::Cancelled.into());
+            }
+            RequestEvent::Deadline(attempt) if is_current(attempt) => {
+                handle.cancel();
+                return ControlFlow::Break(Termination::Deadline.into());
+            }
+            RequestEvent::Priority(priority) => handle.weigh(priority),
+            RequestEvent::Reject(rejection) => self.answer(Answer::Rejected(rejection)),
+            RequestEvent::Fail => self.answer(Answer::Failed),
+            RequestEvent::ClientGone => self.client_gone(),
+            // These concern earlier attempts: at most one is in flight.
+            RequestEvent::Send(_)
+            | RequestEvent::Cancel(_)
+            | RequestEvent::Deadline(_)
+            | RequestEvent::Upstream(..) => {}
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Ends an attempt that was not sent, as its client has left before.
+    fn abandon_attempt(&mut self, order: AttemptOrder) -> NextStep {
+        let id = &*self.query.new.id.0;
+        tracing::debug!(id, attempt = order.attempt.0, "client left before the attempt was sent");
+        self.client_gone();
+        self.report(AttemptReport::outcome(Termination::ClientLeft.outcome()))
     }
 
-    /// Ends an attempt that was not made, as its client has left before.
-    fn abandon(&mut self, order: AttemptOrder) -> NextStep {
-        let (facade, id) = (&self.handler.facade, &self.query.new.id);
-        tracing::debug!(id = &*id.0, attempt = order.attempt.0, "client left before the attempt was sent");
-        self.answer = None;
-        facade.client_gone(id);
-        let outcome = Termination::ClientLeft.outcome();
-        facade.report(id, AttemptReport { outcome, cost: None, load: None }, self.mailbox)
+    /// The client has left: nobody waits for the answer.
+    fn client_gone(&mut self) {
+        self.respond = None;
+        self.handler.facade.client_gone(&self.query.new.id);
     }
 
-    fn served(&mut self, pages: Pages) {
-        self.answer(Answer::Served(pages));
+    fn report(&self, report: AttemptReport) -> NextStep {
+        self.handler.facade.report(&self.query.new.id, report, self.mailbox)
     }
 }
--- a/crates/proxy/src/termination.rs
+++ b/crates/proxy/src/termination.rs
@@ -2,12 +2,12 @@
 
 use gaugestep_dispatch::interface::Outcome;
 
-/// Every way in which an attempt ends. What it proves about the attempt is said once, in [`Termination::outcome`].
+/// Every way in which an attempt ends. [`Termination::outcome`] says for each what it proves about the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
-    /// The whole result is here.
+    /// The complete result has come.
     Served,
-    /// The database has no room for it.
+    /// The database has no capacity for it.
     Shed,
     /// The database found its time over before it ran.
     Late,
@@ -15,12 +15,12 @@
     Fault,
     /// The connection was refused.
     DialRefused,
-    /// The connection did not come up in time.
+    /// The connection was not established in time.
     DialTimedOut,
-    /// It was still waiting for its connection when its database left the list, or its connection closed before
-    /// the first byte of it was written.
+    /// It was waiting for its connection when its database left the list, or when the connection closed before the first
+    /// byte of it was written.
     NeverWritten,
-    /// The proxy itself could not dial: it has no descriptor or address left.
+    /// The proxy itself could not dial: it has no descriptor or local address left.
     NotDialled,
     /// Its client had left before the first byte of it was written.
     ClientLeft,
@@ -30,19 +30,19 @@
     Reset,
     /// The database closed the connection.
     Closed,
-    /// The connection was up, but a check of it came back with nothing.
+    /// The connection was established, but a health check on it got no reply.
     Silent,
-    /// The database sent something that is no answer.
+    /// The database sent something that is not a valid answer.
     Garbled,
-    /// The proxy called the attempt off.
+    /// The proxy cancelled the attempt.
     Cancelled,
-    /// The deadline came.
+    /// The deadline passed.
     Deadline,
 }
 
 impl Termination {
-    /// What the module is told. Guards the rule that nothing unsafe runs twice: only what proves that the
-    /// database never saw the whole request may map to an outcome that says so.
+    /// The outcome that the dispatcher is given. A request that must not run twice is repeated only after an outcome that
+    /// says that it never ran; so only what proves that the database never saw the complete request may map to one.
     pub fn outcome(self) -> Outcome {
         match self {
             Termination::Served => Outcome::Served,
