--- a/crates/proxy/src/class_registry.rs
+++ b/crates/proxy/src/class_registry.rs
@@ -29,6 +29,17 @@
     }
 }
 
+/// How requests ended, over all classes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RequestTotals {
+    /// Requests that were served.
+    pub succeeded: u64,
+    /// Requests that were rejected.
+    pub rejected: u64,
+    /// Requests that failed.
+    pub failed: u64,
+}
+
 /// A class under one set of rules; a request keeps it until it ends.
 #[derive(Debug)]
 pub struct Class {
@@ -154,13 +165,17 @@
         state.counts.iter().map(|(name, counts)| (name.clone(), read(&counts.open))).collect()
     }
 
-    /// Requests since the start, over all classes: served, rejected, failed.
-    pub fn totals(&self) -> (u64, u64, u64) {
+    /// How the requests of all classes ended since the start.
+    pub fn totals(&self) -> RequestTotals {
         let state = lock(&self.0);
         let sum = |count: fn(&ClassCounts) -> &AtomicU64| {
             state.counts.values().map(|counts| read(count(counts))).sum()
         };
-        (sum(|counts| &counts.succeeded), sum(|counts| &counts.rejected), sum(|counts| &counts.failed))
+        RequestTotals {
+            succeeded: sum(|counts| &counts.succeeded),
+            rejected: sum(|counts| &counts.rejected),
+            failed: sum(|counts| &counts.failed),
+        }
     }
 
     /// The counts of each class by name, as operators read them.
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -208,6 +208,7 @@
     }
 
     fn request_counts(&self) -> (u64, u64, u64) {
-        self.handler.classes.totals()
+        let totals = self.handler.classes.totals();
+        (totals.succeeded, totals.rejected, totals.failed)
     }
 }
--- a/crates/proxy/src/downstream/postgres/cancel_registry.rs
+++ b/crates/proxy/src/downstream/postgres/cancel_registry.rs
@@ -63,7 +63,7 @@
         *lock(&self.status) = status;
     }
 
-    /// Whether the session is to close, to make room for another.
+    /// Whether the session has been asked to close, to make room for another.
     pub fn is_evicted(&self) -> bool {
         self.evicted.load(Ordering::Relaxed)
     }
@@ -73,7 +73,7 @@
         self.cancel_requested.load(Ordering::Relaxed)
     }
 
-    /// The same, and the session deals with it now.
+    /// Takes the cancel request that has come, if any; the session deals with it now.
     pub fn take_cancel_request(&self) -> bool {
         self.cancel_requested.swap(false, Ordering::Relaxed)
     }
--- a/crates/proxy/src/downstream/postgres/request.rs
+++ b/crates/proxy/src/downstream/postgres/request.rs
@@ -37,7 +37,7 @@
         class.rejected();
         return Err(QueryError::TooManyOpen);
     }
-    let new = NewRequest {
+    let request = NewRequest {
         id: request_id(fields.rid),
         class: class.id,
         tenant: TenantId(tenant),
@@ -47,5 +47,5 @@
         tables: TablesId(table_group(statement).unwrap_or(0)),
         key: None,
     };
-    Ok(Query { new, class: class.clone(), statement: statement.to_vec(), client })
+    Ok(Query { request, class: class.clone(), statement: statement.to_vec(), client })
 }
--- a/crates/proxy/src/downstream/postgres/session/closing.rs
+++ b/crates/proxy/src/downstream/postgres/session/closing.rs
@@ -67,8 +67,8 @@
         self.state.close();
     }
 
-    /// Ends the session if the client has not sent the rest of a message in time, or if it is to make room for another
-    /// before it has started.
+    /// Ends the session if the client has not sent the rest of a message in time, or if the session has been evicted before it
+    /// was started.
     pub(super) fn check_message_timeout(&mut self) {
         let is_startup = self.state.is_startup();
         if is_startup && self.handle.is_evicted() {
@@ -91,7 +91,7 @@
         if self.client_closed {
             return Err(Disconnected);
         }
-        if self.state.is_closing() || self.is_to_end(has_answered) {
+        if self.state.is_closing() || self.must_end(has_answered) {
             shut_down_output(self.stream.socket());
             self.state.output_shut_down(Instant::now());
         }
@@ -99,7 +99,7 @@
     }
 
     /// Whether the proxy ends the session now that all output has been written.
-    fn is_to_end(&self, has_answered: bool) -> bool {
+    fn must_end(&self, has_answered: bool) -> bool {
         let is_evicted = self.handle.is_evicted() && !self.state.is_busy() && !self.state.is_draining();
         let policy = &self.manager.end_policy;
         let policy_applies =
@@ -108,7 +108,7 @@
         is_evicted || policy_applies && is_idle
     }
 
-    /// Shows others the status of the session. Fails if the connection is to be closed, as a deadline has passed.
+    /// Publishes the status of the session. Fails if the connection must be closed, because a deadline has passed.
     pub(super) fn publish_status(&mut self) -> Result<(), Disconnected> {
         let deadline = self.next_deadline()?;
         let due = match deadline {
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// The deadline that the session waits for. Fails if the connection is to be closed at once, to make room for another.
+    /// The deadline that the session waits for. Fails if the connection must be closed at once, to make room for another.
     fn next_deadline(&self) -> Result<Option<Deadline>, Disconnected> {
         match self.state.get() {
             State::Draining(_) if self.handle.is_evicted() => Err(Disconnected),
--- a/crates/proxy/src/downstream/postgres/session/mod.rs
+++ b/crates/proxy/src/downstream/postgres/session/mod.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Runs the session until its connection is to be closed.
+    /// Runs the session until its connection can be closed.
     pub fn run(&mut self) {
         let first_read = self.read();
         self.manager.first_read_done();
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    /// Whether more is to be read. A client that does not read its answers, or sends faster than it is answered, has to
+    /// Whether to read more. A client that does not read its answers, or sends faster than it is answered, has to
     /// wait: only so much is read ahead, or the rest of one long message. Within that limit input is also read while a query
     /// runs, so that the session notices that its client leaves.
     fn wants_input(&self) -> bool {
--- a/crates/proxy/src/downstream/postgres/session/state.rs
+++ b/crates/proxy/src/downstream/postgres/session/state.rs
@@ -154,7 +154,7 @@
         self.state = State::Draining(CloseDeadlines::new(now));
     }
 
-    /// Input has come; true if it is to be discarded, as the output has been shut down.
+    /// Input has come. Returns true if it must be discarded, because the output has been shut down.
     pub fn input_received(&mut self) -> bool {
         match &mut self.state {
             State::Draining(deadlines) => {
--- a/crates/proxy/src/facade/mailbox.rs
+++ b/crates/proxy/src/facade/mailbox.rs
@@ -8,15 +8,15 @@
 /// What reaches a request's coroutine. `Upstream` is what the databases' side reports about an attempt.
 #[derive(Debug)]
 pub enum RequestEvent<Upstream> {
-    /// The request is to be sent to an engine.
+    /// Send the request to an engine.
     Send(AttemptOrder),
-    /// The attempt is to be cancelled.
+    /// Cancel the attempt.
     Cancel(AttemptNo),
-    /// The running attempt is to get another priority.
+    /// Change the priority of the running attempt.
     Priority(u8),
-    /// The final answer: the request is rejected.
+    /// Answer that the request is rejected.
     Reject(Rejection),
-    /// The final answer: the request has failed.
+    /// Answer that the request has failed.
     Fail,
     /// The deadline has passed while this attempt was in flight.
     Deadline(AttemptNo),
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -12,7 +12,6 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use gaugestep_coroutine_io::lock;
 use gaugestep_dispatch::interface::{
     AttemptEnd, AttemptNo, EngineEntry, FleetPosition, Millis, NewRequest, Outcome, ProgressReport,
     RequestId, SettingsError,
@@ -22,6 +21,7 @@
 use self::state::FacadeState;
 use self::ticker::Ticker;
 use self::timers::{ClockTime, Timer};
+use crate::lock;
 
 pub use self::mailbox::{AttemptOrder, AttemptReport, Mailbox, NextStep, Rejection, RequestEvent};
 pub use self::timers::to_duration;
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Query {
     /// The request as the dispatcher sees it.
-    pub new: NewRequest,
+    pub request: NewRequest,
     /// Its class.
     pub class: Arc<Class>,
     /// The statement, byte for byte.
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -61,7 +61,7 @@
 ) {
     let query = Arc::new(query);
     let mut request = RequestInProgress { handler, query: &query, mailbox, respond: Some(respond) };
-    let mut next_step = handler.facade.pick(query.new.clone(), mailbox);
+    let mut next_step = handler.facade.pick(query.request.clone(), mailbox);
     loop {
         next_step = match next_step {
             NextStep::Send(order) => request.attempt(order),
@@ -85,7 +85,7 @@
     /// Gives the final answer, unless there is nobody to take it any more.
     fn answer(&mut self, answer: Answer) {
         let Some(respond) = self.respond.take() else { return };
-        let (id, class) = (&*self.query.new.id.0, self.query.new.class.0);
+        let (id, class) = (&*self.query.request.id.0, self.query.request.class.0);
         match &answer {
             Answer::Served(_) => self.query.class.succeeded(),
             Answer::Rejected(rejection) => {
@@ -107,8 +107,8 @@
         }
         let result = self.run_attempt(order);
         tracing::debug!(
-            id = &*self.query.new.id.0,
-            class = self.query.new.class.0,
+            id = &*self.query.request.id.0,
+            class = self.query.request.class.0,
             engine = order.engine.0,
             attempt = order.attempt.0,
             termination = ?result.termination,
@@ -125,7 +125,7 @@
 
     /// Sends an attempt and follows it to its end.
     fn run_attempt(&mut self, order: AttemptOrder) -> AttemptResult {
-        let left = to_duration(self.query.new.deadline - self.handler.facade.now());
+        let left = to_duration(self.query.request.deadline - self.handler.facade.now());
         let handle = self.handler.upstream_pool.send(order, self.query, left, self.mailbox.sender());
         loop {
             let event = self.mailbox.next();
@@ -147,7 +147,7 @@
             RequestEvent::Upstream(attempt, event) if is_current(attempt) => match event {
                 UpstreamEvent::Ended(result) => return ControlFlow::Break(result),
                 UpstreamEvent::Progress(report) => {
-                    let id = &self.query.new.id;
+                    let id = &self.query.request.id;
                     tracing::debug!(id = &*id.0, engine = order.engine.0, ?report, "progress reported");
                     self.handler.facade.on_progress(id, attempt, report);
                 }
@@ -175,7 +175,7 @@
 
     /// Ends an attempt that was not sent, as its client has left before.
     fn abandon_attempt(&mut self, order: AttemptOrder) -> NextStep {
-        let id = &*self.query.new.id.0;
+        let id = &*self.query.request.id.0;
         tracing::debug!(id, attempt = order.attempt.0, "client left before the attempt was sent");
         self.client_gone();
         self.report(AttemptReport::outcome(Termination::ClientLeft.outcome()))
@@ -184,10 +184,10 @@
     /// The client has left: nobody waits for the answer.
     fn client_gone(&mut self) {
         self.respond = None;
-        self.handler.facade.client_gone(&self.query.new.id);
+        self.handler.facade.client_gone(&self.query.request.id);
     }
 
     fn report(&self, report: AttemptReport) -> NextStep {
-        self.handler.facade.report(&self.query.new.id, report, self.mailbox)
+        self.handler.facade.report(&self.query.request.id, report, self.mailbox)
     }
 }
--- a/crates/proxy/src/upstream/line_protocol.rs
+++ b/crates/proxy/src/upstream/line_protocol.rs
@@ -217,7 +217,7 @@
         left: Duration,
         post: EventSender,
     ) -> Handle {
-        let (id, place, now) = (query.new.id.clone(), Place::default(), Instant::now());
+        let (id, place, now) = (query.request.id.clone(), Place::default(), Instant::now());
         let call = Call {
             post,
             attempt: sending.attempt,
