--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -12,16 +12,16 @@
 use crate::task;
 
 /// A call must be whole within this time. Guards the door against callers that send nothing, or half a call.
-const CALL_WITHIN: Duration = Duration::from_millis(1_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest call.
-const LONGEST: usize = 8 * 1024;
+const MAX_REQUEST_LENGTH: usize = 8 * 1024;
 /// Calls open together; more are turned away.
-const MOST: usize = 16;
+const MAX_CONNECTIONS: usize = 16;
 /// Between tries to accept after an error, and for what a caller still sends behind its call.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Listens for operators; calls are answered by coroutines of their own, whatever the clients do.
-pub fn open(address: SocketAddr, server: Arc<Server>) -> Result<(), String> {
+pub fn start(address: SocketAddr, server: Arc<Server>) -> Result<(), String> {
     let cannot = |error: io::Error| format!("cannot listen for operators on {address}: {error}");
     let listener = TcpListener::bind(address).map_err(cannot)?;
     task::spawn("operators", move || accept(&listener, &server)).map_err(cannot)
@@ -34,17 +34,17 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::warn!("cannot accept an operator's call: {error}");
-                task::sleep(PAUSE);
+                task::sleep(RETRY_PAUSE);
                 continue;
             }
         };
-        let (place, server) = (Place::take(&open), server.clone());
+        let (place, server) = (ConnectionCount::take(&open), server.clone());
         let spawned = task::spawn("call", move || {
-            let told = match place.0.load(Ordering::Relaxed) > MOST {
+            let response = match place.0.load(Ordering::Relaxed) > MAX_CONNECTIONS {
                 true => Err((503, "Service Unavailable")),
-                false => listen(&mut stream),
+                false => read_request(&mut stream),
             };
-            answer(&mut stream, told.and_then(|(method, path)| call(&server, &method, &path)));
+            respond(&mut stream, response.and_then(|(method, path)| handle(&server, &method, &path)));
         });
         if let Err(error) = spawned {
             tracing::error!("no coroutine for an operator's call: {error}");
@@ -53,16 +53,16 @@
 }
 
 /// One of the calls that are open.
-struct Place(Arc<AtomicUsize>);
+struct ConnectionCount(Arc<AtomicUsize>);
 
-impl Place {
+impl ConnectionCount {
     fn take(open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
-        Place(open.clone())
+        ConnectionCount(open.clone())
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -72,13 +72,13 @@
 type Status = (u16, &'static str);
 
 /// Reads a call: its method and path.
-fn listen(stream: &mut TcpStream) -> Result<(String, String), Status> {
-    let until = Instant::now() + CALL_WITHIN;
-    let _ = stream.set_read_timeout(Some(CALL_WITHIN));
+fn read_request(stream: &mut TcpStream) -> Result<(String, String), Status> {
+    let until = Instant::now() + REQUEST_TIMEOUT;
+    let _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT));
     let (mut input, mut chunk) = (Vec::new(), [0; 1024]);
     loop {
-        if let Some(told) = parse(&input)? {
-            return Ok(told);
+        if let Some(response) = parse(&input)? {
+            return Ok(response);
         }
         match stream.read(&mut chunk) {
             Ok(0) => return Err((400, "Bad Request")),
@@ -97,24 +97,24 @@
             let path = path.split_once('?').map_or(path, |(path, _)| path);
             Ok(Some((request.method.unwrap_or_default().to_owned(), path.to_owned())))
         }
-        Ok(httparse::Status::Partial) if input.len() <= LONGEST => Ok(None),
+        Ok(httparse::Status::Partial) if input.len() <= MAX_REQUEST_LENGTH => Ok(None),
         _ => Err((400, "Bad Request")),
     }
 }
 
 /// Carries out a call; what is answered if it is done.
-fn call(server: &Arc<Server>, method: &str, path: &str) -> Result<String, Status> {
+fn handle(server: &Arc<Server>, method: &str, path: &str) -> Result<String, Status> {
     match (method, path) {
-        ("GET", "/ops/readiness") if server.ready() => Ok(server.standing()),
-        ("GET", "/ops/readiness") if server.displaced() => Err((503, "Displaced")),
+        ("GET", "/ops/readiness") if server.ready() => Ok(server.readiness_text()),
+        ("GET", "/ops/readiness") if server.name_is_superseded() => Err((503, "Displaced")),
         ("GET", "/ops/readiness") => Err((503, "Service Unavailable")),
-        ("GET", "/ops/stats") => Ok(server.figures().to_string()),
+        ("GET", "/ops/stats") => Ok(server.stats_json().to_string()),
         ("PUT", "/ops/drain/start") => {
-            server.drain_start();
+            server.start_drain();
             Ok("draining\n".into())
         }
         ("PUT", "/ops/drain/stop") => {
-            server.drain_stop();
+            server.stop_drain();
             Ok("serving\n".into())
         }
         (_, "/ops/readiness" | "/ops/stats" | "/ops/drain/start" | "/ops/drain/stop") => {
@@ -126,8 +126,8 @@
 
 /// Answers and closes. Guards the answer against what the caller still sends: closed with bytes unread, the
 /// connection would be reset and the answer lost.
-fn answer(stream: &mut TcpStream, told: Result<String, Status>) {
-    let ((status, reason), body) = match told {
+fn respond(stream: &mut TcpStream, response: Result<String, Status>) {
+    let ((status, reason), body) = match response {
         Ok(body) => ((200, "OK"), body),
         Err((status, reason)) => ((status, reason), format!("{reason}\n")),
     };
@@ -138,7 +138,7 @@
     );
     // A socket's buffer takes far more than this.
     let sent = stream.write_all((head + &body).as_bytes()).and_then(|()| stream.shutdown(Shutdown::Write));
-    let _ = stream.set_read_timeout(Some(PAUSE));
+    let _ = stream.set_read_timeout(Some(RETRY_PAUSE));
     if sent.is_ok() {
         let _ = stream.read(&mut [0; 1024]);
     }
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -16,15 +16,15 @@
 
 use crate::class_registry::Class;
 use crate::config::Names;
-use crate::discovery::{Listed, Roster};
+use crate::discovery::{Endpoint, EndpointList};
 use crate::lock;
 use crate::request_lifecycle::RequestHandler;
 
 /// The span of a ration of further attempts, in milliseconds, where the platform names none.
-const SPAN: f64 = 5_000.0;
+const DEFAULT_RETRY_WINDOW_MS: f64 = 5_000.0;
 
 /// What the platform's own file says.
-pub struct Told {
+pub struct PlatformConfig {
     /// The proxy's name.
     pub proxy: String,
     /// The names of classes and tenants.
@@ -39,29 +39,35 @@
 pub type SetLog = Box<dyn Fn(Option<String>) + Send + Sync>;
 
 /// The proxy as versions see it.
-pub struct Versioned {
+pub struct ConfigApplier {
     handler: Arc<RequestHandler>,
-    roster: Arc<Roster>,
-    told: Mutex<Told>,
+    endpoint_list: Arc<EndpointList>,
+    platform_config: Mutex<PlatformConfig>,
     document: Mutex<Document>,
     set_log: SetLog,
 }
 
-impl Versioned {
+impl ConfigApplier {
     /// The proxy under the platform's own file alone. It looks at its routes anew whenever the list changes.
     pub fn start(
         handler: Arc<RequestHandler>,
-        roster: Arc<Roster>,
-        told: Told,
+        endpoint_list: Arc<EndpointList>,
+        platform_config: PlatformConfig,
         set_log: SetLog,
     ) -> Arc<Self> {
         let document = Mutex::default();
-        let this = Arc::new(Versioned { handler, roster, told: Mutex::new(told), document, set_log });
-        let looking = Arc::downgrade(&this);
-        this.roster.on_change(Box::new(move || {
-            if let Some(this) = looking.upgrade() {
+        let this = Arc::new(ConfigApplier {
+            handler,
+            endpoint_list,
+            platform_config: Mutex::new(platform_config),
+            document,
+            set_log,
+        });
+        let observer = Arc::downgrade(&this);
+        this.endpoint_list.on_change(Box::new(move || {
+            if let Some(this) = observer.upgrade() {
                 if !lock(&this.document).routes.is_empty() {
-                    this.settle();
+                    this.apply_effective();
                 }
             }
         }));
@@ -69,17 +75,17 @@
     }
 
     /// The platform's own file has changed. Called with [`RequestHandler::update_lock`] held.
-    pub fn retell(&self, told: Told) {
-        *lock(&self.told) = told;
-        self.settle();
+    pub fn update_platform(&self, platform_config: PlatformConfig) {
+        *lock(&self.platform_config) = platform_config;
+        self.apply_effective();
     }
 
     /// Puts the platform's file and the document in force together. Called with [`RequestHandler::update_lock`] held.
-    fn settle(&self) {
-        let (told, document) = (lock(&self.told), lock(&self.document).clone());
-        let counts = proxy_state::effective_config(&document, &platform(&told));
-        let mut settings = told.settings.clone();
-        let mut names = told.names.clone();
+    fn apply_effective(&self) {
+        let (platform_config, document) = (lock(&self.platform_config), lock(&self.document).clone());
+        let counts = proxy_state::effective_config(&document, &platform_limits(&platform_config));
+        let mut settings = platform_config.settings.clone();
+        let mut names = platform_config.names.clone();
         let served = |name: &String| proxy_state::serves(&document, name);
         let kept =
             names.classes.iter().zip(std::mem::take(&mut settings.classes)).filter(|(name, _)| served(name));
@@ -87,21 +93,21 @@
         for (tenant, quota) in settings.tenants.iter_mut().zip(&counts.quotas) {
             tenant.quota_per_s = *quota;
         }
-        if let Some(seat) = document.proxies.iter().position(|name| *name == told.proxy) {
-            let place = FleetPosition::ordinal(seat as u32, document.proxies.len() as u32);
+        if let Some(ordinal) = document.proxies.iter().position(|name| *name == platform_config.proxy) {
+            let place = FleetPosition::ordinal(ordinal as u32, document.proxies.len() as u32);
             (settings.place, settings.dispatchers) =
                 (place.unwrap_or(settings.place), document.proxies.len());
         }
         settings.max_open = settings.max_open.min(counts.max_open as usize);
         settings.max_attempts = counts.max_attempts as usize;
-        let span = settings.retry_budget.map_or(SPAN, |budget| budget.window);
+        let span = settings.retry_budget.map_or(DEFAULT_RETRY_WINDOW_MS, |budget| budget.window);
         settings.retry_budget = counts.retries.map(|(ratio, free)| RetryBudgetSettings {
             min_retries: free,
             ratio,
             window: span,
         });
-        let max_open = told.max_open.min(counts.max_open as usize);
-        drop(told);
+        let max_open = platform_config.max_open.min(counts.max_open as usize);
+        drop(platform_config);
         self.handler.max_open.store(max_open, Ordering::Relaxed);
         let tenants = names.tenants.clone();
         self.handler.classes.update(&names, settings, |mut settings, classes| {
@@ -115,7 +121,7 @@
         if document.routes.is_empty() {
             return Vec::new();
         }
-        let listed = self.roster.databases().unwrap_or_default();
+        let listed = self.endpoint_list.endpoints().unwrap_or_default();
         let numbers: BTreeMap<&String, EngineId> =
             listed.iter().map(|(name, it)| (name, it.engine)).collect();
         let engines: Vec<Engine> = listed.iter().map(|(name, listed)| engine(name, listed)).collect();
@@ -133,18 +139,18 @@
 }
 
 /// What the platform's file and the rule allow.
-fn platform(told: &Told) -> PlatformLimits {
+fn platform_limits(platform_config: &PlatformConfig) -> PlatformLimits {
     let quota = |quota: f64| (quota > 0.0).then_some(quota);
-    let tenants = told.names.tenants.iter().zip(&told.settings.tenants);
+    let tenants = platform_config.names.tenants.iter().zip(&platform_config.settings.tenants);
     PlatformLimits {
         tenants: tenants.map(|(name, tenant)| (name.clone(), quota(tenant.quota_per_s))).collect(),
-        max_open: told.max_open as u64,
-        max_attempts: told.settings.max_attempts as u64,
-        retries: told.settings.retry_budget.map(|budget| (budget.ratio, budget.min_retries)),
+        max_open: platform_config.max_open as u64,
+        max_attempts: platform_config.settings.max_attempts as u64,
+        retries: platform_config.settings.retry_budget.map(|budget| (budget.ratio, budget.min_retries)),
     }
 }
 
-fn engine(name: &str, listed: &Listed) -> Engine {
+fn engine(name: &str, listed: &Endpoint) -> Engine {
     let state = if listed.readiness == Readiness::Up { EngineState::Up } else { EngineState::Draining };
     Engine {
         name: name.into(),
@@ -173,37 +179,37 @@
     (!all.is_empty()).then(|| all.join(","))
 }
 
-impl ProxyHandle for Versioned {
+impl ProxyHandle for ConfigApplier {
     fn with_state(&self, then: &mut dyn FnMut(&ProxyState)) {
         let _changes = lock(&self.handler.update_lock);
-        let told = lock(&self.told);
+        let platform_config = lock(&self.platform_config);
         let open = self.handler.classes.open_requests();
         let count = |name: &String| open.iter().find(|(other, _)| other == name).map_or(0, |(_, open)| *open);
-        let classes = told
+        let classes = platform_config
             .names
             .classes
             .iter()
             .map(|name| proxy_state::Class { name: name.clone(), open: count(name) });
-        let listed = self.roster.databases();
+        let listed = self.endpoint_list.endpoints();
         let state = ProxyState {
             engines: listed.map(|all| all.iter().map(|(name, listed)| engine(name, listed)).collect()),
             classes: classes.collect(),
             open: self.handler.open.load(Ordering::Relaxed) as u64,
-            platform: platform(&told),
+            platform: platform_limits(&platform_config),
         };
-        drop(told);
+        drop(platform_config);
         then(&state);
     }
 
     fn apply(&self, document: &Document) {
         *lock(&self.document) = document.clone();
-        self.settle();
+        self.apply_effective();
         (self.set_log)(directives(document));
     }
 
-    fn assign_ordinal(&self, seat: Option<(FleetPosition, f64)>) {
+    fn assign_ordinal(&self, ordinal: Option<(FleetPosition, f64)>) {
         let _changes = lock(&self.handler.update_lock);
-        let (place, left) = seat.unwrap_or((FleetPosition::NameKey(0), 0.0));
+        let (place, left) = ordinal.unwrap_or((FleetPosition::NameKey(0), 0.0));
         self.handler.facade.set_fleet_position(place, left);
     }
 
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -14,41 +14,41 @@
 use crate::{lock, task};
 
 /// A comment comes each second: silence for longer means that the connection is dead.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A coordinator that cannot be reached within this time is tried again.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Between tries to connect.
-const PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 /// Reads before all others get their turn, and how long that lasts: a stream may never end.
-const READS: u64 = 16;
-const TURN: Duration = Duration::from_millis(1);
+const READS_PER_TURN: u64 = 16;
+const TURN_PAUSE: Duration = Duration::from_millis(1);
 /// The longest event of the stream.
-const LONGEST: usize = 4 * 1024 * 1024;
+const MAX_EVENT_LENGTH: usize = 4 * 1024 * 1024;
 
 /// The list of databases as the coordinator tells it.
-pub struct Roster {
+pub struct EndpointList {
     handler: Arc<RequestHandler>,
-    known: Mutex<Known>,
-    place: Mutex<Place>,
+    known: Mutex<KnownEndpoints>,
+    place: Mutex<CoordinatorLink>,
     /// Before the coordinator is called anew.
     pause: Duration,
     changed: OnceLock<Box<dyn Fn() + Send + Sync>>,
 }
 
-/// What has been told so far.
+/// The endpoints known so far.
 #[derive(Default)]
-struct Known {
+struct KnownEndpoints {
     /// The number of the last event.
     index: u64,
     /// The module's numbers of the databases that are listed. Guards against growth: whoever goes is forgotten,
     /// and its number is not given again.
-    engines: HashMap<String, Listed>,
+    engines: HashMap<String, Endpoint>,
     next: u32,
 }
 
 /// A database that is listed.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct Endpoint {
     /// The module's number.
     pub engine: EngineId,
     /// Its zone, kind and cell, as the list has them.
@@ -62,28 +62,28 @@
 }
 
 /// Where the coordinator is, and the connection to it.
-struct Place {
+struct CoordinatorLink {
     address: Option<SocketAddr>,
     open: Option<std::net::TcpStream>,
 }
 
-impl Roster {
-    /// A roster that knows nothing yet and will follow the coordinator at `address`.
+impl EndpointList {
+    /// A list that knows nothing yet and will follow the coordinator at `address`.
     ///
     /// `spread` stretches the pause before it is called anew, by the proxy's place: all proxies lose it at one moment.
     pub fn new(handler: Arc<RequestHandler>, address: Option<SocketAddr>, spread: f64) -> Self {
-        let place = Mutex::new(Place { address, open: None });
-        let pause = PAUSE.mul_f64(spread);
-        Roster { handler, known: Mutex::default(), place, pause, changed: OnceLock::new() }
+        let place = Mutex::new(CoordinatorLink { address, open: None });
+        let pause = RECONNECT_PAUSE.mul_f64(spread);
+        EndpointList { handler, known: Mutex::default(), place, pause, changed: OnceLock::new() }
     }
 
     /// How many databases are listed.
-    pub fn listed(&self) -> usize {
+    pub fn len(&self) -> usize {
         lock(&self.known).engines.len()
     }
 
     /// The databases that are listed, by name; none before the first list has come.
-    pub fn databases(&self) -> Option<Vec<(String, Listed)>> {
+    pub fn endpoints(&self) -> Option<Vec<(String, Endpoint)>> {
         let known = lock(&self.known);
         let all = known.engines.iter().map(|(name, listed)| (name.clone(), listed.clone())).collect();
         (known.index > 0).then_some(all)
@@ -95,7 +95,7 @@
     }
 
     /// Takes the events of a configuration; those known already are skipped.
-    pub fn know(&self, index: u64, events: &[Value]) {
+    pub fn apply_known(&self, index: u64, events: &[Value]) {
         for event in events {
             // An event of the start may lack a number: the list's own then stands for it.
             self.event(event["index"].as_u64().or(Some(index)), event);
@@ -106,7 +106,7 @@
 
     /// The coordinator is at this address from now on. Guards against waiting for the old one's silence: the
     /// connection to it is shut, which wakes the coroutine that reads it.
-    pub fn move_to(&self, address: Option<SocketAddr>) {
+    pub fn set_address(&self, address: Option<SocketAddr>) {
         let mut place = lock(&self.place);
         if place.address != address {
             place.address = address;
@@ -120,7 +120,7 @@
     fn apply(&self, event: &Value) {
         let _changes = lock(&self.handler.update_lock);
         let endpoints = &event["endpoints"];
-        let whole = endpoints["complete"].as_bool().unwrap_or(false);
+        let complete = endpoints["complete"].as_bool().unwrap_or(false);
         let Some(members) = endpoints["members"].as_array() else {
             return tracing::warn!("an event without members");
         };
@@ -131,13 +131,13 @@
                 None => tracing::warn!("a member that cannot be read"),
             }
         }
-        if whole {
+        if complete {
             let engines: Vec<EngineId> = entries.iter().map(|entry| entry.engine).collect();
             lock(&self.known).engines.retain(|_, listed| engines.contains(&listed.engine));
-            self.handler.upstream_pool.only(&engines);
+            self.handler.upstream_pool.retain_only(&engines);
         }
-        tracing::info!(whole, members = entries.len(), "databases listed");
-        self.handler.facade.update_engines(entries, whole);
+        tracing::info!(complete, members = entries.len(), "databases listed");
+        self.handler.facade.update_engines(entries, complete);
         if let Some(then) = self.changed.get() {
             then();
         }
@@ -155,8 +155,8 @@
         let text = |key: &str| member[key].as_str().unwrap_or_default().to_owned();
         let cell = member["cell"].as_u64().unwrap_or(0);
         let (zone, kind) = (text("locality"), text("flavor"));
-        let engine = self.number(name, Listed { engine: EngineId(0), zone, kind, cell, readiness })?;
-        self.handler.upstream_pool.listed(engine, address, readiness);
+        let engine = self.number(name, Endpoint { engine: EngineId(0), zone, kind, cell, readiness })?;
+        self.handler.upstream_pool.update_endpoint(engine, address, readiness);
         let names = &self.handler.names;
         let place = |names: &[String], key: &str| {
             let name = member[key].as_str();
@@ -176,7 +176,7 @@
     }
 
     /// The module's number of a database, which ends with it; none if it goes without ever having been listed.
-    fn number(&self, name: &str, listed: Listed) -> Option<EngineId> {
+    fn number(&self, name: &str, listed: Endpoint) -> Option<EngineId> {
         let mut known = lock(&self.known);
         if listed.readiness == Readiness::Gone {
             return known.engines.remove(name).map(|listed| listed.engine);
@@ -188,12 +188,12 @@
                 EngineId(known.next - 1)
             }
         };
-        known.engines.insert(name.to_owned(), Listed { engine, ..listed });
+        known.engines.insert(name.to_owned(), Endpoint { engine, ..listed });
         Some(engine)
     }
 
     /// Follows the coordinator for good, wherever it moves.
-    pub fn follow(&self) {
+    pub fn run(&self) {
         loop {
             let address = lock(&self.place).address;
             match address.map(|address| self.stream(address)) {
@@ -213,8 +213,8 @@
 
     /// One connection to the coordinator.
     fn stream(&self, address: SocketAddr) -> io::Result<()> {
-        let mut socket = TcpStream::connect_timeout(&address, CONNECT_WITHIN)?;
-        socket.set_read_timeout(Some(SILENCE))?;
+        let mut socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+        socket.set_read_timeout(Some(READ_TIMEOUT))?;
         socket.set_nodelay(true)?;
         {
             let mut place = lock(&self.place);
@@ -236,10 +236,10 @@
             read(&mut socket, &mut input)?;
         };
         input.drain(..head);
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkedDecoder::default();
         let mut text = Vec::new();
-        let mut event = Pending::default();
-        // Bytes of a line that is not whole in which its end was looked for.
+        let mut event = EventBuilder::default();
+        // Bytes of a line that is not complete in which its end was looked for.
         let (mut looked, mut reads) = (0, 0u64);
         loop {
             if chunked {
@@ -253,24 +253,24 @@
             while let Some(end) = text[at.max(looked)..].iter().position(|byte| *byte == b'\n') {
                 let end = at.max(looked) + end;
                 let line = &text[at..end];
-                event.line(line.strip_suffix(b"\r").unwrap_or(line), |id, data| self.told(id, data))?;
+                event.line(line.strip_suffix(b"\r").unwrap_or(line), |id, data| self.on_event(id, data))?;
                 at = end + 1;
             }
             text.drain(..at);
             looked = text.len();
-            if text.len() + event.data.len() > LONGEST || input.len() > LONGEST {
+            if text.len() + event.data.len() > MAX_EVENT_LENGTH || input.len() > MAX_EVENT_LENGTH {
                 return Err(io::Error::other("an event is too long"));
             }
             reads += 1;
-            if reads % READS == 0 {
-                task::sleep(TURN);
+            if reads % READS_PER_TURN == 0 {
+                task::sleep(TURN_PAUSE);
             }
             read(&mut socket, &mut input)?;
         }
     }
 
     /// Takes an event off the stream. One that cannot be read ends the connection: the next one brings it whole.
-    fn told(&self, id: Option<u64>, data: &str) -> io::Result<()> {
+    fn on_event(&self, id: Option<u64>, data: &str) -> io::Result<()> {
         let json = serde_json::from_str::<Value>(data).map_err(io::Error::other)?;
         self.event(id.or(json["index"].as_u64()), &json);
         Ok(())
@@ -302,7 +302,7 @@
     }
 }
 
-/// The length of the response's head, if it is whole, and whether its body is chunked.
+/// The length of the response's head, if it is complete, and whether its body is chunked.
 fn parse_head(input: &[u8]) -> io::Result<Option<(usize, bool)>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
@@ -325,12 +325,12 @@
 
 /// Takes a chunked body apart.
 #[derive(Default)]
-struct Chunks {
+struct ChunkedDecoder {
     /// Bytes of the chunk, with its line end, that are still to come.
     left: usize,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Moves what has come from `input` to `text`; false at the body's end.
     fn take(&mut self, input: &mut Vec<u8>, text: &mut Vec<u8>) -> io::Result<bool> {
         loop {
@@ -347,7 +347,7 @@
             }
             match httparse::parse_chunk_size(input) {
                 Ok(httparse::Status::Complete((_, 0))) => return Ok(false),
-                Ok(httparse::Status::Complete((head, size))) if size <= LONGEST as u64 => {
+                Ok(httparse::Status::Complete((head, size))) if size <= MAX_EVENT_LENGTH as u64 => {
                     input.drain(..head);
                     self.left = size as usize + 2;
                 }
@@ -360,19 +360,19 @@
 
 /// An event of which lines have come.
 #[derive(Default)]
-struct Pending {
+struct EventBuilder {
     id: Option<u64>,
     data: String,
 }
 
-impl Pending {
+impl EventBuilder {
     fn line(
         &mut self,
         line: &[u8],
         give: impl FnOnce(Option<u64>, &str) -> io::Result<()>,
     ) -> io::Result<()> {
         if line.is_empty() {
-            let Pending { id, data } = std::mem::take(self);
+            let EventBuilder { id, data } = std::mem::take(self);
             return if data.is_empty() { Ok(()) } else { give(id, &data) };
         }
         let line = String::from_utf8_lossy(line);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -75,9 +75,9 @@
 
 /// Runs the program.
 pub fn run() -> ExitCode {
-    process_exit::watch();
+    process_exit::install();
     let cli = Cli::try_parse().unwrap_or_else(|told| {
-        process_exit::planned();
+        process_exit::mark_planned();
         told.exit()
     });
     let done = match cli.command {
@@ -92,7 +92,7 @@
             Ok(())
         }
     };
-    process_exit::planned();
+    process_exit::mark_planned();
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
@@ -129,10 +129,10 @@
         let build = env!("CARGO_PKG_VERSION");
         let settings =
             gaugestep_control_plane::client::subscriber::Settings::from_config(&control, &name, build, seed)?;
-        server.follow(settings)?;
+        server.subscribe(settings)?;
     }
     if let Some(address) = management {
-        admin::open(address, server.clone())?;
+        admin::start(address, server.clone())?;
     }
     let log = std::env::var("GAUGESTEP_LOG").unwrap_or_default();
     tracing::info!(name, log, "serving");
@@ -141,12 +141,12 @@
             match Config::reload(path, &shape) {
                 Ok(config) => {
                     server.reconfigure(config);
-                    server.reloads.0.fetch_add(1, Ordering::Relaxed);
+                    server.reload_counts.0.fetch_add(1, Ordering::Relaxed);
                     tracing::info!("took the new configuration");
                 }
                 Err(error) => {
                     tracing::error!("the old configuration stays in force: {error}");
-                    server.reloads.1.fetch_add(1, Ordering::Relaxed);
+                    server.reload_counts.1.fetch_add(1, Ordering::Relaxed);
                 }
             }
             continue;
--- a/crates/proxy/src/process_exit.rs
+++ b/crates/proxy/src/process_exit.rs
@@ -14,7 +14,7 @@
 static PLANNED: AtomicBool = AtomicBool::new(false);
 
 /// Watches all ways out from now on.
-pub fn watch() {
+pub fn install() {
     let before = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         let thread = std::thread::current();
@@ -35,7 +35,7 @@
 }
 
 /// The program ends by itself: nothing more is to be told of it.
-pub fn planned() {
+pub fn mark_planned() {
     PLANNED.store(true, Ordering::Relaxed);
 }
 
@@ -60,7 +60,7 @@
     /// Runs the test `ends` in a process of its own.
     fn ended(how: &str) -> Output {
         let mut child = Command::new(std::env::current_exe().unwrap());
-        child.args(["--exact", "exits::tests::ends", "--nocapture"]).env("GAUGESTEP_TEST_END", how);
+        child.args(["--exact", "process_exit::tests::ends", "--nocapture"]).env("GAUGESTEP_TEST_END", how);
         child.output().unwrap()
     }
 
@@ -68,18 +68,18 @@
     #[test]
     fn ends() {
         let Ok(how) = std::env::var("GAUGESTEP_TEST_END") else { return };
-        super::watch();
+        super::install();
         let end: fn() = match how.as_str() {
             "exit" => || std::process::exit(1),
             "planned" => || {
-                super::planned();
+                super::mark_planned();
                 std::process::exit(1);
             },
             _ => || panic!("a test's own"),
         };
         let name = if how == "vital" { "ticker" } else { "worker" };
         let _ = std::thread::Builder::new().name(name.into()).spawn(end).unwrap().join();
-        super::planned();
+        super::mark_planned();
         std::process::exit(0);
     }
 
@@ -89,7 +89,7 @@
         let text = String::from_utf8_lossy(&told.stderr);
         assert_eq!(told.status.code(), Some(1));
         assert!(text.contains("ended by a call of exit in thread 'worker'"), "{text}");
-        assert!(text.contains("exits::tests::ends"), "{text}");
+        assert!(text.contains("process_exit::tests::ends"), "{text}");
     }
 
     #[test]
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -9,14 +9,14 @@
 use crate::facade::{AttemptOrder, AttemptReport, Facade, Mailbox, NextStep, RequestEvent, to_duration};
 use crate::query::{Answer, AttemptResult, LifecycleEvent, Query, UpstreamEvent};
 use crate::termination::Termination;
-use crate::upstream::line_protocol::{Handle, Lines};
+use crate::upstream::line_protocol::{UpstreamHandle, UpstreamPool};
 
 /// What all requests share.
 pub struct RequestHandler {
     /// The dispatcher.
     pub facade: Facade<UpstreamEvent>,
     /// The connections to databases.
-    pub upstream_pool: Arc<Lines>,
+    pub upstream_pool: Arc<UpstreamPool>,
     /// The names of zones and machines.
     pub names: Names,
     /// The classes and tenants.
@@ -139,7 +139,7 @@
     fn on_event(
         &mut self,
         order: AttemptOrder,
-        handle: &Handle,
+        handle: &UpstreamHandle,
         event: LifecycleEvent,
     ) -> ControlFlow<AttemptResult> {
         let is_current = |attempt| attempt == order.attempt;
@@ -160,7 +160,7 @@
                 handle.cancel();
                 return ControlFlow::Break(Termination::Deadline.into());
             }
-            RequestEvent::Priority(priority) => handle.weigh(priority),
+            RequestEvent::Priority(priority) => handle.set_priority(priority),
             RequestEvent::Reject(rejection) => self.answer(Answer::Rejected(rejection)),
             RequestEvent::Fail => self.answer(Answer::Failed),
             RequestEvent::ClientGone => self.client_gone(),
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -13,68 +13,68 @@
 
 use crate::class_registry::ClassRegistry;
 use crate::config::{Config, Limits};
-use crate::config_applier::{SetLog, Told, Versioned};
-use crate::discovery::Roster;
+use crate::config_applier::{ConfigApplier, PlatformConfig, SetLog};
+use crate::discovery::EndpointList;
 use crate::downstream::postgres::{SessionEnd, SessionManager};
 use crate::facade::{Facade, to_duration};
 use crate::request_lifecycle::RequestHandler;
-use crate::upstream::line_protocol::Lines;
+use crate::upstream::line_protocol::UpstreamPool;
 use crate::{lock, task};
 
 /// Descriptors for everything but clients and databases.
 const RESERVE: usize = 32;
 /// Time after SIGTERM in which new connections and requests may still come, by the protocol and a little more.
-const STILL_COMING: Duration = Duration::from_millis(850);
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(850);
 /// Between looks at what is still open.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Sessions beyond their number for the moment in which those that make room close.
-const MAKING_ROOM: usize = 8;
+const SESSIONS_BEYOND_LIMIT: usize = 8;
 /// Connections taken in before their sessions get a turn.
-const ACCEPTS: usize = 16;
+const ACCEPTS_PER_TURN: usize = 16;
 /// That turn.
-const TURN: Duration = Duration::from_millis(1);
+const TURN_PAUSE: Duration = Duration::from_millis(1);
 /// Time for the last bytes to leave.
-const LAST_BYTES: Duration = Duration::from_millis(50);
+const FINAL_FLUSH: Duration = Duration::from_millis(50);
 /// Behind the last answers, for clients that read slowly or are slow to close: all ends before SIGKILL.
-const LAST_CLOSES: Duration = Duration::from_millis(200);
+const CLOSE_GRACE: Duration = Duration::from_millis(200);
 /// Between two log lines about connections that cannot be accepted.
-const COMPLAIN_EVERY: Duration = Duration::from_secs(5);
+const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// How often sessions look at their clocks.
 const SESSION_SWEEP: Duration = Duration::from_millis(250);
 /// The part of the memory that the messages of all sessions may take; each may be so many bytes long at the least.
-const MEMORY_PART: usize = 8;
-const LEAST_MESSAGE: usize = 64 * 1024;
+const MEMORY_DIVISOR: usize = 8;
+const MIN_MESSAGE_LIMIT: usize = 64 * 1024;
 /// SIGKILL comes 0.7 s after the longest deadline, or after this many milliseconds where that is longer: at a restart,
 /// and where a successor takes over. All that is taken is answered so many milliseconds behind that.
-const RESTART: f64 = 3_000.0;
-const UPGRADE: f64 = 5_000.0;
-const LAST_ANSWERS: f64 = 400.0;
+const MAX_RESTART_MS: f64 = 3_000.0;
+const MAX_UPGRADE_MS: f64 = 5_000.0;
+const ANSWER_GRACE_MS: f64 = 400.0;
 /// Before SIGKILL at an upgrade: clients have closed their idle connections by then, which they do after 4 s.
-const LAST_SESSIONS: Duration = Duration::from_millis(500);
+const SESSION_GRACE: Duration = Duration::from_millis(500);
 /// After an operator's call to drain: the front sees that the proxy is not ready, then sessions close behind their next
 /// answer, then all that are idle.
-const FRONT_SEES: Duration = Duration::from_millis(400);
-const SESSIONS_GO: Duration = Duration::from_millis(1_400);
+const NOT_READY_PROPAGATION: Duration = Duration::from_millis(400);
+const SESSION_DRAIN: Duration = Duration::from_millis(1_400);
 
 /// A proxy that serves.
 pub struct Server {
     handler: Arc<RequestHandler>,
     session_manager: Arc<SessionManager>,
-    roster: Arc<Roster>,
+    endpoint_list: Arc<EndpointList>,
     stop: Arc<AtomicBool>,
     listener: WaitIoWaker,
     /// The listening socket is the platform's: a successor accepts from it too.
     shared: bool,
     /// When all must be answered after SIGTERM, in milliseconds.
-    last_answers: f64,
+    answer_window_ms: f64,
     /// Which of an operator's drains this is: odd while it lasts.
     drains: AtomicU64,
     stopping: AtomicBool,
     /// Configurations taken and turned down since the start.
-    pub reloads: (AtomicU64, AtomicU64),
-    versioned: Arc<Versioned>,
+    pub reload_counts: (AtomicU64, AtomicU64),
+    config_applier: Arc<ConfigApplier>,
     /// What follows a control service, where an operator has named one.
-    follower: OnceLock<Arc<ConfigSubscriber>>,
+    config_subscriber: OnceLock<Arc<ConfigSubscriber>>,
 }
 
 impl Server {
@@ -93,10 +93,10 @@
             Some(_) => (config.limits.descriptors - sessions).saturating_sub(2 * reserve) / 2,
             None => config.limits.descriptors - sessions - reserve,
         };
-        let longest = (config.limits.memory_bytes / MEMORY_PART / sessions).max(LEAST_MESSAGE);
-        let settings = bounded(config.settings, &config.limits);
+        let longest = (config.limits.memory_bytes / MEMORY_DIVISOR / sessions).max(MIN_MESSAGE_LIMIT);
+        let settings = with_open_limit(config.settings, &config.limits);
         let spread = gaugestep_subsetting::slow_start::stagger_factor(settings.place.rotation_slot());
-        let told = Told {
+        let platform_config = PlatformConfig {
             proxy: config.name.clone(),
             names: config.names.clone(),
             settings: settings.clone(),
@@ -104,39 +104,40 @@
         };
         let facade = Facade::new(settings, config.seed).map_err(|error| error.to_string())?;
         let classes = ClassRegistry::default();
-        classes.update(&config.names, told.settings.clone(), |_, _| {});
+        classes.update(&config.names, platform_config.settings.clone(), |_, _| {});
         let handler = Arc::new(RequestHandler {
             facade,
-            upstream_pool: Arc::new(Lines::new(config.limits, budget)),
+            upstream_pool: Arc::new(UpstreamPool::new(config.limits, budget)),
             names: config.names,
             classes,
             open: AtomicUsize::new(0),
             max_open: AtomicUsize::new(config.limits.max_open),
             update_lock: Mutex::new(()),
         });
-        let roster = Arc::new(Roster::new(handler.clone(), config.coordinator, spread));
-        roster.know(config.known_index, &config.known);
-        let versioned = Versioned::start(handler.clone(), roster.clone(), told, set_log);
+        let endpoint_list = Arc::new(EndpointList::new(handler.clone(), config.coordinator, spread));
+        endpoint_list.apply_known(config.known_index, &config.known);
+        let config_applier =
+            ConfigApplier::start(handler.clone(), endpoint_list.clone(), platform_config, set_log);
         let listener = CoIo::new(listener).map_err(|error| io::Error::from(error).to_string())?;
         let listener = Arc::new(listener);
         let session_manager = Arc::new(SessionManager::new(handler.clone(), config.seed, longest, &listener));
         let server = Server {
             handler: handler.clone(),
             session_manager: session_manager.clone(),
-            roster: roster.clone(),
+            endpoint_list: endpoint_list.clone(),
             stop: Arc::new(AtomicBool::new(false)),
             listener: listener.waker(),
             shared: inherited.is_some(),
-            last_answers: config.limits.longest_deadline_ms.min(if inherited.is_some() {
-                UPGRADE
+            answer_window_ms: config.limits.longest_deadline_ms.min(if inherited.is_some() {
+                MAX_UPGRADE_MS
             } else {
-                RESTART
-            }) + LAST_ANSWERS,
+                MAX_RESTART_MS
+            }) + ANSWER_GRACE_MS,
             drains: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
-            reloads: Default::default(),
-            versioned,
-            follower: OnceLock::new(),
+            reload_counts: Default::default(),
+            config_applier,
+            config_subscriber: OnceLock::new(),
         };
         let start = |name, task: Box<dyn FnOnce() + Send>| {
             task::spawn(name, task).map_err(|error| format!("cannot start a coroutine: {error}"))
@@ -148,7 +149,7 @@
             .spawn(move || ticking.facade.run_ticker())
             .map_err(|error| format!("cannot start a thread: {error}"))?;
         start("sweeper", Box::new(move || handler.upstream_pool.run_sweeper()))?;
-        start("coordinator", Box::new(move || roster.follow()))?;
+        start("coordinator", Box::new(move || endpoint_list.run()))?;
         let watched = session_manager.clone();
         let sweep = move || {
             loop {
@@ -162,71 +163,75 @@
         Ok(server)
     }
 
-    /// Takes a new configuration: the settings, where the coordinator is and what it has told. All else is fixed at
+    /// Takes a new configuration: the settings, where the coordinator is and what it has reported. All else is fixed at
     /// the start; sessions and attempts go on, these under the rules that they came under.
     pub fn reconfigure(&self, config: Config) {
-        let settings = bounded(config.settings, &config.limits);
-        let told =
-            Told { proxy: config.name, names: config.names, settings, max_open: config.limits.max_open };
+        let settings = with_open_limit(config.settings, &config.limits);
+        let platform_config = PlatformConfig {
+            proxy: config.name,
+            names: config.names,
+            settings,
+            max_open: config.limits.max_open,
+        };
         {
             let _changes = lock(&self.handler.update_lock);
-            self.versioned.retell(told);
+            self.config_applier.update_platform(platform_config);
         }
-        self.roster.know(config.known_index, &config.known);
-        self.roster.move_to(config.coordinator);
+        self.endpoint_list.apply_known(config.known_index, &config.known);
+        self.endpoint_list.set_address(config.coordinator);
     }
 
     /// Follows a control service from now on; first of all the last good version is taken.
-    pub fn follow(&self, settings: subscriber::Settings) -> Result<(), String> {
-        let follower = ConfigSubscriber::start(settings, self.versioned.clone())?;
-        let _ = self.follower.set(follower);
+    pub fn subscribe(&self, settings: subscriber::Settings) -> Result<(), String> {
+        let config_subscriber = ConfigSubscriber::start(settings, self.config_applier.clone())?;
+        let _ = self.config_subscriber.set(config_subscriber);
         Ok(())
     }
 
     /// What a ready proxy says of itself: also which version of the operators' configuration it serves under, and how
     /// old that is, as a proxy that cannot reach its service goes on under the last.
-    pub fn standing(&self) -> String {
-        match self.follower.get() {
+    pub fn readiness_text(&self) -> String {
+        match self.config_subscriber.get() {
             None => "ready\n".into(),
-            Some(follower) => format!("ready; {}\n", follower.status_line()),
+            Some(config_subscriber) => format!("ready; {}\n", config_subscriber.status_line()),
         }
     }
 
     /// Whether another process has taken the proxy's name: this one serves on, and gets no versions any more.
-    pub fn displaced(&self) -> bool {
-        self.follower.get().is_some_and(|follower| follower.name_is_superseded())
+    pub fn name_is_superseded(&self) -> bool {
+        self.config_subscriber.get().is_some_and(|config_subscriber| config_subscriber.name_is_superseded())
     }
 
     /// Whether new clients may come.
     pub fn ready(&self) -> bool {
-        !self.displaced() && !self.draining() && !self.stopping.load(Ordering::Relaxed)
+        !self.name_is_superseded() && !self.draining() && !self.stopping.load(Ordering::Relaxed)
     }
 
     fn draining(&self) -> bool {
         self.drains.load(Ordering::Relaxed) % 2 == 1
     }
 
-    /// What operators are told.
-    pub fn figures(&self) -> serde_json::Value {
-        let (applied, rejected) = &self.reloads;
-        let mut figures = serde_json::json!({
+    /// Figures for operators, as JSON.
+    pub fn stats_json(&self) -> serde_json::Value {
+        let (applied, rejected) = &self.reload_counts;
+        let mut stats = serde_json::json!({
             "results": self.handler.classes.counts_json(),
             "forwards": self.handler.upstream_pool.forwards(),
             "outstanding": self.handler.open.load(Ordering::Relaxed),
-            "discovered": self.roster.listed(),
+            "discovered": self.endpoint_list.len(),
             "ejected": self.handler.facade.ejected_count(),
             "sighup_applied": applied.load(Ordering::Relaxed),
             "sighup_rejected": rejected.load(Ordering::Relaxed),
         });
-        if let Some(follower) = self.follower.get() {
-            figures["configuration"] = follower.status_json();
+        if let Some(config_subscriber) = self.config_subscriber.get() {
+            stats["configuration"] = config_subscriber.status_json();
         }
-        figures
+        stats
     }
 
     /// An operator drains the proxy: it is not ready any more, and a little later closes its sessions, each once
     /// nothing is open in it. It goes on running.
-    pub fn drain_start(self: &Arc<Self>) {
+    pub fn start_drain(self: &Arc<Self>) {
         let before = self.drains.load(Ordering::Relaxed);
         if before % 2 == 1 {
             return;
@@ -236,7 +241,8 @@
         tracing::info!("draining as told by an operator");
         let server = self.clone();
         let spawned = task::spawn("drain", move || {
-            for (wait, leave) in [(FRONT_SEES, SessionEnd::AfterAnswer), (SESSIONS_GO, SessionEnd::WhenIdle)]
+            for (wait, leave) in
+                [(NOT_READY_PROPAGATION, SessionEnd::AfterAnswer), (SESSION_DRAIN, SessionEnd::WhenIdle)]
             {
                 task::sleep(wait);
                 if server.drains.load(Ordering::Relaxed) != before + 1
@@ -253,7 +259,7 @@
     }
 
     /// The operator's drain is over.
-    pub fn drain_stop(&self) {
+    pub fn stop_drain(&self) {
         if self.draining() && !self.stopping.load(Ordering::Relaxed) {
             tracing::info!("the drain is over as told by an operator");
             self.drains.fetch_add(1, Ordering::Relaxed);
@@ -266,28 +272,28 @@
     pub fn drain(&self) {
         self.stopping.store(true, Ordering::Relaxed);
         let began = Instant::now();
-        self.handler.facade.close_by(self.handler.facade.now() + self.last_answers);
+        self.handler.facade.close_by(self.handler.facade.now() + self.answer_window_ms);
         if self.shared {
             self.stop_accepting();
             self.session_manager.end_sessions(SessionEnd::AfterAnswer);
-            let last = to_duration(self.last_answers + 300.0).saturating_sub(LAST_SESSIONS);
+            let last = to_duration(self.answer_window_ms + 300.0).saturating_sub(SESSION_GRACE);
             while self.session_manager.session_count() > 0 && began.elapsed() < last {
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
             }
         } else {
-            std::thread::sleep(STILL_COMING);
+            std::thread::sleep(ACCEPT_AFTER_SIGTERM);
             self.stop_accepting();
         }
         self.session_manager.end_sessions(SessionEnd::WhenIdle);
         // A session counts until its client has closed, too, or is given up: a close under what is still to be read or to
         // be written would reset the connection.
-        let last = to_duration(self.last_answers) + LAST_CLOSES;
+        let last = to_duration(self.answer_window_ms) + CLOSE_GRACE;
         while self.handler.open.load(Ordering::Relaxed) + self.session_manager.session_count() > 0
             && began.elapsed() < last
         {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        std::thread::sleep(LAST_BYTES);
+        std::thread::sleep(FINAL_FLUSH);
     }
 
     fn stop_accepting(&self) {
@@ -296,8 +302,8 @@
     }
 }
 
-/// The settings with what may be open bounded: a tenth of the clients' connections stays free for those who come next.
-fn bounded(mut settings: Settings, limits: &Limits) -> Settings {
+/// The settings with a bound on open requests: a tenth of the clients' connections stays free for those who come next.
+fn with_open_limit(mut settings: Settings, limits: &Limits) -> Settings {
     settings.max_open = settings.max_open.min(limits.descriptors / 3 * 9 / 10).max(1);
     settings
 }
@@ -338,15 +344,15 @@
                 // way to the coordinator and to databases: no flood of connections takes a descriptor beyond that.
                 let sessions = session_manager.session_count();
                 let full = sessions >= most && !session_manager.evict_idle_session()
-                    || sessions >= most + MAKING_ROOM;
+                    || sessions >= most + SESSIONS_BEYOND_LIMIT;
                 if full {
                     session_manager.reject(&socket);
                 } else if let Err(error) = session_manager.admit(socket) {
                     tracing::debug!("a connection could not be taken in: {error}");
                 }
                 accepted += 1;
-                if accepted % ACCEPTS == 0 {
-                    task::sleep(TURN);
+                if accepted % ACCEPTS_PER_TURN == 0 {
+                    task::sleep(TURN_PAUSE);
                 }
             }
             // Whoever has connected by then is told by a session that the proxy shuts down, and not reset.
@@ -359,11 +365,11 @@
             Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
             Err(_) if stop.load(Ordering::Relaxed) => return,
             Err(error) => {
-                if complained.is_none_or(|at| at.elapsed() >= COMPLAIN_EVERY) {
+                if complained.is_none_or(|at| at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL) {
                     complained = Some(Instant::now());
                     tracing::warn!("cannot accept: {error}");
                 }
-                task::sleep(LOOK);
+                task::sleep(POLL_INTERVAL);
             }
         }
     }
--- a/crates/proxy/src/upstream/line_protocol.rs
+++ b/crates/proxy/src/upstream/line_protocol.rs
@@ -25,39 +25,39 @@
 use crate::{lock, task};
 
 /// The longest line that a database may send, and the longest page.
-const LONGEST_LINE: usize = 4 * 1024;
-const LONGEST_PAGE: usize = 6_000;
+const MAX_LINE_LENGTH: usize = 4 * 1024;
+const MAX_PAGE_LENGTH: usize = 6_000;
 /// The most pages of a result, the most bytes of them all, and the columns of each row.
-const MOST_PAGES: usize = 64;
-const LONGEST_RESULT: usize = 48_000;
-const COLUMNS: usize = 3;
+const MAX_PAGES: usize = 64;
+const MAX_RESULT_LENGTH: usize = 48_000;
+const COLUMNS_PER_ROW: usize = 3;
 /// Figures above this are noise.
-const MOST: f64 = 1e9;
+const MAX_FIGURE: f64 = 1e9;
 /// An answer that has begun must be whole within this time. Guards against a length that is too long: the connection
 /// is not silent, but whatever comes is taken for the answer's own bytes.
-const WHOLE_WITHIN: Duration = Duration::from_millis(500);
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
 /// A connection with requests out that has been silent for so long is checked...
-const CHECK_AFTER: Duration = Duration::from_millis(1_000);
+const HEALTH_CHECK_AFTER: Duration = Duration::from_millis(1_000);
 /// ...and given up if the check brings nothing for so long.
-const CHECK_WITHIN: Duration = Duration::from_millis(1_500);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How often connections are looked at.
-const SWEEP: Duration = Duration::from_millis(100);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Bytes that may wait for a database that does not read.
-const MOST_WAITING: usize = 1024 * 1024;
-/// How often a request waits for what has come from clients to be heard first, before it is written, and for how long. A
+const MAX_PENDING_BYTES: usize = 1024 * 1024;
+/// How often, and for how long, a request waits before it is written until what has come from clients is read. A
 /// pause and no mere yield: on a busy machine a coroutine that yields runs again before anything else is read.
-const HEARINGS: u32 = 8;
-const HEARING: Duration = Duration::from_millis(1);
+const MAX_CANCEL_WAITS: u32 = 8;
+const CANCEL_WAIT: Duration = Duration::from_millis(1);
 /// Reads from one database before all others get their turn, and the pause then: an answer may never end.
-const READS: usize = 4;
-const PAUSE: Duration = Duration::from_millis(1);
+const READS_PER_TURN: usize = 4;
+const TURN_PAUSE: Duration = Duration::from_millis(1);
 
 /// All connections to databases.
-pub struct Lines {
+pub struct UpstreamPool {
     limits: Limits,
     /// Descriptors for connections to databases.
     budget: usize,
-    pools: Mutex<HashMap<EngineId, Pool>>,
+    pools: Mutex<HashMap<EngineId, EnginePool>>,
     /// Attempts written to databases.
     forwards: Arc<AtomicU64>,
     /// All that are open, also to databases that are gone.
@@ -65,7 +65,7 @@
 }
 
 /// The connections to one database.
-struct Pool {
+struct EnginePool {
     address: SocketAddr,
     /// False once it drains or is gone: nothing new goes to it.
     accepting: bool,
@@ -88,8 +88,8 @@
 struct State {
     phase: Phase,
     out: WriteBuffer,
-    calls: HashMap<String, Call>,
-    heard: Instant,
+    attempts: HashMap<String, ActiveAttempt>,
+    last_read: Instant,
     /// When the answer began of which a part has come.
     partial: Option<Instant>,
     /// When the last check went out that nothing has followed.
@@ -103,25 +103,25 @@
 }
 
 /// One attempt on a connection.
-struct Call {
-    post: EventSender,
+struct ActiveAttempt {
+    events: EventSender,
     attempt: AttemptNo,
     /// What to send once the connection takes it.
-    unsent: Option<Unsent>,
-    /// Where its command begins in all that is written.
-    begins: u64,
-    /// Whether a note told that it runs.
-    runs: bool,
+    queued: Option<QueuedAttempt>,
+    /// Offset of its command in all bytes written.
+    start_offset: u64,
+    /// Whether a progress report has shown that it runs.
+    has_run: bool,
     /// The result so far, once its end is known.
-    result: Option<PartResult>,
+    result: Option<PartialResult>,
     /// The connection that it is on, which its handle knows too.
-    place: Place,
+    place: ConnectionSlot,
     /// It was on a connection that turned out to be closed, and went to another.
     moved: bool,
 }
 
 /// A request that waits for its connection.
-struct Unsent {
+struct QueuedAttempt {
     query: Arc<Query>,
     priority: Option<u8>,
     /// When its client leaves.
@@ -130,9 +130,9 @@
     by: Option<Instant>,
 }
 
-impl Unsent {
+impl QueuedAttempt {
     /// Why it may not be written any more.
-    fn moot(&self, now: Instant) -> Option<Termination> {
+    fn is_obsolete(&self, now: Instant) -> Option<Termination> {
         match self.by {
             _ if self.query.client.has_left() => Some(Termination::ClientLeft),
             Some(by) if now > by => Some(Termination::TooLate),
@@ -142,23 +142,23 @@
 }
 
 /// The connection that an attempt is on.
-type Place = Arc<Mutex<Option<Arc<Connection>>>>;
+type ConnectionSlot = Arc<Mutex<Option<Arc<Connection>>>>;
 
-struct PartResult {
+struct PartialResult {
     end: AttemptResult,
     missing: usize,
 }
 
 /// A way to reach an attempt that is out.
-pub struct Handle {
-    place: Place,
+pub struct UpstreamHandle {
+    place: ConnectionSlot,
     id: RequestId,
 }
 
-impl Lines {
+impl UpstreamPool {
     /// No connections yet; `budget` descriptors may be used.
     pub fn new(limits: Limits, budget: usize) -> Self {
-        Lines {
+        UpstreamPool {
             limits,
             budget,
             forwards: Arc::default(),
@@ -169,7 +169,7 @@
 
     /// A database is listed at this address, or is gone. Unless `Up`, nothing new goes to it from now on: what waits
     /// for its connection is turned back. What is open there still ends in its own way.
-    pub fn listed(&self, engine: EngineId, address: Option<SocketAddr>, readiness: Readiness) {
+    pub fn update_endpoint(&self, engine: EngineId, address: Option<SocketAddr>, readiness: Readiness) {
         let mut pools = lock(&self.pools);
         if readiness == Readiness::Gone {
             // Guards against growth, and against meeting an old connection at an address that is used again.
@@ -179,7 +179,7 @@
             return;
         }
         let Some(address) = address else { return };
-        let new = || Pool { address, accepting: true, connections: Vec::new() };
+        let new = || EnginePool { address, accepting: true, connections: Vec::new() };
         let pool = pools.entry(engine).or_insert_with(new);
         if pool.address != address {
             // Guards against meeting an old connection: whoever answers at the old address is another.
@@ -188,7 +188,7 @@
         pool.accepting = readiness == Readiness::Up;
         if !pool.accepting {
             for connection in &pool.connections {
-                connection.turn_back();
+                connection.reject_queued();
             }
         }
     }
@@ -199,7 +199,7 @@
     }
 
     /// Databases that a whole list does not name are gone.
-    pub fn only(&self, engines: &[EngineId]) {
+    pub fn retain_only(&self, engines: &[EngineId]) {
         lock(&self.pools).retain(|engine, pool| {
             let listed = engines.contains(engine);
             if !listed {
@@ -209,45 +209,45 @@
         });
     }
 
-    /// Starts an attempt; its news go to `post`. `left` is how long the client still waits.
+    /// Starts an attempt; its news go to `events`. `left` is how long the client still waits.
     pub fn send(
         self: &Arc<Self>,
-        sending: AttemptOrder,
+        order: AttemptOrder,
         query: &Arc<Query>,
         left: Duration,
-        post: EventSender,
-    ) -> Handle {
-        let (id, place, now) = (query.request.id.clone(), Place::default(), Instant::now());
-        let call = Call {
-            post,
-            attempt: sending.attempt,
-            unsent: Some(Unsent {
+        events: EventSender,
+    ) -> UpstreamHandle {
+        let (id, place, now) = (query.request.id.clone(), ConnectionSlot::default(), Instant::now());
+        let active = ActiveAttempt {
+            events,
+            attempt: order.attempt,
+            queued: Some(QueuedAttempt {
                 query: query.clone(),
-                priority: sending.priority,
+                priority: order.priority,
                 due: now + left,
-                by: sending.left.map(|left| now + left),
+                by: order.left.map(|left| now + left),
             }),
-            begins: 0,
-            runs: false,
+            start_offset: 0,
+            has_run: false,
             result: None,
             place: place.clone(),
             moved: false,
         };
-        self.place(sending.engine, id.0.to_string(), call);
-        Handle { place, id }
+        self.place(order.engine, id.0.to_string(), active);
+        UpstreamHandle { place, id }
     }
 
     /// Leaves an attempt with a connection, or ends it.
-    fn place(self: &Arc<Self>, engine: EngineId, id: String, call: Call) {
+    fn place(self: &Arc<Self>, engine: EngineId, id: String, active: ActiveAttempt) {
         let Some(connection) = self.connection(engine) else {
-            return call.end(Termination::NeverWritten.into());
+            return active.end(Termination::NeverWritten.into());
         };
         let mut state = lock(&connection.state);
         if state.phase == Phase::Closed || state.close.is_some() {
-            return call.end(Termination::NeverWritten.into());
+            return active.end(Termination::NeverWritten.into());
         }
-        *lock(&call.place) = Some(connection.clone());
-        state.calls.insert(id, call);
+        *lock(&active.place) = Some(connection.clone());
+        state.attempts.insert(id, active);
         drop(state);
         connection.wake();
     }
@@ -261,17 +261,17 @@
         let pool = pools.get_mut(&engine).filter(|pool| pool.accepting)?;
         let carried = |connection: &Arc<Connection>| {
             let state = lock(&connection.state);
-            (state.phase != Phase::Closed && state.close.is_none()).then_some(state.calls.len())
+            (state.phase != Phase::Closed && state.close.is_none()).then_some(state.attempts.len())
         };
         let open = pool.connections.iter().filter_map(|c| Some((carried(c)?, c)));
-        let idle = open.clone().find(|(calls, _)| *calls == 0);
-        let least = idle.or_else(|| open.min_by_key(|(calls, _)| *calls));
+        let idle = open.clone().find(|(attempts, _)| *attempts == 0);
+        let least = idle.or_else(|| open.min_by_key(|(attempts, _)| *attempts));
         // One request on each, while descriptors last. Guards the others against an answer that is spoilt: it ends
         // the connection for all that is open on it.
         let full = pool.connections.len() >= most || held >= self.budget;
         match least {
             Some((0, connection)) => return Some(connection.clone()),
-            Some((calls, connection)) if full && calls < self.limits.multiplex => {
+            Some((attempts, connection)) if full && attempts < self.limits.multiplex => {
                 return Some(connection.clone());
             }
             _ if full => return None,
@@ -280,9 +280,9 @@
         let connection = Arc::new(Connection::new(self.forwards.clone()));
         pool.connections.push(connection.clone());
         lock(&self.connections).push(Arc::downgrade(&connection));
-        let (lines, address, owned) = (self.clone(), pool.address, connection.clone());
+        let (pool, address, owned) = (self.clone(), pool.address, connection.clone());
         drop(pools);
-        let spawned = task::spawn("database", move || owned.run(&lines, engine, address));
+        let spawned = task::spawn("database", move || owned.run(&pool, engine, address));
         if let Err(error) = spawned {
             tracing::error!("no coroutine for a connection: {error}");
             self.forget(engine, &connection);
@@ -303,11 +303,11 @@
         // Ahead of the databases, which close idle connections too: a send must not cross their close.
         let idle = Duration::from_millis(self.limits.idle_ms * 2 / 3);
         loop {
-            task::sleep(SWEEP);
+            task::sleep(SWEEP_INTERVAL);
             let mut connections = lock(&self.connections);
             connections.retain(|connection| connection.strong_count() > 0);
             for connection in connections.iter().filter_map(Weak::upgrade) {
-                if lock(&connection.state).look_over(idle) {
+                if lock(&connection.state).check_health(idle) {
                     connection.wake();
                 }
             }
@@ -315,11 +315,11 @@
     }
 }
 
-impl Pool {
+impl EnginePool {
     /// Its database is gone: connections close, those with something open as soon as that has ended.
     fn close(&self) {
         for connection in &self.connections {
-            connection.turn_back();
+            connection.reject_queued();
             let mut state = lock(&connection.state);
             state.retired = true;
             drop(state);
@@ -328,14 +328,14 @@
     }
 }
 
-impl Handle {
+impl UpstreamHandle {
     /// Gives the attempt up.
     pub fn cancel(&self) {
         let Some(connection) = lock(&self.place).clone() else { return };
         let mut state = lock(&connection.state);
-        let Some(call) = state.calls.remove(&*self.id.0) else { return };
-        if call.unsent.is_none() {
-            let word = if call.result.is_some() { "release" } else { "cancel" };
+        let Some(active) = state.attempts.remove(&*self.id.0) else { return };
+        if active.queued.is_none() {
+            let word = if active.result.is_some() { "release" } else { "cancel" };
             let _ = write!(state.out.buffer(), "{word} {}\r\n", self.id.0);
         }
         drop(state);
@@ -343,13 +343,13 @@
     }
 
     /// Gives the attempt another priority.
-    pub fn weigh(&self, priority: u8) {
+    pub fn set_priority(&self, priority: u8) {
         let Some(connection) = lock(&self.place).clone() else { return };
         let mut state = lock(&connection.state);
-        let Some(call) = state.calls.get_mut(&*self.id.0) else { return };
-        match &mut call.unsent {
-            Some(unsent) => unsent.priority = Some(priority),
-            None if call.result.is_none() => {
+        let Some(active) = state.attempts.get_mut(&*self.id.0) else { return };
+        match &mut active.queued {
+            Some(queued) => queued.priority = Some(priority),
+            None if active.result.is_none() => {
                 let _ = write!(state.out.buffer(), "weigh {} {priority}\r\n", self.id.0);
             }
             None => {}
@@ -359,35 +359,39 @@
     }
 }
 
-impl Call {
+impl ActiveAttempt {
     fn end(self, end: AttemptResult) {
-        let _ = self.post.send(RequestEvent::Upstream(self.attempt, UpstreamEvent::Ended(end)));
+        let _ = self.events.send(RequestEvent::Upstream(self.attempt, UpstreamEvent::Ended(end)));
     }
 }
 
 impl State {
     /// Writes the commands of all that waited for the connection, once it has taken all that was written before; what is
-    /// moot by then ends instead. Guards against an attempt that begins behind a client's back, or behind its window.
-    fn write_unsent(&mut self) {
+    /// obsolete by then ends instead. Guards against an attempt that begins behind a client's back, or behind its window.
+    fn write_queued(&mut self) {
         let now = Instant::now();
-        if self.out.pending() > 0 || self.calls.values().all(|call| call.unsent.is_none()) {
+        if self.out.pending() > 0 || self.attempts.values().all(|active| active.queued.is_none()) {
             return;
         }
-        let moot = |call: &mut Call| call.unsent.as_ref().and_then(|unsent| unsent.moot(now));
-        let ended: Vec<(String, Termination)> =
-            self.calls.iter_mut().filter_map(|(id, call)| Some((id.clone(), moot(call)?))).collect();
+        let obsolete =
+            |active: &mut ActiveAttempt| active.queued.as_ref().and_then(|queued| queued.is_obsolete(now));
+        let ended: Vec<(String, Termination)> = self
+            .attempts
+            .iter_mut()
+            .filter_map(|(id, active)| Some((id.clone(), obsolete(active)?)))
+            .collect();
         for (id, ending) in ended {
-            if let Some(call) = self.calls.remove(&id) {
-                call.end(ending.into());
+            if let Some(active) = self.attempts.remove(&id) {
+                active.end(ending.into());
             }
         }
-        if self.calls.values().all(|call| call.unsent.is_some()) {
+        if self.attempts.values().all(|active| active.queued.is_some()) {
             // Nothing was expected so far, so its silence means nothing.
-            self.heard = now;
+            self.last_read = now;
         }
-        for (id, call) in &mut self.calls {
-            let Some(Unsent { query, priority, due, .. }) = call.unsent.take() else { continue };
-            call.begins = self.out.end_offset();
+        for (id, active) in &mut self.attempts {
+            let Some(QueuedAttempt { query, priority, due, .. }) = active.queued.take() else { continue };
+            active.start_offset = self.out.end_offset();
             let budget = due.saturating_duration_since(now).as_millis().max(1);
             self.forwards.fetch_add(1, Ordering::Relaxed);
             let out = self.out.buffer();
@@ -401,25 +405,25 @@
         }
     }
 
-    /// Whether a client whose request waits here may be about to call it off.
+    /// Whether a client whose request waits here may be about to cancel it.
     fn has_unread_input(&self) -> bool {
-        self.calls
+        self.attempts
             .values()
-            .filter_map(|call| call.unsent.as_ref())
-            .any(|unsent| unsent.query.client.has_unread_input())
+            .filter_map(|active| active.queued.as_ref())
+            .any(|queued| queued.query.client.has_unread_input())
     }
 
     /// Whether the connection's coroutine has something to do by now.
-    fn look_over(&mut self, idle: Duration) -> bool {
-        let silent = self.heard.elapsed();
+    fn check_health(&mut self, idle: Duration) -> bool {
+        let silent = self.last_read.elapsed();
         if self.phase != Phase::Up || self.close.is_some() {
             return false;
         }
-        if self.partial.is_some_and(|since| since.elapsed() >= WHOLE_WITHIN) {
+        if self.partial.is_some_and(|since| since.elapsed() >= MESSAGE_TIMEOUT) {
             self.close = Some(Termination::Garbled);
             return true;
         }
-        if self.calls.is_empty() {
+        if self.attempts.is_empty() {
             self.checked = None;
             if silent >= idle {
                 self.close = Some(Termination::Closed);
@@ -427,8 +431,8 @@
             return self.close.is_some();
         }
         match self.checked {
-            Some(at) if at.elapsed() >= CHECK_WITHIN => self.close = Some(Termination::Silent),
-            None if silent >= CHECK_AFTER => {
+            Some(at) if at.elapsed() >= HEALTH_CHECK_TIMEOUT => self.close = Some(Termination::Silent),
+            None if silent >= HEALTH_CHECK_AFTER => {
                 self.checked = Some(Instant::now());
                 self.out.buffer().extend_from_slice(b"health check\r\n");
             }
@@ -443,8 +447,8 @@
         let state = State {
             phase: Phase::Dialing,
             out: WriteBuffer::default(),
-            calls: HashMap::new(),
-            heard: Instant::now(),
+            attempts: HashMap::new(),
+            last_read: Instant::now(),
             partial: None,
             checked: None,
             close: None,
@@ -461,20 +465,24 @@
     }
 
     /// Turns back what still waits for the connection to come up.
-    fn turn_back(&self) {
+    fn reject_queued(&self) {
         let mut state = lock(&self.state);
-        let waiting: Vec<String> =
-            state.calls.iter().filter(|(_, call)| call.unsent.is_some()).map(|(id, _)| id.clone()).collect();
+        let waiting: Vec<String> = state
+            .attempts
+            .iter()
+            .filter(|(_, active)| active.queued.is_some())
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in waiting {
-            if let Some(call) = state.calls.remove(&id) {
-                call.end(Termination::NeverWritten.into());
+            if let Some(active) = state.attempts.remove(&id) {
+                active.end(Termination::NeverWritten.into());
             }
         }
     }
 
     /// The life of the connection.
-    fn run(self: Arc<Self>, lines: &Arc<Lines>, engine: EngineId, address: SocketAddr) {
-        let within = Duration::from_millis(lines.limits.dial_timeout_ms);
+    fn run(self: Arc<Self>, pool: &Arc<UpstreamPool>, engine: EngineId, address: SocketAddr) {
+        let within = Duration::from_millis(pool.limits.dial_timeout_ms);
         let mut socket = None;
         let ending = match TcpStream::connect_timeout(&address, within) {
             Ok(stream) => {
@@ -482,48 +490,48 @@
                 let _ = self.waker.set(stream.waker());
                 let mut state = lock(&self.state);
                 state.phase = Phase::Up;
-                state.heard = Instant::now();
+                state.last_read = Instant::now();
                 drop(state);
-                self.carry(socket.insert(stream))
+                self.serve(socket.insert(stream))
             }
             Err(error) if error.kind() == std::io::ErrorKind::TimedOut => Termination::DialTimedOut,
-            Err(error) if own_fault(&error) => Termination::NotDialled,
+            Err(error) if is_local_fault(&error) => Termination::NotDialled,
             Err(_) => Termination::DialRefused,
         };
-        lines.forget(engine, &self);
+        pool.forget(engine, &self);
         let mut state = lock(&self.state);
         state.phase = Phase::Closed;
-        let (written, calls) = (state.out.written_offset(), std::mem::take(&mut state.calls));
+        let (written, attempts) = (state.out.written_offset(), std::mem::take(&mut state.attempts));
         drop(state);
-        tracing::debug!(engine = engine.0, ?ending, open = calls.len(), "connection over");
+        tracing::debug!(engine = engine.0, ?ending, open = attempts.len(), "connection closed");
         let dialled = socket.is_some();
         if let Some(stream) = &socket {
             discard_input(stream.socket());
         }
         drop(socket);
-        for (id, mut call) in calls {
+        for (id, mut active) in attempts {
             // Guards the unsafe class: what was never begun on this connection has not run.
-            let begun = call.unsent.is_none() && call.begins < written;
+            let begun = active.queued.is_none() && active.start_offset < written;
             match dialled {
-                false => call.end(ending.into()),
-                true if begun => call.end(ending.into()),
+                false => active.end(ending.into()),
+                true if begun => active.end(ending.into()),
                 // The connection was closed while it rested: that tells nothing of the database.
-                true if call.unsent.is_some() && !call.moved => {
-                    call.moved = true;
-                    lines.place(engine, id, call);
+                true if active.queued.is_some() && !active.moved => {
+                    active.moved = true;
+                    pool.place(engine, id, active);
                 }
-                true => call.end(Termination::NeverWritten.into()),
+                true => active.end(Termination::NeverWritten.into()),
             }
         }
     }
 
     /// Reads and writes until the connection ends.
-    fn carry(&self, stream: &TcpStream) -> Termination {
+    fn serve(&self, stream: &TcpStream) -> Termination {
         let mut input = Vec::new();
-        let (mut broken, mut hearings) = (false, 0);
+        let (mut broken, mut cancel_waits) = (false, 0);
         loop {
             let mut reads = 0;
-            while reads < READS {
+            while reads < READS_PER_TURN {
                 match read_into(stream.socket(), &mut input) {
                     Ok(ReadOutcome::Data) => match self.take(&input) {
                         Ok(taken) => drop(input.drain(..taken)),
@@ -540,32 +548,32 @@
             if let Some(ending) = state.close {
                 return ending;
             }
-            if state.retired && state.calls.is_empty() && state.out.pending() == 0 {
+            if state.retired && state.attempts.is_empty() && state.out.pending() == 0 {
                 return Termination::Closed;
             }
             // An answer may have come whole just before the connection broke: it is read before all is given up.
             broken = broken || state.out.flush(stream.socket()).is_err();
-            // Under load, what calls a request off may wait beside what sends it.
-            if !broken && hearings < HEARINGS && state.has_unread_input() {
-                hearings += 1;
+            // Under load, what cancels a request may wait beside what sends it.
+            if !broken && cancel_waits < MAX_CANCEL_WAITS && state.has_unread_input() {
+                cancel_waits += 1;
                 drop(state);
-                task::sleep(HEARING);
+                task::sleep(CANCEL_WAIT);
                 continue;
             }
-            hearings = 0;
+            cancel_waits = 0;
             if !broken {
-                state.write_unsent();
+                state.write_queued();
                 broken = state.out.flush(stream.socket()).is_err();
             }
-            if state.out.pending() > MOST_WAITING {
+            if state.out.pending() > MAX_PENDING_BYTES {
                 return Termination::Silent;
             }
             drop(state);
             if input.is_empty() {
                 input = Vec::new();
             }
-            if reads == READS {
-                task::sleep(PAUSE);
+            if reads == READS_PER_TURN {
+                task::sleep(TURN_PAUSE);
             } else if !broken {
                 stream.wait_io();
             }
@@ -576,11 +584,11 @@
     fn take(&self, input: &[u8]) -> Result<usize, Termination> {
         let mut at = 0;
         let mut state = lock(&self.state);
-        state.heard = Instant::now();
+        state.last_read = Instant::now();
         state.checked = None;
         while let Some(answer) = Message::parse(&input[at..])? {
             at += answer.length;
-            state.answered(&answer)?;
+            state.on_message(&answer)?;
         }
         // Bytes of an answer that is not whole; its clock starts anew behind each whole one.
         let since = state.partial.filter(|_| at == 0);
@@ -590,10 +598,10 @@
 }
 
 /// Whether a dial failed by a lack at the proxy's own side, which tells nothing of the database.
-fn own_fault(error: &std::io::Error) -> bool {
-    const LACKS: [i32; 6] =
+fn is_local_fault(error: &std::io::Error) -> bool {
+    const LOCAL_ERRORS: [i32; 6] =
         [libc::EMFILE, libc::ENFILE, libc::ENOMEM, libc::ENOBUFS, libc::ENOSPC, libc::EADDRNOTAVAIL];
-    error.raw_os_error().is_some_and(|code| LACKS.contains(&code))
+    error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&code))
 }
 
 /// One answer, in the buffer that it was read into.
@@ -609,19 +617,19 @@
 impl<'a> Message<'a> {
     /// The first answer in `input`, if it is whole.
     fn parse(input: &'a [u8]) -> Result<Option<Self>, Termination> {
-        let Some(end) = input.windows(2).take(LONGEST_LINE).position(|pair| pair == b"\r\n") else {
-            return if input.len() > LONGEST_LINE { Err(Termination::Garbled) } else { Ok(None) };
+        let Some(end) = input.windows(2).take(MAX_LINE_LENGTH).position(|pair| pair == b"\r\n") else {
+            return if input.len() > MAX_LINE_LENGTH { Err(Termination::Garbled) } else { Ok(None) };
         };
         let line = std::str::from_utf8(&input[..end]).map_err(|_| Termination::Garbled)?;
         let mut words = line.split(' ');
         let (Some(id), Some(word), Some(fields), Some(length), None) =
             (words.next(), words.next(), words.next(), words.next(), words.next())
         else {
-            tracing::warn!(line, "no answer");
+            tracing::warn!(line, "malformed message");
             return Err(Termination::Garbled);
         };
         let body: usize = length.parse().map_err(|_| Termination::Garbled)?;
-        if body > LONGEST_PAGE {
+        if body > MAX_PAGE_LENGTH {
             return Err(Termination::Garbled);
         }
         let (from, to) = (end + 2, end + 2 + body);
@@ -640,7 +648,7 @@
     }
 
     fn number(&self, name: &str) -> Option<f64> {
-        self.field(name)?.parse().ok().filter(|number| (0.0..=MOST).contains(number))
+        self.field(name)?.parse().ok().filter(|number| (0.0..=MAX_FIGURE).contains(number))
     }
 
     /// A field that holds a whole number, if it is there.
@@ -653,7 +661,7 @@
         let text = std::str::from_utf8(self.body).map_err(|_| Termination::Garbled)?;
         let printable = text.chars().all(|c| !c.is_control() || c == '\t' || c == '\n');
         let whole = text.split_inclusive('\n').all(|row| {
-            row.ends_with('\n') && row.bytes().filter(|byte| *byte == b'\t').count() == COLUMNS - 1
+            row.ends_with('\n') && row.bytes().filter(|byte| *byte == b'\t').count() == COLUMNS_PER_ROW - 1
         });
         if printable && whole { Ok(self.body.to_vec()) } else { Err(Termination::Garbled) }
     }
@@ -661,7 +669,7 @@
     fn load(&self) -> Option<LoadReport> {
         let mut load = LoadReport::default();
         for (name, value) in self.field("use")?.split(';').filter_map(|pair| pair.split_once(':')) {
-            let value = value.parse().ok().filter(|number| (0.0..=MOST).contains(number));
+            let value = value.parse().ok().filter(|number| (0.0..=MAX_FIGURE).contains(number));
             match name {
                 "rif" | "inflight" => load.in_flight = value,
                 "q" | "queue" => load.queued = value,
@@ -678,7 +686,7 @@
         Some(Cost { work, memory_mb: self.number("rss").unwrap_or(0.0) })
     }
 
-    fn note(&self) -> Option<ProgressReport> {
+    fn progress_report(&self) -> Option<ProgressReport> {
         let amount = self.number("datum").unwrap_or(0.0);
         match self.field("detail")? {
             "done" => Some(ProgressReport::Done(amount)),
@@ -691,35 +699,36 @@
 }
 
 impl State {
-    /// Carries out what one answer means for its call. Answers to what was given up are passed over.
-    fn answered(&mut self, answer: &Message) -> Result<(), Termination> {
+    /// Carries out what one answer means for its attempt. Answers to what was given up are passed over.
+    fn on_message(&mut self, answer: &Message) -> Result<(), Termination> {
         if answer.word == "PONG" {
             return Ok(());
         }
-        let Some(call) = self.calls.get_mut(answer.id) else { return Ok(()) };
+        let Some(active) = self.attempts.get_mut(answer.id) else { return Ok(()) };
         let ending = match answer.word {
             "INFO" => {
-                if let Some(note) = answer.note() {
-                    call.runs |= matches!(note, ProgressReport::Done(share) if share > 0.0);
-                    let _ =
-                        call.post.send(RequestEvent::Upstream(call.attempt, UpstreamEvent::Progress(note)));
+                if let Some(report) = answer.progress_report() {
+                    active.has_run |= matches!(report, ProgressReport::Done(share) if share > 0.0);
+                    let _ = active
+                        .events
+                        .send(RequestEvent::Upstream(active.attempt, UpstreamEvent::Progress(report)));
                 }
                 return Ok(());
             }
             "HIT" => {
                 // A second copy of an answer that is good brings nothing.
-                if call.result.is_some() {
+                if active.result.is_some() {
                     return Ok(());
                 }
                 let total = answer.whole("total")?.unwrap_or(1).max(1);
-                if total > MOST_PAGES {
+                if total > MAX_PAGES {
                     return Err(Termination::Garbled);
                 }
                 let mut pages: Pages = vec![Vec::new(); total];
                 pages[0] = answer.page()?;
                 let (cost, load) = (answer.cost(), answer.load());
                 let end = AttemptResult { termination: Termination::Served, cost, load, pages };
-                call.result = Some(PartResult { end, missing: total - 1 });
+                active.result = Some(PartialResult { end, missing: total - 1 });
                 for page in 1..total {
                     let _ = write!(self.out.buffer(), "read {} {page}\r\n", answer.id);
                 }
@@ -730,7 +739,7 @@
             }
             "PART" => {
                 let index = answer.whole("index")?.ok_or(Termination::Garbled)?;
-                let Some(result) = &mut call.result else { return Err(Termination::Garbled) };
+                let Some(result) = &mut active.result else { return Err(Termination::Garbled) };
                 let page =
                     result.end.pages.get_mut(index).filter(|_| index > 0).ok_or(Termination::Garbled)?;
                 if !page.is_empty() {
@@ -738,7 +747,8 @@
                 }
                 *page = answer.page()?;
                 // A page without rows would be asked for for good.
-                if page.is_empty() || result.end.pages.iter().map(Vec::len).sum::<usize>() > LONGEST_RESULT {
+                if page.is_empty() || result.end.pages.iter().map(Vec::len).sum::<usize>() > MAX_RESULT_LENGTH
+                {
                     return Err(Termination::Garbled);
                 }
                 result.missing -= 1;
@@ -748,19 +758,19 @@
                 Termination::Served
             }
             // Guards the unsafe class: what has begun to answer has run, whatever is said of it then.
-            "SHED" | "LATE" if call.result.is_some() || call.runs => return Err(Termination::Garbled),
+            "SHED" | "LATE" if active.result.is_some() || active.has_run => return Err(Termination::Garbled),
             "SHED" => Termination::Shed,
             "LATE" => Termination::Late,
             "FAULT" => Termination::Fault,
             _ => return Err(Termination::Garbled),
         };
-        let Some(call) = self.calls.remove(answer.id) else { return Ok(()) };
-        let Call { post, attempt, result, .. } = call;
+        let Some(active) = self.attempts.remove(answer.id) else { return Ok(()) };
+        let ActiveAttempt { events, attempt, result, .. } = active;
         let end = match result {
             Some(result) if ending == Termination::Served => result.end,
             _ => AttemptResult { load: answer.load(), ..ending.into() },
         };
-        let _ = post.send(RequestEvent::Upstream(attempt, UpstreamEvent::Ended(end)));
+        let _ = events.send(RequestEvent::Upstream(attempt, UpstreamEvent::Ended(end)));
         Ok(())
     }
 }
