--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,3 +1,3 @@
-//! The databases' side.
+//! The databases' side of the proxy.
 
 pub mod line_protocol;
