--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -64,7 +64,7 @@
             set_log,
         });
         let observer = Arc::downgrade(&this);
-        this.endpoint_list.on_change(Box::new(move || {
+        this.endpoint_list.set_change_listener(Box::new(move || {
             if let Some(this) = observer.upgrade() {
                 if !lock(&this.document).routes.is_empty() {
                     this.apply_effective();
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -14,7 +14,7 @@
 use crate::class_registry::ClassRegistry;
 use crate::config::{Config, Limits};
 use crate::config_applier::{ConfigApplier, PlatformConfig, SetLog};
-use crate::discovery::EndpointList;
+use crate::discovery::{CoordinatorStream, EndpointList};
 use crate::downstream::postgres::{SessionEnd, SessionManager};
 use crate::facade::{Facade, to_duration};
 use crate::request_lifecycle::RequestHandler;
@@ -61,6 +61,7 @@
     handler: Arc<RequestHandler>,
     session_manager: Arc<SessionManager>,
     endpoint_list: Arc<EndpointList>,
+    coordinator: Arc<CoordinatorStream>,
     stop: Arc<AtomicBool>,
     listener: WaitIoWaker,
     /// The listening socket is the platform's: a successor accepts from it too.
@@ -114,7 +115,8 @@
             max_open: AtomicUsize::new(config.limits.max_open),
             update_lock: Mutex::new(()),
         });
-        let endpoint_list = Arc::new(EndpointList::new(handler.clone(), config.coordinator, spread));
+        let endpoint_list = Arc::new(EndpointList::new(handler.clone()));
+        let coordinator = Arc::new(CoordinatorStream::new(endpoint_list.clone(), config.coordinator, spread));
         endpoint_list.apply_known(config.known_index, &config.known);
         let config_applier =
             ConfigApplier::start(handler.clone(), endpoint_list.clone(), platform_config, set_log);
@@ -124,7 +126,8 @@
         let server = Server {
             handler: handler.clone(),
             session_manager: session_manager.clone(),
-            endpoint_list: endpoint_list.clone(),
+            endpoint_list,
+            coordinator: coordinator.clone(),
             stop: Arc::new(AtomicBool::new(false)),
             listener: listener.waker(),
             shared: inherited.is_some(),
@@ -149,7 +152,7 @@
             .spawn(move || ticking.facade.run_ticker())
             .map_err(|error| format!("cannot start a thread: {error}"))?;
         start("sweeper", Box::new(move || handler.upstream_pool.run_sweeper()))?;
-        start("coordinator", Box::new(move || endpoint_list.run()))?;
+        start("coordinator", Box::new(move || coordinator.run()))?;
         let watched = session_manager.clone();
         let sweep = move || {
             loop {
@@ -178,7 +181,7 @@
             self.config_applier.update_platform(platform_config);
         }
         self.endpoint_list.apply_known(config.known_index, &config.known);
-        self.endpoint_list.set_address(config.coordinator);
+        self.coordinator.set_address(config.coordinator);
     }
 
     /// Follows a control service from now on; first of all the last good version is taken.
