--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -96,7 +96,7 @@
         };
         let longest = (config.limits.memory_bytes / MEMORY_DIVISOR / sessions).max(MIN_MESSAGE_LIMIT);
         let settings = with_open_limit(config.settings, &config.limits);
-        let spread = gaugestep_subsetting::slow_start::stagger_factor(settings.place.rotation_slot());
+        let spread = settings.place.rotation_slot().stagger_factor();
         let platform_config = PlatformConfig {
             proxy: config.name.clone(),
             names: config.names.clone(),
