--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' door: HTTP/1.1, one call on each connection.
+//! The HTTP API for operators: HTTP/1.1, one request on each connection.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr};
@@ -11,20 +11,36 @@
 use crate::server::Server;
 use crate::task;
 
-/// A call must be whole within this time. Guards the door against callers that send nothing, or half a call.
+/// A request must be complete within this time, so that clients who send nothing, or half a request, do not stay.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest call.
+/// The longest request, in bytes.
 const MAX_REQUEST_LENGTH: usize = 8 * 1024;
-/// Calls open together; more are turned away.
+/// The most headers of a request.
+const MAX_HEADERS: usize = 32;
+/// Connections that may be open together; requests on more are rejected.
 const MAX_CONNECTIONS: usize = 16;
-/// Between tries to accept after an error, and for what a caller still sends behind its call.
+/// Between an error and the next attempt to accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long a client may go on sending behind its request.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Listens for operators; calls are answered by coroutines of their own, whatever the clients do.
-pub fn start(address: SocketAddr, server: Arc<Server>) -> Result<(), String> {
-    let cannot = |error: io::Error| format!("cannot listen for operators on {address}: {error}");
-    let listener = TcpListener::bind(address).map_err(cannot)?;
-    task::spawn("operators", move || accept(&listener, &server)).map_err(cannot)
+/// The API cannot be served at its address.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot listen for operators on {address}")]
+pub struct ListenError {
+    address: SocketAddr,
+    source: io::Error,
+}
+
+/// Serves the API; each connection has a coroutine of its own.
+///
+/// # Errors
+///
+/// If the address cannot be bound, or no coroutine can be started.
+pub fn start(address: SocketAddr, server: Arc<Server>) -> Result<(), ListenError> {
+    let error = |source| ListenError { address, source };
+    let listener = TcpListener::bind(address).map_err(error)?;
+    task::spawn("operators", move || accept(&listener, &server)).map_err(error)
 }
 
 fn accept(listener: &TcpListener, server: &Arc<Server>) {
@@ -33,81 +49,122 @@
         let mut stream = match listener.accept() {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!("cannot accept an operator's call: {error}");
+                tracing::warn!("cannot accept an operator's connection: {error}");
                 task::sleep(RETRY_PAUSE);
                 continue;
             }
         };
-        let (place, server) = (ConnectionCount::take(&open), server.clone());
-        let spawned = task::spawn("call", move || {
-            let response = match place.0.load(Ordering::Relaxed) > MAX_CONNECTIONS {
-                true => Err((503, "Service Unavailable")),
-                false => read_request(&mut stream),
-            };
-            respond(&mut stream, response.and_then(|(method, path)| handle(&server, &method, &path)));
-        });
+        let (connection, server) = (OpenConnection::new(&open), server.clone());
+        let spawned = task::spawn("call", move || serve(&mut stream, &server, &connection));
         if let Err(error) = spawned {
-            tracing::error!("no coroutine for an operator's call: {error}");
+            tracing::error!("cannot start a coroutine for an operator's connection: {error}");
         }
     }
 }
 
-/// One of the calls that are open.
-struct ConnectionCount(Arc<AtomicUsize>);
+/// Serves one connection.
+fn serve(stream: &mut TcpStream, server: &Arc<Server>, connection: &OpenConnection) {
+    let request =
+        if connection.exceeds_limit() { Err(ApiError::ServiceUnavailable) } else { read_request(stream) };
+    respond(stream, request.and_then(|request| handle(server, &request)));
+}
+
+/// Counts one open connection.
+struct OpenConnection {
+    count: Arc<AtomicUsize>,
+}
+
+impl OpenConnection {
+    fn new(count: &Arc<AtomicUsize>) -> Self {
+        count.fetch_add(1, Ordering::Relaxed);
+        OpenConnection { count: count.clone() }
+    }
 
-impl ConnectionCount {
-    fn take(open: &Arc<AtomicUsize>) -> Self {
-        open.fetch_add(1, Ordering::Relaxed);
-        ConnectionCount(open.clone())
+    /// Whether more connections are open than may be.
+    fn exceeds_limit(&self) -> bool {
+        self.count.load(Ordering::Relaxed) > MAX_CONNECTIONS
     }
 }
 
-impl Drop for ConnectionCount {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.fetch_sub(1, Ordering::Relaxed);
+        self.count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Status and reason.
-type Status = (u16, &'static str);
+/// Why a request is not carried out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ApiError {
+    BadRequest,
+    NotFound,
+    MethodNotAllowed,
+    RequestTimeout,
+    ServiceUnavailable,
+    /// Another process has claimed the proxy's name.
+    Superseded,
+}
 
-/// Reads a call: its method and path.
-fn read_request(stream: &mut TcpStream) -> Result<(String, String), Status> {
-    let until = Instant::now() + REQUEST_TIMEOUT;
-    let _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT));
-    let (mut input, mut chunk) = (Vec::new(), [0; 1024]);
-    loop {
-        if let Some(response) = parse(&input)? {
-            return Ok(response);
+impl ApiError {
+    /// The status line's code and reason. Operators' tools read the reason of a superseded proxy.
+    fn status(self) -> (u16, &'static str) {
+        match self {
+            ApiError::BadRequest => (400, "Bad Request"),
+            ApiError::NotFound => (404, "Not Found"),
+            ApiError::MethodNotAllowed => (405, "Method Not Allowed"),
+            ApiError::RequestTimeout => (408, "Request Timeout"),
+            ApiError::ServiceUnavailable => (503, "Service Unavailable"),
+            ApiError::Superseded => (503, "Displaced"),
         }
-        match stream.read(&mut chunk) {
-            Ok(0) => return Err((400, "Bad Request")),
-            Ok(read) if Instant::now() < until => input.extend_from_slice(&chunk[..read]),
-            _ => return Err((408, "Request Timeout")),
+    }
+}
+
+/// A request of an operator.
+struct Request {
+    method: String,
+    /// Without the query.
+    path: String,
+}
+
+impl Request {
+    /// Parses a request without a body. Returns none while it is incomplete.
+    fn parse(input: &[u8]) -> Result<Option<Self>, ApiError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut request = httparse::Request::new(&mut headers);
+        match request.parse(input) {
+            Ok(httparse::Status::Complete(_)) => {
+                let method = request.method.unwrap_or_default().to_owned();
+                let target = request.path.unwrap_or_default();
+                let path = target.split_once('?').map_or(target, |(path, _)| path).to_owned();
+                Ok(Some(Request { method, path }))
+            }
+            Ok(httparse::Status::Partial) if input.len() <= MAX_REQUEST_LENGTH => Ok(None),
+            _ => Err(ApiError::BadRequest),
         }
     }
 }
 
-fn parse(input: &[u8]) -> Result<Option<(String, String)>, Status> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut request = httparse::Request::new(&mut headers);
-    match request.parse(input) {
-        Ok(httparse::Status::Complete(_)) => {
-            let path = request.path.unwrap_or_default();
-            let path = path.split_once('?').map_or(path, |(path, _)| path);
-            Ok(Some((request.method.unwrap_or_default().to_owned(), path.to_owned())))
+fn read_request(stream: &mut TcpStream) -> Result<Request, ApiError> {
+    let deadline = Instant::now() + REQUEST_TIMEOUT;
+    let _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT));
+    let (mut input, mut chunk) = (Vec::new(), [0; 1024]);
+    loop {
+        if let Some(request) = Request::parse(&input)? {
+            return Ok(request);
+        }
+        match stream.read(&mut chunk) {
+            Ok(0) => return Err(ApiError::BadRequest),
+            Ok(read) if Instant::now() < deadline => input.extend_from_slice(&chunk[..read]),
+            _ => return Err(ApiError::RequestTimeout),
         }
-        Ok(httparse::Status::Partial) if input.len() <= MAX_REQUEST_LENGTH => Ok(None),
-        _ => Err((400, "Bad Request")),
     }
 }
 
-/// Carries out a call; what is answered if it is done.
-fn handle(server: &Arc<Server>, method: &str, path: &str) -> Result<String, Status> {
-    match (method, path) {
-        ("GET", "/ops/readiness") if server.ready() => Ok(server.readiness_text()),
-        ("GET", "/ops/readiness") if server.name_is_superseded() => Err((503, "Displaced")),
-        ("GET", "/ops/readiness") => Err((503, "Service Unavailable")),
+/// Carries out a request. Returns the body of the response.
+fn handle(server: &Arc<Server>, request: &Request) -> Result<String, ApiError> {
+    match (request.method.as_str(), request.path.as_str()) {
+        ("GET", "/ops/readiness") if server.is_ready() => Ok(server.readiness_text()),
+        ("GET", "/ops/readiness") if server.name_is_superseded() => Err(ApiError::Superseded),
+        ("GET", "/ops/readiness") => Err(ApiError::ServiceUnavailable),
         ("GET", "/ops/stats") => Ok(server.stats_json().to_string()),
         ("PUT", "/ops/drain/start") => {
             server.start_drain();
@@ -118,27 +175,27 @@
             Ok("serving\n".into())
         }
         (_, "/ops/readiness" | "/ops/stats" | "/ops/drain/start" | "/ops/drain/stop") => {
-            Err((405, "Method Not Allowed"))
+            Err(ApiError::MethodNotAllowed)
         }
-        _ => Err((404, "Not Found")),
+        _ => Err(ApiError::NotFound),
     }
 }
 
-/// Answers and closes. Guards the answer against what the caller still sends: closed with bytes unread, the
-/// connection would be reset and the answer lost.
-fn respond(stream: &mut TcpStream, response: Result<String, Status>) {
+/// Sends the response and closes the connection. What the client still sends is read first: a connection that is closed
+/// with bytes unread is reset, and the response lost.
+fn respond(stream: &mut TcpStream, response: Result<String, ApiError>) {
     let ((status, reason), body) = match response {
         Ok(body) => ((200, "OK"), body),
-        Err((status, reason)) => ((status, reason), format!("{reason}\n")),
+        Err(error) => (error.status(), format!("{}\n", error.status().1)),
     };
-    let kind = if body.starts_with('{') { "application/json" } else { "text/plain" };
+    let content_type = if body.starts_with('{') { "application/json" } else { "text/plain" };
     let head = format!(
-        "HTTP/1.1 {status} {reason}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+        "HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         body.len()
     );
-    // A socket's buffer takes far more than this.
+    // The response is shorter than a socket's buffer, so this does not wait for the client.
     let sent = stream.write_all((head + &body).as_bytes()).and_then(|()| stream.shutdown(Shutdown::Write));
-    let _ = stream.set_read_timeout(Some(RETRY_PAUSE));
+    let _ = stream.set_read_timeout(Some(CLOSE_TIMEOUT));
     if sent.is_ok() {
         let _ = stream.read(&mut [0; 1024]);
     }
--- /dev/null
+++ b/crates/proxy/src/cli.rs
@@ -0,0 +1,167 @@
+//! The command line of the program, and what its commands do.
+
+use std::net::SocketAddr;
+use std::os::fd::RawFd;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::sync::Arc;
+
+use clap::{Args, Parser, Subcommand};
+use gaugestep_config::schema::{Control, Operator};
+use gaugestep_control_plane::client::subscriber::{ConfigSubscriber, Settings as SubscriberSettings};
+use gaugestep_control_plane::error_line;
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use signal_hook::iterator::Signals;
+
+use crate::config::{self, Config};
+use crate::logging::{self, LineFormat};
+use crate::server::{Server, preallocate_descriptor_table};
+use crate::{admin, process_exit, task};
+
+/// A proxy before query engines: cuts stragglers past a learned timeout and relaunches them once.
+#[derive(Parser)]
+#[command(name = "gaugestep", disable_version_flag = true)]
+struct Cli {
+    #[command(subcommand)]
+    command: Command,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Runs the proxy in the foreground until SIGTERM; SIGHUP has it read the configuration again.
+    Serve(ServeOptions),
+    /// Reads a configuration and says whether it can be used.
+    CheckConfig {
+        /// The configuration.
+        #[arg(env = "EDGE_CONFIG")]
+        config: PathBuf,
+    },
+    /// Prints the version.
+    Version,
+}
+
+#[derive(Args)]
+struct ServeOptions {
+    /// The configuration.
+    #[arg(long, env = "EDGE_CONFIG")]
+    config: PathBuf,
+    /// Where operators call, in place of the configuration's `management`.
+    #[arg(long, env = "EDGE_MANAGEMENT")]
+    management: Option<SocketAddr>,
+    /// The descriptor of a listening socket that the platform holds, in place of the configuration's `listen`.
+    #[arg(long, env = "EDGE_SOCKET_FD")]
+    socket_fd: Option<RawFd>,
+    /// What operators set beside it, as protobuf text format; see deploy/operator.textproto.
+    #[arg(long, env = "GAUGESTEP_OPERATOR")]
+    operator: Option<PathBuf>,
+    /// The log as JSON lines.
+    #[arg(long, env = "GAUGESTEP_LOG_JSON")]
+    log_json: bool,
+}
+
+/// Runs the program. An error is one line on standard error.
+pub fn run() -> ExitCode {
+    process_exit::install();
+    let cli = Cli::try_parse().unwrap_or_else(|error| {
+        process_exit::mark_planned();
+        error.exit()
+    });
+    let result = match cli.command {
+        Command::Serve(options) => serve(options),
+        Command::CheckConfig { config } => check_config(&config),
+        Command::Version => {
+            println!("gaugestep {}", env!("CARGO_PKG_VERSION"));
+            Ok(())
+        }
+    };
+    process_exit::mark_planned();
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("gaugestep: {}", error_line(&*error));
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn check_config(path: &Path) -> anyhow::Result<()> {
+    let config = Config::load(path)?;
+    println!("{}: can be used; listens on {}", config.name, config.listen);
+    Ok(())
+}
+
+/// Runs the proxy until a signal ends it.
+fn serve(options: ServeOptions) -> anyhow::Result<()> {
+    // First of all: SIGHUP ends a process that does not handle it.
+    let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])
+        .map_err(|error| anyhow::Error::new(error).context("cannot take signals"))?;
+    let config = Config::load(&options.config)?;
+    let shape = config::read(&options.config)?;
+    preallocate_descriptor_table(config.limits.descriptors);
+    let format = if options.log_json { LineFormat::Json } else { LineFormat::Text };
+    let log = logging::start(format);
+    task::init_scheduler();
+    let (name, seed) = (config.name.clone(), config.seed);
+    let management = options.management.or(config.management);
+    let control = options.operator.as_deref().map(control_settings).transpose()?.flatten();
+    let server = Arc::new(Server::start(config, options.socket_fd, log.set_log)?);
+    if let Some(control) = control {
+        subscribe(&server, &control, &name, seed)?;
+    }
+    if let Some(address) = management {
+        admin::start(address, server.clone())?;
+    }
+    let filter = std::env::var(logging::FILTER_VARIABLE).unwrap_or_default();
+    tracing::info!(name, log = filter, "serving");
+    handle_signals(signals, &server, &options.config, &shape)
+}
+
+/// Follows a control service from now on; first of all, the last version that was valid is put into force.
+fn subscribe(server: &Server, control: &Control, name: &str, seed: u64) -> anyhow::Result<()> {
+    let build = env!("CARGO_PKG_VERSION");
+    let settings = SubscriberSettings::from_config(control, name, build, seed).map_err(anyhow::Error::msg)?;
+    let subscriber =
+        ConfigSubscriber::start(settings, server.config_applier()).map_err(anyhow::Error::msg)?;
+    server.set_subscriber(subscriber);
+    Ok(())
+}
+
+/// Reads the configuration again at each SIGHUP, and shuts the proxy down at any other signal; blocks the main thread.
+fn handle_signals(
+    mut signals: Signals,
+    server: &Server,
+    path: &Path,
+    shape: &serde_json::Value,
+) -> anyhow::Result<()> {
+    for signal in signals.forever() {
+        if signal == SIGHUP {
+            reload(server, path, shape);
+            continue;
+        }
+        tracing::info!(signal, "shutting down");
+        server.shut_down();
+        tracing::info!("shut down");
+        return Ok(());
+    }
+    Err(anyhow::anyhow!("signals are no longer delivered"))
+}
+
+fn reload(server: &Server, path: &Path, shape: &serde_json::Value) {
+    match Config::reload(path, shape) {
+        Ok(config) => {
+            server.reconfigure(config);
+            server.reload_counts.record_applied();
+            tracing::info!("new configuration in force");
+        }
+        Err(error) => {
+            tracing::error!("the configuration in force is unchanged: {}", error_line(&error));
+            server.reload_counts.record_rejected();
+        }
+    }
+}
+
+/// The control service that an operator's file names, if it names one.
+fn control_settings(path: &Path) -> anyhow::Result<Option<Control>> {
+    let operator: Operator = gaugestep_control_plane::read_text_file("Operator", path)?;
+    Ok(operator.control)
+}
--- /dev/null
+++ b/crates/proxy/src/config/decode.rs
@@ -0,0 +1,143 @@
+//! Decodes a configuration from JSON.
+
+use std::net::SocketAddr;
+
+use gaugestep_dispatch::Settings;
+use gaugestep_dispatch::interface::FleetPosition;
+use serde_json::Value;
+
+use super::error::DecodeError;
+use super::{Config, Limits, MIN_DESCRIPTORS, Names};
+
+/// The name of a proxy whose configuration has none.
+const DEFAULT_NAME: &str = "gaugestep";
+
+const BYTES_PER_MB: u64 = 1024 * 1024;
+
+/// Decodes a configuration. Keys that are absent take their defaults.
+///
+/// # Errors
+///
+/// If a key that is required is missing, or the value of a key is invalid.
+pub fn decode(json: &Value) -> Result<Config, DecodeError> {
+    let settings_json = &json["settings"];
+    if !settings_json.is_object() {
+        return Err(DecodeError::Missing("settings".into()));
+    }
+    let name = json["name"].as_str().unwrap_or(DEFAULT_NAME).to_owned();
+    let settings = settings(settings_json, &name)?;
+    let seed = seed(&json["seed"])?;
+    let limits = limits(&json["limits"], settings_json)?;
+    let known = &json["known"];
+    let known_index = whole_number(known, "index", 0)?;
+    Ok(Config {
+        name,
+        listen: address(json, "listen")?.ok_or_else(|| DecodeError::Missing("listen".into()))?,
+        seed,
+        management: address(json, "management")?,
+        coordinator: address(json, "coordinator")?,
+        known_index,
+        known: known["updates"].as_array().cloned().unwrap_or_default(),
+        settings,
+        names: Names {
+            classes: names(settings_json, "services"),
+            tenants: names(settings_json, "orgs"),
+            zones: names(settings_json, "areas"),
+            machines: names(settings_json, "kinds"),
+        },
+        limits,
+    })
+}
+
+/// The dispatcher's settings. A proxy without an ordinal takes its position in the fleet from its name.
+fn settings(json: &Value, name: &str) -> Result<Settings, DecodeError> {
+    let mut settings =
+        gaugestep_settings::settings(json).map_err(|error| DecodeError::Settings(error.into()))?;
+    if settings.place == FleetPosition::NameKey(0) {
+        settings.place = FleetPosition::NameKey(gaugestep_subsetting::key(name));
+    }
+    settings.validate()?;
+    Ok(settings)
+}
+
+fn seed(value: &Value) -> Result<u64, DecodeError> {
+    match value {
+        Value::Null => Ok(0),
+        Value::Number(number) => number.as_u64().ok_or(DecodeError::SeedOutOfRange),
+        Value::String(text) => {
+            u64::from_str_radix(text, 16).map_err(|_| DecodeError::SeedNotHexadecimal(text.clone()))
+        }
+        other => Err(DecodeError::SeedNotANumber(other.clone())),
+    }
+}
+
+/// The limits: those of the process, and those of the settings that concern connections.
+fn limits(process: &Value, settings: &Value) -> Result<Limits, DecodeError> {
+    let longest_deadline_ms = longest_deadline_ms(&settings["services"])?;
+    let dispatch = &settings["limits"];
+    if let Some(attempts) = dispatch.get("max_attempts") {
+        positive("max_attempts", attempts)?;
+    }
+    let limits = Limits {
+        longest_deadline_ms,
+        descriptors: whole_number(process, "sockets", 1024)? as usize,
+        memory_bytes: whole_number(process, "memory_mb", 192)?.saturating_mul(BYTES_PER_MB) as usize,
+        multiplex: (whole_number(dispatch, "multiplex", 100)? as usize).max(1),
+        dial_timeout_ms: whole_number(dispatch, "dial_timeout_ms", 250)?.max(1),
+        idle_ms: whole_number(dispatch, "conn_idle_ms", 30_000)?,
+        max_open: whole_number(dispatch, "max_open", 20_000)? as usize,
+    };
+    if limits.descriptors < MIN_DESCRIPTORS {
+        return Err(DecodeError::TooFewDescriptors);
+    }
+    Ok(limits)
+}
+
+/// The longest deadline of all classes; infinite if none has one.
+fn longest_deadline_ms(classes: &Value) -> Result<f64, DecodeError> {
+    let mut longest: Option<f64> = None;
+    for class in classes.as_array().into_iter().flatten() {
+        if class["name"].as_str().is_none_or(str::is_empty) {
+            return Err(DecodeError::UnnamedClass);
+        }
+        if let Some(deadline) = class.get("deadline_ms") {
+            longest = Some(positive("deadline_ms", deadline)?.max(longest.unwrap_or(0.0)));
+        }
+    }
+    Ok(longest.unwrap_or(f64::INFINITY))
+}
+
+fn address(json: &Value, key: &'static str) -> Result<Option<SocketAddr>, DecodeError> {
+    match &json[key] {
+        Value::Null => Ok(None),
+        Value::String(text) => match text.parse() {
+            Ok(address) => Ok(Some(address)),
+            Err(_) => Err(DecodeError::NotAnAddress { key, text: text.clone() }),
+        },
+        other => Err(DecodeError::NotText { key, value: other.clone() }),
+    }
+}
+
+/// A number of 0 or more, rounded down.
+fn whole_number(object: &Value, key: &'static str, default: u64) -> Result<u64, DecodeError> {
+    match &object[key] {
+        Value::Null => Ok(default),
+        value => match value.as_f64() {
+            Some(number) if number >= 0.0 => Ok(number as u64),
+            _ => Err(DecodeError::Negative { key, value: value.clone() }),
+        },
+    }
+}
+
+fn positive(key: &'static str, value: &Value) -> Result<f64, DecodeError> {
+    match value.as_f64() {
+        Some(number) if number > 0.0 => Ok(number),
+        _ => Err(DecodeError::NotPositive { key, value: value.clone() }),
+    }
+}
+
+/// The names in a list of names, or of objects that have one.
+fn names(json: &Value, key: &str) -> Vec<String> {
+    let name = |entry: &Value| entry.as_str().or(entry["name"].as_str()).unwrap_or_default().to_owned();
+    json[key].as_array().map_or_else(Vec::new, |entries| entries.iter().map(name).collect())
+}
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -1,5 +1,7 @@
-//! What a version of the operators' configuration does to the proxy that runs, and how the proxy looks to the version tracker that
-//! checks versions. What may be taken is decided in `gaugestep-config`; here it is carried out.
+//! Applies the configuration to the running proxy: the platform's file and the operators' document together.
+//!
+//! Whether a document is valid for the proxy is decided in `gaugestep-config`, from the state of the proxy that
+//! [`ProxyHandle::with_state`] gives it; here it is put into force.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -11,7 +13,6 @@
     self, Engine, EngineState, PlatformLimits, ProxyState, RetryBudget, Tenant,
 };
 use gaugestep_config::routing::{self, ResolvedRoute};
-use gaugestep_config::schema::logging::Level;
 use gaugestep_control_plane::client::subscriber::ProxyHandle;
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{
@@ -19,30 +20,43 @@
 };
 
 use crate::class_registry::Class;
-use crate::config::Names;
+use crate::config::{Config, Names};
 use crate::discovery::{Endpoint, EndpointList};
 use crate::lock;
+use crate::logging::{self, SetLog};
 use crate::request_lifecycle::RequestHandler;
+use crate::server::max_open_requests;
 
-/// The span of a ration of further attempts, in milliseconds, where the platform names none.
+/// The window of the retry budget in milliseconds, where the platform's file has none.
 const DEFAULT_RETRY_WINDOW_MS: f64 = 5_000.0;
 
-/// What the platform's own file says.
+/// What the platform's file says about requests.
 pub struct PlatformConfig {
     /// The proxy's name.
     pub proxy: String,
     /// The names of classes and tenants.
     pub names: Names,
-    /// The module's settings.
+    /// The dispatcher's settings.
     pub settings: Settings,
-    /// Requests that may be open together, as the front counts them.
+    /// How many requests clients may have open together.
     pub max_open: usize,
 }
 
-/// Sets what is logged: the directives, or those of the start if there are none.
-pub type SetLog = Box<dyn Fn(Option<String>) + Send + Sync>;
+impl PlatformConfig {
+    /// What this configuration says, with open requests limited by the descriptors for clients.
+    pub fn new(config: &Config) -> Self {
+        let mut settings = config.settings.clone();
+        settings.max_open = max_open_requests(settings.max_open, &config.limits);
+        PlatformConfig {
+            proxy: config.name.clone(),
+            names: config.names.clone(),
+            settings,
+            max_open: config.limits.max_open,
+        }
+    }
+}
 
-/// The proxy as versions see it.
+/// Applies the platform's file and the operators' document to the proxy.
 pub struct ConfigApplier {
     handler: Arc<RequestHandler>,
     endpoint_list: Arc<EndpointList>,
@@ -52,7 +66,8 @@
 }
 
 impl ConfigApplier {
-    /// The proxy under the platform's own file alone. It looks at its routes anew whenever the list changes.
+    /// An applier for a proxy that runs under the platform's file alone. Whenever the list of endpoints changes, the routes of
+    /// the document are resolved again.
     pub fn start(
         handler: Arc<RequestHandler>,
         endpoint_list: Arc<EndpointList>,
@@ -69,48 +84,29 @@
         });
         let observer = Arc::downgrade(&this);
         this.endpoint_list.set_change_listener(Box::new(move || {
-            if let Some(this) = observer.upgrade() {
-                if !lock(&this.document).routes.is_empty() {
-                    this.apply_effective();
-                }
+            if let Some(this) = observer.upgrade()
+                && this.has_routes()
+            {
+                this.apply_effective();
             }
         }));
         this
     }
 
-    /// The platform's own file has changed. Called with [`RequestHandler::update_lock`] held.
+    fn has_routes(&self) -> bool {
+        !lock(&self.document).routes.is_empty()
+    }
+
+    /// Applies a changed file of the platform. Called with [`RequestHandler::update_lock`] held.
     pub fn update_platform(&self, platform_config: PlatformConfig) {
         *lock(&self.platform_config) = platform_config;
         self.apply_effective();
     }
 
-    /// Puts the platform's file and the document in force together. Called with [`RequestHandler::update_lock`] held.
+    /// Puts the platform's file and the document into force together. Called with [`RequestHandler::update_lock`] held.
     fn apply_effective(&self) {
         let (platform_config, document) = (lock(&self.platform_config), lock(&self.document).clone());
-        let counts = effective_config(&document, &platform_limits(&platform_config));
-        let mut settings = platform_config.settings.clone();
-        let mut names = platform_config.names.clone();
-        let served = |name: &String| routing::serves(&document, name);
-        let kept =
-            names.classes.iter().zip(std::mem::take(&mut settings.classes)).filter(|(name, _)| served(name));
-        (names.classes, settings.classes) = kept.map(|(name, class)| (name.clone(), class)).unzip();
-        for (tenant, quota) in settings.tenants.iter_mut().zip(&counts.quotas) {
-            tenant.quota_per_s = *quota;
-        }
-        if let Some(ordinal) = document.proxies.iter().position(|name| *name == platform_config.proxy) {
-            let place = FleetPosition::ordinal(ordinal as u32, document.proxies.len() as u32);
-            (settings.place, settings.dispatchers) =
-                (place.unwrap_or(settings.place), document.proxies.len());
-        }
-        settings.max_open = settings.max_open.min(counts.max_open as usize);
-        settings.max_attempts = counts.max_attempts as usize;
-        let span = settings.retry_budget.map_or(DEFAULT_RETRY_WINDOW_MS, |budget| budget.window);
-        settings.retry_budget = counts.retries.map(|budget| RetryBudgetSettings {
-            min_retries: budget.free,
-            ratio: budget.ratio,
-            window: span,
-        });
-        let max_open = platform_config.max_open.min(counts.max_open as usize);
+        let EffectiveSettings { settings, names, max_open } = effective_settings(&platform_config, &document);
         drop(platform_config);
         self.handler.max_open.store(max_open, Ordering::Relaxed);
         let tenants = names.tenants.clone();
@@ -120,15 +116,15 @@
         });
     }
 
-    /// The document's routes as the module takes them.
+    /// The document's routes, resolved against the endpoints that are listed.
     fn routes(&self, document: &Document, classes: &[Arc<Class>], tenants: &[String]) -> Vec<Route> {
         if document.routes.is_empty() {
             return Vec::new();
         }
-        let listed = self.endpoint_list.endpoints().unwrap_or_default();
-        let numbers: BTreeMap<&String, EngineId> =
-            listed.iter().map(|(name, it)| (name, it.engine)).collect();
-        let engines: Vec<Engine> = listed.iter().map(|(name, listed)| engine(name, listed)).collect();
+        let endpoints = self.endpoint_list.endpoints().unwrap_or_default();
+        let engine_ids: BTreeMap<&String, EngineId> =
+            endpoints.iter().map(|(name, endpoint)| (name, endpoint.engine)).collect();
+        let engines: Vec<Engine> = endpoints.iter().map(|(name, endpoint)| engine(name, endpoint)).collect();
         let class = |name: &String| classes.iter().find(|class| class.name == *name).map(|class| class.id);
         let tenant = |name: &String| tenants.iter().position(|other| other == name).map(TenantId);
         let route = |route: &ResolvedRoute| Route {
@@ -137,7 +133,7 @@
             engines: route.engines.as_ref().map(|engines| {
                 engines
                     .iter()
-                    .filter_map(|engine| Some((*numbers.get(&engine.name)?, engine.weight)))
+                    .filter_map(|engine| Some((*engine_ids.get(&engine.name)?, engine.weight)))
                     .collect()
             }),
         };
@@ -145,7 +141,42 @@
     }
 }
 
-/// What the platform's file and the rule allow.
+/// The platform's file as a document changes it.
+struct EffectiveSettings {
+    /// The dispatcher's settings, without routes.
+    settings: Settings,
+    names: Names,
+    /// How many requests clients may have open together.
+    max_open: usize,
+}
+
+fn effective_settings(platform: &PlatformConfig, document: &Document) -> EffectiveSettings {
+    let effective = effective_config(document, &platform_limits(platform));
+    let (mut settings, mut names) = (platform.settings.clone(), platform.names.clone());
+    let classes = names.classes.iter().zip(std::mem::take(&mut settings.classes));
+    let served = classes.filter(|(name, _)| routing::serves(document, name));
+    (names.classes, settings.classes) = served.map(|(name, class)| (name.clone(), class)).unzip();
+    for (tenant, quota) in settings.tenants.iter_mut().zip(&effective.quotas) {
+        tenant.quota_per_s = *quota;
+    }
+    let fleet_size = document.proxies.len();
+    if let Some(ordinal) = document.proxies.iter().position(|name| *name == platform.proxy) {
+        let position = FleetPosition::ordinal(ordinal as u32, fleet_size as u32);
+        settings.place = position.unwrap_or(settings.place);
+        settings.dispatchers = fleet_size;
+    }
+    settings.max_open = settings.max_open.min(effective.max_open as usize);
+    settings.max_attempts = effective.max_attempts as usize;
+    let window = settings.retry_budget.map_or(DEFAULT_RETRY_WINDOW_MS, |budget| budget.window);
+    settings.retry_budget = effective.retries.map(|budget| RetryBudgetSettings {
+        min_retries: budget.free,
+        ratio: budget.ratio,
+        window,
+    });
+    EffectiveSettings { settings, names, max_open: platform.max_open.min(effective.max_open as usize) }
+}
+
+/// What the platform's file allows a document to set.
 fn platform_limits(platform_config: &PlatformConfig) -> PlatformLimits {
     let quota = |quota: f64| (quota > 0.0).then_some(quota);
     let tenants = platform_config.names.tenants.iter().zip(&platform_config.settings.tenants);
@@ -162,38 +193,21 @@
     }
 }
 
-fn engine(name: &str, listed: &Endpoint) -> Engine {
-    let state = if listed.readiness == Readiness::Up { EngineState::Up } else { EngineState::Draining };
+/// An endpoint as documents are checked against it.
+fn engine(name: &str, endpoint: &Endpoint) -> Engine {
+    let is_up = endpoint.readiness == Readiness::Up;
     Engine {
         name: name.into(),
-        kind: listed.kind.clone(),
-        zone: listed.zone.clone(),
-        cell: listed.cell,
-        state,
+        kind: endpoint.kind.clone(),
+        zone: endpoint.zone.clone(),
+        cell: endpoint.cell,
+        state: if is_up { EngineState::Up } else { EngineState::Draining },
     }
 }
 
-/// Logging as the log's filter takes it; none where the document says nothing.
-fn directives(document: &Document) -> Option<String> {
-    let logging = document.logging.as_ref()?;
-    let level = |level: Level| match level {
-        Level::Unset => None,
-        Level::Error => Some("error"),
-        Level::Warn => Some("warn"),
-        Level::Info => Some("info"),
-        Level::Debug => Some("debug"),
-        Level::Trace => Some("trace"),
-    };
-    let base = level(logging.level()).map(|level| format!("gaugestep={level}"));
-    let parts =
-        logging.parts.iter().filter_map(|part| Some(format!("{}={}", part.name, level(part.level())?)));
-    let all: Vec<String> = base.into_iter().chain(parts).collect();
-    (!all.is_empty()).then(|| all.join(","))
-}
-
 impl ProxyHandle for ConfigApplier {
     fn with_state(&self, then: &mut dyn FnMut(&ProxyState)) {
-        let _changes = lock(&self.handler.update_lock);
+        let _update = lock(&self.handler.update_lock);
         let platform_config = lock(&self.platform_config);
         let open = self.handler.classes.open_requests();
         let count = |name: &String| open.iter().find(|(other, _)| other == name).map_or(0, |(_, open)| *open);
@@ -202,9 +216,10 @@
             .classes
             .iter()
             .map(|name| proxy_state::Class { name: name.clone(), open: count(name) });
-        let listed = self.endpoint_list.endpoints();
+        let endpoints = self.endpoint_list.endpoints();
         let state = ProxyState {
-            engines: listed.map(|all| all.iter().map(|(name, listed)| engine(name, listed)).collect()),
+            engines: endpoints
+                .map(|named| named.iter().map(|(name, endpoint)| engine(name, endpoint)).collect()),
             classes: classes.collect(),
             open: self.handler.open.load(Ordering::Relaxed) as u64,
             platform: platform_limits(&platform_config),
@@ -216,13 +231,13 @@
     fn apply(&self, document: &Document) {
         *lock(&self.document) = document.clone();
         self.apply_effective();
-        (self.set_log)(directives(document));
+        (self.set_log)(logging::directives(document));
     }
 
     fn assign_ordinal(&self, ordinal: Option<(FleetPosition, f64)>) {
-        let _changes = lock(&self.handler.update_lock);
-        let (place, left) = ordinal.unwrap_or((FleetPosition::NameKey(0), 0.0));
-        self.handler.facade.set_fleet_position(place, left);
+        let _update = lock(&self.handler.update_lock);
+        let (position, left) = ordinal.unwrap_or((FleetPosition::NameKey(0), 0.0));
+        self.handler.facade.set_fleet_position(position, left);
     }
 
     fn request_counts(&self) -> (u64, u64, u64) {
--- /dev/null
+++ b/crates/proxy/src/server/mod.rs
@@ -0,0 +1,194 @@
+//! The proxy as a whole: starts its parts, and applies new configurations to them.
+//!
+//! [`listener`] accepts clients, [`drain`] stops the proxy, [`status`] is what operators read, and [`resource_limits`] shares
+//! out descriptors and memory.
+
+mod drain;
+mod listener;
+mod resource_limits;
+mod status;
+
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::RawFd;
+use std::sync::atomic::AtomicUsize;
+use std::sync::{Arc, Mutex, OnceLock};
+use std::time::Duration;
+
+use gaugestep_control_plane::client::subscriber::ConfigSubscriber;
+use gaugestep_dispatch::interface::SettingsError;
+use may::io::CoIo;
+
+use self::drain::DrainState;
+use self::listener::{Acceptor, AcceptorHandle};
+use self::resource_limits::ResourceLimits;
+pub use self::resource_limits::{max_open_requests, preallocate_descriptor_table};
+use self::status::ReloadCounts;
+use crate::class_registry::ClassRegistry;
+use crate::config::Config;
+use crate::config_applier::{ConfigApplier, PlatformConfig};
+use crate::discovery::{CoordinatorStream, EndpointList};
+use crate::downstream::postgres::SessionManager;
+use crate::facade::Facade;
+use crate::logging::SetLog;
+use crate::request_lifecycle::RequestHandler;
+use crate::upstream::line_protocol::UpstreamPool;
+use crate::{lock, task};
+
+/// How often sessions check their timeouts.
+const SESSION_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Why the proxy cannot start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The listening socket cannot be opened.
+    #[error("cannot listen on {address}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What failed.
+        source: io::Error,
+    },
+    /// The dispatcher does not accept the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// Coroutines cannot wait on the listening socket.
+    #[error(transparent)]
+    Register(io::Error),
+    /// A coroutine cannot be started.
+    #[error("cannot start a coroutine")]
+    Coroutine(#[source] io::Error),
+    /// A thread cannot be started.
+    #[error("cannot start a thread")]
+    Thread(#[source] io::Error),
+}
+
+/// A running proxy.
+pub struct Server {
+    /// How often the configuration file was read again.
+    pub reload_counts: ReloadCounts,
+    handler: Arc<RequestHandler>,
+    session_manager: Arc<SessionManager>,
+    endpoint_list: Arc<EndpointList>,
+    coordinator: Arc<CoordinatorStream>,
+    config_applier: Arc<ConfigApplier>,
+    /// Follows a control service, if an operator has named one.
+    subscriber: OnceLock<Arc<ConfigSubscriber>>,
+    acceptor: AcceptorHandle,
+    drain: DrainState,
+    /// Whether the platform holds the listening socket, from which a successor accepts too.
+    has_successor: bool,
+    /// How long after SIGTERM all accepted requests have their answers, in milliseconds.
+    answer_window_ms: f64,
+}
+
+impl Server {
+    /// Listens for clients, on the socket `inherited` from the platform if there is one, and starts all coroutines.
+    ///
+    /// # Errors
+    ///
+    /// If the proxy cannot listen, the settings are invalid, or a coroutine or thread cannot be started.
+    pub fn start(config: Config, inherited: Option<RawFd>, set_log: SetLog) -> Result<Self, StartError> {
+        let has_successor = inherited.is_some();
+        let listener = listener::open(config.listen, inherited)
+            .map_err(|source| StartError::Listen { address: config.listen, source })?;
+        let resources = ResourceLimits::new(&config.limits, has_successor);
+        let platform = PlatformConfig::new(&config);
+        let stagger_factor = platform.settings.place.rotation_slot().stagger_factor();
+        let handler = request_handler(&config, &platform, resources)?;
+        let endpoint_list = Arc::new(EndpointList::new(handler.clone()));
+        endpoint_list.apply_known(config.known_index, &config.known);
+        let coordinator = CoordinatorStream::new(endpoint_list.clone(), config.coordinator, stagger_factor);
+        let config_applier = ConfigApplier::start(handler.clone(), endpoint_list.clone(), platform, set_log);
+        let listener = CoIo::new(listener).map_err(|error| StartError::Register(error.into()))?;
+        let listener = Arc::new(listener);
+        let max_message_length = resources.max_message_length;
+        let session_manager =
+            SessionManager::new(handler.clone(), config.seed, max_message_length, &listener);
+        let session_manager = Arc::new(session_manager);
+        let acceptor = Acceptor::new(listener, session_manager.clone(), resources.max_sessions);
+        let server = Server {
+            reload_counts: ReloadCounts::default(),
+            handler,
+            session_manager,
+            endpoint_list,
+            coordinator: Arc::new(coordinator),
+            config_applier,
+            subscriber: OnceLock::new(),
+            acceptor: acceptor.handle(),
+            drain: DrainState::default(),
+            has_successor,
+            answer_window_ms: drain::answer_window_ms(&config.limits, has_successor),
+        };
+        server.start_tasks(acceptor)?;
+        Ok(server)
+    }
+
+    /// Starts all that runs in the background.
+    fn start_tasks(&self, acceptor: Acceptor) -> Result<(), StartError> {
+        let handler = self.handler.clone();
+        // A thread and no coroutine, for the reason that `task::sleep` gives.
+        std::thread::Builder::new()
+            .name("ticker".into())
+            .spawn(move || handler.facade.run_ticker())
+            .map_err(StartError::Thread)?;
+        let upstream_pool = self.handler.upstream_pool.clone();
+        task::spawn("sweeper", move || upstream_pool.run_sweeper()).map_err(StartError::Coroutine)?;
+        let coordinator = self.coordinator.clone();
+        task::spawn("coordinator", move || coordinator.run()).map_err(StartError::Coroutine)?;
+        let session_manager = self.session_manager.clone();
+        task::spawn("session clocks", move || sweep_sessions(&session_manager))
+            .map_err(StartError::Coroutine)?;
+        task::spawn("listener", move || acceptor.run()).map_err(StartError::Coroutine)
+    }
+
+    /// Applies a new configuration: its settings, the coordinator's address and events. All else is fixed at the start.
+    /// Sessions and attempts go on, these under the rules that they were started under.
+    pub fn reconfigure(&self, config: Config) {
+        let platform = PlatformConfig::new(&config);
+        {
+            let _update = lock(&self.handler.update_lock);
+            self.config_applier.update_platform(platform);
+        }
+        self.endpoint_list.apply_known(config.known_index, &config.known);
+        self.coordinator.set_address(config.coordinator);
+    }
+
+    /// What applies versions of the operators' configuration to this proxy.
+    pub fn config_applier(&self) -> Arc<ConfigApplier> {
+        self.config_applier.clone()
+    }
+
+    /// Sets what follows a control service, for the figures that operators read. It can be set once.
+    pub fn set_subscriber(&self, subscriber: Arc<ConfigSubscriber>) {
+        let _ = self.subscriber.set(subscriber);
+    }
+}
+
+/// The handler of requests under the settings of the start.
+fn request_handler(
+    config: &Config,
+    platform: &PlatformConfig,
+    resources: ResourceLimits,
+) -> Result<Arc<RequestHandler>, SettingsError> {
+    let facade = Facade::new(platform.settings.clone(), config.seed)?;
+    let classes = ClassRegistry::default();
+    classes.update(&config.names, platform.settings.clone(), |_, _| {});
+    Ok(Arc::new(RequestHandler {
+        facade,
+        upstream_pool: Arc::new(UpstreamPool::new(config.limits, resources.upstream_descriptors)),
+        names: config.names.clone(),
+        classes,
+        open: AtomicUsize::new(0),
+        max_open: AtomicUsize::new(config.limits.max_open),
+        update_lock: Mutex::new(()),
+    }))
+}
+
+/// Has sessions check their timeouts at regular intervals; blocks its coroutine and never returns.
+fn sweep_sessions(session_manager: &SessionManager) {
+    loop {
+        task::sleep(SESSION_SWEEP_INTERVAL);
+        session_manager.wake_expired();
+    }
+}
