--- a/crates/coroutine-io/src/stream.rs
+++ b/crates/coroutine-io/src/stream.rs
@@ -1,19 +1,28 @@
-//! Sockets as the coroutines use them: reading and writing never block, [`WaitIo::wait_io`] does. One coroutine
-//! owns each connection, both ways; others wake it with a [`Waker`].
+//! Connections of coroutines. Reads and writes never block; a coroutine waits with [`WaitIo::wait_io`] until its connection
+//! is ready or another coroutine wakes it with a [`Waker`].
 
-use std::io::{self, Read, Write};
+use std::io::{self, Read};
 use std::net::TcpStream;
 use std::os::fd::AsFd;
 
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use rustix::event::{PollFd, PollFlags, Timespec};
 
+pub use crate::write_buffer::WriteBuffer;
+
 /// Wakes the coroutine that owns a connection.
 pub type Waker = WaitIoWaker;
 
+/// Bytes that one read asks for.
+const READ_SIZE: usize = 8 * 1024;
+/// Reads after which [`discard_input`] gives up on a peer that keeps sending.
+const MAX_DISCARDING_READS: usize = 32;
+/// Timeout of a poll that does not wait.
+const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+
 /// A connection that a coroutine can wait on.
 pub trait Stream: WaitIo {
-    /// The socket itself, which does not block.
+    /// The underlying non-blocking socket.
     fn socket(&self) -> &TcpStream;
 }
 
@@ -29,26 +38,24 @@
     }
 }
 
-/// What a read brought.
+/// What a read returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Bytes; there may be more.
+    /// At least one byte; there may be more.
     Data,
     /// Nothing for now.
     WouldBlock,
-    /// The other side has closed.
+    /// The peer has closed its side.
     Closed,
 }
 
-/// Bytes read at once.
-const CHUNK: usize = 8 * 1024;
-/// Reads with which what nobody reads any more is passed over at most.
-const PASSES: usize = 32;
-
-/// Reads once into the end of `buffer`.
+/// Reads once and appends the bytes to `buffer`.
+///
+/// # Errors
+/// The error of the socket, other than an interruption, which is retried.
 pub fn read_into(mut socket: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<ReadOutcome> {
     let before = buffer.len();
-    buffer.resize(before + CHUNK, 0);
+    buffer.resize(before + READ_SIZE, 0);
     let read = loop {
         match socket.read(&mut buffer[before..]) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -64,97 +71,33 @@
     }
 }
 
-/// Whether the other side has closed its part of the connection, or the connection is broken: also where bytes that came
-/// before are still to be read. Asks the system and takes nothing off the socket.
+/// Whether the peer has closed its side or the connection is broken, even if earlier bytes are still unread. Reads nothing.
 pub fn peer_closed(socket: &TcpStream) -> bool {
-    let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR | PollFlags::NVAL;
-    let mut ask = [PollFd::new(socket, PollFlags::IN | PollFlags::RDHUP)];
-    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    // Who cannot be asked after is taken to be there: the session hears of it in its own time.
-    if !rustix::event::poll(&mut ask, Some(&now)).is_ok_and(|told| told > 0) {
+    let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR | PollFlags::NVAL;
+    let mut polled = [PollFd::new(socket, PollFlags::IN | PollFlags::RDHUP)];
+    // If the poll fails, the peer counts as present: the next read reports what is wrong.
+    if !rustix::event::poll(&mut polled, Some(&NO_WAIT)).is_ok_and(|ready| ready > 0) {
         return false;
     }
-    let told = ask[0].revents();
-    // A system that tells of no half-closed connection tells of it as of something to read, of which nothing comes.
-    told.intersects(gone) || told.contains(PollFlags::IN) && matches!(socket.peek(&mut [0]), Ok(0))
+    let events = polled[0].revents();
+    // A system without RDHUP reports a half-closed connection as readable, with nothing to read.
+    events.intersects(closed) || events.contains(PollFlags::IN) && matches!(socket.peek(&mut [0]), Ok(0))
 }
 
-/// Whether something has come that is still to be read, or the other side has closed.
+/// Whether bytes or the end of the stream can be read now.
 pub fn readable(socket: &impl AsFd) -> bool {
-    let mut ask = [PollFd::new(socket, PollFlags::IN)];
-    rustix::event::poll(&mut ask, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok_and(|told| told > 0)
+    let mut polled = [PollFd::new(socket, PollFlags::IN)];
+    rustix::event::poll(&mut polled, Some(&NO_WAIT)).is_ok_and(|ready| ready > 0)
 }
 
-/// Passes over what has come and nobody reads any more: a connection that is closed with bytes unread is reset, and what
-/// was sent last is lost.
+/// Reads and drops the input that has arrived, before the connection is closed: closing with unread input resets the
+/// connection, and the peer may lose the last bytes that were sent to it.
 pub fn discard_input(socket: &TcpStream) {
     let mut bytes = Vec::new();
-    for _ in 0..PASSES {
+    for _ in 0..MAX_DISCARDING_READS {
         if !matches!(read_into(socket, &mut bytes), Ok(ReadOutcome::Data)) {
             return;
         }
         bytes.clear();
     }
 }
-
-/// Bytes that are written and still kept at most, where no fewer wait.
-const WRITTEN: usize = 64 * 1024;
-
-/// Bytes on their way out.
-#[derive(Debug, Default)]
-pub struct WriteBuffer {
-    bytes: Vec<u8>,
-    /// Bytes of `bytes` that are written.
-    at: usize,
-    /// Bytes written before `bytes`.
-    earlier: u64,
-}
-
-impl WriteBuffer {
-    /// Where the next byte added will stand in all that was ever written.
-    pub fn end_offset(&self) -> u64 {
-        self.earlier + self.bytes.len() as u64
-    }
-
-    /// Bytes written so far.
-    pub fn written_offset(&self) -> u64 {
-        self.earlier + self.at as u64
-    }
-
-    /// Bytes that wait.
-    pub fn pending(&self) -> usize {
-        self.bytes.len() - self.at
-    }
-
-    /// The bytes to add to.
-    pub fn buffer(&mut self) -> &mut Vec<u8> {
-        &mut self.bytes
-    }
-
-    /// Writes what the socket takes now; true if that was something.
-    pub fn flush(&mut self, mut socket: &TcpStream) -> io::Result<bool> {
-        let before = self.at;
-        while self.at < self.bytes.len() {
-            match socket.write(&self.bytes[self.at..]) {
-                Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(written) => self.at += written,
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(error) => return Err(error),
-            }
-        }
-        let moved = self.at > before;
-        if self.at == self.bytes.len() {
-            self.earlier += self.at as u64;
-            self.at = 0;
-            // Guards the memory: hundreds of connections are idle most of the time.
-            self.bytes = Vec::new();
-        } else if self.at >= WRITTEN && self.at >= self.pending() {
-            // So it does where the other side reads so slowly that something waits at all times.
-            self.bytes.drain(..self.at);
-            self.earlier += self.at as u64;
-            self.at = 0;
-        }
-        Ok(moved)
-    }
-}
--- a/crates/coroutine-io/tests/write_buffer.rs
+++ b/crates/coroutine-io/tests/write_buffer.rs
@@ -1,45 +1,62 @@
-//! What is kept of bytes on their way out.
+//! The memory that a write buffer keeps.
+
+#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
 use gaugestep_coroutine_io::stream::WriteBuffer;
 
-/// The other side reads on, so slowly that something waits at all times: what is written is let go of all the same, and all
-/// comes in order.
-#[test]
-fn what_is_written_is_let_go_of_though_something_waits_at_all_times() {
+const KIB: usize = 1024;
+/// Sizes that the system does not adapt, so that its buffers take little.
+const SOCKET_BUFFER: usize = 64 * KIB;
+/// Bytes that are pending at all times.
+const BACKLOG: usize = 512 * KIB;
+/// Far less than what is written in the whole test.
+const MAX_KEPT: usize = 4 * KIB * KIB;
+const NUMBERS_PER_ROUND: u32 = 4_096;
+const ROUNDS: usize = 2_000;
+
+/// A non-blocking socket for the writer and the peer's blocking one.
+fn connected() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let socket = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let (mut reader, _) = listener.accept().unwrap();
+    let (peer, _) = listener.accept().unwrap();
     socket.set_nonblocking(true).unwrap();
-    // Sizes that stay: the system itself takes little.
-    socket2::SockRef::from(&socket).set_send_buffer_size(64 * 1024).unwrap();
-    socket2::SockRef::from(&reader).set_recv_buffer_size(64 * 1024).unwrap();
+    socket2::SockRef::from(&socket).set_send_buffer_size(SOCKET_BUFFER).unwrap();
+    socket2::SockRef::from(&peer).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
+    (socket, peer)
+}
+
+/// The peer reads all the time, but something is always pending: written bytes are released all the same, and everything
+/// arrives in order.
+#[test]
+fn written_bytes_are_released_while_something_is_always_pending() {
+    let (socket, mut peer) = connected();
     let mut out = WriteBuffer::default();
-    let (mut sent, mut read) = (0u32, 0u32);
-    let mut add = |out: &mut WriteBuffer| {
-        for _ in 0..4_096 {
-            out.buffer().extend_from_slice(&sent.to_be_bytes());
-            sent += 1;
+    let (mut added, mut read) = (0u32, 0u32);
+    let mut add_round = |out: &mut WriteBuffer| {
+        for _ in 0..NUMBERS_PER_ROUND {
+            out.buffer().extend_from_slice(&added.to_be_bytes());
+            added += 1;
         }
     };
-    while out.pending() < 512 * 1024 {
-        add(&mut out);
+    while out.pending() < BACKLOG {
+        add_round(&mut out);
         out.flush(&socket).unwrap();
     }
-    let mut part = [0; 4 * 4_096];
-    for _ in 0..2_000 {
-        add(&mut out);
-        reader.read_exact(&mut part).unwrap();
-        for number in part.chunks(4) {
+    let mut round = [0; 4 * NUMBERS_PER_ROUND as usize];
+    for _ in 0..ROUNDS {
+        add_round(&mut out);
+        peer.read_exact(&mut round).unwrap();
+        for number in round.chunks(4) {
             assert_eq!(number, read.to_be_bytes());
             read += 1;
         }
         out.flush(&socket).unwrap();
-        assert!(out.pending() > 0, "the other side has caught up");
+        assert!(out.pending() > 0, "the peer has caught up");
         let kept = out.buffer().len();
-        assert!(kept < 4 * 1024 * 1024, "{kept} bytes are kept, of which {} wait", out.pending());
+        assert!(kept < MAX_KEPT, "{kept} bytes are kept, of which {} are pending", out.pending());
         assert_eq!(out.end_offset() - out.written_offset(), out.pending() as u64);
     }
 }
