--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,6 +1,4 @@
-//! Subsets over a whole fleet: how often each engine is drawn, what a change moves, and what holds without seats.
-
-#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
+//! Subsets over a whole fleet: how often each engine is drawn, what a change moves, and what holds without ordinals.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,162 +9,200 @@
 use gaugestep_subsetting::subset::{Member, Subset};
 use proptest::prelude::*;
 
+/// Size of a usual engine, in cores.
+const CORES: f64 = 8.0;
+
+/// A proxy and the key of an engine in its subset.
+type Pair = (u32, u64);
+
 fn members(count: u32) -> Vec<Member> {
-    let member = |id: u32| Member { id, key: key(&format!("s-{id:08x}")), size: 8.0, zone: 0 };
+    let member = |id: u32| Member { id, key: key(&format!("s-{id:08x}")), size: CORES, zone: 0 };
     (0..count).map(member).collect()
 }
 
-/// A third of the engines twice as large.
-fn mixed(count: u32) -> Vec<Member> {
-    let size = |it: Member| if it.id % 3 == 0 { 16.0 } else { 8.0 };
-    members(count).into_iter().map(|it| Member { size: size(it), ..it }).collect()
+/// Every third engine is twice as large.
+fn mixed_members(count: u32) -> Vec<Member> {
+    let size = |member: &Member| if member.id % 3 == 0 { 2.0 * CORES } else { CORES };
+    members(count).into_iter().map(|member| Member { size: size(&member), ..member }).collect()
+}
+
+fn total_size(members: &[Member]) -> f64 {
+    members.iter().map(|member| member.size).sum()
+}
+
+/// The pairs of ordinals and engines.
+fn pairs(fleet_size: u32, members: &[Member], subset_size: usize) -> BTreeSet<Pair> {
+    let table = AssignmentTable::draw(fleet_size, members, subset_size);
+    let pairs_of = |ordinal: u32| {
+        let engines: Vec<u64> = table.subset_of(ordinal).iter().map(|index| members[*index].key).collect();
+        engines.into_iter().map(move |key| (ordinal, key))
+    };
+    (0..fleet_size).flat_map(pairs_of).collect()
 }
 
-/// Pairs of a seat and an engine's key.
-fn pairs(seats: u32, members: &[Member], size: usize) -> BTreeSet<(u32, u64)> {
-    let table = AssignmentTable::draw(seats, members, size);
-    (0..seats)
-        .flat_map(|seat| table.subset_of(seat).iter().map(move |at| (seat, *at)))
-        .map(|(seat, at)| (seat, members[at].key))
-        .collect()
+/// The pairs of proxies that are only known by their names.
+fn pairs_by_name(proxies: u32, members: &[Member], subset_size: usize) -> BTreeSet<Pair> {
+    let pairs_of = |proxy: u32| {
+        let subset = subset_by_name(proxy, proxies, members, subset_size);
+        let own: Vec<u64> =
+            subset.order[..subset.own_count].iter().map(|id| members[*id as usize].key).collect();
+        own.into_iter().map(move |key| (proxy, key))
+    };
+    (0..proxies).flat_map(pairs_of).collect()
 }
 
-fn spread(pairs: &BTreeSet<(u32, u64)>, members: &[Member]) -> Fairness {
+fn subset_by_name(proxy: u32, proxies: u32, members: &[Member], subset_size: usize) -> Subset {
+    let position = FleetPosition::NameKey(key(&format!("n{proxy}")));
+    Subset::draw(position, proxies as usize, members, subset_size)
+}
+
+/// How evenly the engines are drawn, by their sizes.
+fn evenness(pairs: &BTreeSet<Pair>, members: &[Member]) -> Fairness {
     let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
-    pairs.iter().for_each(|(_, key)| *counts.entry(*key).or_default() += 1);
-    fairness(members.iter().map(|it| (counts.get(&it.key).copied().unwrap_or(0) as f64, it.size)))
+    for (_, key) in pairs {
+        *counts.entry(*key).or_default() += 1;
+    }
+    fairness(members.iter().map(|member| {
+        let count = counts.get(&member.key).copied().unwrap_or(0);
+        (count as f64, member.size)
+    }))
 }
 
-/// Moved: pairs that are new, of those that could have stayed.
-fn moved(before: &BTreeSet<(u32, u64)>, after: &BTreeSet<(u32, u64)>) -> usize {
+/// How many pairs are new.
+fn moved(before: &BTreeSet<Pair>, after: &BTreeSet<Pair>) -> usize {
     after.difference(before).count()
 }
 
+/// The keys of each subset, whatever the order of members.
+fn keys(table: &AssignmentTable, members: &[Member]) -> Vec<BTreeSet<u64>> {
+    let keys_of = |subset: &Vec<usize>| subset.iter().map(|index| members[*index].key).collect();
+    table.subsets().iter().map(keys_of).collect()
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
 
-    /// Every engine stands in as many rows as its size says, rounded up or down, within its zone; every row is full and
-    /// names no engine twice.
+    /// Every engine belongs to as many subsets as its size entitles it to within its zone, rounded up or down; every subset
+    /// is complete and names no engine twice.
     #[test]
     fn every_engine_is_drawn_by_its_size_rounded_up_or_down(
-        seats in 1..120u32,
+        fleet_size in 1..120u32,
         sizes in proptest::collection::vec((1..5u32, 0..3u64), 1..50),
-        size in 1..20usize,
+        subset_size in 1..20usize,
     ) {
         let all: Vec<Member> = members(sizes.len() as u32)
             .into_iter()
             .zip(&sizes)
-            .map(|(it, (size, zone))| Member { size: f64::from(*size), zone: *zone, ..it })
+            .map(|(member, (size, zone))| Member { size: f64::from(*size), zone: *zone, ..member })
             .collect();
-        let table = AssignmentTable::draw(seats, &all, size);
+        let table = AssignmentTable::draw(fleet_size, &all, subset_size);
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
-        for row in table.subsets() {
-            prop_assert_eq!(row.len(), size.min(all.len()));
-            prop_assert_eq!(row.iter().collect::<BTreeSet<_>>().len(), row.len());
-            row.iter().for_each(|at| *counts.entry(all[*at].key).or_default() += 1);
+        for subset in table.subsets() {
+            prop_assert_eq!(subset.len(), subset_size.min(all.len()));
+            prop_assert_eq!(subset.iter().collect::<BTreeSet<_>>().len(), subset.len());
+            subset.iter().for_each(|index| *counts.entry(all[*index].key).or_default() += 1);
         }
+        let count = |member: &Member| counts.get(&member.key).copied().unwrap_or(0);
         for zone in 0..3u64 {
-            let here: Vec<&Member> = all.iter().filter(|it| it.zone == zone).collect();
-            let count = |it: &Member| counts.get(&it.key).copied().unwrap_or(0);
-            let full = seats as usize;
-            let open: Vec<&&Member> = here.iter().filter(|it| count(it) < full).collect();
-            // Those too large for their share stand in every row; all others have their part of what is left.
-            let left: usize = open.iter().map(|it| count(it)).sum();
-            let weight: f64 = open.iter().map(|it| it.size).sum();
-            for it in &open {
-                let share = left as f64 * it.size / weight;
-                prop_assert!((count(it) as f64 - share).abs() < 1.0 + 1e-6, "{} for {share}", count(it));
+            // Engines too large for their share belong to every subset; the others share what is left.
+            let open: Vec<&Member> = all
+                .iter()
+                .filter(|member| member.zone == zone && count(member) < fleet_size as usize)
+                .collect();
+            let left: usize = open.iter().map(|member| count(member)).sum();
+            let weight: f64 = open.iter().map(|member| member.size).sum();
+            for member in open {
+                let share = left as f64 * member.size / weight;
+                let count = count(member);
+                prop_assert!((count as f64 - share).abs() < 1.0 + 1e-6, "{} for {share}", count);
             }
         }
-        let mut turned = all.clone();
-        turned.reverse();
-        let keys = |table: &AssignmentTable, all: &[Member]| -> Vec<BTreeSet<u64>> {
-            table.subsets().iter().map(|row| row.iter().map(|at| all[*at].key).collect()).collect()
-        };
-        prop_assert_eq!(keys(&table, &all), keys(&AssignmentTable::draw(seats, &turned, size), &turned), "whatever their order");
+        let reversed: Vec<Member> = all.iter().rev().copied().collect();
+        let of_reversed = AssignmentTable::draw(fleet_size, &reversed, subset_size);
+        prop_assert_eq!(keys(&table, &all), keys(&of_reversed, &reversed), "whatever the order of members");
     }
 
-    /// An engine or a proxy more: at most ten times the pairs move that any plan must move, and a few; two to four times in the
-/// mean.
+    /// One engine or one proxy more moves at most ten times as many pairs as any table must move, and a few; two to four
+    /// times as many on average.
     #[test]
-    fn one_engine_or_one_proxy_more_moves_few_pairs(seats in 10..150u32, engines in 20..80u32, size in 4..17usize) {
-        let (few, many) = (mixed(engines), mixed(engines + 1));
-        let before = pairs(seats, &few, size);
-        let after = pairs(seats, &many, size);
-        let new = after.iter().filter(|(_, key)| *key == many[engines as usize].key).count();
+    fn one_engine_or_one_proxy_more_moves_few_pairs(
+        fleet_size in 10..150u32,
+        engines in 20..80u32,
+        subset_size in 4..17usize,
+    ) {
+        let (fewer, more) = (mixed_members(engines), mixed_members(engines + 1));
+        let before = pairs(fleet_size, &fewer, subset_size);
+        let after = pairs(fleet_size, &more, subset_size);
+        let new = after.iter().filter(|(_, key)| *key == more[engines as usize].key).count();
         prop_assert!(moved(&before, &after) <= 10 * new + 12, "{} for {new}", moved(&before, &after));
-        let after = pairs(seats + 1, &few, size);
-        prop_assert!(moved(&before, &after) <= 10 * size + 12, "{} for {size}", moved(&before, &after));
+        let after = pairs(fleet_size + 1, &fewer, subset_size);
+        let moved = moved(&before, &after);
+        prop_assert!(moved <= 10 * subset_size + 12, "{moved} for {subset_size}");
     }
 }
 
-/// What the operators' page and the design note tell: seats, and names of chance. `--nocapture` prints the table.
+/// The figures of the operators' page and the design note; `--nocapture` prints the table.
 #[test]
-fn seats_are_evener_than_chance_and_names_stay_over_restarts() {
-    for (proxies, engines, size) in
-        [(10, 40, 8), (40, 30, 8), (100, 60, 8), (300, 80, 8), (300, 80, 16), (100, 30, 4)]
-    {
-        let all = mixed(engines);
-        let seats = spread(&pairs(proxies, &all, size), &all);
-        let draw = |name: u32| {
-            Subset::draw(FleetPosition::NameKey(key(&format!("n{name}"))), proxies as usize, &all, size)
-        };
-        let names: BTreeSet<(u32, u64)> = (0..proxies)
-            .flat_map(|name| {
-                let subset = draw(name);
-                let own: Vec<u32> = subset.order[..subset.own_count].to_vec();
-                own.into_iter().map(move |id| (name, id))
-            })
-            .map(|(name, id)| (name, all[id as usize].key))
-            .collect();
-        assert_eq!(draw(3).order, draw(3).order);
-        let chance = spread(&names, &all);
+fn ordinals_spread_engines_more_evenly_than_names_and_names_are_stable() {
+    let cases = [(10, 40, 8), (40, 30, 8), (100, 60, 8), (300, 80, 8), (300, 80, 16), (100, 30, 4)];
+    for (proxies, engines, subset_size) in cases {
+        let all = mixed_members(engines);
+        let ordinals = evenness(&pairs(proxies, &all, subset_size), &all);
+        let names = evenness(&pairs_by_name(proxies, &all, subset_size), &all);
+        let again = || subset_by_name(3, proxies, &all, subset_size).order;
+        assert_eq!(again(), again());
         println!(
-            "{proxies} proxies, {engines} engines, {size} each: seats {:.2} {:.2} {:.4}, names {:.2} {:.2} {:.4}",
-            seats.max_ratio,
-            seats.min_ratio,
-            seats.jain_index,
-            chance.max_ratio,
-            chance.min_ratio,
-            chance.jain_index
+            "{proxies} proxies, {engines} engines, {subset_size} each: \
+             ordinals {:.2} {:.2} {:.4}, names {:.2} {:.2} {:.4}",
+            ordinals.max_ratio,
+            ordinals.min_ratio,
+            ordinals.jain_index,
+            names.max_ratio,
+            names.min_ratio,
+            names.jain_index
         );
-        // Within one of the share.
-        let share = f64::from(proxies) * size as f64 * 8.0 / all.iter().map(|it| it.size).sum::<f64>();
-        assert!(seats.max_ratio <= 1.0 + 1.0 / share && seats.min_ratio >= 1.0 - 1.0 / share, "{seats:?}");
-        assert!(seats.jain_index > chance.jain_index, "{seats:?} {chance:?}");
+        // Within one subset of the share.
+        let share = f64::from(proxies) * subset_size as f64 * CORES / total_size(&all);
+        assert!(ordinals.max_ratio <= 1.0 + 1.0 / share, "{ordinals:?}");
+        assert!(ordinals.min_ratio >= 1.0 - 1.0 / share, "{ordinals:?}");
+        assert!(ordinals.jain_index > names.jain_index, "{ordinals:?} {names:?}");
     }
 }
 
-/// From 10 proxies to 300 and back, at once and in steps, and a third gone at one moment; engines from 8 to 80. Whatever the
-/// number, the bound holds at once, as nothing of the past is kept.
+/// From 10 proxies to 300 and back, at once and in steps, and a third gone at one moment; engines from 8 to 80. The bound
+/// holds at every size, and the result depends on the size alone.
 #[test]
-fn the_bound_holds_at_every_size_on_the_way_and_the_way_back_ends_where_it_began() {
-    let all = mixed(80);
-    let begin = pairs(10, &all[..40], 8);
-    for seats in [10, 11, 20, 40, 75, 100, 200, 300, 200, 100, 67, 10] {
+fn the_bound_holds_at_every_fleet_size_and_does_not_depend_on_the_past() {
+    const SUBSET_SIZE: usize = 8;
+    let all = mixed_members(80);
+    let first = pairs(10, &all[..40], SUBSET_SIZE);
+    for fleet_size in [10, 11, 20, 40, 75, 100, 200, 300, 200, 100, 67, 10] {
         for engines in [8, 9, 20, 40, 80] {
-            let here = &all[..engines];
-            let fair = spread(&pairs(seats, here, 8), here);
-            let share = f64::from(seats) * 8.0 * 8.0 / here.iter().map(|it| it.size).sum::<f64>();
-            if share * 2.0 <= f64::from(seats) {
-                assert!(fair.max_ratio <= 1.0 + 1.0 / share, "{seats} {engines}: {fair:?}");
+            let members = &all[..engines];
+            let evenness = evenness(&pairs(fleet_size, members, SUBSET_SIZE), members);
+            let share = f64::from(fleet_size) * SUBSET_SIZE as f64 * CORES / total_size(members);
+            // Where a large engine's share is more than every subset, the bound does not apply.
+            if share * 2.0 <= f64::from(fleet_size) {
+                assert!(evenness.max_ratio <= 1.0 + 1.0 / share, "{fleet_size} {engines}: {evenness:?}");
             }
         }
     }
-    assert_eq!(pairs(10, &all[..40], 8), begin);
+    assert_eq!(pairs(10, &all[..40], SUBSET_SIZE), first);
 }
 
-/// Proxies that believe in another number of proxies draw from another table; their choices are then as even as chance.
+/// Proxies that assume another fleet size draw from another table; their choices are then as even as chance.
 #[test]
-fn a_number_of_proxies_that_is_wrong_by_two_is_no_worse_than_chance() {
+fn a_fleet_size_that_is_wrong_by_a_factor_of_two_is_no_worse_than_chance() {
     let all = members(60);
-    let right = spread(&pairs(100, &all, 8), &all);
-    let half: BTreeSet<(u32, u64)> =
-        pairs(200, &all, 8).into_iter().filter(|(seat, _)| *seat < 100).collect();
-    let twice: BTreeSet<(u32, u64)> =
-        pairs(50, &all, 8).into_iter().flat_map(|(seat, key)| [(seat, key), (seat + 50, key)]).collect();
-    let (half, twice) = (spread(&half, &all), spread(&twice, &all));
-    println!("right {right:?}, told twice as many {half:?}, told half as many {twice:?}");
-    // Chance has 0.936 here, by 1 / (1 + (1 - 8 / 60) / (100 * 8 / 60)).
-    assert!(right.jain_index > 0.998 && half.jain_index > 0.936 && twice.jain_index > 0.99);
+    let right = evenness(&pairs(100, &all, 8), &all);
+    let too_large: BTreeSet<Pair> =
+        pairs(200, &all, 8).into_iter().filter(|(ordinal, _)| *ordinal < 100).collect();
+    let too_small: BTreeSet<Pair> = pairs(50, &all, 8)
+        .into_iter()
+        .flat_map(|(ordinal, key)| [(ordinal, key), (ordinal + 50, key)])
+        .collect();
+    let (too_large, too_small) = (evenness(&too_large, &all), evenness(&too_small, &all));
+    println!("right {right:?}, twice as large {too_large:?}, half as large {too_small:?}");
+    // Chance has 0.936 here: 1 / (1 + (1 - 8 / 60) / (100 * 8 / 60)).
+    assert!(right.jain_index > 0.998 && too_large.jain_index > 0.936 && too_small.jain_index > 0.99);
 }
