--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -6,7 +6,11 @@
 use std::sync::{Arc, Mutex};
 
 use gaugestep_config::Document;
-use gaugestep_config::proxy_state::{self, Engine, EngineState, PlatformLimits, ProxyState};
+use gaugestep_config::effective_config::effective_config;
+use gaugestep_config::proxy_state::{
+    self, Engine, EngineState, PlatformLimits, ProxyState, RetryBudget, Tenant,
+};
+use gaugestep_config::routing::{self, ResolvedRoute};
 use gaugestep_config::schema::logging::Level;
 use gaugestep_control_plane::client::subscriber::ProxyHandle;
 use gaugestep_dispatch::Settings;
@@ -18,7 +22,7 @@
 use crate::config::Names;
 use crate::discovery::{Listed, Roster};
 use crate::lock;
-use crate::request_lifecycle::Gateway;
+use crate::request_lifecycle::RequestHandler;
 
 /// The span of a ration of further attempts, in milliseconds, where the platform names none.
 const SPAN: f64 = 5_000.0;
@@ -40,7 +44,7 @@
 
 /// The proxy as versions see it.
 pub struct Versioned {
-    gateway: Arc<Gateway>,
+    handler: Arc<RequestHandler>,
     roster: Arc<Roster>,
     told: Mutex<Told>,
     document: Mutex<Document>,
@@ -49,9 +53,14 @@
 
 impl Versioned {
     /// The proxy under the platform's own file alone. It looks at its routes anew whenever the list changes.
-    pub fn start(gateway: Arc<Gateway>, roster: Arc<Roster>, told: Told, set_log: SetLog) -> Arc<Self> {
+    pub fn start(
+        handler: Arc<RequestHandler>,
+        roster: Arc<Roster>,
+        told: Told,
+        set_log: SetLog,
+    ) -> Arc<Self> {
         let document = Mutex::default();
-        let this = Arc::new(Versioned { gateway, roster, told: Mutex::new(told), document, set_log });
+        let this = Arc::new(Versioned { handler, roster, told: Mutex::new(told), document, set_log });
         let looking = Arc::downgrade(&this);
         this.roster.on_change(Box::new(move || {
             if let Some(this) = looking.upgrade() {
@@ -63,19 +72,19 @@
         this
     }
 
-    /// The platform's own file has changed. Called with [`Gateway::changes`] held.
+    /// The platform's own file has changed. Called with [`RequestHandler::update_lock`] held.
     pub fn retell(&self, told: Told) {
         *lock(&self.told) = told;
         self.settle();
     }
 
-    /// Puts the platform's file and the document in force together. Called with [`Gateway::changes`] held.
+    /// Puts the platform's file and the document in force together. Called with [`RequestHandler::update_lock`] held.
     fn settle(&self) {
         let (told, document) = (lock(&self.told), lock(&self.document).clone());
-        let counts = proxy_state::effective_config(&document, &platform(&told));
+        let counts = effective_config(&document, &platform(&told));
         let mut settings = told.settings.clone();
         let mut names = told.names.clone();
-        let served = |name: &String| proxy_state::serves(&document, name);
+        let served = |name: &String| routing::serves(&document, name);
         let kept =
             names.classes.iter().zip(std::mem::take(&mut settings.classes)).filter(|(name, _)| served(name));
         (names.classes, settings.classes) = kept.map(|(name, class)| (name.clone(), class)).unzip();
@@ -90,18 +99,18 @@
         settings.max_open = settings.max_open.min(counts.max_open as usize);
         settings.max_attempts = counts.max_attempts as usize;
         let span = settings.retry_budget.map_or(SPAN, |budget| budget.window);
-        settings.retry_budget = counts.retries.map(|(ratio, free)| RetryBudgetSettings {
-            min_retries: free,
-            ratio,
+        settings.retry_budget = counts.retries.map(|budget| RetryBudgetSettings {
+            min_retries: budget.free,
+            ratio: budget.ratio,
             window: span,
         });
         let max_open = told.max_open.min(counts.max_open as usize);
         drop(told);
-        self.gateway.max_open.store(max_open, Ordering::Relaxed);
+        self.handler.max_open.store(max_open, Ordering::Relaxed);
         let tenants = names.tenants.clone();
-        self.gateway.classes.take(&names, settings, |mut settings, classes| {
+        self.handler.classes.update(&names, settings, |mut settings, classes| {
             settings.routes = self.routes(&document, classes, &tenants);
-            self.gateway.facade.retune(settings);
+            self.handler.facade.update_settings(settings);
         });
     }
 
@@ -116,14 +125,17 @@
         let engines: Vec<Engine> = listed.iter().map(|(name, listed)| engine(name, listed)).collect();
         let class = |name: &String| classes.iter().find(|class| class.name == *name).map(|class| class.id);
         let tenant = |name: &String| tenants.iter().position(|other| other == name).map(TenantId);
-        let route = |route: &proxy_state::ResolvedRoute| Route {
+        let route = |route: &ResolvedRoute| Route {
             classes: (!route.classes.is_empty()).then(|| route.classes.iter().filter_map(class).collect()),
             tenants: (!route.tenants.is_empty()).then(|| route.tenants.iter().filter_map(tenant).collect()),
             engines: route.engines.as_ref().map(|engines| {
-                engines.iter().filter_map(|(name, weight)| Some((*numbers.get(name)?, *weight))).collect()
+                engines
+                    .iter()
+                    .filter_map(|engine| Some((*numbers.get(&engine.name)?, engine.weight)))
+                    .collect()
             }),
         };
-        proxy_state::resolve(document, &engines).iter().map(route).collect()
+        routing::resolve(document, &engines).iter().map(route).collect()
     }
 }
 
@@ -132,10 +144,15 @@
     let quota = |quota: f64| (quota > 0.0).then_some(quota);
     let tenants = told.names.tenants.iter().zip(&told.settings.tenants);
     PlatformLimits {
-        tenants: tenants.map(|(name, tenant)| (name.clone(), quota(tenant.quota_per_s))).collect(),
+        tenants: tenants
+            .map(|(name, tenant)| Tenant { name: name.clone(), quota_per_s: quota(tenant.quota_per_s) })
+            .collect(),
         max_open: told.max_open as u64,
         max_attempts: told.settings.max_attempts as u64,
-        retries: told.settings.retry_budget.map(|budget| (budget.ratio, budget.min_retries)),
+        retries: told
+            .settings
+            .retry_budget
+            .map(|budget| RetryBudget { ratio: budget.ratio, free: budget.min_retries }),
     }
 }
 
@@ -170,9 +187,9 @@
 
 impl ProxyHandle for Versioned {
     fn with_state(&self, then: &mut dyn FnMut(&ProxyState)) {
-        let _changes = lock(&self.gateway.changes);
+        let _changes = lock(&self.handler.update_lock);
         let told = lock(&self.told);
-        let open = self.gateway.classes.open();
+        let open = self.handler.classes.open_requests();
         let count = |name: &String| open.iter().find(|(other, _)| other == name).map_or(0, |(_, open)| *open);
         let classes = told
             .names
@@ -183,7 +200,7 @@
         let state = ProxyState {
             engines: listed.map(|all| all.iter().map(|(name, listed)| engine(name, listed)).collect()),
             classes: classes.collect(),
-            open: self.gateway.open.load(Ordering::Relaxed) as u64,
+            open: self.handler.open.load(Ordering::Relaxed) as u64,
             platform: platform(&told),
         };
         drop(told);
@@ -197,12 +214,12 @@
     }
 
     fn assign_ordinal(&self, seat: Option<(FleetPosition, f64)>) {
-        let _changes = lock(&self.gateway.changes);
+        let _changes = lock(&self.handler.update_lock);
         let (place, left) = seat.unwrap_or((FleetPosition::NameKey(0), 0.0));
-        self.gateway.facade.seated(place, left);
+        self.handler.facade.set_fleet_position(place, left);
     }
 
     fn request_counts(&self) -> (u64, u64, u64) {
-        self.gateway.classes.totals()
+        self.handler.classes.totals()
     }
 }
