--- /dev/null
+++ b/tests/action_digest/encoding.rs
@@ -0,0 +1,142 @@
+//! The stable text of the module's actions and the names of what is counted.
+//!
+//! Every name of a product type, variant or field that the digest depends on stands in this file. The texts on the right-hand
+//! side are part of the golden file and must stay as they are when a product name changes. Floats are written as their bits,
+//! so that a difference in the last place shows. The texts of log lines are left out on purpose.
+
+use std::fmt::Write as _;
+
+use gaugestep::interface::{Action, Event, Millis, Note, Outcome, Refusal};
+
+/// The kinds of action in the order of the golden file; each must occur.
+pub const ACTION_KINDS: [&str; 7] = ["send", "cancel", "reject", "fail", "set_terms", "set_timer", "log"];
+
+/// The reasons of a rejection in the order of the golden file; each must occur.
+pub const REJECT_REASONS: [&str; 4] = ["attempts_failed", "expired_waiting", "too_long", "overloaded"];
+
+/// The kinds of event in the order of the golden file; each must occur.
+pub const EVENT_KINDS: [&str; 12] = [
+    "engine_list",
+    "engine_changes",
+    "request",
+    "attempt_end",
+    "streaming",
+    "progress",
+    "client_gone",
+    "closing_by",
+    "place_granted",
+    "settings_update",
+    "probe_result",
+    "timer",
+];
+
+/// The outcomes of an attempt in the order of the golden file; each must occur.
+pub const OUTCOMES: [&str; 8] =
+    ["served", "failed", "rejected", "timed_out", "connect_failed", "reset", "cancelled", "not_sent"];
+
+/// The kinds of progress report in the order of the golden file; each must occur.
+pub const PROGRESS_KINDS: [&str; 4] = ["done", "spills", "waits_for_memory", "waits_for_load"];
+
+/// The name of an action's kind.
+pub fn action_kind(action: &Action) -> &'static str {
+    match action {
+        Action::Send { .. } => "send",
+        Action::Cancel { .. } => "cancel",
+        Action::Refuse { .. } => "reject",
+        Action::Fail { .. } => "fail",
+        Action::SetTerms { .. } => "set_terms",
+        Action::SetTimer { .. } => "set_timer",
+        Action::Log(_) => "log",
+    }
+}
+
+/// The name of a rejection's reason.
+pub fn reject_reason(reason: Refusal) -> &'static str {
+    match reason {
+        Refusal::Tried => "attempts_failed",
+        Refusal::Waited => "expired_waiting",
+        Refusal::TooLong => "too_long",
+        Refusal::Crowded => "overloaded",
+    }
+}
+
+/// The name of an event's kind.
+pub fn event_kind(event: &Event) -> &'static str {
+    match event {
+        Event::EngineList(_) => "engine_list",
+        Event::EngineChanges(_) => "engine_changes",
+        Event::Arrived(_) => "request",
+        Event::Ended(_) => "attempt_end",
+        Event::Streaming(..) => "streaming",
+        Event::Noted(..) => "progress",
+        Event::ClientGone(_) => "client_gone",
+        Event::ClosingBy(_) => "closing_by",
+        Event::Seated(..) => "place_granted",
+        Event::Retuned(_) => "settings_update",
+        Event::Probed(..) => "probe_result",
+        Event::Timer(_) => "timer",
+    }
+}
+
+/// The name of an attempt's outcome.
+pub fn outcome(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Served => "served",
+        Outcome::Errored => "failed",
+        Outcome::Full => "rejected",
+        Outcome::TimedOut => "timed_out",
+        Outcome::ConnectFailed => "connect_failed",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Moot => "not_sent",
+    }
+}
+
+/// The name of a progress report's kind.
+pub fn progress_kind(note: Note) -> &'static str {
+    match note {
+        Note::Done(_) => "done",
+        Note::Spills(_) => "spills",
+        Note::WaitsForMemory => "waits_for_memory",
+        Note::WaitsForLoad => "waits_for_load",
+    }
+}
+
+/// Appends one action as one line.
+pub fn write_action(text: &mut String, action: &Action) {
+    let kind = action_kind(action);
+    let written = match action {
+        Action::Send { id, engine } => writeln!(text, "{kind} {} {}", id.0, engine.0),
+        Action::Cancel { id, attempt } => writeln!(text, "{kind} {} {}", id.0, attempt.0),
+        Action::Refuse { id, retry_after, reason } => {
+            writeln!(text, "{kind} {} {} {}", id.0, bits(*retry_after), reject_reason(*reason))
+        }
+        Action::Fail { id } => writeln!(text, "{kind} {}", id.0),
+        Action::SetTerms { id, memory_mb, priority } => {
+            writeln!(text, "{kind} {} {} {priority}", id.0, bits(*memory_mb))
+        }
+        Action::SetTimer { timer, delay } => writeln!(text, "{kind} {} {}", timer.0, bits(*delay)),
+        Action::Log(_) => writeln!(text, "{kind}"),
+    };
+    written.expect("a string takes any text");
+}
+
+/// Appends the line that precedes the actions of one call: its number, its time and what was called.
+pub fn write_call(text: &mut String, number: u64, now: Millis, call: &str) {
+    writeln!(text, "call {number} {} {call}", bits(now)).expect("a string takes any text");
+}
+
+/// Appends the answer to a query for the time until which an attempt may be sent.
+pub fn write_sendable_until(text: &mut String, until: Millis) {
+    writeln!(text, "sendable_until {}", bits(until)).expect("a string takes any text");
+}
+
+/// Appends the answer to a query for the number of engines avoided.
+pub fn write_avoided(text: &mut String, engines: usize) {
+    writeln!(text, "avoided {engines}").expect("a string takes any text");
+}
+
+/// A float as its bits in hexadecimal.
+fn bits(value: f64) -> String {
+    format!("{:016x}", value.to_bits())
+}
--- /dev/null
+++ b/tests/action_digest/profiles.rs
@@ -0,0 +1,325 @@
+//! The profiles: settings, fleet and traffic that the generated streams are drawn from.
+
+use std::collections::BTreeMap;
+
+use gaugestep::interface::*;
+
+/// What one stream is generated from.
+#[derive(Clone)]
+pub struct Profile {
+    /// Its name in the golden file.
+    pub name: &'static str,
+    /// The settings at the start.
+    pub settings: Settings,
+    /// Engines on the first list.
+    pub engines: u32,
+    /// The traffic and the faults.
+    pub traffic: Traffic,
+    /// Whether settings are changed on the way.
+    pub changes_settings: bool,
+    /// Whether the dispatcher's place comes from a roster.
+    pub has_roster: bool,
+    /// Events in one stream.
+    pub events: u64,
+}
+
+/// Traffic and faults; chances are from 0 to 1.
+#[derive(Clone)]
+pub struct Traffic {
+    /// The mean time between two arrivals.
+    pub arrival_gap: Millis,
+    /// The shortest and the longest work of a request.
+    pub work: (Millis, Millis),
+    /// The shortest and the longest time that a client waits.
+    pub patience: (Millis, Millis),
+    /// The chance that a run takes many times its work.
+    pub straggler: f64,
+    /// The chance that an engine goes through a spell of one kind of fault, at each look at the fleet.
+    pub fault_spell: f64,
+    /// The chance that an engine is drained, removed, replaced or brought back, at each look at the fleet.
+    pub fleet_change: f64,
+    /// The chance that a load report comes with an end or a probe.
+    pub load_report: f64,
+    /// The chance that an answer tells the true cost.
+    pub cost_report: f64,
+    /// The chance that a running attempt sends progress reports.
+    pub progress: f64,
+    /// The chance that a client leaves before its answer.
+    pub client_leaves: f64,
+    /// The chance that an answer is streamed.
+    pub streamed: f64,
+    /// The chance that an odd but legal event is put in, for each arrival.
+    pub odd_event: f64,
+}
+
+const USUAL_TRAFFIC: Traffic = Traffic {
+    arrival_gap: 60.0,
+    work: (50.0, 1_500.0),
+    patience: (4_000.0, 20_000.0),
+    straggler: 0.05,
+    fault_spell: 0.1,
+    fleet_change: 0.05,
+    load_report: 0.6,
+    cost_report: 0.5,
+    progress: 0.3,
+    client_leaves: 0.03,
+    streamed: 0.05,
+    odd_event: 0.05,
+};
+
+/// Number of engines in each zone, cell and machine kind follows from the engine's number by these.
+const ZONES: u32 = 3;
+const ENGINES_PER_CELL: u32 = 2;
+const MACHINE_KINDS: u32 = 2;
+
+/// An engine's line of the list while it takes work.
+pub fn engine_entry(engine: u32) -> EngineEntry {
+    EngineEntry {
+        engine: EngineId(engine),
+        zone: ZoneId((engine % ZONES) as usize),
+        machine: MachineId((engine / ZONES % MACHINE_KINDS) as usize),
+        cell: CellId(u64::from(engine / ENGINES_PER_CELL)),
+        readiness: Readiness::Up,
+        started: None,
+        key: gaugestep_seats::key(&format!("engine-{engine}")),
+    }
+}
+
+fn class(effect: Effect, threads: f64) -> ClassSettings {
+    ClassSettings {
+        effect,
+        worth: 1.0,
+        late_share: 0.5,
+        aim: 2_000.0,
+        aim_stretch: 2.0,
+        threads,
+        ordered: false,
+        holds_tables: false,
+        waits_for_loads: false,
+        zones: None,
+        machines: None,
+    }
+}
+
+fn settings(classes: Vec<ClassSettings>) -> Settings {
+    Settings {
+        classes,
+        machines: vec![
+            MachineSettings { cores: 8.0, memory_mb: 16_384.0 },
+            MachineSettings { cores: 4.0, memory_mb: 8_192.0 },
+        ],
+        tenants: vec![],
+        dispatchers: 2,
+        place: Place::Name(11),
+        zone: ZoneId(0),
+        max_open: 20_000,
+        max_attempts: 4,
+        second_copies: false,
+        cancelling: true,
+        grants: false,
+        memory_line: false,
+        priorities: false,
+        over_share_worth: 0.1,
+        cross_zone_price: 0.0,
+        answer_slack: 20.0,
+        cold: ColdSettings { share: 0.3, warm_within: 14_000.0, multiple: 3.0, span: 1_500.0 },
+        order_pause: 500.0,
+        budget: None,
+        max_retry_after: 500.0,
+        routes: vec![],
+    }
+}
+
+fn two_classes() -> Vec<ClassSettings> {
+    vec![
+        class(Effect::Safe, 1.0),
+        ClassSettings { worth: 3.0, aim: 500.0, late_share: 0.0, ..class(Effect::Safe, 2.0) },
+    ]
+}
+
+/// One class of each effect and of each binding, two of them ordered.
+fn classes_of_all_kinds() -> Vec<ClassSettings> {
+    let keyed = |group, window| class(Effect::Keyed(group, window), 1.0);
+    vec![
+        class(Effect::Safe, 1.0),
+        keyed(DedupGroup::All, 3_000.0),
+        keyed(DedupGroup::Zone, 1_500.0),
+        keyed(DedupGroup::Cell, 2_500.0),
+        class(Effect::Unsafe, 1.0),
+        ClassSettings { ordered: true, ..class(Effect::Unsafe, 1.0) },
+        ClassSettings { ordered: true, ..keyed(DedupGroup::All, 4_000.0) },
+        ClassSettings { zones: Some(vec![ZoneId(1)]), ..class(Effect::Safe, 2.0) },
+        ClassSettings { machines: Some(vec![MachineId(1)]), ..class(Effect::Safe, 1.0) },
+    ]
+}
+
+/// Loads that hold tables, queries that wait for them, and a plain class.
+fn classes_with_loads() -> Vec<ClassSettings> {
+    vec![
+        class(Effect::Safe, 1.0),
+        ClassSettings { holds_tables: true, ..class(Effect::Keyed(DedupGroup::All, 10_000.0), 2.0) },
+        ClassSettings { waits_for_loads: true, worth: 2.0, ..class(Effect::Safe, 4.0) },
+    ]
+}
+
+/// All profiles in the order of the golden file.
+pub fn profiles() -> Vec<Profile> {
+    vec![
+        few_dispatchers(),
+        effects_and_order(),
+        memory_and_loads(),
+        tenants_budget_and_routes(),
+        second_copies(),
+        no_cancelling(),
+        cold_fleet(),
+        many_dispatchers(),
+        many_dispatchers_without_reports(),
+        outages(),
+        overload(),
+        overload_many_dispatchers(),
+    ]
+}
+
+fn usual(name: &'static str, settings: Settings, engines: u32) -> Profile {
+    let traffic = USUAL_TRAFFIC;
+    Profile { name, settings, engines, traffic, changes_settings: true, has_roster: false, events: 5_000 }
+}
+
+fn few_dispatchers() -> Profile {
+    let settings = Settings { priorities: true, cross_zone_price: 0.05, ..settings(two_classes()) };
+    usual("few_dispatchers", settings, 8)
+}
+
+fn effects_and_order() -> Profile {
+    let budget = AttemptBudget { free: 3.0, ratio: 0.2, span: 5_000.0 };
+    let settings = Settings { budget: Some(budget), max_attempts: 3, ..settings(classes_of_all_kinds()) };
+    usual("effects_and_order", settings, 9)
+}
+
+fn memory_and_loads() -> Profile {
+    let settings = Settings {
+        grants: true,
+        memory_line: true,
+        priorities: true,
+        dispatchers: 1,
+        ..settings(classes_with_loads())
+    };
+    usual("memory_and_loads", settings, 6)
+}
+
+fn tenants_budget_and_routes() -> Profile {
+    let route = |classes: Vec<usize>, tenants: Option<Vec<usize>>, engines: Option<&[(u32, f64)]>| Route {
+        classes: Some(classes.into_iter().map(ClassId).collect()),
+        tenants: tenants.map(|tenants| tenants.into_iter().map(TenantId).collect()),
+        engines: engines
+            .map(|engines| BTreeMap::from_iter(engines.iter().map(|(id, part)| (EngineId(*id), *part)))),
+    };
+    let settings = Settings {
+        grants: true,
+        tenants: [4.0, 1.0, 0.0].map(|quota_per_s| TenantSettings { quota_per_s }).to_vec(),
+        budget: Some(AttemptBudget { free: 1.0, ratio: 0.1, span: 10_000.0 }),
+        routes: vec![
+            route(vec![1], Some(vec![0]), Some(&[(0, 1.0), (1, 3.0), (4, 0.5)])),
+            route(vec![1], None, Some(&[(2, 1.0), (3, 1.0), (5, 0.0)])),
+            route(vec![0], Some(vec![2]), None),
+        ],
+        ..settings(two_classes())
+    };
+    usual("tenants_budget_and_routes", settings, 7)
+}
+
+fn second_copies() -> Profile {
+    let settings = Settings {
+        second_copies: true,
+        priorities: true,
+        dispatchers: 3,
+        max_attempts: 3,
+        ..settings(two_classes())
+    };
+    let profile = usual("second_copies", settings, 8);
+    Profile { traffic: Traffic { straggler: 0.15, ..USUAL_TRAFFIC }, ..profile }
+}
+
+fn no_cancelling() -> Profile {
+    let settings = Settings { cancelling: false, max_retry_after: 0.0, ..settings(classes_of_all_kinds()) };
+    usual("no_cancelling", settings, 6)
+}
+
+fn cold_fleet() -> Profile {
+    let cold = ColdSettings { share: 0.1, warm_within: 20_000.0, multiple: 2.5, span: 2_000.0 };
+    let settings = Settings { cold, dispatchers: 4, ..settings(two_classes()) };
+    let traffic = Traffic { fleet_change: 0.3, arrival_gap: 40.0, ..USUAL_TRAFFIC };
+    Profile { traffic, has_roster: true, ..usual("cold_fleet", settings, 8) }
+}
+
+fn many_dispatchers() -> Profile {
+    let settings = Settings {
+        dispatchers: 60,
+        cross_zone_price: 0.02,
+        priorities: true,
+        ..settings(classes_of_all_kinds())
+    };
+    Profile { has_roster: true, ..usual("many_dispatchers", settings, 24) }
+}
+
+fn many_dispatchers_without_reports() -> Profile {
+    let settings = Settings { dispatchers: 12, ..settings(two_classes()) };
+    let traffic = Traffic { load_report: 0.0, fleet_change: 0.15, ..USUAL_TRAFFIC };
+    Profile { traffic, ..usual("many_dispatchers_without_reports", settings, 20) }
+}
+
+/// Two engines that are often in trouble and short queries, so that requests wait until their time runs out.
+fn outages() -> Profile {
+    let settings = Settings { priorities: true, dispatchers: 1, ..settings(two_classes()) };
+    let traffic = Traffic {
+        work: (5.0, 40.0),
+        patience: (100.0, 1_500.0),
+        fault_spell: 0.5,
+        fleet_change: 0.3,
+        ..USUAL_TRAFFIC
+    };
+    Profile { traffic, ..usual("outages", settings, 2) }
+}
+
+/// Traffic of a multiple of what the fleet can do, so that several hundred requests are open.
+fn overload_traffic() -> Traffic {
+    Traffic { arrival_gap: 4.0, work: (500.0, 4_000.0), patience: (2_000.0, 9_000.0), ..USUAL_TRAFFIC }
+}
+
+fn overload() -> Profile {
+    let settings = Settings {
+        max_open: 330,
+        priorities: true,
+        grants: true,
+        tenants: [5.0, 50.0].map(|quota_per_s| TenantSettings { quota_per_s }).to_vec(),
+        ..settings(two_classes())
+    };
+    let profile = usual("overload", settings, 6);
+    Profile { traffic: overload_traffic(), changes_settings: false, events: 1_000, ..profile }
+}
+
+fn overload_many_dispatchers() -> Profile {
+    let settings = Settings { max_open: 330, dispatchers: 30, ..settings(two_classes()) };
+    let profile = usual("overload_many_dispatchers", settings, 10);
+    Profile { traffic: overload_traffic(), has_roster: true, events: 1_000, ..profile }
+}
+
+/// The settings after the `number`th change: each differs from the last one in another part, and the first ones come back.
+/// Classes are only added or changed, never removed, as requests of them may be open.
+pub fn changed_settings(initial: &Settings, current: &Settings, number: u64) -> Settings {
+    let mut next = Settings { classes: current.classes.clone(), ..initial.clone() };
+    match number % 8 {
+        0 => next.classes[0].aim += 250.0,
+        1 => next.dispatchers = if initial.dispatchers > 4 { 2 } else { 9 },
+        2 => next.classes.push(ClassSettings { worth: 0.5, ..class(Effect::Safe, 1.0) }),
+        3 => next.second_copies = !initial.second_copies,
+        4 => next.max_attempts = 2,
+        5 => next.tenants.push(TenantSettings { quota_per_s: 2.0 }),
+        6 => next.budget = Some(AttemptBudget { free: 0.0, ratio: 0.05, span: 3_000.0 }),
+        _ => {
+            next.cancelling = !initial.cancelling;
+            next.priorities = !initial.priorities;
+        }
+    }
+    next
+}
