--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -1,9 +1,9 @@
-//! A proxy's side of the stream of versions: a shell round the [`Ledger`], which decides.
+//! A proxy's side of the stream of versions: a shell round the [`VersionTracker`], which decides.
 //!
-//! One coroutine holds the stream to a service; a thread of its own stores, as that blocks. Both tell the ledger what
+//! One coroutine holds the stream to a service; a thread of its own stores, as that blocks. Both tell the tracker what
 //! happens and carry out what it wants done, one at a time. Whatever goes wrong here, the proxy goes on under the
 //! version in force. What is said for the fleet goes through the [`Receiver`], which refuses old owners; which service is
-//! the owner's is found by [`Seek`].
+//! the owner's is found by [`LeaderDiscovery`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -14,26 +14,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use gaugestep_config::ledger::{Action, Event, Fate, Ledger, OfferId};
-use gaugestep_config::live::Live;
+use gaugestep_config::proxy_state::ProxyState;
 use gaugestep_config::schema::{
     Answer, Charter, Duty, Figures, FromClient, FromService, Hello, Offer, Seated, Seen, Welcome,
     from_client, from_service,
 };
-use gaugestep_config::{Document, LONGEST_DOCUMENT, PROTOCOL, Refusal, schema, short};
+use gaugestep_config::version_tracker::{Action, Event, OfferId, VersionStatus, VersionTracker};
+use gaugestep_config::{Document, MAX_DOCUMENT_LENGTH, PROTOCOL, RejectReason, schema, short_digest};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::receiver::{self, Receiver as Terms, Refused};
-use gaugestep_leadership::seek::Seek;
-use gaugestep_leadership::{SEATS, VERSIONS};
-use gaugestep_storage::slots::{Slots, peek};
-use gaugestep_subsetting::holder::{Holder, Told};
-use gaugestep_subsetting::place::Place;
+use gaugestep_leadership::fencing::{FencingAction, FencingGuard, FencingRejected};
+use gaugestep_leadership::leader_discovery::LeaderDiscovery;
+use gaugestep_leadership::{CONFIGURATION_ROLE, ORDINALS_ROLE};
+use gaugestep_storage::snapshot_slots::{SnapshotSlots, read_unlocked};
+use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
+use gaugestep_subsetting::position::FleetPosition;
 use may::net::TcpStream;
 
 use crate::transport::backoff::Backoff;
-use crate::transport::connection::{Channel, STACK_WORDS};
-use crate::transport::tls::{self, ClientKeys, Files};
+use crate::transport::connection::{FramedConnection, STACK_WORDS};
+use crate::transport::tls::{self, ClientTls, TlsFiles};
 use crate::{clock, failpoints, lock};
 use prost::Message as _;
 
@@ -53,16 +53,16 @@
 const TERMS_FOLDER: &str = "terms";
 
 /// What the proxy does for a version.
-pub trait Host: Send + Sync + 'static {
+pub trait ProxyHandle: Send + Sync + 'static {
     /// Calls `then` with the proxy as it runs, which does not change until that has returned: no list of engines, no
     /// new settings come in between. Requests may come and go.
-    fn held(&self, then: &mut dyn FnMut(&Live));
-    /// The document is in force from now on; called from within [`Host::held`].
+    fn with_state(&self, then: &mut dyn FnMut(&ProxyState));
+    /// The document is in force from now on; called from within [`ProxyHandle::with_state`].
     fn apply(&self, document: &Document);
     /// Requests since the start: served, refused, failed.
-    fn counted(&self) -> (u64, u64, u64);
+    fn request_counts(&self) -> (u64, u64, u64);
     /// The proxy has this seat for so many milliseconds from now on; none: it goes by what else it knows.
-    fn seated(&self, seat: Option<(Place, f64)>);
+    fn assign_ordinal(&self, seat: Option<(FleetPosition, f64)>);
 }
 
 /// How to follow a service.
@@ -77,14 +77,14 @@
     /// The folder of the last good version.
     pub state: PathBuf,
     /// Keys, and the name that the service's certificate carries.
-    pub keys: Option<(Files, String)>,
+    pub keys: Option<(TlsFiles, String)>,
     /// For the waits between tries.
     pub seed: u64,
 }
 
 impl Settings {
     /// As an operator's file has them; the error is one plain line.
-    pub fn of(told: &schema::Control, proxy: &str, build: &str, seed: u64) -> Result<Self, String> {
+    pub fn from_config(told: &schema::Control, proxy: &str, build: &str, seed: u64) -> Result<Self, String> {
         let address = |text: &String| -> Result<SocketAddr, String> {
             text.parse().map_err(|_| format!("'control.services' names '{text}', no address"))
         };
@@ -98,10 +98,10 @@
         let keys = match &told.keys {
             None => None,
             Some(_) if told.service_name.is_empty() => return Err("'control.service_name' is missing".into()),
-            Some(files) => Some((Files::of(files)?, told.service_name.clone())),
+            Some(files) => Some((TlsFiles::from_config(files)?, told.service_name.clone())),
         };
         for address in &services {
-            tls::allowed(*address, keys.is_some())?;
+            tls::check_address_allowed(*address, keys.is_some())?;
         }
         let (proxy, build, state) = (proxy.to_owned(), build.to_owned(), PathBuf::from(&told.state));
         Ok(Settings { proxy, build, services, state, keys, seed })
@@ -123,22 +123,22 @@
     /// A version, on a stream.
     Offer(u64, Box<Offer>),
     /// The proxy's seat, confirmed for what it asked at that time.
-    Seat(f64, Told),
+    Seat(f64, OrdinalGrant),
 }
 
 /// What the stream's coroutine shares with the thread that stores.
 struct Desk {
-    ledger: Ledger,
+    tracker: VersionTracker,
     /// The stream that is open, and what is to be said on it.
     stream: u64,
     out: VecDeque<Answer>,
     waker: Option<Waker>,
     /// The highest terms seen.
-    terms: Terms<Said>,
-    seek: Seek,
-    holder: Holder,
+    fencing: FencingGuard<Said>,
+    discovery: LeaderDiscovery,
+    holder: OrdinalLease,
     /// The place that the host was told last.
-    place: Option<Place>,
+    place: Option<FleetPosition>,
     /// The term under which this process has the proxy's name; 0: it never had it.
     name_term: u64,
     /// The process that has the name now, and its term.
@@ -146,10 +146,10 @@
 }
 
 /// A proxy that follows a service.
-pub struct Follower {
+pub struct ConfigSubscriber {
     settings: Settings,
-    keys: Option<ClientKeys>,
-    host: Arc<dyn Host>,
+    keys: Option<ClientTls>,
+    host: Arc<dyn ProxyHandle>,
     desk: Mutex<Desk>,
     jobs: Mutex<Sender<Job>>,
     started: Instant,
@@ -161,7 +161,7 @@
 
 /// The terms that were kept in this folder.
 fn kept(folder: &Path) -> BTreeMap<String, u64> {
-    for found in peek(&folder.join(TERMS_FOLDER), TERMS) {
+    for found in read_unlocked(&folder.join(TERMS_FOLDER), TERMS) {
         match found.and_then(|bytes| Charter::decode(bytes.as_slice()).map_err(|error| error.to_string())) {
             Ok(told) => return told.duties.into_iter().map(|it| (it.name, it.term)).collect(),
             Err(error) => tracing::error!("the terms seen cannot be read: {error}"),
@@ -170,48 +170,48 @@
     BTreeMap::new()
 }
 
-impl Follower {
+impl ConfigSubscriber {
     /// Takes the last good version, if there is one, and begins to follow. An error is one plain line.
-    pub fn start(settings: Settings, host: Arc<dyn Host>) -> Result<Arc<Self>, String> {
-        let keys = settings.keys.as_ref().map(|(files, _)| ClientKeys::connect(files.clone())).transpose()?;
+    pub fn start(settings: Settings, host: Arc<dyn ProxyHandle>) -> Result<Arc<Self>, String> {
+        let keys = settings.keys.as_ref().map(|(files, _)| ClientTls::load(files.clone())).transpose()?;
         let (jobs, work) = channel();
-        let slots = Slots::open(&settings.state, LONGEST_DOCUMENT + AROUND);
+        let slots = SnapshotSlots::open(&settings.state, MAX_DOCUMENT_LENGTH + AROUND);
         let slots = match slots {
             Ok(slots) => Some(slots),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
             Err(error) => return Err(format!("{}: {error}", settings.state.display())),
         };
-        let terms = Terms::new(kept(&settings.state));
-        let seek = Seek::new(settings.services.len());
+        let fencing = FencingGuard::new(kept(&settings.state));
+        let discovery = LeaderDiscovery::new(settings.services.len());
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let drawn = settings.seed ^ since.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
         // Also where a predecessor still holds it.
-        let stored = peek(&settings.state, LONGEST_DOCUMENT + AROUND);
-        let mut ledger = Ledger::new();
-        host.held(&mut |live| {
-            let (recovered, refused) = Ledger::recover(0.0, stored.iter().cloned(), live);
+        let stored = read_unlocked(&settings.state, MAX_DOCUMENT_LENGTH + AROUND);
+        let mut tracker = VersionTracker::new();
+        host.with_state(&mut |proxy| {
+            let (recovered, refused) = VersionTracker::recover(0.0, stored.iter().cloned(), proxy);
             for (place, refusal) in refused {
                 let which = if place == 0 { "the last good version" } else { "the one before it" };
                 tracing::error!(path = refusal.path(), "{which} cannot be used: {refusal}");
             }
             if let Some(taken) = recovered.in_force() {
-                let (version, digest) = (taken.version.number, short(&taken.version.digest));
+                let (version, digest) = (taken.version.number, short_digest(&taken.version.digest));
                 tracing::info!(version, digest, "starts on the last good version");
                 host.apply(&taken.document);
             }
-            ledger = recovered;
+            tracker = recovered;
         });
-        let follower = Arc::new(Follower {
+        let follower = Arc::new(ConfigSubscriber {
             keys,
             host,
             desk: Mutex::new(Desk {
-                ledger,
+                tracker,
                 stream: 0,
                 out: VecDeque::new(),
                 waker: None,
-                terms,
-                seek,
-                holder: Holder::default(),
+                fencing,
+                discovery,
+                holder: OrdinalLease::default(),
                 place: None,
                 name_term: 0,
                 displaced: None,
@@ -229,7 +229,7 @@
             .spawn(move || storing.store(slots, &work))
             .map_err(|error| format!("cannot start a thread: {error}"))?;
         let following = follower.clone();
-        task::spawn_deep("versions", STACK_WORDS, move || following.run())
+        task::spawn_with_large_stack("versions", STACK_WORDS, move || following.run())
             .map_err(|error| format!("cannot start a coroutine: {error}"))?;
         let waking = follower.clone();
         task::spawn("version clocks", move || {
@@ -250,13 +250,13 @@
     }
 
     /// What operators are told.
-    pub fn figures(&self) -> serde_json::Value {
+    pub fn status_json(&self) -> serde_json::Value {
         let mut weak = Vec::new();
-        self.host.held(&mut |live| weak = lock(&self.desk).ledger.weak(live));
+        self.host.with_state(&mut |proxy| weak = lock(&self.desk).tracker.routes_without_engines(proxy));
         let desk = lock(&self.desk);
-        let in_force = desk.ledger.in_force();
-        let last_refusal = desk.ledger.entries().filter_map(|entry| match &entry.fate {
-            Fate::Refused(refusal) => Some(serde_json::json!({
+        let in_force = desk.tracker.in_force();
+        let last_refusal = desk.tracker.records().filter_map(|entry| match &entry.status {
+            VersionStatus::Rejected(refusal) => Some(serde_json::json!({
                 "version": entry.number, "code": refusal.code(), "path": refusal.path(),
                 "reason": refusal.to_string(),
             })),
@@ -264,21 +264,21 @@
         });
         serde_json::json!({
             "version": in_force.map_or(0, |taken| taken.version.number),
-            "digest": in_force.map_or_else(String::new, |taken| short(&taken.version.digest)),
-            "age_s": in_force.map(|_| ((self.now() - desk.ledger.since()) / 1e3).round()),
+            "digest": in_force.map_or_else(String::new, |taken| short_digest(&taken.version.digest)),
+            "age_s": in_force.map(|_| ((self.now() - desk.tracker.in_force_since()) / 1e3).round()),
             "connected": self.connected.load(Ordering::Relaxed),
             "refused": self.refused.load(Ordering::Relaxed),
-            "term": desk.terms.term(VERSIONS),
-            "stale_refused": desk.terms.stale(),
+            "term": desk.fencing.term(CONFIGURATION_ROLE),
+            "stale_refused": desk.fencing.stale_count(),
             "process": format!("{:016x}", self.incarnation),
             "name_term": desk.name_term,
             "displaced": desk.displaced.is_some(),
-            "seat": desk.holder.place(clock::now()).map(|(place, until)| match place {
-                Place::Seat { seat, seats } => serde_json::json!({
-                    "seat": seat, "seats": seats, "epoch": desk.holder.known().map(|told| told.epoch),
-                    "term": desk.terms.term(SEATS), "left_ms": (until - clock::now()).max(0.0).round(),
+            "seat": desk.holder.position(clock::now()).map(|(place, until)| match place {
+                FleetPosition::Ordinal { ordinal: seat, fleet_size: seats } => serde_json::json!({
+                    "seat": seat, "seats": seats, "epoch": desk.holder.last_grant().map(|told| told.epoch),
+                    "term": desk.fencing.term(ORDINALS_ROLE), "left_ms": (until - clock::now()).max(0.0).round(),
                 }),
-                Place::Name(_) => serde_json::Value::Null,
+                FleetPosition::NameKey(_) => serde_json::Value::Null,
             }),
             "last_refusal": last_refusal.last(),
             "weak_routes": weak,
@@ -286,78 +286,88 @@
     }
 
     /// The version in force, its age, and whether a service is there, in a few words.
-    pub fn standing(&self) -> String {
+    pub fn status_line(&self) -> String {
         let desk = lock(&self.desk);
         let service = if self.connected.load(Ordering::Relaxed) { "following" } else { "no service" };
-        match desk.ledger.in_force() {
+        match desk.tracker.in_force() {
             None => format!("no version, {service}"),
             Some(taken) => {
-                let age = (self.now() - desk.ledger.since()) / 1e3;
+                let age = (self.now() - desk.tracker.in_force_since()) / 1e3;
                 format!("version {}, in force for {age:.0} s, {service}", taken.version.number)
             }
         }
     }
 
     /// Whether another process has the proxy's name.
-    pub fn displaced(&self) -> bool {
+    pub fn name_is_superseded(&self) -> bool {
         lock(&self.desk).displaced.is_some()
     }
 
     /// Something was said for the fleet under a term of a duty.
     fn said(&self, duty: &str, term: u64, said: Said) {
         let mut desk = lock(&self.desk);
-        let actions = desk.terms.act(duty, term, said);
+        let actions = desk.fencing.check(duty, term, said);
         drop(desk);
         self.take(actions);
     }
 
-    fn take(&self, actions: Vec<receiver::Action<Said>>) {
+    fn take(&self, actions: Vec<FencingAction<Said>>) {
         for action in actions {
             let action = match action {
-                receiver::Action::Refuse(said, Refused::Stale { .. }) if failpoints::out("receiver") => {
-                    receiver::Action::Take(said)
+                FencingAction::Reject(said, FencingRejected::StaleTerm { .. })
+                    if failpoints::is_check_disabled("receiver") =>
+                {
+                    FencingAction::Accept(said)
                 }
                 action => action,
             };
             match action {
-                receiver::Action::Keep(terms) => self.work(Job::Keep(terms)),
-                receiver::Action::Take(Said::Offer(stream, offer)) => {
+                FencingAction::Persist(terms) => self.work(Job::Keep(terms)),
+                FencingAction::Accept(Said::Offer(stream, offer)) => {
                     let (version, nonce) = (offer.version.as_ref().map_or(0, |it| it.number), offer.nonce);
-                    tracing::info!(version, nonce, duty = VERSIONS, term = offer.term, "version offered");
+                    tracing::info!(
+                        version,
+                        nonce,
+                        duty = CONFIGURATION_ROLE,
+                        term = offer.term,
+                        "version offered"
+                    );
                     self.tell(Event::Offered(stream, offer));
                 }
-                receiver::Action::Take(Said::Owns(stream)) => {
+                FencingAction::Accept(Said::Owns(stream)) => {
                     if lock(&self.desk).stream == stream {
                         self.connected.store(true, Ordering::Relaxed);
                     }
                 }
-                receiver::Action::Refuse(Said::Offer(stream, offer), refused) => {
+                FencingAction::Reject(Said::Offer(stream, offer), refused) => {
                     let number = offer.version.as_ref().map_or(0, |it| it.number);
                     let refusal = match refused {
-                        Refused::Stale { term, seen } => Refusal::StaleTerm { term, seen },
-                        Refused::NoTerm => Refusal::StaleTerm { term: 0, seen: 0 },
-                        Refused::NotKept(why) => Refusal::NotStored(why),
-                        Refused::Full => Refusal::NotStored(refused.to_string()),
+                        FencingRejected::StaleTerm { term, highest } => {
+                            RejectReason::StaleTerm { term, seen: highest }
+                        }
+                        FencingRejected::MissingTerm => RejectReason::StaleTerm { term: 0, seen: 0 },
+                        FencingRejected::NotPersisted(why) => RejectReason::NotStored(why),
+                        FencingRejected::QueueFull => RejectReason::NotStored(refused.to_string()),
                     };
                     let id = OfferId { stream, nonce: offer.nonce };
                     self.answer(&mut lock(&self.desk), id, number, Some(refusal));
                 }
-                receiver::Action::Take(Said::Seat(asked, told)) => {
-                    let asked = if failpoints::out("seat") { f64::MAX } else { asked };
-                    if lock(&self.desk).holder.told(asked, told) {
+                FencingAction::Accept(Said::Seat(asked, told)) => {
+                    let asked = if failpoints::is_check_disabled("seat") { f64::MAX } else { asked };
+                    if lock(&self.desk).holder.confirm(asked, told) {
                         self.look_at_seat(true);
                     }
                 }
-                receiver::Action::Refuse(Said::Seat(_, told), refused) => {
+                FencingAction::Reject(Said::Seat(_, told), refused) => {
                     tracing::warn!(
-                        duty = SEATS,
+                        duty = ORDINALS_ROLE,
                         term = told.term,
                         epoch = told.epoch,
                         "stale act refused: {refused}"
                     );
                 }
-                receiver::Action::Refuse(Said::Owns(_), refused) => {
-                    tracing::warn!(duty = VERSIONS, "an owner is not believed: {refused}");
+                FencingAction::Reject(Said::Owns(_), refused) => {
+                    tracing::warn!(duty = CONFIGURATION_ROLE, "an owner is not believed: {refused}");
                 }
             }
         }
@@ -367,32 +377,41 @@
     fn look_at_seat(&self, confirmed: bool) {
         let now = clock::now();
         let mut desk = lock(&self.desk);
-        let (held, term) = (desk.holder.place(now), desk.terms.term(SEATS));
+        let (held, term) = (desk.holder.position(now), desk.fencing.term(ORDINALS_ROLE));
         let place = held.map(|(place, _)| place);
         let changed = std::mem::replace(&mut desk.place, place) != place;
         if !(changed || confirmed && held.is_some()) {
             return;
         }
-        let epoch = desk.holder.known().map_or(0, |told| told.epoch);
+        let epoch = desk.holder.last_grant().map_or(0, |told| told.epoch);
         drop(desk);
-        if let Some((Place::Seat { seat, seats }, until)) = held {
+        if let Some((FleetPosition::Ordinal { ordinal: seat, fleet_size: seats }, until)) = held {
             if changed {
-                tracing::info!(duty = SEATS, term, epoch, seat, seats, "seat");
+                tracing::info!(duty = ORDINALS_ROLE, term, epoch, seat, seats, "seat");
             }
-            tracing::debug!(duty = SEATS, term, epoch, seat, seats, at = now, until, "seat confirmed");
+            tracing::debug!(
+                duty = ORDINALS_ROLE,
+                term,
+                epoch,
+                seat,
+                seats,
+                at = now,
+                until,
+                "seat confirmed"
+            );
         } else {
-            tracing::warn!(duty = SEATS, term, epoch, "no seat any more");
+            tracing::warn!(duty = ORDINALS_ROLE, term, epoch, "no seat any more");
         }
-        self.host.seated(held.map(|(place, until)| (place, until - now)));
+        self.host.assign_ordinal(held.map(|(place, until)| (place, until - now)));
     }
 
-    /// Tells the ledger of something, and carries out what it wants done.
+    /// Tells the tracker of something, and carries out what it wants done.
     fn tell(&self, event: Event) {
         let mut event = Some(event);
-        self.host.held(&mut |live| {
+        self.host.with_state(&mut |proxy| {
             let Some(event) = event.take() else { return };
             let mut desk = lock(&self.desk);
-            for action in desk.ledger.handle(self.now(), event, live) {
+            for action in desk.tracker.handle(self.now(), event, proxy) {
                 match action {
                     Action::Apply(document) => self.host.apply(&document),
                     Action::Stage(version, bytes) => self.work(Job::Stage(version, bytes)),
@@ -403,10 +422,16 @@
         });
     }
 
-    fn answer(&self, desk: &mut Desk, id: OfferId, version: u64, refusal: Option<gaugestep_config::Refusal>) {
+    fn answer(
+        &self,
+        desk: &mut Desk,
+        id: OfferId,
+        version: u64,
+        refusal: Option<gaugestep_config::RejectReason>,
+    ) {
         match &refusal {
             None => {
-                let digest = desk.ledger.in_force().map(|taken| short(&taken.version.digest));
+                let digest = desk.tracker.in_force().map(|taken| short_digest(&taken.version.digest));
                 tracing::info!(version, digest, nonce = id.nonce, "version in force");
             }
             Some(refusal) => {
@@ -417,7 +442,7 @@
         }
         // What came on a stream that has ended is answered by the next hello.
         if id.stream == desk.stream {
-            let refusal = refusal.map(|refusal| refusal.told());
+            let refusal = refusal.map(|refusal| refusal.to_message());
             desk.out.push_back(Answer { nonce: id.nonce, number: version, refusal });
             if let Some(waker) = &desk.waker {
                 waker.wakeup();
@@ -431,8 +456,8 @@
     }
 
     /// The thread that stores.
-    fn store(&self, mut slots: Option<Slots>, work: &Receiver<Job>) {
-        let mut terms: Option<Slots> = None;
+    fn store(&self, mut slots: Option<SnapshotSlots>, work: &Receiver<Job>) {
+        let mut terms: Option<SnapshotSlots> = None;
         loop {
             let job = match work.recv_timeout(LOOK) {
                 Ok(job) => Some(job),
@@ -440,10 +465,10 @@
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
             };
             if let Some(keys) = &self.keys {
-                keys.look();
+                keys.reload_if_changed();
             }
             if slots.is_none() {
-                slots = Slots::open(&self.settings.state, LONGEST_DOCUMENT + AROUND).ok();
+                slots = SnapshotSlots::open(&self.settings.state, MAX_DOCUMENT_LENGTH + AROUND).ok();
             }
             let held = slots.as_ref().ok_or_else(|| "another process holds the store".to_owned());
             match job {
@@ -454,7 +479,7 @@
                 }
                 Some(Job::Keep(seen)) => {
                     if terms.is_none() && held.is_ok() {
-                        terms = Slots::open(&self.settings.state.join(TERMS_FOLDER), TERMS).ok();
+                        terms = SnapshotSlots::open(&self.settings.state.join(TERMS_FOLDER), TERMS).ok();
                     }
                     let duty = |(name, term): (&String, &u64)| Duty {
                         name: name.clone(),
@@ -462,8 +487,9 @@
                         ..Duty::default()
                     };
                     let all = Charter { duties: seen.iter().map(duty).collect(), ..Charter::default() };
-                    let keep =
-                        |slots: &Slots| slots.stage(&all.encode_to_vec()).and_then(|()| slots.commit());
+                    let keep = |slots: &SnapshotSlots| {
+                        slots.stage(&all.encode_to_vec()).and_then(|()| slots.commit())
+                    };
                     let end = match (&terms, held) {
                         (Some(terms), Ok(_)) => keep(terms).map_err(|error| error.to_string()),
                         (_, Err(why)) => Err(why),
@@ -474,7 +500,7 @@
                             tracing::info!(duty, term, "term kept");
                         }
                     }
-                    let actions = lock(&self.desk).terms.kept(end);
+                    let actions = lock(&self.desk).fencing.on_persisted(end);
                     self.take(actions);
                 }
                 Some(Job::Commit(version)) => {
@@ -489,7 +515,7 @@
     fn run(&self) {
         let mut backoff = Backoff::new(self.settings.seed ^ self.incarnation);
         loop {
-            let place = lock(&self.desk).seek.place();
+            let place = lock(&self.desk).discovery.endpoint();
             let service = self.settings.services[place % self.settings.services.len()];
             let began = Instant::now();
             let stream = {
@@ -504,10 +530,10 @@
             self.tell(Event::StreamEnded(stream));
             let error =
                 ended.err().map_or_else(|| "the service has closed".into(), |error| error.to_string());
-            let moves = lock(&self.desk).seek.ended();
+            let moves = lock(&self.desk).discovery.on_disconnect();
             // To an owner that was named and not tried yet there is nothing to wait for but the others' lots.
             let held = if was { began.elapsed().as_secs_f64() * 1e3 } else { 0.0 };
-            let wait = backoff.ended(if moves { f64::INFINITY } else { held });
+            let wait = backoff.next_delay(if moves { f64::INFINITY } else { held });
             tracing::info!(%service, wait_ms = wait as u64, "the stream of versions ended: {error}");
             task::sleep(Duration::from_secs_f64(wait / 1e3));
         }
@@ -522,11 +548,12 @@
             }
             desk.name_term = told.name_term;
         }
-        let owner = told.owner.as_ref().filter(|owner| owner.duty == VERSIONS);
+        let owner = told.owner.as_ref().filter(|owner| owner.duty == CONFIGURATION_ROLE);
         let named = owner.map(|owner| (owner.member, owner.term));
-        let seen = if failpoints::out("receiver") { 0 } else { desk.terms.term(VERSIONS) };
+        let seen =
+            if failpoints::is_check_disabled("receiver") { 0 } else { desk.fencing.term(CONFIGURATION_ROLE) };
         let now = self.now();
-        if desk.seek.welcomed(now, told.member, named, seen) {
+        if desk.discovery.on_welcome(now, told.member, named, seen) {
             return Err(io::Error::other(match named {
                 Some((owner, term)) => format!("member {owner} owns the versions, under term {term}"),
                 None => "it names no owner of the versions".into(),
@@ -534,7 +561,9 @@
         }
         drop(desk);
         match named {
-            Some((owner, term)) if owner == told.member => self.said(VERSIONS, term, Said::Owns(stream)),
+            Some((owner, term)) if owner == told.member => {
+                self.said(CONFIGURATION_ROLE, term, Said::Owns(stream))
+            }
             _ => self.connected.store(false, Ordering::Relaxed),
         }
         Ok(())
@@ -544,15 +573,15 @@
     fn stream(&self, service: SocketAddr, stream: u64) -> io::Result<()> {
         let socket = TcpStream::connect_timeout(&service, CONNECT_WITHIN)?;
         let name = self.settings.keys.as_ref().map(|(_, name)| name.as_str());
-        let keys = self.keys.as_ref().map(ClientKeys::now).zip(name);
-        let mut channel = Channel::connected(socket, keys)?;
+        let keys = self.keys.as_ref().map(ClientTls::current).zip(name);
+        let mut channel = FramedConnection::from_connected(socket, keys)?;
         {
             let mut desk = lock(&self.desk);
             desk.waker = Some(channel.waker());
-            let in_force = desk.ledger.in_force().map(|taken| taken.version.clone());
-            let age_ms = (self.now() - desk.ledger.since()).max(0.0) as u64;
+            let in_force = desk.tracker.in_force().map(|taken| taken.version.clone());
+            let age_ms = (self.now() - desk.tracker.in_force_since()).max(0.0) as u64;
             let (proxy, build) = (self.settings.proxy.clone(), self.settings.build.clone());
-            let seen = desk.terms.terms().iter();
+            let seen = desk.fencing.terms().iter();
             let hello = Hello {
                 protocol: PROTOCOL,
                 proxy,
@@ -570,7 +599,7 @@
         let mut welcome = false;
         loop {
             let closed = channel.pump()?;
-            while let Some(message) = channel.take::<FromService>()? {
+            while let Some(message) = channel.next_message::<FromService>()? {
                 heard = Instant::now();
                 match message.said {
                     Some(from_service::Said::Welcome(told)) => {
@@ -594,13 +623,13 @@
                         lock(&self.desk).displaced = Some((told.by, told.name_term));
                     }
                     Some(from_service::Said::Offer(offer)) if welcome => {
-                        self.said(VERSIONS, offer.term, Said::Offer(stream, Box::new(offer)));
+                        self.said(CONFIGURATION_ROLE, offer.term, Said::Offer(stream, Box::new(offer)));
                     }
                     Some(from_service::Said::Seated(Seated { term, epoch, asked_ms, seat, seats })) => {
-                        let told = Told { term, epoch, seat: seat.map(|seat| (seat, seats)) };
+                        let told = OrdinalGrant { term, epoch, ordinal: seat.map(|seat| (seat, seats)) };
                         // Nothing was asked for yet: it holds once the first figures are answered.
                         if welcome && asked_ms > 0 {
-                            self.said(SEATS, term, Said::Seat(asked_ms as f64, told));
+                            self.said(ORDINALS_ROLE, term, Said::Seat(asked_ms as f64, told));
                         }
                     }
                     // What a later build says is not for this one; what comes before the welcome is no service's.
@@ -621,8 +650,8 @@
             }
             if welcome && told.elapsed() >= FIGURES_EVERY {
                 (told, fresh) = (Instant::now(), true);
-                let (succeeded, declined, aborted) = self.host.counted();
-                let number = lock(&self.desk).ledger.in_force().map_or(0, |taken| taken.version.number);
+                let (succeeded, declined, aborted) = self.host.request_counts();
+                let number = lock(&self.desk).tracker.in_force().map_or(0, |taken| taken.version.number);
                 let asked_ms = clock::now() as u64;
                 let figures = Figures { succeeded, declined, aborted, number, asked_ms };
                 channel.send(&FromClient { said: Some(from_client::Said::Figures(figures)) })?;
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,5 +1,5 @@
 //! The control service: listeners, and the streams of proxies and of the group's other members. What is agreed on lies in
-//! the [`Group`]; who is offered what is in `driving`, what operators ask for in `calls`.
+//! the [`Replica`]; who is offered what is in `driving`, what operators ask for in `calls`.
 //!
 //! Each stream is one coroutine.
 
@@ -21,17 +21,17 @@
 use gaugestep_config::{PROTOCOL, schema};
 use gaugestep_coroutine_io::stream::Waker;
 use gaugestep_coroutine_io::task;
-use gaugestep_leadership::VERSIONS;
-use gaugestep_leadership::doubt::Doubt;
-use gaugestep_leadership::gate::Gate;
-use gaugestep_leadership::names::{Given, Names};
+use gaugestep_leadership::CONFIGURATION_ROLE;
+use gaugestep_leadership::checkpoint::CheckpointBarrier;
+use gaugestep_leadership::identity::{Claim, IdentityRegistry};
+use gaugestep_leadership::pause_detector::PauseDetector;
 use may::net::{TcpListener, TcpStream};
 
-use crate::raft::replica::{self, Group};
-use crate::raft::transport::Incoming;
-use crate::server::roster_service::Seating;
-use crate::transport::connection::{Channel, STACK_WORDS};
-use crate::transport::tls::{self, Files, ServerKeys};
+use crate::raft::replica::{self, Replica};
+use crate::raft::transport::InboundPeer;
+use crate::server::roster_service::RosterState;
+use crate::transport::connection::{FramedConnection, STACK_WORDS};
+use crate::transport::tls::{self, ServerTls, TlsFiles};
 use crate::{clock, lock};
 
 /// A peer that has not said who it is within this time, or has been silent for so long, is closed.
@@ -57,7 +57,7 @@
     /// The file in which versions are kept.
     pub store: PathBuf,
     /// Keys for proxies and for operators.
-    pub keys: Option<(Files, Files)>,
+    pub keys: Option<(TlsFiles, TlsFiles)>,
     /// Versions kept at least.
     pub keep: usize,
     /// Streams open together.
@@ -74,30 +74,31 @@
 
 impl Settings {
     /// As the service's file has them; the error is one plain line.
-    pub fn of(told: &schema::Service) -> Result<Self, String> {
+    pub fn from_schema(config: &schema::Service) -> Result<Self, String> {
         let address = |field: &str, text: &str| -> Result<SocketAddr, String> {
             text.parse().map_err(|_| format!("'{field}' is '{text}', no address"))
         };
-        let keys = match &told.keys {
+        let keys = match &config.keys {
             None => None,
-            Some(_) if told.operators_authority.is_empty() => {
+            Some(_) if config.operators_authority.is_empty() => {
                 return Err("'operators_authority' is missing".into());
             }
             Some(files) => {
-                let proxies = Files::of(files)?;
-                let authority = PathBuf::from(&told.operators_authority);
-                Some((proxies.clone(), Files { authority, ..proxies }))
+                let proxies = TlsFiles::from_config(files)?;
+                let authority = PathBuf::from(&config.operators_authority);
+                Some((proxies.clone(), TlsFiles { authority, ..proxies }))
             }
         };
-        if told.store.is_empty() {
+        if config.store.is_empty() {
             return Err("'store' is missing".into());
         }
-        let (listen, operators) = (address("listen", &told.listen)?, address("operators", &told.operators)?);
+        let (listen, operators) =
+            (address("listen", &config.listen)?, address("operators", &config.operators)?);
         for address in [listen, operators] {
-            tls::allowed(address, keys.is_some())?;
+            tls::check_address_allowed(address, keys.is_some())?;
         }
-        let group = told.group.clone().unwrap_or_default();
-        if keys.is_some() && told.group.is_some() && group.service_name.is_empty() {
+        let group = config.group.clone().unwrap_or_default();
+        if keys.is_some() && config.group.is_some() && group.service_name.is_empty() {
             return Err("'group.service_name' is missing".into());
         }
         let shown = |field: &str, own: SocketAddr, text: &str| -> Result<String, String> {
@@ -115,20 +116,20 @@
         Ok(Settings {
             listen,
             operators,
-            store: PathBuf::from(&told.store),
+            store: PathBuf::from(&config.store),
             member,
             joins: group.joins,
             service_name: group.service_name,
             restored: false,
             keys,
-            keep: told.keep.unwrap_or(100).max(1) as usize,
-            streams: told.streams.unwrap_or(4_096).max(1) as usize,
+            keep: config.keep.unwrap_or(100).max(1) as usize,
+            streams: config.streams.unwrap_or(4_096).max(1) as usize,
         })
     }
 }
 
 /// What a stream's coroutine is to send, and who speaks on it.
-pub(crate) struct Line {
+pub(crate) struct Session {
     pub(crate) out: VecDeque<FromService>,
     pub(crate) waker: Waker,
     /// The proxy's hello, kept up with what it answered since, and when it came.
@@ -139,12 +140,12 @@
     pub(crate) end: Option<&'static str>,
 }
 
-impl Line {
+impl Session {
     pub(crate) fn new(waker: Waker) -> Self {
-        Line { out: VecDeque::new(), waker, hello: None, asked: 0, end: None }
+        Session { out: VecDeque::new(), waker, hello: None, asked: 0, end: None }
     }
 
-    pub(crate) fn say(&mut self, said: from_service::Said) {
+    pub(crate) fn send(&mut self, said: from_service::Said) {
         self.out.push_back(FromService { said: Some(said) });
         self.waker.wakeup();
     }
@@ -157,40 +158,40 @@
 
 /// The highest term of the versions that a proxy has seen.
 pub(crate) fn seen(hello: &Hello) -> u64 {
-    hello.seen.iter().filter(|it| it.duty == VERSIONS).map(|it| it.term).max().unwrap_or(0)
+    hello.seen.iter().filter(|it| it.duty == CONFIGURATION_ROLE).map(|it| it.term).max().unwrap_or(0)
 }
 
 #[derive(Default)]
-pub(crate) struct Inner {
+pub(crate) struct ServerState {
     /// Decides who is offered what, while this service owns the versions.
     pub(crate) rollout: Rollout,
     /// The term under which it does.
     pub(crate) acting: Option<u64>,
     /// Holds offers of a step back until the next owner would know of it.
-    pub(crate) gate: Gate<Action>,
-    pub(crate) names: Names,
-    pub(crate) lines: BTreeMap<u64, Line>,
+    pub(crate) gate: CheckpointBarrier<Action>,
+    pub(crate) names: IdentityRegistry,
+    pub(crate) lines: BTreeMap<u64, Session>,
     pub(crate) next_stream: u64,
     pub(crate) calls: usize,
-    pub(crate) seating: Seating,
+    pub(crate) seating: RosterState,
 }
 
 /// A service that runs.
-pub struct Service {
-    pub(crate) inner: Mutex<Inner>,
-    pub(crate) group: Arc<Group>,
-    pub(crate) doubt: Mutex<Doubt>,
+pub struct ControlServer {
+    pub(crate) inner: Mutex<ServerState>,
+    pub(crate) group: Arc<Replica>,
+    pub(crate) doubt: Mutex<PauseDetector>,
     pub(crate) keep: usize,
     pub(crate) restored: bool,
     streams: usize,
-    keys: Option<(ServerKeys, ServerKeys)>,
-    this: Weak<Service>,
+    keys: Option<(ServerTls, ServerTls)>,
+    this: Weak<ControlServer>,
 }
 
-impl Service {
+impl ControlServer {
     /// Opens the store and the listeners and begins to serve. An error is one plain line.
     pub fn start(settings: Settings, seed: u64) -> Result<Arc<Self>, String> {
-        let (group, go) = Group::open(replica::Settings {
+        let (group, go) = Replica::open(replica::ReplicaSettings {
             member: settings.member.clone(),
             joins: settings.joins,
             store: settings.store.clone(),
@@ -200,13 +201,13 @@
         })?;
         let keys = match settings.keys {
             None => None,
-            Some((proxies, operators)) => Some((ServerKeys::serve(proxies)?, ServerKeys::serve(operators)?)),
+            Some((proxies, operators)) => Some((ServerTls::load(proxies)?, ServerTls::load(operators)?)),
         };
-        let service = Arc::new_cyclic(|this| Service {
+        let service = Arc::new_cyclic(|this| ControlServer {
             this: this.clone(),
             inner: Mutex::default(),
             group,
-            doubt: Mutex::new(Doubt::new(clock::now())),
+            doubt: Mutex::new(PauseDetector::new(clock::now())),
             keep: settings.keep,
             restored: settings.restored,
             streams: settings.streams,
@@ -229,8 +230,8 @@
                 loop {
                     std::thread::sleep(KEYS_EVERY);
                     if let Some((proxies, operators)) = &looking.keys {
-                        proxies.look();
-                        operators.look();
+                        proxies.reload_if_changed();
+                        operators.reload_if_changed();
                     }
                 }
             };
@@ -240,20 +241,20 @@
     }
 
     /// This service, for what ends later.
-    pub(crate) fn itself(&self) -> Weak<Service> {
+    pub(crate) fn itself(&self) -> Weak<ControlServer> {
         self.this.clone()
     }
 
     /// Keys for operators' connections.
     pub(crate) fn operators_keys(&self) -> Option<Arc<rustls::ServerConfig>> {
-        self.keys.as_ref().map(|(_, operators)| operators.now())
+        self.keys.as_ref().map(|(_, operators)| operators.current())
     }
 
     /// Looks whether this service stood still, whatever it does first when it goes on.
-    pub(crate) fn stood_still(&self, inner: &mut Inner, now: f64) {
-        if lock(&self.doubt).tick(now, STOOD_STILL, !inner.names.is_empty()) {
+    pub(crate) fn check_suspension(&self, inner: &mut ServerState, now: f64) {
+        if lock(&self.doubt).observe(now, STOOD_STILL, !inner.names.is_empty()) {
             // Whoever was connected may follow another by now: what it has seen is told by a hello.
-            tracing::warn!("stood still for longer than a lease: proxies are to come anew");
+            tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
             for line in inner.lines.values_mut().filter(|line| line.hello.is_some()) {
                 line.end = Some("this service stood still");
             }
@@ -265,7 +266,7 @@
             task::sleep(LOOK);
             let now = clock::now();
             let mut inner = lock(&self.inner);
-            self.stood_still(&mut inner, now);
+            self.check_suspension(&mut inner, now);
             self.look(&mut inner);
             self.drive(&mut inner, Event::Tick);
             self.promote(&mut inner, now);
@@ -281,31 +282,31 @@
             let (stream, peer) = match listener.accept() {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    tracing::warn!("cannot accept: {error}");
+                    tracing::warn!("cannot accept a connection: {error}");
                     task::sleep(PAUSE);
                     continue;
                 }
             };
             let service = self.clone();
-            let spawned = task::spawn_deep("stream", STACK_WORDS, move || {
+            let spawned = task::spawn_with_large_stack("stream", STACK_WORDS, move || {
                 let ended = match proxies {
                     true => service.stream(stream),
                     false => service.operator(stream),
                 };
                 if let Err(error) = ended {
-                    tracing::info!(%peer, "a stream ended: {error}");
+                    tracing::info!(%peer, "connection closed: {error}");
                 }
             });
             if let Err(error) = spawned {
-                tracing::error!("no coroutine for a stream: {error}");
+                tracing::error!("cannot start a coroutine for a connection: {error}");
             }
         }
     }
 
     /// A stream of a proxy or of another member, until it ends.
     fn stream(&self, stream: TcpStream) -> io::Result<()> {
-        let keys = self.keys.as_ref().map(|(proxies, _)| proxies.now());
-        let mut channel = Channel::accepted(stream, keys)?;
+        let keys = self.keys.as_ref().map(|(proxies, _)| proxies.current());
+        let mut channel = FramedConnection::from_accepted(stream, keys)?;
         let number = {
             let mut inner = lock(&self.inner);
             if inner.lines.len() >= self.streams {
@@ -313,29 +314,29 @@
             }
             inner.next_stream += 1;
             let number = inner.next_stream;
-            inner.lines.insert(number, Line::new(channel.waker()));
+            inner.lines.insert(number, Session::new(channel.waker()));
             number
         };
         let ended = self.talk(&mut channel, number);
         let mut inner = lock(&self.inner);
         let line = inner.lines.remove(&number);
         if let Some((hello, _)) = line.and_then(|line| line.hello) {
-            let held = inner.names.holds(&hello.proxy, number);
-            inner.names.left(clock::now(), number);
+            let held = inner.names.is_holder(&hello.proxy, number);
+            inner.names.disconnected(clock::now(), number);
             if held {
-                self.drive(&mut inner, Event::Left { proxy: hello.proxy, stream: number });
+                self.drive(&mut inner, Event::Disconnected { proxy: hello.proxy, stream: number });
             }
         }
         ended
     }
 
-    fn talk(&self, channel: &mut Channel, stream: u64) -> io::Result<()> {
+    fn talk(&self, channel: &mut FramedConnection, stream: u64) -> io::Result<()> {
         let (began, mut heard) = (Instant::now(), Instant::now());
         let mut proxy: Option<String> = None;
-        let mut peer: Option<Incoming> = None;
+        let mut peer: Option<InboundPeer> = None;
         loop {
             let closed = channel.pump()?;
-            while let Some(message) = channel.take::<FromClient>()? {
+            while let Some(message) = channel.next_message::<FromClient>()? {
                 heard = Instant::now();
                 match (message.said, &proxy, &mut peer) {
                     (Some(from_client::Said::Hello(hello)), None, None) => {
@@ -344,7 +345,7 @@
                     }
                     (Some(from_client::Said::PeerHello(hello)), None, None) => {
                         self.certified(channel, self.group.peer_name())?;
-                        let (welcome, incoming) = Incoming::hello(&self.group, &hello);
+                        let (welcome, incoming) = InboundPeer::accept(&self.group, &hello);
                         channel
                             .send(&FromService { said: Some(from_service::Said::PeerWelcome(welcome)) })?;
                         peer = incoming;
@@ -354,7 +355,7 @@
                         }
                     }
                     (Some(from_client::Said::Peer(said)), None, Some(peer)) => {
-                        if let Some(welcome) = peer.take(&self.group, said)? {
+                        if let Some(welcome) = peer.handle(&self.group, said)? {
                             channel.send(&FromService {
                                 said: Some(from_service::Said::PeerWelcome(welcome)),
                             })?;
@@ -370,10 +371,10 @@
                         if let Some(line) = inner.lines.get_mut(&stream) {
                             line.asked = told.asked_ms;
                         }
-                        if inner.names.holds(&proxy, stream) {
+                        if inner.names.is_holder(&proxy, stream) {
                             self.drive(
                                 &mut inner,
-                                Event::Figures { proxy, stream, served, unserved, number },
+                                Event::RequestCounts { proxy, stream, served, unserved, number },
                             );
                         }
                         self.vouched(&inner, stream);
@@ -416,17 +417,17 @@
 
     /// A proxy tells its figures, and so has heard this service's welcome: it follows no later owner. A hello proves less, as
     /// one may have waited while this service stood still.
-    fn vouched(&self, inner: &Inner, stream: u64) {
-        let term = self.group.charter(|charter| charter.owner(VERSIONS).1);
+    fn vouched(&self, inner: &ServerState, stream: u64) {
+        let term = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE).1);
         if inner.lines.get(&stream).is_some_and(|line| line.end.is_none() && line.seen() <= term) {
-            lock(&self.doubt).vouched();
+            lock(&self.doubt).clear();
         }
     }
 
     /// Guards each place against whoever holds another's key.
-    fn certified(&self, channel: &Channel, name: Option<&str>) -> io::Result<()> {
-        let Some(certificate) = channel.peer() else { return Ok(()) };
-        match name.is_some_and(|name| tls::carries(certificate, name)) {
+    fn certified(&self, channel: &FramedConnection, name: Option<&str>) -> io::Result<()> {
+        let Some(certificate) = channel.peer_certificate() else { return Ok(()) };
+        match name.is_some_and(|name| tls::certificate_is_valid_for(certificate, name)) {
             true => Ok(()),
             false => {
                 let name = name.unwrap_or_default();
@@ -435,9 +436,12 @@
         }
     }
 
-    fn hello(&self, channel: &mut Channel, stream: u64, mut hello: Hello) -> io::Result<()> {
+    fn hello(&self, channel: &mut FramedConnection, stream: u64, mut hello: Hello) -> io::Result<()> {
         let named = !hello.proxy.is_empty() && hello.proxy.len() <= NAME && hello.build.len() <= NAME;
-        if hello.protocol != PROTOCOL || !named || hello.seen.len() > gaugestep_leadership::charter::DUTIES {
+        if hello.protocol != PROTOCOL
+            || !named
+            || hello.seen.len() > gaugestep_leadership::group_state::MAX_ROLES
+        {
             return Err(io::Error::other("a hello that this build does not understand"));
         }
         self.certified(channel, Some(&hello.proxy))?;
@@ -447,7 +451,7 @@
         }
         let now = clock::now();
         let mut inner = lock(&self.inner);
-        let given = inner.names.hello(now, &hello.proxy, hello.incarnation, hello.name_term, stream);
+        let given = inner.names.claim(now, &hello.proxy, hello.incarnation, hello.name_term, stream);
         let version = hello.in_force.as_ref().map_or(0, |version| version.number);
         let (proxy, incarnation) = (hello.proxy.clone(), hello.incarnation);
         tracing::info!(
@@ -456,7 +460,7 @@
             incarnation,
             seen = seen(&hello),
             build = hello.build,
-            "a proxy is here"
+            "proxy connected"
         );
         if let Some(line) = inner.lines.get_mut(&stream) {
             line.hello = Some((hello, now));
@@ -464,20 +468,21 @@
         let welcome = self.welcome(&inner, stream);
         channel.send(&FromService { said: Some(from_service::Said::Welcome(welcome)) })?;
         match given {
-            Given::Yours { term, displaced } => {
-                if let Some(line) = displaced.and_then(|old| inner.lines.get_mut(&old)) {
-                    tracing::warn!(
-                        proxy,
-                        name_term = term,
-                        by = incarnation,
-                        "a proxy's name has a new owner"
-                    );
-                    line.say(from_service::Said::Displaced(Displaced { name_term: term, by: incarnation }));
+            Claim::Granted { term, superseded } => {
+                if let Some(line) = superseded.and_then(|old| inner.lines.get_mut(&old)) {
+                    tracing::warn!(proxy, name_term = term, by = incarnation, "proxy identity superseded");
+                    line.send(from_service::Said::Displaced(Displaced { name_term: term, by: incarnation }));
                 }
                 self.present(&mut inner, stream);
             }
-            Given::Displaced { term, by } => {
-                tracing::warn!(proxy, name_term = term, by, incarnation, "a proxy's name is another's");
+            Claim::Superseded { term, by } => {
+                tracing::warn!(
+                    proxy,
+                    name_term = term,
+                    by,
+                    incarnation,
+                    "proxy identity is held by another process"
+                );
                 let displaced = Displaced { name_term: term, by };
                 channel.send(&FromService { said: Some(from_service::Said::Displaced(displaced)) })?;
             }
@@ -486,9 +491,9 @@
     }
 
     /// What a proxy is told of who it speaks to.
-    pub(crate) fn welcome(&self, inner: &Inner, stream: u64) -> Welcome {
-        let own = self.group.number();
-        let (owner, term) = self.group.charter(|charter| charter.owner(VERSIONS));
+    pub(crate) fn welcome(&self, inner: &ServerState, stream: u64) -> Welcome {
+        let own = self.group.member_number();
+        let (owner, term) = self.group.with_state(|charter| charter.holder(CONFIGURATION_ROLE));
         let owner = match inner.acting {
             Some(term) => Some((own, term)),
             // Its lease has lapsed, as far as it knows.
@@ -497,7 +502,7 @@
         };
         let owner = owner.and_then(|(owner, term)| self.owner(owner, term));
         let proxy = inner.lines.get(&stream).and_then(|line| line.hello.as_ref());
-        let name_term = proxy.filter(|(hello, _)| inner.names.holds(&hello.proxy, stream));
+        let name_term = proxy.filter(|(hello, _)| inner.names.is_holder(&hello.proxy, stream));
         let name_term = name_term.and_then(|(hello, _)| inner.names.holder(&hello.proxy));
         Welcome {
             protocol: PROTOCOL,
@@ -512,6 +517,6 @@
     pub(crate) fn owner(&self, member: u64, term: u64) -> Option<schema::Owner> {
         let known = self.group.member(member)?;
         let (listen, operators) = (known.listen, known.operators);
-        Some(schema::Owner { duty: VERSIONS.into(), member, term, listen, operators })
+        Some(schema::Owner { duty: CONFIGURATION_ROLE.into(), member, term, listen, operators })
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -120,7 +120,7 @@
         .buffered_lines_limit(4096)
         .finish(std::io::stderr());
     let set_log = start_log(writer, log_json);
-    task::set_up();
+    task::init_scheduler();
     let name = config.name.clone();
     let management = management.or(config.management);
     let (seed, control) = (config.seed, operator.map(control).transpose()?.flatten());
@@ -128,7 +128,7 @@
     if let Some(control) = control {
         let build = env!("CARGO_PKG_VERSION");
         let settings =
-            gaugestep_control_plane::client::subscriber::Settings::of(&control, &name, build, seed)?;
+            gaugestep_control_plane::client::subscriber::Settings::from_config(&control, &name, build, seed)?;
         server.follow(settings)?;
     }
     if let Some(address) = management {
@@ -161,7 +161,7 @@
 
 /// What an operator's file says of a control service.
 fn control(path: &Path) -> Result<Option<Control>, String> {
-    let told: Operator = gaugestep_control_plane::read_file("Operator", path)?;
+    let told: Operator = gaugestep_control_plane::read_text_file("Operator", path)?;
     Ok(told.control)
 }
 
