--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -110,7 +110,7 @@
         ],
         tenants: vec![],
         dispatchers: 2,
-        place: Place::Name(11),
+        place: FleetPosition::NameKey(11),
         zone: ZoneId(0),
         max_open: 20_000,
         max_attempts: 4,
@@ -122,7 +122,12 @@
         over_quota_weight: 0.1,
         cross_zone_price: 0.0,
         answer_slack: 20.0,
-        slow_start: ColdSettings { share: 0.3, warm_within: 14_000.0, multiple: 3.0, span: 1_500.0 },
+        slow_start: SlowStartSettings {
+            initial_share: 0.3,
+            warm_up: 14_000.0,
+            capacity_multiple: 3.0,
+            window: 1_500.0,
+        },
         order_pause: 500.0,
         retry_budget: None,
         max_retry_after: 500.0,
@@ -252,7 +257,8 @@
 }
 
 fn cold_fleet() -> Profile {
-    let cold = ColdSettings { share: 0.1, warm_within: 20_000.0, multiple: 2.5, span: 2_000.0 };
+    let cold =
+        SlowStartSettings { initial_share: 0.1, warm_up: 20_000.0, capacity_multiple: 2.5, window: 2_000.0 };
     let settings = Settings { slow_start: cold, dispatchers: 4, ..settings(two_classes()) };
     let traffic = Traffic { fleet_change: 0.3, arrival_gap: 40.0, ..USUAL_TRAFFIC };
     Profile { traffic, has_roster: true, ..usual("cold_fleet", settings, 8) }
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -572,8 +572,12 @@
         self.roster_grants += 1;
         let dispatchers = self.profile.settings.dispatchers as u32;
         let ordinal = self.below(dispatchers as usize) as u32;
-        let name = Place::Name(self.roster_grants);
-        let place = if self.chance(0.8) { Place::seat(ordinal, dispatchers).unwrap_or(name) } else { name };
+        let name = FleetPosition::NameKey(self.roster_grants);
+        let place = if self.chance(0.8) {
+            FleetPosition::ordinal(ordinal, dispatchers).unwrap_or(name)
+        } else {
+            name
+        };
         self.handle_event(Event::PositionAssigned(place, self.now + ROSTER_HOLDS));
     }
 
@@ -619,7 +623,7 @@
             _ => {
                 let until = self.dispatcher.sendable_until(&unknown);
                 self.recorder.sendable_until(until);
-                self.handle_event(Event::PositionAssigned(Place::Name(5), self.now - 1.0));
+                self.handle_event(Event::PositionAssigned(FleetPosition::NameKey(5), self.now - 1.0));
             }
         }
     }
