--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -79,6 +79,17 @@
     Cell,
 }
 
+impl DedupGroup {
+    /// Whether two engines are in one group.
+    pub fn has_both(self, one: &EngineEntry, other: &EngineEntry) -> bool {
+        match self {
+            DedupGroup::All => true,
+            DedupGroup::Zone => one.zone == other.zone,
+            DedupGroup::Cell => one.cell == other.cell,
+        }
+    }
+}
+
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
@@ -106,6 +117,13 @@
     pub machines: Option<Vec<MachineId>>,
 }
 
+impl ClassSettings {
+    /// Whether it may be sent to some zones or machines only.
+    pub fn is_bound(&self) -> bool {
+        self.zones.is_some() || self.machines.is_some()
+    }
+}
+
 /// One kind of machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineSettings {
@@ -204,6 +222,22 @@
         }
     }
 
+    /// An engine's machine; one of a kind that is not named is taken for the smallest.
+    pub fn machine(&self, entry: &EngineEntry) -> MachineSettings {
+        let smallest = MachineSettings { cores: 1.0, memory_mb: 0.0 };
+        self.machines.get(entry.machine.0).copied().unwrap_or(smallest)
+    }
+
+    /// The key under which a request takes turns, if its class is ordered.
+    pub fn order_key<'a>(&self, new: &'a NewRequest) -> Option<&'a OrderKey> {
+        new.key.as_ref().filter(|_| self.class(new).ordered)
+    }
+
+    /// The settings of a request's class.
+    pub fn class(&self, new: &NewRequest) -> &ClassSettings {
+        &self.classes[new.class.0]
+    }
+
     /// Whether they can be used; the error names the field at fault.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let settings = self;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -5,10 +5,12 @@
 //! A [`Dispatcher`] takes [`Event`]s and returns [`Action`]s. It does no I/O, reads no clock and starts no thread. The same
 //! seed and the same events give the same actions.
 
+mod dispatcher;
+mod engines;
 pub mod interface;
-pub mod policy;
+mod policy;
 mod requests;
 mod stats;
 
+pub use dispatcher::Dispatcher;
 pub use interface::{Action, Event, Settings};
-pub use policy::Dispatcher;
