--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -71,7 +71,7 @@
     /// event, which took more than a core: [`Dispatcher::run_pending`] must follow soon.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.advance_to(now);
-        let position = self.fleet.subset.position(self.context.now, self.context.settings.place);
+        let position = self.fleet.subset.position(self.context.now, self.context.settings.fleet_position);
         if self.fleet.subset.drawn.position != Some(position) {
             self.fleet.draw_subset(&self.context);
         }
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -174,7 +174,7 @@
     /// How many dispatchers there are.
     pub dispatchers: usize,
     /// Where this one stands among them.
-    pub place: FleetPosition,
+    pub fleet_position: FleetPosition,
     /// The zone that this one stands in.
     pub zone: ZoneId,
     /// Requests that may be open together; of more, those worth least for their work are refused.
--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -13,9 +13,9 @@
 impl Fleet {
     /// Whether an engine can take one more request of the class from this dispatcher.
     pub fn admits(&mut self, context: &Context, work: &WorkEstimator, id: EngineId, class: ClassId) -> bool {
-        let slot = self.subset.drawn.rotation_slot(id.0);
         let Some(engine) = self.engines.get_mut(&id) else { return false };
         let Some(started_at) = engine.warm_up.started_at else { return true };
+        let slot = self.subset.drawn.rotation_slot(id.0);
         let cores = context.settings.machine(&engine.entry).cores;
         let limit = SlowStartLimit { cores, settings: context.settings.slow_start };
         let works = (0..work.0.len()).map(|class| work.typical_work(ClassId(class)));
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -87,8 +87,8 @@
         }
         let mut settings = gaugestep_settings::settings(told)?;
         let name = json["name"].as_str().unwrap_or("gaugestep").to_owned();
-        if settings.place == FleetPosition::NameKey(0) {
-            settings.place = FleetPosition::NameKey(gaugestep_subsetting::key(&name));
+        if settings.fleet_position == FleetPosition::NameKey(0) {
+            settings.fleet_position = FleetPosition::NameKey(gaugestep_subsetting::key(&name));
         }
         settings.validate().map_err(|error| error.to_string())?;
         let address = |key: &str| -> Result<Option<SocketAddr>, String> {
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -89,8 +89,8 @@
         }
         if let Some(seat) = document.proxies.iter().position(|name| *name == told.proxy) {
             let place = FleetPosition::ordinal(seat as u32, document.proxies.len() as u32);
-            (settings.place, settings.dispatchers) =
-                (place.unwrap_or(settings.place), document.proxies.len());
+            (settings.fleet_position, settings.dispatchers) =
+                (place.unwrap_or(settings.fleet_position), document.proxies.len());
         }
         settings.max_open = settings.max_open.min(counts.max_open as usize);
         settings.max_attempts = counts.max_attempts as usize;
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -95,7 +95,8 @@
         };
         let longest = (config.limits.memory_bytes / MEMORY_PART / sessions).max(LEAST_MESSAGE);
         let settings = bounded(config.settings, &config.limits);
-        let spread = gaugestep_subsetting::slow_start::stagger_factor(settings.place.rotation_slot());
+        let spread =
+            gaugestep_subsetting::slow_start::stagger_factor(settings.fleet_position.rotation_slot());
         let told = Told {
             proxy: config.name.clone(),
             names: config.names.clone(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -83,7 +83,7 @@
         machines,
         tenants,
         dispatchers: real(json, "balancers", 1.0)? as usize,
-        place: place(json)?,
+        fleet_position: place(json)?,
         zone: ZoneId(real(json, "zone", 0.0)? as usize),
         max_open: real(limits, "max_open", f64::MAX)? as usize,
         max_attempts: real(limits, "max_attempts", 1.0)? as usize,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -369,8 +369,8 @@
         .map_err(|error| format!("field 'profile_data' is not JSON: {error}"))?;
     let mut settings = settings(&json)?;
     let classes = settings.classes.len();
-    if settings.place == FleetPosition::NameKey(0) {
-        settings.place = FleetPosition::NameKey(seed);
+    if settings.fleet_position == FleetPosition::NameKey(0) {
+        settings.fleet_position = FleetPosition::NameKey(seed);
     }
     let dispatcher = Dispatcher::new(settings, seed).map_err(|error| error.to_string())?;
     let report = list(&json["stats"], "fields").iter().filter_map(Value::as_str).map(String::from).collect();
