--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -1,4 +1,4 @@
-//! What choosing by seats costs: `cargo bench --bench subsets`. Prints figures and asserts none; those of note are kept in
+//! What choosing by ordinals costs: `cargo bench --bench subsets`. Prints figures and asserts none; those of note are kept in
 //! docs/seats-and-turns.md.
 
 #[path = "../tests/common/mod.rs"]
--- /dev/null
+++ b/crates/dispatch/tests/dispatcher/main.rs
@@ -0,0 +1,13 @@
+//! Black-box tests of the decision module, by concern.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod answers;
+mod ordering_and_ranking;
+mod outlier_ejection;
+mod placement;
+mod retries;
+mod slow_start;
+mod timeouts;
+mod work_estimates;
--- /dev/null
+++ b/crates/dispatch/tests/dispatcher/retries.rs
@@ -0,0 +1,67 @@
+//! Whether a request gets another attempt.
+
+use gaugestep_dispatch::interface::*;
+
+use crate::common::*;
+use crate::timeouts::{time_until_cancel, trained};
+
+#[test]
+fn unsafe_class_is_never_cancelled_retried_or_rejected_once_it_may_have_run() {
+    let mut harness = trained(settings(vec![class(Effect::Unsafe, 1.0)]), 1, 20_000.0);
+    assert_eq!(time_until_cancel(&mut harness, 8_000.0), None);
+    let sent = sends(&harness.arrive(request(9_000, 0, harness.now + 60_000.0)));
+    let actions = harness.end(9_000, 0, sent[0], Outcome::Reset, 10.0);
+    assert!(sends(&actions).is_empty());
+    assert_eq!((rejections(&actions), failures(&actions)), (0, 1));
+}
+
+#[test]
+fn unsafe_request_that_never_ran_is_retried() {
+    let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)]), 3);
+    let sent = sends(&harness.arrive(request(1, 0, 60_000.0)));
+    let again = sends(&harness.end(1, 0, sent[0], Outcome::ConnectFailed, 250.0));
+    assert_eq!(again.len(), 1);
+    assert_ne!(again[0], sent[0]);
+}
+
+#[test]
+fn keyed_request_is_retried_only_in_its_cell_and_within_its_window() {
+    for (wait, expected) in [(10.0, 1), (2_000.0, 0)] {
+        let mut settings = settings(vec![class(Effect::Keyed(DedupGroup::Cell, 1_000.0), 1.0)]);
+        settings.memory_grants = false;
+        let mut harness = Harness::new(settings, 0);
+        let cell = |engine| EngineEntry { cell: CellId(u64::from(engine) % 2), ..entry(engine) };
+        harness.handle(Event::EngineList((0..6).map(cell).collect()));
+        let first = sends(&harness.arrive(request(1, 0, 60_000.0)))[0];
+        harness.advance(wait);
+        let mut actions = harness.end(1, 0, first, Outcome::Failed, wait);
+        actions.extend(harness.advance(5_000.0));
+        assert_eq!(sends(&actions).len(), expected);
+        assert!(sends(&actions).iter().all(|engine| engine.0 % 2 == first.0 % 2 && *engine != first));
+        assert_eq!(rejections(&actions), 0);
+    }
+}
+
+#[test]
+fn retries_stay_within_their_budget() {
+    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    settings.retry_budget = Some(RetryBudgetSettings { min_retries: 2.0, ratio: 0.1, window: 5_000.0 });
+    let mut harness = Harness::new(settings, 40);
+    let mut further = 0;
+    for number in 0..10 {
+        let sent = sends(&harness.arrive(request(number, 0, 60_000.0)));
+        further += sends(&harness.end(number, 0, sent[0], Outcome::Failed, 1.0)).len();
+    }
+    assert_eq!(further, 3, "2 free and a tenth of 10 requests");
+}
+
+/// Guards the ration of attempts, and the client's time, against a request that no engine can answer.
+#[test]
+fn request_that_fails_on_two_engines_is_given_up_at_once() {
+    let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 4);
+    let first = sends(&harness.arrive(request(1, 0, harness.now + 60_000.0)))[0];
+    let second = sends(&harness.end(1, 0, first, Outcome::Failed, 5.0))[0];
+    assert_ne!(first, second);
+    let end = harness.end(1, 1, second, Outcome::Failed, 5.0);
+    assert_eq!((sends(&end).len(), rejections(&end)), (0, 1));
+}
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet_slow_start.rs
@@ -1,8 +1,8 @@
-//! Many dispatchers in simulated time before one cold engine: what all of them together send there.
+//! Many dispatchers in simulated time before one warming engine: what all of them together send there.
 //!
-//! Each dispatcher keeps to its rights at the cold engine. What the rule counts is the sum over the fleet, in every
-//! window: this plays a fleet whose requests wait for that engine alone, as after a release where the old engines are
-//! full, and counts the work that reaches it.
+//! Each dispatcher keeps to its slow-start budget. The limit holds for the sum over the fleet, in every window: this plays a
+//! fleet whose requests wait for that engine alone, as after a release where the old engines are full, and sums the work that
+//! reaches it.
 
 mod common;
 
@@ -19,22 +19,22 @@
 const HEAVY: Millis = 2_000.0;
 
 struct Played {
-    /// Work sent to the cold engine, by the step it was sent in.
+    /// Work sent to the warming engine, by the step it was sent in.
     work: BTreeMap<u64, Millis>,
     light: usize,
     heavy: usize,
 }
 
 /// Plays `length` ms: each dispatcher gets a light request every 200 ms on average and a heavy one every 1,000 ms,
-/// from the seed; each attempt ends served after its work. Dispatchers stand where `place` says among `told`, and
-/// their clocks are up to `skew` ms late.
-fn play(length: Millis, told: u64, skew: Millis, place: impl Fn(u64) -> FleetPosition) -> Played {
+/// from the seed; each attempt ends served after its work. Dispatchers have the positions of `place` among `dispatchers`,
+/// and their clocks are up to `skew` ms late.
+fn play(length: Millis, dispatchers: u64, skew: Millis, place: impl Fn(u64) -> FleetPosition) -> Played {
     let settings = settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.0)]);
     let start = 100_000.0;
     let mut played = Played { work: BTreeMap::new(), light: 0, heavy: 0 };
     for seed in 0..DISPATCHERS {
         let settings =
-            Settings { dispatchers: told as usize, fleet_position: place(seed), ..settings.clone() };
+            Settings { dispatchers: dispatchers as usize, fleet_position: place(seed), ..settings.clone() };
         let mut harness = Harness { dispatcher: Dispatcher::new(settings, seed).unwrap(), now: start };
         let late = skew * (seed % 3) as f64 / 2.0;
         harness.handle(Event::EngineList(vec![EngineEntry {
@@ -99,56 +99,56 @@
 }
 
 #[test]
-fn a_fleet_sends_a_cold_engine_no_more_than_may_reach_it_in_any_window() {
-    let seat = |seed: u64| FleetPosition::ordinal(seed as u32, DISPATCHERS as u32).unwrap();
-    let played = play(6_000.0, DISPATCHERS, 0.0, seat);
+fn fleet_keeps_the_slow_start_limit_of_a_warming_engine_in_any_window() {
+    let ordinal = |seed: u64| FleetPosition::ordinal(seed as u32, DISPATCHERS as u32).unwrap();
+    let played = play(6_000.0, DISPATCHERS, 0.0, ordinal);
     let (worst_window, used) = (worst(&played), mean(&played, 6_000.0));
     println!(
-        "seats: worst {worst_window:.2}, {used:.2} used, {} light, {} heavy",
+        "ordinals: worst {worst_window:.2}, {used:.2} used, {} light, {} heavy",
         played.light, played.heavy
     );
     assert!(worst_window <= 1.0, "{worst_window} of the limit in one window");
-    // More is used than by lot, and light requests are not starved by heavy ones that wait beside them.
+    // More is used than without ordinals, and light requests are not starved by heavy ones that wait beside them.
     assert!(
         used > 0.33 && played.light > 100 && played.heavy > 3,
         "{used}, {} {}",
         played.light,
         played.heavy
     );
-    let late = worst(&play(6_000.0, DISPATCHERS, 150.0, seat));
+    let late = worst(&play(6_000.0, DISPATCHERS, 150.0, ordinal));
     assert!(late <= 1.0, "{late} of the limit where clocks differ by a tenth of the window");
 }
 
-/// Without seats each dispatcher stands somewhere by lot, so that chance is on top; the same holds where the number of
-/// dispatchers is wrong by a factor of two either way.
+/// Without ordinals each dispatcher has a slot by chance; the same holds where the number of dispatchers is wrong by a factor
+/// of two either way.
 #[test]
-fn a_fleet_without_seats_or_with_a_wrong_number_keeps_the_limit_in_the_mean() {
+fn fleet_without_ordinals_or_with_a_wrong_count_keeps_the_limit_on_average() {
     let name = |seed: u64| FleetPosition::NameKey(gaugestep_subsetting::key(&format!("n{seed}")));
-    let by_lot = play(6_000.0, DISPATCHERS, 0.0, name);
-    println!("by lot: worst {:.2}, {:.2} used", worst(&by_lot), mean(&by_lot, 6_000.0));
-    assert!(worst(&by_lot) <= 1.0 && mean(&by_lot, 6_000.0) > 0.1);
+    let by_name = play(6_000.0, DISPATCHERS, 0.0, name);
+    println!("names: worst {:.2}, {:.2} used", worst(&by_name), mean(&by_name, 6_000.0));
+    assert!(worst(&by_name) <= 1.0 && mean(&by_name, 6_000.0) > 0.1);
     let many = play(6_000.0, 2 * DISPATCHERS, 0.0, |seed| {
         FleetPosition::ordinal(seed as u32, 2 * DISPATCHERS as u32).unwrap()
     });
     let few = play(6_000.0, DISPATCHERS / 2, 0.0, |seed| {
         FleetPosition::ordinal((seed / 2) as u32, DISPATCHERS as u32 / 2).unwrap()
     });
-    println!("told twice as many: worst {:.2}, {:.2} used", worst(&many), mean(&many, 6_000.0));
-    println!("told half as many: worst {:.2}, {:.2} used", worst(&few), mean(&few, 6_000.0));
+    println!("twice the count: worst {:.2}, {:.2} used", worst(&many), mean(&many, 6_000.0));
+    println!("half the count: worst {:.2}, {:.2} used", worst(&few), mean(&few, 6_000.0));
     assert!(worst(&many) <= 1.0 && mean(&many, 6_000.0) > 0.1);
     // Each right is used twice: twice the limit's part, and no more.
     assert!(worst(&few) <= 2.0, "{}", worst(&few));
 }
 
-/// All meet one failure at one moment, as where an engine hangs or a zone is cut off: they try again one after the other.
+/// All meet one failure at one moment, as where an engine hangs or a zone is partitioned.
 #[test]
-fn dispatchers_that_met_one_failure_come_back_one_after_the_other() {
+fn dispatchers_that_met_one_failure_retry_the_engine_one_after_the_other() {
     let mut back = Vec::new();
-    for seat in 0..DISPATCHERS {
-        let place = FleetPosition::ordinal(seat as u32, DISPATCHERS as u32).unwrap();
+    for ordinal in 0..DISPATCHERS {
+        let place = FleetPosition::ordinal(ordinal as u32, DISPATCHERS as u32).unwrap();
         let settings = settings(vec![class(Effect::Safe, 1.0)]);
         let settings = Settings { dispatchers: DISPATCHERS as usize, fleet_position: place, ..settings };
-        let mut harness = Harness { dispatcher: Dispatcher::new(settings, seat).unwrap(), now: 0.0 };
+        let mut harness = Harness { dispatcher: Dispatcher::new(settings, ordinal).unwrap(), now: 0.0 };
         harness.handle(Event::EngineList(vec![entry(0)]));
         assert_eq!(harness.arrive(request(0, 0, 60_000.0)).len(), 3);
         let refused = AttemptEnd {
--- a/crates/dispatch/tests/random.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Seeded random sequences of legal events; the actions are held against the rules by a check of their own.
+//! Seeded random sequences of legal events; an independent model checks the actions.
 
 mod common;
 
@@ -51,7 +51,7 @@
     let mut dispatcher = Dispatcher::new(site.clone(), seed as u64).unwrap();
     let mut seen: BTreeMap<RequestId, Seen> = BTreeMap::new();
     let mut order: BTreeMap<OrderKey, Vec<RequestId>> = BTreeMap::new();
-    let mut rests: BTreeMap<OrderKey, Millis> = BTreeMap::new();
+    let mut paused: BTreeMap<OrderKey, Millis> = BTreeMap::new();
     let mut up: BTreeMap<EngineId, bool> = (0..7).map(|engine| (EngineId(engine), true)).collect();
     let (mut accepted, mut further): (Vec<Millis>, Vec<Millis>) = (vec![], vec![]);
     let (mut now, mut number, mut log, mut timer) = (0.0, 0, String::new(), None);
@@ -104,7 +104,7 @@
             if matches!(outcome, Outcome::Reset | Outcome::Cancelled)
                 && let Some(key) = &this.key
             {
-                rests.insert(key.clone(), now + site.order_pause);
+                paused.insert(key.clone(), now + site.order_pause);
             }
             Event::AttemptEnded(AttemptEnd {
                 id,
@@ -158,7 +158,10 @@
                             assert!(other.answered && other.sent.iter().all(|sent| sent.outcome.is_some()));
                         }
                         let again = !this.sent.is_empty();
-                        assert!(again || rests.get(key).is_none_or(|until| now >= *until), "the key rests");
+                        assert!(
+                            again || paused.get(key).is_none_or(|until| now >= *until),
+                            "the key is paused"
+                        );
                     }
                     if !this.sent.is_empty() {
                         further.push(now);
