--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -12,5 +12,12 @@
 mod requests;
 mod stats;
 
+// The parts are private; their tests lie beside those of the whole.
+#[cfg(test)]
+extern crate self as gaugestep_dispatch;
+#[cfg(test)]
+#[path = "../tests/parts/mod.rs"]
+mod parts;
+
 pub use dispatcher::Dispatcher;
 pub use interface::{Action, Event, Settings};
