--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use gaugestep_subsetting::slow_start::{SlowStartLimit, stagger_factor};
+use gaugestep_subsetting::slow_start::SlowStartLimit;
 use gaugestep_subsetting::subset::Subset;
 use oorandom::Rand64;
 
--- a/crates/dispatch/src/policy/outlier.rs
+++ b/crates/dispatch/src/policy/outlier.rs
@@ -50,7 +50,7 @@
         let engine = self.engines.get_mut(&end.engine)?;
         let time = engine.health.on_failure(end.outcome, now)?;
         // Dispatchers that met one failure at one moment come back one after the other.
-        let time = time * stagger_factor(self.subset.drawn.rotation_slot(end.engine.0));
+        let time = time * self.subset.drawn.rotation_slot(end.engine.0).stagger_factor();
         engine.health.ejected_until = now + time;
         if end.outcome == Outcome::ConnectFailed {
             // A process that comes back after this has just started, whenever the list says so.
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -88,7 +88,8 @@
 
 impl Harness {
     pub fn new(settings: Settings, engines: u32) -> Harness {
-        let mut harness = Harness { dispatcher: Dispatcher::new(settings, 7).unwrap(), now: 0.0 };
+        let mut harness =
+            Harness { dispatcher: Dispatcher::new(settings, 7).expect("the settings are valid"), now: 0.0 };
         harness.handle(Event::EngineList((0..engines).map(entry).collect()));
         harness
     }
--- a/crates/dispatch/tests/fleet_slow_start.rs
+++ b/crates/dispatch/tests/fleet_slow_start.rs
@@ -35,7 +35,10 @@
     for seed in 0..DISPATCHERS {
         let settings =
             Settings { dispatchers: dispatchers as usize, fleet_position: place(seed), ..settings.clone() };
-        let mut harness = Harness { dispatcher: Dispatcher::new(settings, seed).unwrap(), now: start };
+        let mut harness = Harness {
+            dispatcher: Dispatcher::new(settings, seed).expect("the settings are valid"),
+            now: start,
+        };
         let late = skew * (seed % 3) as f64 / 2.0;
         harness.handle(Event::EngineList(vec![EngineEntry {
             started_at: Some(start + late - 10.0),
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,11 +1,14 @@
 //! Subsets over a whole fleet: how often each engine is drawn, what a change moves, and what holds without seats.
 
+#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
+
 use std::collections::{BTreeMap, BTreeSet};
 
+use gaugestep_subsetting::assignment::AssignmentTable;
 use gaugestep_subsetting::fairness::{Fairness, fairness};
 use gaugestep_subsetting::key;
 use gaugestep_subsetting::position::FleetPosition;
-use gaugestep_subsetting::subset::{AssignmentTable, Member, Subset};
+use gaugestep_subsetting::subset::{Member, Subset};
 use proptest::prelude::*;
 
 fn members(count: u32) -> Vec<Member> {
