--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -178,11 +178,19 @@
     }
 
     /// The key under which a request takes turns, if its class is ordered.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such class.
     pub fn order_key<'a>(&self, new: &'a NewRequest) -> Option<&'a OrderKey> {
         new.key.as_ref().filter(|_| self.class(new).ordered)
     }
 
     /// The settings of a request's class.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such class.
     pub fn class(&self, new: &NewRequest) -> &ClassSettings {
         &self.classes[new.class.0]
     }
--- a/crates/dispatch/src/policy/outlier.rs
+++ b/crates/dispatch/src/policy/outlier.rs
@@ -72,7 +72,7 @@
 
     /// Whether an engine takes work, by the list and by its failures.
     pub fn is_available(&self, engine: &Engine, now: Millis) -> bool {
-        let share = engine.health.failure_share.shrunk(now, ENGINE_HORIZON);
-        engine.is_up() && now >= engine.health.ejected_until && share <= MAX_FAILURE_SHARE.max(2.0 * self.0)
+        let share = || engine.health.failure_share.shrunk(now, ENGINE_HORIZON);
+        engine.is_up() && now >= engine.health.ejected_until && share() <= MAX_FAILURE_SHARE.max(2.0 * self.0)
     }
 }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! What the tests share: plain settings, and events with sensible defaults.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test program uses a part of it")]
 
 use gaugestep_dispatch::interface::*;
 use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
--- a/crates/dispatch/tests/parts/load.rs
+++ b/crates/dispatch/tests/parts/load.rs
@@ -67,3 +67,15 @@
     assert!((total.threads - (3.0 + 4.0 * 8.0 + 2.0)).abs() < 1e-6, "{total:?}");
     assert!((total.memory_mb - (400.0 + 10.0)).abs() < 1e-6, "{total:?}");
 }
+
+#[test]
+fn typical_query_is_weighted_by_the_time_in_flight() {
+    let mut loads = LoadTracker::default();
+    for _ in 0..2_000 {
+        loads.on_attempt_ended(InFlightLoad { queries: 1.0, threads: 1.0, memory_mb: 0.0 }, 100.0);
+        loads.on_attempt_ended(InFlightLoad { queries: 1.0, threads: 8.0, memory_mb: 0.0 }, 900.0);
+    }
+    let none = InFlightLoad::default();
+    let threads = loads.total(&engine(0, 0.0), 1.0, none).threads;
+    assert!((7.0..7.5).contains(&threads), "nine of ten queries in flight have 8 threads: {threads}");
+}
