--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -53,8 +53,8 @@
 fn settings(json: &Value, name: &str) -> Result<Settings, DecodeError> {
     let mut settings =
         gaugestep_settings::decode(json).map_err(|error| DecodeError::Settings(error.into()))?;
-    if settings.place == FleetPosition::NameKey(0) {
-        settings.place = FleetPosition::NameKey(gaugestep_subsetting::key(name));
+    if settings.fleet_position == FleetPosition::NameKey(0) {
+        settings.fleet_position = FleetPosition::NameKey(gaugestep_subsetting::key(name));
     }
     settings.validate()?;
     Ok(settings)
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -162,7 +162,7 @@
     let fleet_size = document.proxies.len();
     if let Some(ordinal) = document.proxies.iter().position(|name| *name == platform.proxy) {
         let position = FleetPosition::ordinal(ordinal as u32, fleet_size as u32);
-        settings.place = position.unwrap_or(settings.place);
+        settings.fleet_position = position.unwrap_or(settings.fleet_position);
         settings.dispatchers = fleet_size;
     }
     settings.max_open = settings.max_open.min(effective.max_open as usize);
