--- a/tests/action_digest/profiles.rs
+++ b/tests/action_digest/profiles.rs
@@ -28,6 +28,8 @@
 pub struct Traffic {
     /// The mean time between two arrivals.
     pub arrival_gap: Millis,
+    /// The time between two probes of an engine.
+    pub probe_gap: Millis,
     /// The shortest and the longest work of a request.
     pub work: (Millis, Millis),
     /// The shortest and the longest time that a client waits.
@@ -36,6 +38,8 @@
     pub straggler: f64,
     /// The chance that an engine goes through a spell of one kind of fault, at each look at the fleet.
     pub fault_spell: f64,
+    /// The longest such spell.
+    pub longest_spell: Millis,
     /// The chance that an engine is drained, removed, replaced or brought back, at each look at the fleet.
     pub fleet_change: f64,
     /// The chance that a load report comes with an end or a probe.
@@ -54,10 +58,12 @@
 
 const USUAL_TRAFFIC: Traffic = Traffic {
     arrival_gap: 60.0,
+    probe_gap: 150.0,
     work: (50.0, 1_500.0),
     patience: (4_000.0, 20_000.0),
     straggler: 0.05,
     fault_spell: 0.1,
+    longest_spell: 5_000.0,
     fleet_change: 0.05,
     load_report: 0.6,
     cost_report: 0.5,
@@ -175,6 +181,9 @@
         many_dispatchers(),
         many_dispatchers_without_reports(),
         outages(),
+        low_open_limit(),
+        sparse_traffic(),
+        one_class(),
         overload(),
         overload_many_dispatchers(),
     ]
@@ -274,13 +283,41 @@
     let traffic = Traffic {
         work: (5.0, 40.0),
         patience: (100.0, 1_500.0),
-        fault_spell: 0.5,
-        fleet_change: 0.3,
+        fault_spell: 0.2,
+        longest_spell: 40_000.0,
+        fleet_change: 0.02,
         ..USUAL_TRAFFIC
     };
     Profile { traffic, ..usual("outages", settings, 2) }
 }
 
+/// Fewer requests may be open than the engines have room for, so that the last places are kept for urgent ones.
+fn low_open_limit() -> Profile {
+    let settings = Settings { priorities: true, max_open: 20, ..settings(two_classes()) };
+    let traffic = Traffic { arrival_gap: 25.0, work: (100.0, 3_000.0), ..USUAL_TRAFFIC };
+    Profile { traffic, ..usual("low_open_limit", settings, 8) }
+}
+
+/// So few requests that what was learned of a class is forgotten between them.
+fn sparse_traffic() -> Profile {
+    let settings = Settings { priorities: true, ..settings(two_classes()) };
+    let traffic = Traffic {
+        arrival_gap: 10_000.0,
+        probe_gap: 3_000.0,
+        work: (200.0, 3_000.0),
+        patience: (300.0, 3_000.0),
+        ..USUAL_TRAFFIC
+    };
+    Profile { traffic, changes_settings: false, ..usual("sparse_traffic", settings, 3) }
+}
+
+/// One class under the same rules for so many requests that its oldest runs are forgotten.
+fn one_class() -> Profile {
+    let settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let traffic = Traffic { progress: 0.1, probe_gap: 1_000.0, ..USUAL_TRAFFIC };
+    Profile { traffic, changes_settings: false, events: 9_000, ..usual("one_class", settings, 6) }
+}
+
 /// Traffic of a multiple of what the fleet can do, so that several hundred requests are open.
 fn overload_traffic() -> Traffic {
     Traffic { arrival_gap: 4.0, work: (500.0, 4_000.0), patience: (2_000.0, 9_000.0), ..USUAL_TRAFFIC }
--- a/tests/action_digest/simulation.rs
+++ b/tests/action_digest/simulation.rs
@@ -16,8 +16,6 @@
 const RUN_PENDING_EVERY: Millis = 1.0;
 /// ms between two looks at the fleet, which may begin a fault or change an engine.
 const FLEET_LOOK_EVERY: Millis = 400.0;
-/// ms between two probes of an engine.
-const PROBE_EVERY: Millis = 150.0;
 /// ms between two changes of the settings.
 const SETTINGS_CHANGE_EVERY: Millis = 6_000.0;
 /// ms between two grants of a place by the roster, and for how long each holds: with a gap, so that places expire.
@@ -148,7 +146,7 @@
         self.send_engine_list();
         self.plan(1.0, Planned::Arrival);
         self.plan(FLEET_LOOK_EVERY, Planned::FleetLook);
-        self.plan(PROBE_EVERY, Planned::Probe);
+        self.plan(self.profile.traffic.probe_gap, Planned::Probe);
         if self.profile.changes_settings {
             self.plan(SETTINGS_CHANGE_EVERY, Planned::SettingsChange);
         }
@@ -482,7 +480,7 @@
         if self.chance(self.profile.traffic.fault_spell) {
             let id = self.any_engine();
             let fault = FAULTS[self.below(FAULTS.len())];
-            let until = self.now + self.between(300.0, 5_000.0);
+            let until = self.now + self.between(300.0, self.profile.traffic.longest_spell);
             if let Some(engine) = self.engines.get_mut(&id) {
                 (engine.fault, engine.fault_until) = (Some(fault), until);
             }
@@ -547,7 +545,7 @@
     }
 
     fn probe(&mut self) {
-        self.plan(PROBE_EVERY, Planned::Probe);
+        self.plan(self.profile.traffic.probe_gap, Planned::Probe);
         let engine = self.any_engine();
         let outcome = match self.fault(engine) {
             Some(Fault::RefusesConnections) => Outcome::ConnectFailed,
