--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -106,6 +106,7 @@
 /// Engines that run loads on the request's tables, if it is one: two at a time would stand still there.
 pub fn lock_holders(settings: &Settings, requests: &Requests, new: &NewRequest) -> Vec<EngineId> {
     let locks = |it: &NewRequest| settings.class(it).locks_tables && it.tables == new.tables;
-    let conflicts = requests.values().filter(|other| locks(new) && locks(&other.new));
-    conflicts.flat_map(Request::live).map(|(_, attempt)| attempt.engine).collect()
+    let others = locks(new).then(|| requests.values().filter(|other| locks(&other.new)));
+    let runs = others.into_iter().flatten().flat_map(Request::live);
+    runs.map(|(_, attempt)| attempt.engine).collect()
 }
