--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,6 +1,6 @@
 //! Whether a document is valid by itself, whatever the proxy: ranges, names, references, weights.
 //!
-//! What depends on the proxy as it runs is checked in [`crate::proxy_state`].
+//! What depends on the proxy as it runs is checked in [`crate::proxy_check`].
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -210,7 +210,7 @@
 
 /// Whether the earlier route matches every request that the later one matches.
 fn shadows(earlier: &schema::Route, later: &schema::Route) -> bool {
-    // An empty list of names stands for all.
+    // An empty list names all of them.
     let covers = |wide: &[String], narrow: &[String]| {
         wide.is_empty() || !narrow.is_empty() && narrow.iter().all(|name| wide.contains(name))
     };
--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -12,8 +12,9 @@
 use rustls::{ClientConnection, StreamOwned};
 use rustls_pki_types::ServerName;
 
+use crate::client::TlsIdentity;
 use crate::transport::framing;
-use crate::transport::tls::{self, ClientTls, TlsError, TlsFiles};
+use crate::transport::tls::{self, ClientTls, TlsError};
 
 /// How long a call is attempted at all while nobody can carry it out.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -111,8 +112,8 @@
 pub struct AdminClient {
     /// The members' addresses for operators, tried in turn.
     pub addresses: Vec<SocketAddr>,
-    /// Keys, and the name that the members' certificates carry.
-    pub keys: Option<(TlsFiles, String)>,
+    /// The operator's keys, and the name that the members' certificates carry; none without TLS.
+    pub keys: Option<TlsIdentity>,
 }
 
 /// A connection with or without TLS.
@@ -201,9 +202,9 @@
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(timeout))?;
         socket.set_write_timeout(Some(timeout))?;
-        let Some((files, name)) = &self.keys else { return Ok(Box::new(socket)) };
-        let config = ClientTls::load(files.clone()).map_err(io::Error::other)?.current();
-        let name = ServerName::try_from(name.clone()).map_err(invalid_data)?;
+        let Some(identity) = &self.keys else { return Ok(Box::new(socket)) };
+        let config = ClientTls::load(identity.files.clone()).map_err(io::Error::other)?.current();
+        let name = ServerName::try_from(identity.server_name.clone()).map_err(invalid_data)?;
         let tls = ClientConnection::new(Arc::clone(&config), name).map_err(invalid_data)?;
         Ok(Box::new(StreamOwned::new(tls, socket)))
     }
--- a/crates/control-plane/src/cli/connection.rs
+++ b/crates/control-plane/src/cli/connection.rs
@@ -9,6 +9,7 @@
 use crate::cli::admin_client::{AdminClient, CallError, Delivery};
 use crate::cli::exit::{CommandResult, ExitStatus};
 use crate::cli::output::Output;
+use crate::client::TlsIdentity;
 use crate::transport::tls::TlsFiles;
 
 /// How to reach the service.
@@ -43,16 +44,17 @@
 }
 
 impl ConnectionArgs {
-    fn tls_files(&self) -> Option<TlsFiles> {
+    /// The keys, if they are given; the options require each other.
+    fn tls_identity(&self) -> Option<TlsIdentity> {
         let (certificate, key, authority) =
             (self.certificate.clone()?, self.key.clone()?, self.authority.clone()?);
-        Some(TlsFiles { certificate, key, authority })
+        let files = TlsFiles { certificate, key, authority };
+        Some(TlsIdentity { files, server_name: self.service_name.clone() })
     }
 
     /// Carries out a call.
     pub(crate) fn call(&self, request: &call::What) -> Result<reply::What, CallError> {
-        let keys = self.tls_files().map(|files| (files, self.service_name.clone()));
-        let client = AdminClient { addresses: self.service.clone(), keys };
+        let client = AdminClient { addresses: self.service.clone(), keys: self.tls_identity() };
         client.call(request, delivery_of(request))
     }
 
