--- a/crates/control-plane/tests/admin_client.rs
+++ b/crates/control-plane/tests/admin_client.rs
@@ -20,27 +20,34 @@
     calls: Arc<AtomicUsize>,
 }
 
+/// A listener at an address of its own.
+fn listen() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
+    let address = listener.local_addr().expect("the listener is bound");
+    (listener, address)
+}
+
 fn read_frame(stream: &mut TcpStream) {
     let mut head = [0; 4];
-    stream.read_exact(&mut head).unwrap();
+    stream.read_exact(&mut head).expect("the client sends a frame");
     let mut body = vec![0; u32::from_be_bytes(head) as usize];
-    stream.read_exact(&mut body).unwrap();
+    stream.read_exact(&mut body).expect("the frame is complete");
 }
 
 impl Member {
     fn start(script: Script) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let member = Member { address: listener.local_addr().unwrap(), calls: Arc::default() };
+        let (listener, address) = listen();
+        let member = Member { address, calls: Arc::default() };
         let calls = member.calls.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let mut stream = stream.unwrap();
+                let mut stream = stream.expect("the client connects");
                 read_frame(&mut stream);
                 let call = calls.fetch_add(1, Ordering::SeqCst);
                 if let Some(reply) = script(call) {
                     let reply = Reply { what: Some(reply) };
                     let message = FromService { said: Some(from_service::Said::Reply(reply)) };
-                    stream.write_all(&framing::encode(&message)).unwrap();
+                    stream.write_all(&framing::encode(&message)).expect("the client reads the reply");
                 }
             }
         });
@@ -54,7 +61,7 @@
 
 /// An address at which nobody listens.
 fn unused_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    listen().1
 }
 
 fn call(addresses: &[SocketAddr], delivery: Delivery) -> Result<reply::What, CallError> {
