--- a/crates/control-plane/src/transport/connection.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -38,18 +38,6 @@
     PeerNotReading,
 }
 
-impl From<ConnectionError> for io::Error {
-    fn from(error: ConnectionError) -> Self {
-        match error {
-            ConnectionError::Io(error) => error,
-            ConnectionError::PeerNotReading => io::Error::new(io::ErrorKind::TimedOut, error),
-            ConnectionError::Tls(_) | ConnectionError::ServerName(_) | ConnectionError::Frame(_) => {
-                io::Error::new(io::ErrorKind::InvalidData, error)
-            }
-        }
-    }
-}
-
 /// What lies between the messages and the socket.
 enum Layer {
     /// Nothing; the bytes that are to be written.
--- a/crates/control-plane/src/transport/tls/mod.rs
+++ b/crates/control-plane/src/transport/tls/mod.rs
@@ -5,7 +5,6 @@
 mod files;
 mod reloading;
 
-use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -60,18 +59,6 @@
     },
 }
 
-impl From<TlsError> for String {
-    fn from(error: TlsError) -> Self {
-        error.to_string()
-    }
-}
-
-impl From<TlsError> for io::Error {
-    fn from(error: TlsError) -> Self {
-        io::Error::other(error)
-    }
-}
-
 /// Whether an address may be used. Without keys everybody is trusted, so only the machine itself may be connected.
 ///
 /// # Errors
