--- a/crates/two-level/src/lib.rs
+++ b/crates/two-level/src/lib.rs
@@ -1,19 +1,18 @@
 #![forbid(unsafe_code)]
-//! The decisions of a two-level fleet: thin forwarders that pass bytes, and a few planners that say what to do.
+//! The decisions of a two-level fleet: forwarders that pass bytes, and a few planners that tell them what to do.
 //!
-//! A forwarder is the only one that carries an order out, so it alone decides whose orders hold ([`guard`]) and who is to
-//! plan for it ([`membership`]). What an engine or a tenant may take over the whole fleet is divided among planners in
-//! leased shares ([`shares`]). Nothing here does I/O, reads a clock or starts a thread; times are milliseconds on the
-//! caller's own clock, and only spans of it are ever compared between processes.
-
-pub mod book;
-pub mod guard;
-pub mod membership;
-pub mod shares;
+//! Only a forwarder carries orders out, so it alone decides whose orders count ([`order_guard`]) and which planner it follows
+//! ([`planner_directory`]). A planner leases itself to the forwarders that it plans for ([`forwarder_leases`]). What an
+//! engine or a tenant may use over the whole fleet is divided among planners in leased quotas ([`quota`]).
+//!
+//! Nothing here does I/O, reads a clock or starts a thread. Readings of clocks are the caller's own, and only durations are
+//! ever exchanged between processes.
 
-/// A point on the caller's clock, or a span of it, in milliseconds.
-pub type Millis = f64;
+pub mod forwarder_leases;
+pub mod order_guard;
+pub mod planner_directory;
+pub mod quota;
 
-/// A planner, by the name that the operators gave it.
+/// A planner, by its configured name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlannerId(pub String);
--- /dev/null
+++ b/crates/two-level/tests/fleet/main.rs
@@ -0,0 +1,102 @@
+//! Ten forwarders, three planners and six engines in simulated time, with planners that are killed, suspended and cut off,
+//! engines that drain, die and return under new ids, and messages that are delayed, duplicated and lost, all from a seed.
+//! Every request is then audited from the records of the clients and the engines.
+//!
+//! The planners here follow a simple policy with a random element: the rules must hold whatever they order. How good their
+//! plans are is not what this test is about.
+
+#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
+
+mod engines;
+mod faults;
+mod forwarder;
+mod planner;
+mod simulation;
+
+use gaugestep_testbed::audit::{self, Rules, audit};
+use gaugestep_testbed::record;
+use gaugestep_two_level::forwarder_leases::{EXPIRE_AFTER, LEASE_DURATION};
+use gaugestep_two_level::order_guard::RetryBudgetSettings;
+
+use simulation::{Counters, Simulation};
+
+/// Fleets that are played, one for each seed.
+const FLEETS: u64 = 200;
+
+fn rules(retry_budget: RetryBudgetSettings) -> Rules {
+    let classes =
+        [("lookup", audit::Effect::Safe), ("report", audit::Effect::Safe), ("load", audit::Effect::Unsafe)];
+    let RetryBudgetSettings { base, ratio, window } = retry_budget;
+    Rules {
+        classes: classes.map(|(name, effect)| (name.to_owned(), effect)).into(),
+        answer_slack: 20.0,
+        drain_grace: 250.0,
+        retry_budget: Some(audit::RetryBudget { free: base, ratio, window: window.as_secs_f64() * 1e3 }),
+        slow_start: None,
+        // The guard counts by its own clock, the engines see attempts up to a millisecond later.
+        clock_skew: 2.0,
+    }
+}
+
+/// What one fleet showed.
+struct Outcome {
+    violations: Vec<String>,
+    requested: usize,
+    served: usize,
+    counters: Counters,
+}
+
+fn play(seed: u64) -> Outcome {
+    const VIOLATIONS_SHOWN: usize = 5;
+    let simulation = Simulation::new(seed).run();
+    let (violations, counts) = audit(&simulation.records, &rules(forwarder::RETRY_BUDGET));
+    let shown = violations.iter().take(VIOLATIONS_SHOWN);
+    Outcome {
+        violations: shown.map(|violation| format!("seed {seed}: {violation}")).collect(),
+        requested: counts.requested,
+        served: counts.served,
+        counters: simulation.counters,
+    }
+}
+
+/// Plays all fleets on as many threads as there are cores.
+fn play_all() -> Vec<Outcome> {
+    let threads = std::thread::available_parallelism().map_or(2, usize::from) as u64;
+    let play_every = |first: u64| {
+        let seeds = (first..FLEETS).step_by(threads as usize);
+        seeds.map(play).collect::<Vec<Outcome>>()
+    };
+    std::thread::scope(|scope| {
+        let running: Vec<_> = (0..threads).map(|first| scope.spawn(move || play_every(first))).collect();
+        running.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
+    })
+}
+
+#[test]
+fn two_hundred_fleets_with_failing_planners_keep_every_rule() {
+    const { assert!(EXPIRE_AFTER.as_nanos() > LEASE_DURATION.as_nanos()) };
+    let outcomes = play_all();
+    let violations: Vec<&String> = outcomes.iter().flat_map(|outcome| &outcome.violations).collect();
+    assert!(violations.is_empty(), "{violations:#?}");
+    let requested: usize = outcomes.iter().map(|outcome| outcome.requested).sum();
+    let served: usize = outcomes.iter().map(|outcome| outcome.served).sum();
+    let sum = |counter: fn(&Counters) -> u32| -> u32 {
+        outcomes.iter().map(|outcome| counter(&outcome.counters)).sum()
+    };
+    let (faults, rejected_orders) = (sum(|it| it.faults), sum(|it| it.rejected_orders));
+    let (hand_overs, alone) = (sum(|it| it.hand_overs), sum(|it| it.alone));
+    println!(
+        "{requested} requested, {served} served, {faults} faults, {rejected_orders} rejected orders, \
+         {hand_overs} hand-overs, {alone} times alone"
+    );
+    // The faults have the intended effects, and most requests are served all the same.
+    assert!(faults > 2_000 && rejected_orders > 1_000 && hand_overs > 4_000 && alone > 100);
+    assert!(served * 10 > requested * 8, "{served} of {requested}");
+}
+
+#[test]
+fn a_seed_replays_to_the_byte() {
+    let records = |seed| record::write(&Simulation::new(seed).run().records);
+    assert_eq!(records(7), records(7));
+    assert_ne!(records(7), records(8));
+}
--- a/crates/two-level/tests/model.rs
+++ b/crates/two-level/tests/model.rs
@@ -1,68 +1,105 @@
-//! A model of a forwarder among planners that may say anything at any time, explored state by state.
+//! A model of a forwarder among planners that may order anything at any time, explored state by state.
 //!
-//! Planners are not modelled as they should be but as bad as they can be: any order, under any epoch that was ever given
-//! out, in any order, any number of times. What must hold holds by the guard alone. Engines and the client are modelled
-//! apart from what the guard believes: an engine that runs a request goes on until it ends, whatever was called off.
+//! Planners are not modelled as they should be but as bad as they can be: they give any order, under any epoch that was ever
+//! given out, in any sequence, any number of times. The invariants must hold by the guard alone. Engines and clients are
+//! modelled independently of what the guard believes: an engine that runs a request continues until it ends, whatever was
+//! cancelled.
 //!
-//! To show that the checker finds what it looks for, one bug at a time is put at the seams round the guard.
+//! To show that the checker finds violations, one bug at a time is put into the code around the guard.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
+use std::time::Duration;
 
+use gaugestep_clock::Timestamp;
 use gaugestep_two_level::PlannerId;
-use gaugestep_two_level::guard::{
-    Act, Answer, Effect, Engine, EngineId, Facts, Guard, Order, Ration, Stand, Tell,
+use gaugestep_two_level::order_guard::{
+    Action, Answer, AttemptEnd, Effect, Engine, EngineId, Order, OrderGuard, PlannerEvent, RequestInfo,
+    RetryBudgetSettings,
 };
 use stateright::{Checker as _, Model, Property};
 
-/// Engines, and attempts that a request may have.
 const ENGINES: [EngineId; 2] = [EngineId(0), EngineId(1)];
-const MOST: usize = 3;
-/// The request's time is up at this moment; the model's clock stands before it or after it.
-const DUE: f64 = 10.0;
+/// The engine that may drain.
+const DRAINING: EngineId = ENGINES[1];
+const MAX_ATTEMPTS: usize = 3;
+/// How often the forwarder changes planners at most.
+const MAX_EPOCHS: u64 = 2;
+/// The deadline of all requests; the model's clock is either before it or at it.
+const DEADLINE: Timestamp = Timestamp::from_millis(10);
+/// Longer than any run of the model.
+const FOREVER: Duration = Duration::from_secs(1_000_000);
 
 type Id = u8;
+type GuardAction = Action<Id, ()>;
 
-/// What is broken round the guard.
+/// What is broken in the code around the guard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bug {
     None,
     /// The forwarder answers when it reads a result, and lets the guard answer too.
-    AnswersByItself,
-    /// It says that an attempt has ended as soon as it was called off.
-    EndsAtOnce,
-    /// It takes what it called off for never sent.
-    CalledOffNeverRan,
-    /// It tells the guard of a drain only some time after it knows itself.
-    LateList,
-    /// It stamps orders with the epoch in force.
-    Restamps,
+    AnswersTwice,
+    /// It reports that an attempt has ended as soon as it was cancelled.
+    ReportsCancelAsEnd,
+    /// It reports that a cancelled attempt never ran.
+    ReportsCancelAsNeverRan,
+    /// It does not tell the guard that an engine drains.
+    HidesDrain,
+    /// It stamps orders with the current epoch.
+    RestampsOrders,
+}
+
+/// What a client got.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Received {
+    Served,
+    Rejected,
+    Failed,
+    /// It has disconnected, and needs no answer.
+    Disconnected,
 }
 
 #[derive(Clone, Debug)]
 struct State {
-    guard: Guard<Id, ()>,
-    /// Engines where an attempt runs, with its number: what is really so.
-    running: Vec<(Id, usize, EngineId)>,
-    /// Attempts that were called off and whose engines have not said so yet.
-    called_off: BTreeSet<(Id, usize)>,
-    /// Attempts that may have done their work, by request.
+    guard: OrderGuard<Id, ()>,
+    /// Attempts that engines really run, with their numbers.
+    running: Vec<(Id, usize)>,
+    /// Cancelled attempts whose end was not reported yet.
+    cancelled: BTreeSet<(Id, usize)>,
+    /// One entry for each attempt that may have done its work.
     ran: Vec<Id>,
-    /// Answers that clients got.
-    answers: Vec<(Id, &'static str)>,
-    /// The forwarder was told that this engine drains.
+    answers: Vec<(Id, Received)>,
+    /// The forwarder was told that [`DRAINING`] drains.
     drained: bool,
-    late: bool,
+    deadline_passed: bool,
+    /// How many epochs were given out.
     epochs: u64,
-    /// What must never be.
+    violations: Violations,
+}
+
+/// What must never happen.
+#[derive(Clone, Debug, Default)]
+struct Violations {
     started_on_drained: bool,
-    two_out: bool,
+    two_in_flight: bool,
     ran_twice: bool,
     obeyed_fenced: bool,
 }
 
 impl State {
-    /// All that makes it differ from others; the guard's times stand still in this model.
+    fn has_answer(&self, id: Id) -> bool {
+        self.answers.iter().any(|(other, _)| *other == id)
+    }
+
+    fn runs(&self, id: Id) -> bool {
+        self.running.iter().any(|(other, _)| *other == id)
+    }
+
+    fn now(&self) -> Timestamp {
+        if self.deadline_passed { DEADLINE } else { Timestamp::ORIGIN }
+    }
+
+    /// Everything in which states can differ; the times in the guard do not matter to this model.
     fn key(&self) -> String {
         format!("{self:?}")
     }
@@ -82,18 +119,27 @@
     }
 }
 
+/// A step of the model.
 #[derive(Clone, Debug, PartialEq)]
-enum Action {
+enum Step {
     /// An order under an epoch reaches the forwarder.
-    Ordered(u64, Id, Order),
-    /// The forwarder turns to a planner, and registers what is open.
+    Order {
+        epoch: u64,
+        id: Id,
+        order: Order,
+    },
+    /// The forwarder follows a planner, and registers what is open.
     Follow(&'static str),
-    Forsake,
-    /// The engine of an attempt answers, fails, or proves that it never began.
-    Ends(Id, usize, &'static str),
-    Drains,
-    ClientGone(Id),
-    TimeIsUp,
+    Abandon,
+    /// An attempt ends at its engine.
+    AttemptEnds {
+        id: Id,
+        attempt: usize,
+        end: AttemptEnd,
+    },
+    EngineDrains,
+    ClientDisconnects(Id),
+    DeadlinePasses,
 }
 
 struct Fleet {
@@ -103,160 +149,175 @@
 }
 
 impl Fleet {
-    fn act(&self, state: &mut State, acts: Vec<Act<Id, ()>>) {
-        for act in acts {
-            match act {
-                Act::Start { id, attempt, engine, .. } => {
-                    state.two_out |= state.running.iter().any(|(other, ..)| *other == id);
-                    state.started_on_drained |= state.drained && engine == ENGINES[1];
-                    state.ran_twice |=
-                        self.effects[usize::from(id)] == Effect::Unsafe && state.ran.contains(&id);
-                    state.running.push((id, attempt, engine));
-                }
-                Act::CallOff { id, attempt } => match self.bug {
-                    Bug::EndsAtOnce | Bug::CalledOffNeverRan => {
-                        let stand = match self.bug {
-                            Bug::CalledOffNeverRan => Stand::NeverRan,
-                            _ => Stand::MayHaveRun,
-                        };
-                        if self.bug == Bug::CalledOffNeverRan {
-                            state.running.retain(|(other, ..)| *other != id);
-                            state.ran.push(id);
-                        }
-                        let acts = state.guard.ended(&id, attempt, false, stand);
-                        self.act(state, acts);
-                    }
-                    _ => drop(state.called_off.insert((id, attempt))),
-                },
-                Act::Answer { id, answer } => {
-                    let answer = match answer {
-                        Answer::Served => "served",
-                        Answer::Refused(_) => "refused",
-                        Answer::Failed => "failed",
-                    };
-                    // A refusal invites the client to come again, which runs it twice if it may have run.
-                    state.ran_twice |= answer == "refused"
-                        && self.effects[usize::from(id)] == Effect::Unsafe
-                        && (state.ran.contains(&id) || state.running.iter().any(|(other, ..)| *other == id));
-                    state.answers.push((id, answer));
+    fn ids(&self) -> std::ops::Range<Id> {
+        0..self.effects.len() as Id
+    }
+
+    fn is_unsafe(&self, id: Id) -> bool {
+        self.effects[usize::from(id)] == Effect::Unsafe
+    }
+
+    /// Carries out what the guard decided.
+    fn carry_out(&self, state: &mut State, actions: Vec<GuardAction>) {
+        for action in actions {
+            match action {
+                Action::StartAttempt { id, attempt, engine, .. } => {
+                    state.violations.two_in_flight |= state.runs(id);
+                    state.violations.started_on_drained |= state.drained && engine == DRAINING;
+                    state.violations.ran_twice |= self.is_unsafe(id) && state.ran.contains(&id);
+                    state.running.push((id, attempt));
                 }
-                Act::Weigh { .. } | Act::Tell { .. } => {}
+                Action::CancelAttempt { id, attempt } => self.cancel(state, id, attempt),
+                Action::Answer { id, answer } => self.answer(state, id, answer),
+                Action::SetPriority { .. } | Action::Notify { .. } => {}
             }
         }
     }
+
+    fn cancel(&self, state: &mut State, id: Id, attempt: usize) {
+        let reported = match self.bug {
+            Bug::ReportsCancelAsEnd => AttemptEnd::MayHaveRun,
+            Bug::ReportsCancelAsNeverRan => {
+                state.running.retain(|(other, _)| *other != id);
+                state.ran.push(id);
+                AttemptEnd::NeverRan
+            }
+            _ => {
+                state.cancelled.insert((id, attempt));
+                return;
+            }
+        };
+        let actions = state.guard.on_attempt_end(&id, attempt, reported);
+        self.carry_out(state, actions);
+    }
+
+    fn answer(&self, state: &mut State, id: Id, answer: Answer) {
+        let received = match answer {
+            Answer::Served => Received::Served,
+            Answer::Rejected { .. } => Received::Rejected,
+            Answer::Failed => Received::Failed,
+        };
+        // A rejected client retries, which runs the request twice if it may have run.
+        let may_have_run = state.ran.contains(&id) || state.runs(id);
+        state.violations.ran_twice |= received == Received::Rejected && self.is_unsafe(id) && may_have_run;
+        state.answers.push((id, received));
+    }
+
+    /// All orders that a planner could give for a request under an epoch.
+    fn orders(epoch: u64, id: Id) -> impl Iterator<Item = Step> {
+        let attempts = (0..MAX_ATTEMPTS).flat_map(|attempt| {
+            let start = |engine| Order::StartAttempt { attempt, engine, priority: 1 };
+            [start(ENGINES[0]), start(ENGINES[1]), Order::CancelAttempt { attempt }]
+        });
+        let finals = [Order::Reject { retry_after: Duration::ZERO }, Order::Fail];
+        attempts.chain(finals).map(move |order| Step::Order { epoch, id, order })
+    }
+
+    fn order(&self, state: &mut State, epoch: u64, id: Id, order: Order) {
+        let stamped = if self.bug == Bug::RestampsOrders { state.epochs } else { epoch };
+        let actions = state.guard.on_order(state.now(), stamped, &id, order);
+        let takes_effect = |action: &GuardAction| {
+            !matches!(action, Action::Notify { event: PlannerEvent::OrderRejected { .. }, .. })
+        };
+        let fenced = state.guard.epoch() != Some(epoch);
+        state.violations.obeyed_fenced |= fenced && actions.iter().any(takes_effect);
+        self.carry_out(state, actions);
+    }
+
+    fn end_attempt(&self, state: &mut State, id: Id, attempt: usize, end: AttemptEnd) {
+        state.running.retain(|running| *running != (id, attempt));
+        state.cancelled.remove(&(id, attempt));
+        if end != AttemptEnd::NeverRan {
+            state.ran.push(id);
+        }
+        if end == AttemptEnd::Served && self.bug == Bug::AnswersTwice {
+            state.answers.push((id, Received::Served));
+        }
+        let actions = state.guard.on_attempt_end(&id, attempt, end);
+        self.carry_out(state, actions);
+    }
 }
 
 impl Model for Fleet {
     type State = State;
-    type Action = Action;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let mut guard = Guard::new(Some(Ration { free: 2.0, ratio: 0.0, span: 1e9 }));
+        let budget = RetryBudgetSettings { base: 2.0, ratio: 0.0, window: FOREVER };
+        let mut guard = OrderGuard::new(Some(budget));
         let up = Engine { up: true, zone: 0, cell: 0 };
-        guard.listed(ENGINES.map(|engine| (engine, Some(up))), true);
-        for (id, effect) in self.effects.iter().enumerate() {
-            let facts = Facts { effect: *effect, due: DUE, most: MOST, told: () };
-            assert!(guard.arrived(0.0, id as Id, facts));
+        guard.replace_engines(ENGINES.map(|engine| (engine, up)));
+        for (id, effect) in self.ids().zip(&self.effects) {
+            let max_attempts = MAX_ATTEMPTS;
+            let info = RequestInfo { effect: *effect, deadline: DEADLINE, max_attempts, details: () };
+            assert!(guard.on_request(Timestamp::ORIGIN, id, info));
         }
         vec![State {
             guard,
             running: vec![],
-            called_off: BTreeSet::new(),
+            cancelled: BTreeSet::new(),
             ran: vec![],
             answers: vec![],
             drained: false,
-            late: false,
+            deadline_passed: false,
             epochs: 0,
-            started_on_drained: false,
-            two_out: false,
-            ran_twice: false,
-            obeyed_fenced: false,
+            violations: Violations::default(),
         }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let epochs = state.epochs;
-        if epochs < 2 {
-            actions.extend(["a", "b"].map(Action::Follow));
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.epochs < MAX_EPOCHS {
+            steps.extend(["a", "b"].map(Step::Follow));
         }
-        if state.guard.owner().is_some() {
-            actions.push(Action::Forsake);
+        if state.guard.planner().is_some() {
+            steps.push(Step::Abandon);
         }
-        for id in 0..self.effects.len() as Id {
-            for epoch in 1..=epochs {
-                for attempt in 0..MOST {
-                    for engine in ENGINES {
-                        let order = Order::Send { attempt, engine, priority: 1 };
-                        actions.push(Action::Ordered(epoch, id, order));
-                    }
-                    actions.push(Action::Ordered(epoch, id, Order::Cancel { attempt }));
-                }
-                actions.push(Action::Ordered(epoch, id, Order::Refuse { retry_after: 0.0 }));
-                actions.push(Action::Ordered(epoch, id, Order::Fail));
-            }
-            if !state.answers.iter().any(|(other, _)| *other == id) {
-                actions.push(Action::ClientGone(id));
+        for id in self.ids() {
+            steps.extend((1..=state.epochs).flat_map(|epoch| Self::orders(epoch, id)));
+            if !state.has_answer(id) {
+                steps.push(Step::ClientDisconnects(id));
             }
         }
-        for (id, attempt, _) in &state.running {
-            actions.extend(["served", "never", "failed"].map(|how| Action::Ends(*id, *attempt, how)));
+        for (id, attempt) in &state.running {
+            let ends = [AttemptEnd::Served, AttemptEnd::NeverRan, AttemptEnd::MayHaveRun];
+            steps.extend(ends.map(|end| Step::AttemptEnds { id: *id, attempt: *attempt, end }));
         }
         if !state.drained {
-            actions.push(Action::Drains);
+            steps.push(Step::EngineDrains);
         }
-        if !state.late {
-            actions.push(Action::TimeIsUp);
+        if !state.deadline_passed {
+            steps.push(Step::DeadlinePasses);
         }
     }
 
-    fn next_state(&self, last: &State, action: Action) -> Option<State> {
+    fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
-        let now = if state.late { DUE } else { 0.0 };
-        match action {
-            Action::Ordered(epoch, id, order) => {
-                let stamped = if self.bug == Bug::Restamps { state.epochs } else { epoch };
-                let acts = state.guard.ordered(now, stamped, &id, order);
-                let does = |act: &Act<Id, ()>| !matches!(act, Act::Tell { what: Tell::Vetoed { .. }, .. });
-                let followed = state.guard.owner().is_some_and(|(_, current)| current == epoch);
-                state.obeyed_fenced |= acts.iter().any(does) && !followed;
-                self.act(&mut state, acts);
-            }
-            Action::Follow(planner) => {
-                state.guard.follow(PlannerId(planner.into()), now, 1e9);
+        match step {
+            Step::Order { epoch, id, order } => self.order(&mut state, epoch, id, order),
+            Step::Follow(planner) => {
+                state.guard.follow(PlannerId(planner.into()), state.now(), FOREVER);
                 state.epochs += 1;
-                let acts = state.guard.register(now, usize::MAX);
-                self.act(&mut state, acts);
+                let actions = state.guard.register(state.now(), usize::MAX);
+                self.carry_out(&mut state, actions);
             }
-            Action::Forsake => state.guard.forsake(),
-            Action::Ends(id, attempt, how) => {
-                state.running.retain(|(other, number, _)| (*other, *number) != (id, attempt));
-                state.called_off.remove(&(id, attempt));
-                let stand = if how == "never" { Stand::NeverRan } else { Stand::MayHaveRun };
-                if how != "never" {
-                    state.ran.push(id);
-                }
-                if how == "served" && self.bug == Bug::AnswersByItself {
-                    state.answers.push((id, "served"));
-                }
-                let acts = state.guard.ended(&id, attempt, how == "served", stand);
-                self.act(&mut state, acts);
-            }
-            Action::Drains => {
+            Step::Abandon => state.guard.abandon(),
+            Step::AttemptEnds { id, attempt, end } => self.end_attempt(&mut state, id, attempt, end),
+            Step::EngineDrains => {
                 state.drained = true;
-                if self.bug != Bug::LateList {
-                    let drains = Engine { up: false, zone: 0, cell: 0 };
-                    state.guard.listed([(ENGINES[1], Some(drains))], false);
+                if self.bug != Bug::HidesDrain {
+                    let draining = Engine { up: false, zone: 0, cell: 0 };
+                    state.guard.update_engine(DRAINING, Some(draining));
                 }
             }
-            Action::ClientGone(id) => {
-                let acts = state.guard.client_gone(&id);
-                self.act(&mut state, acts);
-                state.answers.push((id, "gone"));
+            Step::ClientDisconnects(id) => {
+                let actions = state.guard.on_disconnect(&id);
+                self.carry_out(&mut state, actions);
+                state.answers.push((id, Received::Disconnected));
             }
-            Action::TimeIsUp => {
-                state.late = true;
-                let acts = state.guard.overdue(DUE);
-                self.act(&mut state, acts);
+            Step::DeadlinePasses => {
+                state.deadline_passed = true;
+                let actions = state.guard.answer_overdue(DEADLINE);
+                self.carry_out(&mut state, actions);
             }
         }
         (state != *last).then_some(state)
@@ -264,78 +325,87 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one final answer at most", |_, state: &State| {
-                (0..2).all(|id| state.answers.iter().filter(|(other, _)| *other == id).count() <= 1)
-            }),
-            Property::always("a final answer once the time is up", |model: &Fleet, state: &State| {
-                let answered = |id: Id| state.answers.iter().any(|(other, _)| *other == id);
-                !state.late || (0..model.effects.len() as Id).all(answered)
-            }),
-            Property::always("one attempt out", |_, state: &State| !state.two_out),
-            Property::always("nothing unsafe runs twice", |_, state: &State| !state.ran_twice),
-            Property::always("nothing new to an engine that drains", |_, state: &State| {
-                !state.started_on_drained
+            Property::always(ONE_ANSWER, |model: &Fleet, state: &State| {
+                let answers = |id: Id| state.answers.iter().filter(|(other, _)| *other == id).count();
+                model.ids().all(|id| answers(id) <= 1)
             }),
-            Property::always("only the planner that is followed is obeyed", |_, state: &State| {
-                !state.obeyed_fenced
+            Property::always(ANSWER_AT_DEADLINE, |model: &Fleet, state: &State| {
+                !state.deadline_passed || model.ids().all(|id| state.has_answer(id))
             }),
+            Property::always(ONE_IN_FLIGHT, |_, state: &State| !state.violations.two_in_flight),
+            Property::always(NO_UNSAFE_REPEAT, |_, state: &State| !state.violations.ran_twice),
+            Property::always(NOTHING_TO_DRAINING, |_, state: &State| !state.violations.started_on_drained),
+            Property::always(ONLY_FOLLOWED_OBEYED, |_, state: &State| !state.violations.obeyed_fenced),
             Property::sometimes("a request is served by its second attempt", |_, state: &State| {
-                state.answers.iter().any(|(_, how)| *how == "served") && state.ran.len() >= 2
+                let served = state.answers.iter().any(|(_, received)| *received == Received::Served);
+                served && state.ran.len() >= 2
             }),
-            Property::sometimes("a load is served behind a change of planners", |_, state: &State| {
-                state.epochs == 2 && state.answers.contains(&(0, "served"))
+            Property::sometimes("a load is served after a change of planners", |_, state: &State| {
+                state.epochs == 2 && state.answers.contains(&(0, Received::Served))
             }),
         ]
     }
 }
 
-/// Explores to this depth. One request has some thousand states in all, none deeper than 64 steps.
-fn explored(bug: Bug, effects: &[Effect], depth: usize) -> (usize, Vec<&'static str>) {
-    let checker = Fleet { bug, effects: effects.to_vec() }
-        .checker()
-        .threads(4)
-        .target_max_depth(depth)
-        .spawn_bfs()
-        .join();
-    let broken = ["one final answer at most", "a final answer once the time is up", "one attempt out"];
-    let more = [
-        "nothing unsafe runs twice",
-        "nothing new to an engine that drains",
-        "only the planner that is followed is obeyed",
-    ];
-    let all = broken.into_iter().chain(more);
-    let found = all.filter(|name| checker.discovery(name).is_some()).collect();
-    (checker.unique_state_count(), found)
+const ONE_ANSWER: &str = "at most one final answer";
+const ANSWER_AT_DEADLINE: &str = "a final answer once the deadline has passed";
+const ONE_IN_FLIGHT: &str = "at most one attempt in flight";
+const NO_UNSAFE_REPEAT: &str = "nothing unsafe runs twice";
+const NOTHING_TO_DRAINING: &str = "nothing new to an engine that drains";
+const ONLY_FOLLOWED_OBEYED: &str = "only the planner that is followed is obeyed";
+
+/// What must always hold.
+const INVARIANTS: [&str; 6] = [
+    ONE_ANSWER,
+    ANSWER_AT_DEADLINE,
+    ONE_IN_FLIGHT,
+    NO_UNSAFE_REPEAT,
+    NOTHING_TO_DRAINING,
+    ONLY_FOLLOWED_OBEYED,
+];
+
+/// How many states were reached, and which invariants are violated in one of them.
+struct Explored {
+    states: usize,
+    violated: Vec<&'static str>,
+}
+
+/// Explores up to this depth. One request has some thousand states in all, none deeper than 64 steps.
+fn explore(bug: Bug, effects: &[Effect], depth: usize) -> Explored {
+    let model = Fleet { bug, effects: effects.to_vec() };
+    let checker = model.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
+    let violated = INVARIANTS.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
+    Explored { states: checker.unique_state_count(), violated }
 }
 
 #[test]
-fn the_guard_holds_against_any_planners_for_a_load_and_for_a_safe_request() {
+fn the_guard_holds_against_any_planners_for_an_unsafe_and_for_a_safe_request() {
     for effect in [Effect::Unsafe, Effect::Safe] {
-        let (states, found) = explored(Bug::None, &[effect], 64);
-        assert_eq!(found, [] as [&str; 0], "{effect:?}");
+        let Explored { states, violated } = explore(Bug::None, &[effect], 64);
+        assert_eq!(violated, [] as [&str; 0], "{effect:?}");
         assert!(states > 2_000, "{states} states of {effect:?}");
     }
 }
 
 #[test]
-fn two_requests_at_once_do_not_meddle() {
-    let (states, found) = explored(Bug::None, &[Effect::Unsafe, Effect::Safe], 7);
-    assert_eq!(found, [] as [&str; 0]);
+fn two_requests_do_not_interfere() {
+    let Explored { states, violated } = explore(Bug::None, &[Effect::Unsafe, Effect::Safe], 7);
+    assert_eq!(violated, [] as [&str; 0]);
     assert!(states > 5_000, "{states} states");
 }
 
-/// The checker finds each bug, by the property that it breaks.
+/// The checker finds each bug by the invariant that it violates.
 #[test]
-fn a_bug_at_each_seam_is_found() {
+fn a_bug_in_the_code_around_the_guard_is_found() {
     let cases = [
-        (Bug::AnswersByItself, Effect::Safe, "one final answer at most"),
-        (Bug::EndsAtOnce, Effect::Safe, "one attempt out"),
-        (Bug::CalledOffNeverRan, Effect::Unsafe, "nothing unsafe runs twice"),
-        (Bug::LateList, Effect::Safe, "nothing new to an engine that drains"),
-        (Bug::Restamps, Effect::Safe, "only the planner that is followed is obeyed"),
+        (Bug::AnswersTwice, Effect::Safe, ONE_ANSWER),
+        (Bug::ReportsCancelAsEnd, Effect::Safe, ONE_IN_FLIGHT),
+        (Bug::ReportsCancelAsNeverRan, Effect::Unsafe, NO_UNSAFE_REPEAT),
+        (Bug::HidesDrain, Effect::Safe, NOTHING_TO_DRAINING),
+        (Bug::RestampsOrders, Effect::Safe, ONLY_FOLLOWED_OBEYED),
     ];
-    for (bug, effect, property) in cases {
-        let (_, found) = explored(bug, &[effect], 7);
-        assert!(found.contains(&property), "{bug:?}: {found:?}");
+    for (bug, effect, invariant) in cases {
+        let violated = explore(bug, &[effect], 7).violated;
+        assert!(violated.contains(&invariant), "{bug:?}: {violated:?}");
     }
 }
--- /dev/null
+++ b/crates/two-level/tests/order_guard.rs
@@ -0,0 +1,287 @@
+//! The hard cases of two levels on the guard alone: planners that die, are suspended and resume, and compete.
+
+use std::time::Duration;
+
+use gaugestep_clock::Timestamp;
+use gaugestep_two_level::PlannerId;
+use gaugestep_two_level::order_guard::{
+    Action, Answer, Attempt, AttemptEnd, AttemptState, DeduplicationScope, Effect, Engine, EngineId, Order,
+    OrderGuard, OrderRejected, PlannerEvent, RequestInfo, RetryBudgetSettings,
+};
+
+type Guard = OrderGuard<u32, &'static str>;
+type GuardAction = Action<u32, &'static str>;
+
+const LEASE: Duration = Duration::from_millis(1_000);
+const START: Timestamp = Timestamp::ORIGIN;
+const DEADLINE: Timestamp = at(10_000);
+const NO_DELAY: Answer = Answer::Rejected { retry_after: Duration::ZERO };
+
+const fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
+fn planner(name: &str) -> PlannerId {
+    PlannerId(name.into())
+}
+
+fn engine(cell: u64) -> Engine {
+    Engine { up: true, zone: 0, cell }
+}
+
+/// A guard with four engines in two cells, which follows nobody.
+fn new_guard(retry_budget: Option<RetryBudgetSettings>) -> Guard {
+    let mut guard = OrderGuard::new(retry_budget);
+    guard.replace_engines((0..4).map(|id| (EngineId(id), engine(u64::from(id) % 2))));
+    guard
+}
+
+/// A guard with one request, of id 1.
+fn guard_with_request(effect: Effect) -> Guard {
+    let mut guard = new_guard(None);
+    add_request(&mut guard, 1, effect);
+    guard
+}
+
+fn info(effect: Effect, deadline: Timestamp) -> RequestInfo<&'static str> {
+    RequestInfo { effect, deadline, max_attempts: 4, details: "report" }
+}
+
+fn add_request(guard: &mut Guard, id: u32, effect: Effect) {
+    assert!(guard.on_request(START, id, info(effect, DEADLINE)));
+}
+
+/// Follows a planner and registers everything with it; returns the epoch.
+fn follow(guard: &mut Guard, name: &str, now: Timestamp) -> u64 {
+    let epoch = guard.follow(planner(name), now, LEASE);
+    guard.register(now, 10);
+    epoch
+}
+
+fn start(attempt: usize, engine: u32) -> Order {
+    Order::StartAttempt { attempt, engine: EngineId(engine), priority: 2 }
+}
+
+fn cancel(attempt: usize) -> Order {
+    Order::CancelAttempt { attempt }
+}
+
+/// The engine of the attempt that was started, if any.
+fn started(actions: &[GuardAction]) -> Option<u32> {
+    actions.iter().find_map(|action| match action {
+        Action::StartAttempt { engine, .. } => Some(engine.0),
+        _ => None,
+    })
+}
+
+/// Why an order was void, as its planner is notified.
+fn rejection(actions: &[GuardAction]) -> Option<OrderRejected> {
+    actions.iter().find_map(|action| match action {
+        Action::Notify { event: PlannerEvent::OrderRejected { reason, .. }, .. } => Some(*reason),
+        _ => None,
+    })
+}
+
+fn answers(actions: &[GuardAction]) -> Vec<Answer> {
+    let answer = |action: &GuardAction| match action {
+        Action::Answer { answer, .. } => Some(*answer),
+        _ => None,
+    };
+    actions.iter().filter_map(answer).collect()
+}
+
+#[test]
+fn an_attempt_that_never_ran_may_be_repeated_by_the_next_planner() {
+    let mut guard = guard_with_request(Effect::Unsafe);
+    let a = follow(&mut guard, "a", START);
+    assert_eq!(started(&guard.on_order(at(1), a, &1, start(0, 0))), Some(0));
+    guard.abandon();
+    // The connection was never established: nothing was written.
+    let actions = guard.on_attempt_end(&1, 0, AttemptEnd::NeverRan);
+    assert!(actions.is_empty(), "there is no planner to notify");
+    let b = guard.follow(planner("b"), at(5), LEASE);
+    let registered = guard.register(at(5), 10);
+    let history =
+        Attempt { engine: EngineId(0), started_at: at(1), state: AttemptState::NeverRan, priority: 2 };
+    let [Action::Notify { event: PlannerEvent::Registered { id: 1, attempts, .. }, .. }] = &registered[..]
+    else {
+        panic!("{registered:?}");
+    };
+    assert_eq!(attempts[..], [history]);
+    assert_eq!(started(&guard.on_order(at(6), a, &1, start(1, 1))), None, "a delayed order of the dead one");
+    assert_eq!(started(&guard.on_order(at(6), b, &1, start(1, 1))), Some(1));
+}
+
+#[test]
+fn a_result_without_a_planner_is_answered() {
+    let mut guard = guard_with_request(Effect::Unsafe);
+    let a = follow(&mut guard, "a", START);
+    guard.on_order(at(1), a, &1, start(0, 0));
+    guard.abandon();
+    assert_eq!(answers(&guard.on_attempt_end(&1, 0, AttemptEnd::Served)), [Answer::Served]);
+    guard.follow(planner("b"), at(5), LEASE);
+    assert!(guard.register(at(5), 10).is_empty(), "the request is finished");
+    assert_eq!(guard.open_count(), 0);
+}
+
+#[test]
+fn an_unsafe_request_that_may_have_run_is_not_repeated_and_fails() {
+    let mut guard = guard_with_request(Effect::Unsafe);
+    let a = follow(&mut guard, "a", START);
+    guard.on_order(at(1), a, &1, start(0, 0));
+    guard.on_attempt_end(&1, 0, AttemptEnd::MayHaveRun);
+    for name in ["a", "b"] {
+        let epoch = follow(&mut guard, name, at(2));
+        let reject = Order::Reject { retry_after: Duration::from_millis(5) };
+        for order in [start(1, 1), reject] {
+            let actions = guard.on_order(at(3), epoch, &1, order);
+            assert_eq!(rejection(&actions), Some(OrderRejected::NotRepeatable), "{order:?}");
+        }
+    }
+    assert_eq!(answers(&guard.answer_overdue(DEADLINE)), [Answer::Failed]);
+}
+
+#[test]
+fn a_planner_that_resumes_is_not_obeyed_and_engines_that_drain_get_nothing() {
+    let mut guard = guard_with_request(Effect::Safe);
+    let a = follow(&mut guard, "a", START);
+    let expiry = START + LEASE;
+    assert!(guard.is_lease_expired(expiry));
+    assert!(guard.on_order(expiry, a, &1, start(0, 0)).is_empty(), "its lease has expired");
+    assert!(guard.renew(a, at(900), LEASE), "a renewal from before the suspension arrives");
+    guard.update_engine(EngineId(0), Some(Engine { up: false, ..engine(0) }));
+    guard.update_engine(EngineId(1), None);
+    for engine in [0, 1] {
+        let actions = guard.on_order(at(1_100), a, &1, start(0, engine));
+        assert_eq!(rejection(&actions), Some(OrderRejected::EngineNotUp));
+    }
+    let b = follow(&mut guard, "b", at(1_200));
+    assert!(!guard.renew(a, at(1_200), LEASE), "the forwarder follows another planner");
+    assert!(guard.on_order(at(1_300), a, &1, start(0, 2)).is_empty());
+    assert_eq!(started(&guard.on_order(at(1_300), b, &1, start(0, 2))), Some(2));
+}
+
+#[test]
+fn of_two_planners_the_one_followed_last_is_obeyed() {
+    let mut guard = guard_with_request(Effect::Safe);
+    let a = follow(&mut guard, "a", START);
+    let b = follow(&mut guard, "b", at(1));
+    assert_eq!(started(&guard.on_order(at(2), b, &1, start(0, 1))), Some(1));
+    for order in [start(1, 0), cancel(0), Order::Fail] {
+        assert!(guard.on_order(at(2), a, &1, order).is_empty(), "{order:?}");
+    }
+    // Back to the first, under a new epoch: its earlier orders are void too.
+    let again = guard.follow(planner("a"), at(3), LEASE);
+    assert!(guard.on_order(at(3), a, &1, Order::Fail).is_empty());
+    let actions = guard.on_order(at(3), again, &1, Order::Fail);
+    assert_eq!(rejection(&actions), Some(OrderRejected::UnknownRequest), "not registered yet");
+}
+
+#[test]
+fn duplicated_and_reordered_orders_have_no_second_effect() {
+    let mut guard = guard_with_request(Effect::Safe);
+    let a = follow(&mut guard, "a", START);
+    let now = at(1);
+    let reason = |guard: &mut Guard, order| rejection(&guard.on_order(now, a, &1, order));
+    assert_eq!(reason(&mut guard, start(1, 0)), Some(OrderRejected::OutOfTurn));
+    assert_eq!(started(&guard.on_order(now, a, &1, start(0, 0))), Some(0));
+    assert_eq!(reason(&mut guard, start(0, 0)), Some(OrderRejected::OutOfTurn));
+    assert_eq!(reason(&mut guard, start(1, 1)), Some(OrderRejected::AttemptInFlight));
+    assert_eq!(reason(&mut guard, cancel(1)), Some(OrderRejected::OutOfTurn));
+    let cancelled = guard.on_order(now, a, &1, cancel(0));
+    assert_eq!(cancelled, [Action::CancelAttempt { id: 1, attempt: 0 }]);
+    guard.on_attempt_end(&1, 0, AttemptEnd::MayHaveRun);
+    let second_end = guard.on_attempt_end(&1, 0, AttemptEnd::Served);
+    assert!(second_end.is_empty(), "an attempt ends once");
+    let retry_after = Duration::from_millis(70);
+    let rejected = guard.on_order(now, a, &1, Order::Reject { retry_after });
+    assert_eq!(answers(&rejected), [Answer::Rejected { retry_after }]);
+    assert_eq!(reason(&mut guard, Order::Fail), Some(OrderRejected::UnknownRequest));
+}
+
+#[test]
+fn without_a_planner_every_request_is_answered_at_its_deadline() {
+    let mut guard = guard_with_request(Effect::Safe);
+    add_request(&mut guard, 2, Effect::Unsafe);
+    add_request(&mut guard, 3, Effect::Unsafe);
+    let a = follow(&mut guard, "a", START);
+    guard.on_order(at(1), a, &3, start(0, 0));
+    guard.abandon();
+    assert_eq!(guard.next_deadline(), Some(DEADLINE));
+    assert!(guard.answer_overdue(at(9_999)).is_empty());
+    let actions = guard.answer_overdue(DEADLINE);
+    assert_eq!(answers(&actions), [NO_DELAY, NO_DELAY, Answer::Failed]);
+    assert!(actions.contains(&Action::CancelAttempt { id: 3, attempt: 0 }));
+    assert!(guard.answer_overdue(at(20_000)).is_empty());
+    assert!(guard.on_attempt_end(&3, 0, AttemptEnd::Served).is_empty());
+}
+
+#[test]
+fn the_retry_budget_is_kept_over_a_change_of_planners() {
+    let settings = RetryBudgetSettings { base: 1.0, ratio: 0.2, window: Duration::from_secs(5) };
+    let mut guard = new_guard(Some(settings));
+    for id in 0..5 {
+        add_request(&mut guard, id, Effect::Safe);
+    }
+    let mut retries = 0;
+    for (id, name) in (0u32..).zip(["a", "b", "a", "b", "a"]) {
+        let now = at(10 * u64::from(id));
+        let epoch = follow(&mut guard, name, now);
+        assert!(started(&guard.on_order(now, epoch, &id, start(0, 0))).is_some(), "first attempts are free");
+        guard.on_attempt_end(&id, 0, AttemptEnd::MayHaveRun);
+        let actions = guard.on_order(now, epoch, &id, start(1, 1));
+        match rejection(&actions) {
+            None => assert!(started(&actions).is_some()),
+            Some(reason) => assert_eq!(reason, OrderRejected::RetryBudgetExhausted),
+        }
+        retries += usize::from(started(&actions).is_some());
+    }
+    assert_eq!(retries, 2, "one in any case, and one for five requests");
+}
+
+#[test]
+fn deduplicated_requests_are_repeated_within_their_scope_and_window() {
+    let cases = [
+        (DeduplicationScope::Cell, 2, 100, true),
+        (DeduplicationScope::Cell, 1, 100, false),
+        (DeduplicationScope::Zone, 1, 100, true),
+        (DeduplicationScope::All, 1, 100, true),
+        (DeduplicationScope::All, 1, 1_000, false),
+    ];
+    for (scope, engine, repeated_at, repeatable) in cases {
+        let window = Duration::from_millis(500);
+        let mut guard = guard_with_request(Effect::Deduplicated { scope, window });
+        let a = guard.follow(planner("a"), START, Duration::from_secs(1_000));
+        guard.register(START, 10);
+        guard.on_order(at(1), a, &1, start(0, 0));
+        guard.on_attempt_end(&1, 0, AttemptEnd::MayHaveRun);
+        let actions = guard.on_order(at(repeated_at), a, &1, start(1, engine));
+        assert_eq!(started(&actions).is_some(), repeatable, "{scope:?} {engine} {repeated_at}");
+    }
+}
+
+#[test]
+fn a_hand_over_is_paced_and_begins_with_the_earliest_deadlines() {
+    const REQUESTS: u32 = 100;
+    const LIMIT: usize = 16;
+    let mut guard = new_guard(None);
+    for id in 0..REQUESTS {
+        let deadline = DEADLINE - Duration::from_millis(id.into());
+        assert!(guard.on_request(START, id, info(Effect::Safe, deadline)));
+        assert!(!guard.on_request(START, id, info(Effect::Safe, at(1))), "an id that is open");
+    }
+    guard.follow(planner("b"), START, LEASE);
+    let mut registered = Vec::new();
+    for _ in 0..10 {
+        let actions = guard.register(at(1), LIMIT);
+        assert!(actions.len() <= LIMIT);
+        registered.extend(actions.iter().filter_map(|action| match action {
+            Action::Notify { event: PlannerEvent::Registered { id, .. }, .. } => Some(*id),
+            _ => None,
+        }));
+    }
+    assert_eq!(registered, (0..REQUESTS).rev().collect::<Vec<u32>>());
+    assert!(guard.register(START + LEASE, LIMIT).is_empty(), "nothing to a planner without a lease");
+    assert_eq!(answers(&guard.on_disconnect(&5)), []);
+    assert_eq!(guard.open_count(), 99);
+}
