--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -5,10 +5,19 @@
 //! A [`Dispatcher`] takes [`Event`]s and returns [`Action`]s. It does no I/O, reads no clock and starts no thread. The same
 //! seed and the same events give the same actions.
 
+mod dispatcher;
+mod engines;
 pub mod interface;
-pub mod policy;
+mod policy;
 mod requests;
 mod stats;
 
+// The parts are private; their tests lie beside those of the whole.
+#[cfg(test)]
+extern crate self as gaugestep_dispatch;
+#[cfg(test)]
+#[path = "../tests/parts/mod.rs"]
+mod parts;
+
+pub use dispatcher::Dispatcher;
 pub use interface::{Action, Event, Settings};
-pub use policy::Dispatcher;
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! What the tests share: plain settings, and events with sensible defaults.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test program uses a part of it")]
 
 use gaugestep_dispatch::interface::*;
 use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
@@ -26,7 +26,7 @@
         machines: vec![MachineSettings { cores: 8.0, memory_mb: 16_384.0 }],
         tenants: vec![],
         dispatchers: 1,
-        place: FleetPosition::NameKey(1),
+        fleet_position: FleetPosition::NameKey(1),
         zone: ZoneId(0),
         max_open: 20_000,
         max_attempts: 4,
@@ -88,7 +88,8 @@
 
 impl Harness {
     pub fn new(settings: Settings, engines: u32) -> Harness {
-        let mut harness = Harness { dispatcher: Dispatcher::new(settings, 7).unwrap(), now: 0.0 };
+        let mut harness =
+            Harness { dispatcher: Dispatcher::new(settings, 7).expect("the settings are valid"), now: 0.0 };
         harness.handle(Event::EngineList((0..engines).map(entry).collect()));
         harness
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -47,7 +47,7 @@
         tenants: document.orgs.0.iter().map(|tenant| tenant_settings(&tenant.0)).collect::<Result<_, _>>()?,
         retry_budget: retry_budget(rules)?,
         dispatchers: document.balancers.or("balancers", 1.0)? as usize,
-        place: position(&document)?,
+        fleet_position: position(&document)?,
         zone: ZoneId(document.zone.or("zone", 0.0)? as usize),
         max_open: limits.max_open.or("max_open", f64::MAX)? as usize,
         max_attempts: limits.max_attempts.or("max_attempts", 1.0)? as usize,
--- a/crates/settings/tests/decode.rs
+++ b/crates/settings/tests/decode.rs
@@ -53,9 +53,9 @@
 
 #[test]
 fn an_ordinal_needs_a_number_below_the_size_of_the_fleet() {
-    let place = |me: f64| decode(&json!({"me": me, "balancers": 3})).unwrap().place;
-    assert_eq!(Some(place(2.0)), FleetPosition::ordinal(2, 3));
-    assert_eq!((place(3.0), place(-1.0)), (FleetPosition::NameKey(0), FleetPosition::NameKey(0)));
+    let position = |me: f64| decode(&json!({"me": me, "balancers": 3})).unwrap().fleet_position;
+    assert_eq!(Some(position(2.0)), FleetPosition::ordinal(2, 3));
+    assert_eq!((position(3.0), position(-1.0)), (FleetPosition::NameKey(0), FleetPosition::NameKey(0)));
 }
 
 #[test]
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -13,7 +13,6 @@
 };
 use gaugestep_config::{short_digest, text};
 use gaugestep_control_plane::cli::admin_client::{AdminClient, Delivery};
-use gaugestep_control_plane::error_line;
 use gaugestep_testbed::faults::{Fault, Schedule, ScheduledFault};
 use gaugestep_testbed::leadership_audit::Record;
 use gaugestep_testbed::network::{Link, LinkFault, Network, Partition};
@@ -44,7 +43,7 @@
 
 /// Calls a service, again where the outcome is unknown; an error is the line that a command would print.
 fn call(client: &AdminClient, request: &call::What) -> Result<reply::What, String> {
-    client.call(request, Delivery::AtLeastOnce).map_err(|error| error_line(&error))
+    client.call(request, Delivery::AtLeastOnce).map_err(|error| error.to_string())
 }
 
 /// A control service.
@@ -496,7 +495,7 @@
                         let role = line["role"].as_str().unwrap_or_default().to_owned();
                         records.push(Record::LeaseAcquired { service: service.clone(), role, term });
                     }
-                    Some("stale act refused") => {
+                    Some("stale command rejected") => {
                         records.push(Record::StaleRejected { at: service.clone(), term })
                     }
                     _ => {}
@@ -541,7 +540,7 @@
         let number = |key: &str| line[key].as_u64().unwrap_or(0);
         let (proxy, digest) = (proxy.to_owned(), line["digest"].as_str().unwrap_or_default().to_owned());
         match line["message"].as_str() {
-            Some("term kept") => records.push(Record::TermSeen { proxy, term: number("term") }),
+            Some("term stored") => records.push(Record::TermSeen { proxy, term: number("term") }),
             Some("version offered") => offered = (number("version"), number("term")),
             Some("version in force") => {
                 let term = if offered.0 == number("version") { offered.1 } else { 0 };
