--- a/crates/subsetting/src/roster.rs
+++ b/crates/subsetting/src/roster.rs
@@ -1,7 +1,7 @@
 //! Which proxy has which ordinal, as decided by the holder of the role that manages the roster.
 //!
 //! A proxy uses its ordinal while a control server confirms it, each time for
-//! [`LEASE_DURATION`](crate::ordinal_lease::LEASE_DURATION). A server confirms only what is committed, and only while it
+//! [`LEASE_DURATION`]. A server confirms only what is committed, and only while it
 //! holds its own lease, so it lags behind a change by [`MEMBER_LEASE`] at most. The manager frees the ordinal of a proxy
 //! without a heartbeat for [`ABSENT_AFTER`], and assigns a free ordinal again only after [`REUSE_DELAY`], which is longer
 //! than both leases together. Two proxies therefore never use the same ordinal at the same time, whichever proxies,
--- a/crates/subsetting/src/rotation.rs
+++ b/crates/subsetting/src/rotation.rs
@@ -12,7 +12,7 @@
 }
 
 impl RotationSlot {
-    /// The only place of a rotation of one. Not exclusive, as it stands for a rotation of which nothing is known.
+    /// The only place of a rotation of one. Not exclusive, as nothing is known of the rotation.
     pub(crate) const UNKNOWN: RotationSlot = RotationSlot { index: 0.0, count: 1.0, exclusive: false };
 
     /// The factor by which the proxy stretches a pause that all proxies begin at the same moment, so that the pauses end one
--- a/crates/two-level/src/order_guard/mod.rs
+++ b/crates/two-level/src/order_guard/mod.rs
@@ -41,7 +41,7 @@
     lease_until: Timestamp,
 }
 
-/// The guard of one forwarder. `Id` identifies a request, `T` is what planners are told of one.
+/// The guard of one forwarder. `Id` identifies a request, `T` is what planners need to know of one.
 ///
 /// Each event returns the actions that the forwarder must carry out, in order.
 #[derive(Clone, Debug)]
--- a/crates/two-level/tests/fleet/simulation.rs
+++ b/crates/two-level/tests/fleet/simulation.rs
@@ -23,7 +23,7 @@
 
 pub type Id = String;
 
-/// What a planner is told of a request.
+/// What a planner knows of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Details {
     pub class: &'static str,
--- a/crates/two-level/tests/model.rs
+++ b/crates/two-level/tests/model.rs
@@ -69,7 +69,7 @@
     /// One entry for each attempt that may have done its work.
     ran: Vec<Id>,
     answers: Vec<(Id, Received)>,
-    /// The forwarder was told that [`DRAINING`] drains.
+    /// The forwarder knows that [`DRAINING`] drains.
     drained: bool,
     deadline_passed: bool,
     /// How many epochs were given out.
