--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use control::{Control, Engine, until};
+use control::{Control, Engine, wait_until};
 use proxy::{Launch, Proxy, query};
 use subscriber::{median, subscribe, subscribers};
 
@@ -59,15 +59,15 @@
 fn storm() {
     let control = Control::start();
     control.publish(&document(1), &[]);
-    let (told, heard) = channel();
+    let (events, heard) = channel();
     let began = Instant::now();
     for number in 0..300u64 {
-        let (told, service) = (told.clone(), control.listen);
+        let (events, service) = (events.clone(), control.listen);
         let run = move || {
             let wait = gaugestep_control_plane::transport::backoff::Backoff::new(number)
                 .next_delay(Duration::from_secs(60));
             std::thread::sleep(wait);
-            let _ = subscribe(service, format!("n{number}"), &told);
+            let _ = subscribe(service, format!("n{number}"), &events);
         };
         std::thread::Builder::new().stack_size(64 * 1024).spawn(run).unwrap();
     }
@@ -94,7 +94,7 @@
         let status = control.json(&["status"]);
         status["proxies"].as_array().unwrap().iter().filter(|it| it["in_force"] == number).count()
     };
-    until("all are here", || control.json(&["status"])["proxies"].as_array().unwrap().len() == count);
+    wait_until("all are here", || control.json(&["status"])["proxies"].as_array().unwrap().len() == count);
     let mut spans = Vec::new();
     for round in 1..=5u64 {
         let began = Instant::now();
@@ -114,12 +114,12 @@
     let operator = Some(control.operator(&kept.path().join("n0")));
     let mut proxy = Launch { operator, ..Launch::new(&[]) }.start();
     let number = control.publish("limits { max_open: 7 }", &[]);
-    until("in force", || proxy.figure("/configuration/version") == Some(number));
+    wait_until("in force", || proxy.statistic("/configuration/version") == Some(number));
     proxy.kill();
     control.kill();
     let began = Instant::now();
     proxy.restart();
-    assert_eq!(proxy.figure("/configuration/version"), Some(number));
+    assert_eq!(proxy.statistic("/configuration/version"), Some(number));
     println!(
         "recovery: a killed proxy serves on its last good version {:.0} ms after its start",
         began.elapsed().as_secs_f64() * 1e3
@@ -142,7 +142,7 @@
     let with = Launch { operator, ..Launch::new(&databases) }.start();
     let without = Launch::new(&databases).start();
     control.publish("limits { max_open: 90 }", &[]);
-    until("in force", || with.figure("/configuration/version") == Some(1));
+    wait_until("in force", || with.statistic("/configuration/version") == Some(1));
     let mut spans = [Vec::new(), Vec::new()];
     let mut clients = [with.client(), without.client()];
     for id in 0..20_000u64 {
--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -17,7 +17,7 @@
 use gaugestep_config::text;
 use gaugestep_control_plane::cli::admin_client::{AdminClient, Delivery};
 use gaugestep_testbed::process::Process;
-use group::{Group, wait};
+use group::{Group, wait_until};
 use subscriber::{median, subscribers};
 
 /// How long nobody owns the versions once their owner is lost.
@@ -25,23 +25,25 @@
     let mut group = Group::start(3);
     let mut spans = Vec::new();
     for _ in 0..rounds {
-        wait("all are there", || group.nodes.iter().all(|node| group.heard(node.number).len() == 3));
-        let (old, _) = group.owner();
-        let beside = group.service(&group.but(old));
+        wait_until("all are there", || {
+            group.nodes.iter().all(|node| group.known_members(node.number).len() == 3)
+        });
+        let (old, _) = group.lease_holder();
+        let beside = group.service(&group.all_except(old));
         let began = Instant::now();
         match kind {
             "kill" => group.node_mut(old).kill(),
-            "stop" => group.node_mut(old).stop(),
+            "stop" => group.node_mut(old).suspend(),
             _ => group.isolate(old),
         }
         // Whoever answers drives versions; the one that is lost may still be named for a while, and is not reached.
         while beside.call(&call::What::Status(Status {}), Delivery::AtLeastOnce).is_err()
-            || group.owner_of(old)
+            || group.has_no_successor(old)
         {}
         spans.push(began.elapsed().as_secs_f64() * 1e3);
         match kind {
             "kill" => group.node_mut(old).start(),
-            "stop" => group.node_mut(old).go_on(),
+            "stop" => group.node_mut(old).resume(),
             _ => group.net.heal_all(),
         }
     }
@@ -91,7 +93,7 @@
     command.args(["serve", "--config"]).arg(&config).stdout(Stdio::null()).stderr(Stdio::null());
     let _process = Process::start(&mut command).unwrap();
     let service = AdminClient { addresses: vec![operators], keys: None };
-    wait("the earlier build starts", || {
+    wait_until("the earlier build starts", || {
         service.call(&call::What::List(List { most: 1 }), Delivery::AtLeastOnce).is_ok()
     });
     Some(published(listen, operators, count))
@@ -101,17 +103,20 @@
 fn real(group: &Group, count: usize) {
     let proxies: Vec<proxy::Proxy> = (0..count).map(|at| group.proxy(&format!("n{at}"), at)).collect();
     let have = |number: u64| {
-        let told = group.status().map(|fleet| fleet.proxies).unwrap_or_default();
-        told.iter().filter(|it| it.connected && it.in_force == number).count()
+        let answer = group.status().map(|fleet| fleet.proxies).unwrap_or_default();
+        answer.iter().filter(|it| it.connected && it.in_force == number).count()
     };
-    wait("all are here", || {
+    wait_until("all are here", || {
         group.status().is_some_and(|it| it.proxies.iter().filter(|it| it.connected).count() == count)
     });
     let mut spans = Vec::new();
     for round in 0..10 {
         let began = Instant::now();
-        let number =
-            group.published(&format!("limits {{ max_open: {} }}", 50 + round), "", Default::default());
+        let number = group.publish_until_acknowledged(
+            &format!("limits {{ max_open: {} }}", 50 + round),
+            "",
+            Default::default(),
+        );
         while have(number) < count {}
         spans.push(began.elapsed().as_secs_f64() * 1e3);
     }
@@ -132,11 +137,11 @@
 
 /// What a group costs that does nothing, with so many duties.
 fn idle(group: &Group, duties: usize) {
-    let have = group.nodes[0].duties().len();
+    let have = group.nodes[0].roles().len();
     for at in have..duties {
         group.until_done(call::What::Declare(format!("duty-{at}")));
     }
-    wait("all have owners", || group.nodes[0].duties().iter().all(|duty| duty.owner > 0));
+    wait_until("all have owners", || group.nodes[0].roles().iter().all(|duty| duty.owner > 0));
     std::thread::sleep(Duration::from_secs(3));
     let span = 10.0;
     let spent = || group.nodes.iter().map(|node| cpu(node.process.as_ref().unwrap().id())).sum::<f64>();
@@ -154,7 +159,7 @@
 /// What following a group costs a proxy while nothing changes.
 fn proxies(group: &Group) {
     let proxy = group.proxy("n0", 0);
-    wait("it follows", || proxy.figures().pointer("/configuration/connected") == Some(&true.into()));
+    wait_until("it follows", || proxy.statistics().pointer("/configuration/connected") == Some(&true.into()));
     let state = group.folder.path().join("proxy-n0");
     let written = || {
         let times = walk(&state);
@@ -180,12 +185,13 @@
 }
 
 fn main() {
-    let rounds = std::env::var("GAUGESTEP_ROUNDS").ok().and_then(|told| told.parse().ok()).unwrap_or(50);
+    let rounds =
+        std::env::var("GAUGESTEP_ROUNDS").ok().and_then(|configured| configured.parse().ok()).unwrap_or(50);
     for count in [1, 30, 300] {
         let before = earlier(count);
         for services in [1, 3, 5] {
             let group = Group::start(services);
-            let (owner, _) = group.owner();
+            let (owner, _) = group.lease_holder();
             let node = group.node(owner);
             let (middle, worst) = published(node.listen, node.operators, count);
             let ratio = before.map_or(String::new(), |before| {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -7,26 +7,26 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-use proxy::{Client, Database, PATIENCE, Proxy, query, rest};
+use proxy::{Client, Database, Proxy, TIMEOUT, query, read_to_close};
 
 /// Guards the door against callers that stay silent, and the figures against what clients and databases do.
 #[test]
 fn statistics_count_request_outcomes_while_silent_admin_connections_are_open() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
-    let _silent: Vec<_> = (0..8).map(|_| proxy.door()).collect();
-    let mut half = proxy.door();
+    let _silent: Vec<_> = (0..8).map(|_| proxy.admin_connection()).collect();
+    let mut half = proxy.admin_connection();
     half.write_all(b"GET /ops/stats HT").unwrap();
     let (mut client, mut load) = (proxy.client(), proxy.client());
     client.send(&query("lookup", 1, 15_000));
     let mut lines = database.accept();
     let serve = lines.command();
-    assert_eq!(proxy.figure("/outstanding"), Some(1));
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    assert_eq!(proxy.statistic("/outstanding"), Some(1));
+    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(client.answer(), "TDC");
     load.send(&query("load", 2, 15_000));
     let serve = lines.command();
-    lines.say(&serve[1], "FAULT", "-", "");
+    lines.send(&serve[1], "FAULT", "-", "");
     assert!(load.answer().starts_with("E 58000"));
     client.send(&query("lookup", 3, 300));
     lines.command();
@@ -40,11 +40,11 @@
         ("/discovered", 1),
         ("/ejected", 0),
     ] {
-        assert_eq!(proxy.figure(pointer), Some(count), "{pointer}");
+        assert_eq!(proxy.statistic(pointer), Some(count), "{pointer}");
     }
     assert_eq!(proxy.call("GET", "/ops/none").0, 404);
     assert_eq!(proxy.call("GET", "/ops/drain/start").0, 405);
-    assert!(rest(&half).contains("408"));
+    assert!(read_to_close(&half).contains("408"));
 }
 
 /// Guards against clients that stay on a drained proxy, and against one that does not come back.
@@ -58,13 +58,13 @@
     let serve = lines.command();
     assert_eq!(proxy.call("PUT", "/ops/drain/start").0, 200);
     assert_eq!(proxy.call("GET", "/ops/readiness").0, 503);
-    assert_eq!(rest(&idle.socket), "", "an idle session is closed");
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    assert_eq!(read_to_close(&idle.socket), "", "an idle session is closed");
+    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(busy.answer(), "TDC", "what is open is answered");
-    assert_eq!(rest(&busy.socket), "");
+    assert_eq!(read_to_close(&busy.socket), "");
     let late = std::net::TcpStream::connect(proxy.address).unwrap();
     (&late).write_all(b"\0\0\0\x09\0\x03\0\0\0").unwrap();
-    assert!(rest(&late).contains("57P03"));
+    assert!(read_to_close(&late).contains("57P03"));
     assert_eq!(proxy.call("PUT", "/ops/drain/stop").0, 200);
     assert_eq!(proxy.call("GET", "/ops/readiness").0, 200);
     assert_eq!(proxy.client().ask(""), "I");
@@ -81,26 +81,26 @@
         (r#""deadline_ms": 4000"#, r#""deadline_ms": "4000""#),
         (r#""seed":"#, r#""x":"#),
     ] {
-        proxy.retune(from, to, "/sighup_rejected");
+        proxy.reload_with(from, to, "/sighup_rejected");
     }
     let (mut old, mut new) = (proxy.client(), proxy.client());
     old.send(&query("lookup", 1, 15_000));
     let mut lines = first.accept();
     let serve = lines.command();
     let renamed = r#""name": "lookup", "effect": "unsafe""#;
-    proxy.retune(r#""name": "lookup", "effect": "safe""#, renamed, "/sighup_applied");
-    proxy.retune(r#""name": "load""#, r#""name": "import""#, "/sighup_applied");
+    proxy.reload_with(r#""name": "lookup", "effect": "safe""#, renamed, "/sighup_applied");
+    proxy.reload_with(r#""name": "load""#, r#""name": "import""#, "/sighup_applied");
     assert!(new.ask(&query("load", 2, 900)).starts_with("E 22023"), "a class that was dropped");
     new.send(&query("import", 3, 15_000));
     let mut other = first.accept();
     assert!(other.command()[2].starts_with("queue=import"));
-    other.say(&format!("{:016x}", 3), "HIT", "total=1", "a\tb\tc\n");
+    other.send(&format!("{:016x}", 3), "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(new.answer(), "TDC");
     // Under its own rules the old request may be tried again, and so it is refused and not failed.
-    lines.say(&serve[1], "FAULT", "-", "");
+    lines.send(&serve[1], "FAULT", "-", "");
     drop((lines, second));
     assert!(!old.answer().starts_with("E 58000"));
-    assert_eq!(proxy.figure("/sighup_applied"), Some(2));
+    assert_eq!(proxy.statistic("/sighup_applied"), Some(2));
 }
 
 /// Guards what clients have open, and what they send next, while a successor takes over.
@@ -115,7 +115,7 @@
     let serve = lines.command();
     let new = Proxy::inherit(&listener, &[&database]);
     old.signal("-TERM");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while old.call("GET", "/ops/readiness").0 == 200 {
         assert!(Instant::now() < until);
     }
@@ -124,9 +124,9 @@
     assert!(clients.iter_mut().all(|client| client.ask("") == "I"));
     assert_eq!(idle.ask(""), "I", "an idle session is left to its client");
     drop(idle);
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(busy.answer(), "TDC");
-    assert_eq!(rest(&busy.socket), "", "closed behind its answer");
+    assert_eq!(read_to_close(&busy.socket), "", "closed behind its answer");
     assert!(old.wait().success());
     assert_eq!(new.client().ask(""), "I");
 }
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -17,15 +17,15 @@
 use prost::Message as _;
 use serde_json::Value;
 
-use crate::proxy::{Database, PATIENCE, free_address, free_listener, wait_within};
+use crate::proxy::{Database, TIMEOUT, free_address, free_listener, wait_within};
 
 /// Waits until something holds.
-pub fn until(what: &str, holds: impl FnMut() -> bool) {
-    wait_within(PATIENCE, what, holds);
+pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
+    wait_within(TIMEOUT, what, holds);
 }
 
 /// Runs a command to its end: its exit code, what it printed, and what it said was wrong.
-pub fn told(command: &mut Command) -> (i32, String, String) {
+pub fn run_command(command: &mut Command) -> (i32, String, String) {
     let done = command.output().unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (done.status.code().unwrap_or(-1), text(&done.stdout), text(&done.stderr))
@@ -44,11 +44,11 @@
 impl Control {
     /// Starts one without keys.
     pub fn start() -> Self {
-        Self::keyed(tempfile::tempdir().unwrap(), String::new(), Vec::new())
+        Self::with_settings(tempfile::tempdir().unwrap(), String::new(), Vec::new())
     }
 
     /// Starts one with more in its file, and with more arguments for commands that call it.
-    pub fn keyed(folder: tempfile::TempDir, extra: String, client: Vec<String>) -> Self {
+    pub fn with_settings(folder: tempfile::TempDir, extra: String, client: Vec<String>) -> Self {
         let (listen, operators) = (free_address(), free_address());
         let child = Self::command(folder.path(), listen, operators, &extra).spawn().unwrap();
         let control = Control { child, listen, operators, folder, extra, client };
@@ -59,11 +59,11 @@
     fn command(folder: &Path, listen: SocketAddr, operators: SocketAddr, extra: &str) -> Command {
         let config = folder.join("control.textproto");
         let store = folder.join("versions.redb");
-        let told = format!(
+        let settings = format!(
             "listen: \"{listen}\" operators: \"{operators}\" store: {:?} {extra}",
             store.display().to_string()
         );
-        std::fs::write(&config, told).unwrap();
+        std::fs::write(&config, settings).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_gaugestep-control"));
         command.args(["--json", "serve", "--config"]).arg(&config);
         let log = std::fs::OpenOptions::new().append(true).create(true).open(folder.join("log")).unwrap();
@@ -72,7 +72,7 @@
     }
 
     fn wait_until_ready(&self) {
-        until("the control service starts", || self.run(&["list"]).0 == 0);
+        wait_until("the control service starts", || self.run(&["list"]).0 == 0);
     }
 
     pub fn process(&self) -> u32 {
@@ -108,20 +108,20 @@
     /// Starts it where it cannot start: its exit code, what it printed, and what it said was wrong.
     pub fn run_to_end(&self) -> (i32, String, String) {
         let mut command = Self::command(self.folder.path(), self.listen, self.operators, &self.extra);
-        told(command.stderr(Stdio::piped()).stdout(Stdio::piped()))
+        run_command(command.stderr(Stdio::piped()).stdout(Stdio::piped()))
     }
 
     /// A command that calls it: its exit code, what it printed, and what it said was wrong.
     pub fn run(&self, arguments: &[&str]) -> (i32, String, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gaugestep-control"));
         command.env("GAUGESTEP_CONTROL", self.operators.to_string()).env("USER", "tester");
-        told(command.args(arguments).args(self.client.iter()))
+        run_command(command.args(arguments).args(self.client.iter()))
     }
 
     /// The same, with its result as JSON.
     pub fn json(&self, arguments: &[&str]) -> Value {
-        let (_, told, error) = self.run(&[&["--json"], arguments].concat());
-        serde_json::from_str(&told).unwrap_or_else(|_| panic!("{arguments:?}: {told}{error}"))
+        let (_, output, error) = self.run(&[&["--json"], arguments].concat());
+        serde_json::from_str(&output).unwrap_or_else(|_| panic!("{arguments:?}: {output}{error}"))
     }
 
     /// Writes a document to a file.
@@ -159,35 +159,35 @@
 pub fn operator(folder: &Path, service: SocketAddr, state: &Path, extra: &str) -> PathBuf {
     let name = state.file_name().unwrap().to_string_lossy();
     let path = folder.join(format!("operator-{name}.textproto"));
-    let told =
+    let answer =
         format!("control {{ services: \"{service}\" state: {:?} {extra} }}", state.display().to_string());
-    std::fs::write(&path, told).unwrap();
+    std::fs::write(&path, answer).unwrap();
     path
 }
 
 /// A service that says what the test has it say.
-pub struct StandIn(pub TcpListener);
+pub struct ScriptedService(pub TcpListener);
 
-impl StandIn {
+impl ScriptedService {
     pub fn new() -> Self {
-        StandIn(free_listener())
+        ScriptedService(free_listener())
     }
 
     /// The next stream of a proxy, after its hello was welcomed by the owner of the first term.
     pub fn accept(&self) -> Stream {
-        self.accept_under(1)
+        self.accept_with_term(1)
     }
 
     /// The same, by the owner of this term.
-    pub fn accept_under(&self, term: u64) -> Stream {
+    pub fn accept_with_term(&self, term: u64) -> Stream {
         let (socket, _) = self.0.accept().unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut stream = Stream { socket, hello: Hello::default() };
         let Some(from_client::Said::Hello(hello)) = stream.next().said else { panic!("no hello") };
         stream.hello = hello;
         let owner = Owner { duty: "versions".into(), member: 1, term, ..Owner::default() };
         let welcome = Welcome { protocol: 1, lineage: 7, owner: Some(owner), member: 1, name_term: 1 };
-        stream.say(&FromService { said: Some(from_service::Said::Welcome(welcome)) });
+        stream.send(&FromService { said: Some(from_service::Said::Welcome(welcome)) });
         stream
     }
 }
@@ -199,8 +199,8 @@
 }
 
 impl Stream {
-    pub fn say(&mut self, message: &FromService) {
-        self.socket.write_all(&framed(message)).unwrap();
+    pub fn send(&mut self, message: &FromService) {
+        self.socket.write_all(&encode_frame(message)).unwrap();
     }
 
     /// The next message of the proxy.
@@ -222,7 +222,7 @@
     }
 }
 
-pub fn framed(message: &FromService) -> Vec<u8> {
+pub fn encode_frame(message: &FromService) -> Vec<u8> {
     let body = message.encode_to_vec();
     [&(body.len() as u32).to_be_bytes(), body.as_slice()].concat()
 }
@@ -234,7 +234,7 @@
     Offer { version: Some(version(number, &document)), nonce, content, rolls_back_to: 0, term: 1 }
 }
 
-pub fn offering(offer: Offer) -> FromService {
+pub fn offer_message(offer: Offer) -> FromService {
     FromService { said: Some(from_service::Said::Offer(offer)) }
 }
 
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -24,11 +24,11 @@
 use crate::proxy::{Launch, Proxy, free_address, wait_within};
 
 /// Far more than anything here takes, on a machine that does much else.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until something holds.
-pub fn wait(what: &str, holds: impl FnMut() -> bool) {
-    wait_within(PATIENCE, what, holds);
+pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
+    wait_within(TIMEOUT, what, holds);
 }
 
 /// Who has connected: a proxy by its name, a member by its number.
@@ -78,7 +78,7 @@
     /// Writes its file and starts it.
     pub fn start(&mut self) {
         let (config, joins) = (self.folder.join("control.textproto"), self.number > 1);
-        let told = format!(
+        let settings = format!(
             "listen: \"{}\" operators: \"{}\" store: {:?} keep: 2000 group {{ member: {} joins: {joins} listen_as: \"{}\" }}",
             self.listen,
             self.operators,
@@ -86,7 +86,7 @@
             self.number,
             self.relay
         );
-        std::fs::write(&config, told).unwrap();
+        std::fs::write(&config, settings).unwrap();
         let log =
             std::fs::OpenOptions::new().append(true).create(true).open(self.folder.join("log")).unwrap();
         let mut command = Command::new("sh");
@@ -102,11 +102,11 @@
         }
     }
 
-    pub fn stop(&mut self) {
+    pub fn suspend(&mut self) {
         self.process.as_mut().unwrap().suspend().unwrap();
     }
 
-    pub fn go_on(&mut self) {
+    pub fn resume(&mut self) {
         self.process.as_mut().unwrap().resume().unwrap();
     }
 
@@ -126,30 +126,30 @@
     }
 
     /// Names by seat, as it knows them; none while no roster is kept.
-    pub fn seats(&self) -> Vec<String> {
+    pub fn ordinals(&self) -> Vec<String> {
         match self.call(call::What::Seats(ListSeats {})) {
-            Ok(reply::What::Seats(told)) => told.proxies,
+            Ok(reply::What::Seats(answer)) => answer.proxies,
             _ => Vec::new(),
         }
     }
 
-    pub fn duties(&self) -> Vec<DutyState> {
+    pub fn roles(&self) -> Vec<DutyState> {
         match self.call(call::What::Duties(ListDuties {})) {
-            Ok(reply::What::Duties(told)) => told.duties,
+            Ok(reply::What::Duties(answer)) => answer.duties,
             _ => Vec::new(),
         }
     }
 
     /// Versions that it holds: number, digest, key.
     pub fn versions(&self) -> Vec<(u64, String, String)> {
-        let Ok(reply::What::Versions(told)) = self.call(call::What::List(List { most: 0 })) else {
+        let Ok(reply::What::Versions(answer)) = self.call(call::What::List(List { most: 0 })) else {
             return Vec::new();
         };
         let one = |entry: gaugestep_config::schema::Entry| {
             let version = entry.version.unwrap_or_default();
             (version.number, short_digest(&version.digest), entry.key)
         };
-        told.entries.into_iter().map(one).collect()
+        answer.entries.into_iter().map(one).collect()
     }
 }
 
@@ -190,14 +190,14 @@
         if self.nodes.len() > 1 {
             let member = Member { number, listen, operators, ..Member::default() };
             self.until_done(call::What::AddMember(member));
-            wait("the new member votes", || {
+            wait_until("the new member votes", || {
                 match self.node(number).call(call::What::Members(ListMembers {})) {
-                    Ok(reply::What::Members(told)) => told.voters.contains(&number),
+                    Ok(reply::What::Members(answer)) => answer.voters.contains(&number),
                     _ => false,
                 }
             });
         }
-        self.owner();
+        self.lease_holder();
     }
 
     pub fn node(&self, number: u64) -> &Node {
@@ -225,7 +225,7 @@
     /// Calls until it is done.
     pub fn until_done(&self, what: call::What) {
         let mut last = String::new();
-        wait("a command is carried out", || match self.call(what.clone()) {
+        wait_until("a command is carried out", || match self.call(what.clone()) {
             Ok(_) => true,
             // It was, and the answer was lost.
             Err(why) if why.contains("is there already") || why.contains("there is no member") => true,
@@ -240,30 +240,30 @@
     }
 
     /// The owner of the versions and its term, once somebody acts.
-    pub fn owner(&self) -> (u64, u64) {
+    pub fn lease_holder(&self) -> (u64, u64) {
         let mut owner = (0, 0);
-        wait("somebody owns the versions", || {
+        wait_until("somebody owns the versions", || {
             if self.call(call::What::Status(Status {})).is_err() {
                 return false;
             }
-            owner = self.known_owner(0);
+            owner = self.lease_holder_known_beside(0);
             owner.0 > 0
         });
         owner
     }
 
     /// Waits until another than this one owns the versions.
-    pub fn owner_but(&self, old: u64) -> (u64, u64) {
+    pub fn lease_holder_other_than(&self, old: u64) -> (u64, u64) {
         let mut owner = (0, 0);
-        wait("another one owns the versions", || {
-            owner = self.owner();
+        wait_until("another one owns the versions", || {
+            owner = self.lease_holder();
             owner.0 != old
         });
         owner
     }
 
     /// Cuts a proxy off from these services; all other links of it are open.
-    pub fn only_away(&self, proxy: &str, from: &[u64]) {
+    pub fn partition_proxy_only_from(&self, proxy: &str, from: &[u64]) {
         for node in &self.nodes {
             match from.contains(&node.number) {
                 true => self.net.partition(proxy, &node.name(), Partition::Closed),
@@ -280,30 +280,30 @@
     }
 
     /// All services but this one.
-    pub fn but(&self, number: u64) -> Vec<u64> {
+    pub fn all_except(&self, number: u64) -> Vec<u64> {
         self.nodes.iter().map(|node| node.number).filter(|it| *it != number).collect()
     }
 
     /// The owner of the versions and its term, as all that run but this one know it; nobody: 0.
-    fn known_owner(&self, but: u64) -> (u64, u64) {
+    fn lease_holder_known_beside(&self, but: u64) -> (u64, u64) {
         let asked = self.nodes.iter().filter(|node| node.number != but && node.runs());
-        let states = asked.flat_map(|node| node.duties()).filter(|it| it.name == "versions");
+        let states = asked.flat_map(|node| node.roles()).filter(|it| it.name == "versions");
         states.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
     }
 
     /// The owner and its term as the others see it, once it is another than this one.
-    pub fn owner_beside(&self, old: u64) -> (u64, u64) {
+    pub fn successor_of(&self, old: u64) -> (u64, u64) {
         let mut owner = (0, 0);
-        wait("the others have another owner", || {
-            owner = self.known_owner(old);
+        wait_until("the others have another owner", || {
+            owner = self.lease_holder_known_beside(old);
             owner.0 > 0 && owner.0 != old
         });
         owner
     }
 
     /// Whether nobody else is known to the others as the owner.
-    pub fn owner_of(&self, old: u64) -> bool {
-        let (owner, term) = self.known_owner(old);
+    pub fn has_no_successor(&self, old: u64) -> bool {
+        let (owner, term) = self.lease_holder_known_beside(old);
         owner == old || term == 0
     }
 
@@ -317,8 +317,8 @@
             ..Publish::default()
         };
         match self.call(call::What::Publish(publish))? {
-            reply::What::Published(told) => {
-                let version = told.version.unwrap_or_default();
+            reply::What::Published(answer) => {
+                let version = answer.version.unwrap_or_default();
                 Ok((version.number, short_digest(&version.digest)))
             }
             other => Err(format!("{other:?}")),
@@ -326,12 +326,12 @@
     }
 
     /// The same, until it is published.
-    pub fn published(&self, document: &str, key: &str, plan: Plan) -> u64 {
+    pub fn publish_until_acknowledged(&self, document: &str, key: &str, plan: Plan) -> u64 {
         let mut number = 0;
-        wait("it is published", || {
-            let told = self.publish(document, key, plan);
-            number = told.as_ref().map_or(0, |told| told.0);
-            told.is_ok()
+        wait_until("it is published", || {
+            let answer = self.publish(document, key, plan);
+            number = answer.as_ref().map_or(0, |answer| answer.0);
+            answer.is_ok()
         });
         number
     }
@@ -344,27 +344,27 @@
     }
 
     /// Members that a service has heard of.
-    pub fn heard(&self, number: u64) -> Vec<u64> {
+    pub fn known_members(&self, number: u64) -> Vec<u64> {
         match self.node(number).call(call::What::Members(ListMembers {})) {
-            Ok(reply::What::Members(told)) => told.heard,
+            Ok(reply::What::Members(answer)) => answer.heard,
             _ => Vec::new(),
         }
     }
 
-    pub fn hand_over(&self, to: u64) -> Result<(), String> {
+    pub fn transfer_role(&self, to: u64) -> Result<(), String> {
         let what = call::What::HandOver(HandOver { duty: "versions".into(), to });
         self.call(what).map(drop)
     }
 
     /// The state of a version, as any service that runs knows it.
     pub fn state(&self, number: u64) -> String {
-        let Ok(reply::What::Versions(told)) = self.call(call::What::List(List { most: 0 })) else {
+        let Ok(reply::What::Versions(answer)) = self.call(call::What::List(List { most: 0 })) else {
             return String::new();
         };
         let named = |entry: &&gaugestep_config::schema::Entry| {
             entry.version.as_ref().is_some_and(|version| version.number == number)
         };
-        told.entries.iter().find(named).map_or("", |entry| entry.state().as_str_name()).into()
+        answer.entries.iter().find(named).map_or("", |entry| entry.state().as_str_name()).into()
     }
 
     /// Plays a schedule of faults among the services and these proxies, and leaves all healed.
@@ -376,9 +376,9 @@
                 Fault::Kill(it) => self.nodes[*it].kill(),
                 Fault::Restart(it) if self.nodes[*it].process.is_none() => self.nodes[*it].start(),
                 Fault::Restart(_) => {}
-                Fault::Suspend(it) if self.nodes[*it].process.is_some() => self.nodes[*it].stop(),
+                Fault::Suspend(it) if self.nodes[*it].process.is_some() => self.nodes[*it].suspend(),
                 Fault::Suspend(_) => {}
-                Fault::Resume(it) if self.nodes[*it].process.is_some() => self.nodes[*it].go_on(),
+                Fault::Resume(it) if self.nodes[*it].process.is_some() => self.nodes[*it].resume(),
                 Fault::Resume(_) => {}
                 Fault::Partition(one, other, kind) => self.net.partition(&name(*one), &name(*other), *kind),
                 Fault::OneWay(one, other) => {
@@ -397,13 +397,13 @@
                 Fault::ProxyCutOff(proxy, service) => {
                     self.net.partition(&proxies[*proxy], &name(*service), Partition::Silent);
                 }
-                Fault::TransferRole => drop(self.hand_over(0)),
+                Fault::TransferRole => drop(self.transfer_role(0)),
                 Fault::Heal => {
                     self.net.heal_all();
                     for node in &mut self.nodes {
                         match &node.process {
                             None => node.start(),
-                            Some(process) if process.is_suspended() => node.go_on(),
+                            Some(process) if process.is_suspended() => node.resume(),
                             Some(_) => {}
                         }
                     }
@@ -461,23 +461,24 @@
     }
 
     /// Waits until these proxies have seats, no two the same, of so many in all.
-    pub fn seated(&self, proxies: &[&Proxy], seats: usize) {
-        wait("every proxy has a seat of its own, and none is left over", || {
-            let figure = |proxy: &&&Proxy| proxy.figure("/configuration/seat/seat");
+    pub fn wait_for_ordinals(&self, proxies: &[&Proxy], fleet_size: usize) {
+        wait_until("every proxy has a seat of its own, and none is left over", || {
+            let figure = |proxy: &&&Proxy| proxy.statistic("/configuration/seat/seat");
             let taken: std::collections::BTreeSet<u64> =
                 proxies.iter().filter_map(|it| figure(&it)).collect();
-            let told = proxies.iter().all(|it| it.figure("/configuration/seat/seats") == Some(seats as u64));
-            taken.len() == proxies.len() && told
+            let answer =
+                proxies.iter().all(|it| it.statistic("/configuration/seat/seats") == Some(fleet_size as u64));
+            taken.len() == proxies.len() && answer
         });
     }
 
     /// The last line of a service's log with this message.
-    pub fn said(&self, number: u64, message: &str) -> Option<Value> {
+    pub fn last_log_line(&self, number: u64, message: &str) -> Option<Value> {
         read(&self.node(number).log()).into_iter().rfind(|line| line["message"] == message)
     }
 
     /// Lines of a proxy's log, as JSON.
-    pub fn lines(&self, folder: &str) -> Vec<Value> {
+    pub fn log_lines(&self, folder: &str) -> Vec<Value> {
         read(&std::fs::read_to_string(self.folder.path().join(format!("log-{folder}"))).unwrap_or_default())
     }
 
@@ -485,7 +486,7 @@
     pub fn records(&self, proxies: &[&str]) -> Vec<Record> {
         let mut records = Vec::new();
         for proxy in proxies {
-            records.extend(of_proxy(proxy, &self.lines(proxy)));
+            records.extend(records_of_proxy(proxy, &self.log_lines(proxy)));
         }
         for node in &self.nodes {
             let service = node.name();
@@ -514,17 +515,19 @@
     }
 
     /// Waits until all services hold the same versions.
-    pub fn settled(&self) {
-        wait("all services hold the same versions", || {
+    pub fn wait_for_equal_versions(&self) {
+        wait_until("all services hold the same versions", || {
             let all: Vec<_> = self.nodes.iter().filter(|node| node.runs()).map(Node::versions).collect();
             !all[0].is_empty() && all.windows(2).all(|pair| pair[0] == pair[1])
         });
     }
 
     /// Waits until these proxies have this version in force.
-    pub fn in_force(&self, proxies: &[Proxy], number: u64) {
+    pub fn wait_until_in_force(&self, proxies: &[Proxy], number: u64) {
         for proxy in proxies {
-            wait("the version is in force", || proxy.figure("/configuration/version") == Some(number));
+            wait_until("the version is in force", || {
+                proxy.statistic("/configuration/version") == Some(number)
+            });
         }
     }
 }
@@ -534,7 +537,7 @@
 }
 
 /// What a proxy's log says.
-pub fn of_proxy(proxy: &str, lines: &[Value]) -> Vec<Record> {
+pub fn records_of_proxy(proxy: &str, lines: &[Value]) -> Vec<Record> {
     let mut records = Vec::new();
     let mut offered = (0, 0);
     for line in lines {
@@ -584,10 +587,10 @@
                 };
                 // The same again until there is an answer: under one key it is one publication.
                 while !end.load(Ordering::SeqCst) {
-                    if let Ok(reply::What::Published(told)) =
+                    if let Ok(reply::What::Published(answer)) =
                         service.call(&call::What::Publish(publish.clone()), Delivery::AtLeastOnce)
                     {
-                        let version = told.version.unwrap_or_default();
+                        let version = answer.version.unwrap_or_default();
                         let (number, digest) = (version.number, short_digest(&version.digest));
                         records.push(Record::Acknowledged { key, number, digest });
                         break;
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Far more than anything here takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until something holds, and says what did not if that takes longer than all patience.
 pub fn wait_within(patience: Duration, what: &str, mut holds: impl FnMut() -> bool) {
@@ -34,7 +34,7 @@
 pub struct Proxy {
     child: Option<Child>,
     pub address: SocketAddr,
-    door: SocketAddr,
+    admin_address: SocketAddr,
     config: PathBuf,
     operator: Option<PathBuf>,
     log: Option<PathBuf>,
@@ -81,15 +81,16 @@
 
     /// Starts it and waits until it answers an empty query.
     pub fn start(self) -> Proxy {
-        let door = free_address();
-        let name = format!("gaugestep-{}-{}-{}.json", std::process::id(), door.ip(), door.port());
+        let admin_address = free_address();
+        let name =
+            format!("gaugestep-{}-{}-{}.json", std::process::id(), admin_address.ip(), admin_address.port());
         let config = std::env::temp_dir().join(name);
-        write_config(&config, self.address, door, self.databases, self.coordinator);
+        write_config(&config, self.address, admin_address, self.databases, self.coordinator);
         std::fs::write(&config, (self.change)(std::fs::read_to_string(&config).unwrap())).unwrap();
         let mut proxy = Proxy {
             child: None,
             address: self.address,
-            door,
+            admin_address,
             config,
             operator: self.operator,
             log: self.log,
@@ -148,18 +149,18 @@
     }
 
     /// Starts one that may hold so many descriptors.
-    pub fn roomy(descriptors: usize) -> Self {
+    pub fn with_descriptors(descriptors: usize) -> Self {
         let text = format!(r#""sockets":{descriptors}"#);
         Launch { change: &|it| it.replace(r#""sockets":256"#, &text), ..Launch::new(&[]) }.start()
     }
 
     /// Starts one on a configuration of its own, but for the addresses that it listens on.
     pub fn configured(text: &str) -> Self {
-        let own = |told: String| {
-            let told: serde_json::Value = serde_json::from_str(&told).unwrap();
+        let own = |answer: String| {
+            let answer: serde_json::Value = serde_json::from_str(&answer).unwrap();
             let mut config: serde_json::Value = serde_json::from_str(text).unwrap();
             for key in ["listen", "management"] {
-                config[key] = told[key].clone();
+                config[key] = answer[key].clone();
             }
             config.to_string()
         };
@@ -185,7 +186,7 @@
     }
 
     fn wait_until_ready(&self) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while self.call("GET", "/ops/readiness").0 != 200 {
             assert!(Instant::now() < until, "the proxy does not start");
             std::thread::sleep(Duration::from_millis(20));
@@ -194,7 +195,7 @@
     }
 
     /// All figures told to operators.
-    pub fn figures(&self) -> serde_json::Value {
+    pub fn statistics(&self) -> serde_json::Value {
         let (status, body) = self.call("GET", "/ops/stats");
         assert_eq!(status, 200);
         serde_json::from_str(&body).unwrap()
@@ -202,21 +203,21 @@
 
     /// An operator's call: its status, 0 if nobody answers, and the body.
     pub fn call(&self, method: &str, path: &str) -> (u16, String) {
-        let Ok(mut socket) = TcpStream::connect(self.door) else { return (0, String::new()) };
+        let Ok(mut socket) = TcpStream::connect(self.admin_address) else { return (0, String::new()) };
         write!(socket, "{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-        let told = rest(&socket);
-        let (head, body) = told.split_once("\r\n\r\n").expect("a whole answer");
+        let response = read_to_close(&socket);
+        let (head, body) = response.split_once("\r\n\r\n").expect("a whole answer");
         (head[9..12].parse().unwrap(), body.into())
     }
 
     /// One of the figures told to operators.
-    pub fn figure(&self, pointer: &str) -> Option<u64> {
-        self.figures().pointer(pointer)?.as_u64()
+    pub fn statistic(&self, pointer: &str) -> Option<u64> {
+        self.statistics().pointer(pointer)?.as_u64()
     }
 
-    /// A connection to the operators' door.
-    pub fn door(&self) -> TcpStream {
-        TcpStream::connect(self.door).unwrap()
+    /// A connection to the operators' admin_address.
+    pub fn admin_connection(&self) -> TcpStream {
+        TcpStream::connect(self.admin_address).unwrap()
     }
 
     pub fn client(&self) -> Client {
@@ -224,7 +225,7 @@
     }
 
     /// Sends SIGTERM and waits for the end.
-    pub fn stop(&mut self) -> ExitStatus {
+    pub fn terminate(&mut self) -> ExitStatus {
         self.signal("-TERM");
         self.wait()
     }
@@ -236,7 +237,7 @@
 
     /// Has it read a configuration with another coordinator.
     pub fn reconfigure(&self, databases: &[&Database], coordinator: &Coordinator) {
-        write_config(&self.config, self.address, self.door, databases, Some(coordinator));
+        write_config(&self.config, self.address, self.admin_address, databases, Some(coordinator));
         self.signal("-HUP");
     }
 
@@ -248,14 +249,14 @@
     }
 
     /// Has it read its configuration with one text in place of another, and waits until it has counted that.
-    pub fn retune(&self, from: &str, to: &str, figure: &str) {
+    pub fn reload_with(&self, from: &str, to: &str, figure: &str) {
         let text = std::fs::read_to_string(&self.config).unwrap();
         assert!(text.contains(from));
         std::fs::write(&self.config, text.replace(from, to)).unwrap();
-        let before = self.figure(figure);
+        let before = self.statistic(figure);
         self.signal("-HUP");
-        let until = Instant::now() + PATIENCE;
-        while self.figure(figure) == before {
+        let until = Instant::now() + TIMEOUT;
+        while self.statistic(figure) == before {
             assert!(Instant::now() < until, "{figure} does not change");
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -263,7 +264,7 @@
     }
 
     /// Has it read a configuration that cannot be used.
-    pub fn spoil_configuration(&self) {
+    pub fn load_invalid_configuration(&self) {
         std::fs::write(&self.config, "{").unwrap();
         self.signal("-HUP");
     }
@@ -286,9 +287,9 @@
     }
 
     /// Stops it (SIGSTOP): its connections stay open and silent. It stands still when this returns.
-    pub fn pause(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
-        wait_within(PATIENCE, "it does not stop", || self.status("State:").starts_with('T'));
+        wait_within(TIMEOUT, "it does not stop", || self.status("State:").starts_with('T'));
     }
 
     /// The descriptors that it holds.
@@ -297,13 +298,13 @@
     }
 
     /// Waits until nothing is open in it, and says how many attempts it has written by then.
-    pub fn attempts_at_rest(&self) -> u64 {
-        wait_within(PATIENCE, "something stays open", || self.figure("/outstanding") == Some(0));
-        self.figure("/forwards").unwrap()
+    pub fn attempts_once_idle(&self) -> u64 {
+        wait_within(TIMEOUT, "something stays open", || self.statistic("/outstanding") == Some(0));
+        self.statistic("/forwards").unwrap()
     }
 
     /// Continues it.
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -331,7 +332,7 @@
 fn write_config(
     path: &Path,
     listen: SocketAddr,
-    door: SocketAddr,
+    admin_address: SocketAddr,
     databases: &[&Database],
     coordinator: Option<&Coordinator>,
 ) {
@@ -341,7 +342,7 @@
         .map(|it| format!(r#""coordinator":"{}","#, it.0.local_addr().unwrap()))
         .unwrap_or_default();
     let text = format!(
-        r#"{{"name":"n0","listen":"{listen}","management":"{door}","seed":"8c1f","limits":{{"sockets":256}},"settings":{SETTINGS},{coordinator}
+        r#"{{"name":"n0","listen":"{listen}","management":"{admin_address}","seed":"8c1f","limits":{{"sockets":256}},"settings":{SETTINGS},{coordinator}
         "known":{{"index":1,"updates":[{{"index":1,"endpoints":{{"complete":true,"members":[{}]}}}}]}}}}"#,
         members.join(",")
     );
@@ -373,7 +374,7 @@
     /// The same, before a proxy that may not be there.
     pub fn try_open(address: SocketAddr) -> std::io::Result<Self> {
         let mut client = Client { socket: TcpStream::connect(address)?, hint: None, key: Vec::new() };
-        client.socket.set_read_timeout(Some(PATIENCE))?;
+        client.socket.set_read_timeout(Some(TIMEOUT))?;
         let body = b"\0\x03\0\0user\0app\0database\0dw\0\0";
         client.socket.write_all(&(body.len() as u32 + 4).to_be_bytes())?;
         client.socket.write_all(body)?;
@@ -424,7 +425,7 @@
     }
 
     /// Sends what calls the session's query off, on a connection of its own.
-    pub fn call_off(&self) -> TcpStream {
+    pub fn cancel(&self) -> TcpStream {
         let mut socket = TcpStream::connect(self.socket.peer_addr().unwrap()).unwrap();
         let message = [&16u32.to_be_bytes(), &80_877_102u32.to_be_bytes(), &self.key[..]].concat();
         socket.write_all(&message).unwrap();
@@ -443,9 +444,9 @@
 }
 
 /// All that a connection still brings up to its orderly close.
-pub fn rest(mut socket: &TcpStream) -> String {
+pub fn read_to_close(mut socket: &TcpStream) -> String {
     let mut rest = Vec::new();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     socket.read_to_end(&mut rest).expect("the connection is closed and not reset");
     String::from_utf8_lossy(&rest).into_owned()
 }
@@ -471,7 +472,7 @@
 
     /// One to which nobody connects any more until the connection that is returned beside it has been accepted: the
     /// system drops what comes meanwhile, and a dial hangs until it is tried again.
-    pub fn narrow() -> (Self, TcpStream) {
+    pub fn with_full_backlog() -> (Self, TcpStream) {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
@@ -481,8 +482,8 @@
     }
 
     /// The next connection of the proxy.
-    pub fn accept(&self) -> Lines {
-        Lines(BufReader::new(accept(&self.0)))
+    pub fn accept(&self) -> DatabaseConnection {
+        DatabaseConnection(BufReader::new(accept(&self.0)))
     }
 }
 
@@ -529,12 +530,12 @@
 
 /// The next connection to a listener, which a failing proxy may never make.
 fn accept(listener: &TcpListener) -> TcpStream {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     listener.set_nonblocking(true).unwrap();
     loop {
         if let Ok((socket, _)) = listener.accept() {
             socket.set_nonblocking(false).unwrap();
-            socket.set_read_timeout(Some(PATIENCE)).unwrap();
+            socket.set_read_timeout(Some(TIMEOUT)).unwrap();
             return socket;
         }
         assert!(Instant::now() < until, "the proxy does not connect");
@@ -549,9 +550,9 @@
 }
 
 /// A connection at a database.
-pub struct Lines(pub BufReader<TcpStream>);
+pub struct DatabaseConnection(pub BufReader<TcpStream>);
 
-impl Lines {
+impl DatabaseConnection {
     /// The words of the next command; a statement is read and added as the last.
     pub fn command(&mut self) -> Vec<String> {
         let mut line = String::new();
@@ -566,14 +567,14 @@
     }
 
     /// Whether nothing has come.
-    pub fn silent(&mut self) -> bool {
+    pub fn is_silent(&mut self) -> bool {
         self.0.get_ref().set_nonblocking(true).unwrap();
         let silent = self.0.fill_buf().is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
         self.0.get_ref().set_nonblocking(false).unwrap();
         silent
     }
 
-    pub fn say(&mut self, id: &str, word: &str, fields: &str, body: &str) {
+    pub fn send(&mut self, id: &str, word: &str, fields: &str, body: &str) {
         let line = format!("{id} {word} {fields} {}\r\n{body}\r\n", body.len());
         self.0.get_mut().write_all(line.as_bytes()).unwrap();
     }
--- a/tests/common/subscriber.rs
+++ b/tests/common/subscriber.rs
@@ -9,7 +9,7 @@
 use gaugestep_config::schema::{Answer, FromClient, FromService, Hello, from_client, from_service};
 use prost::Message as _;
 
-fn say(socket: &mut TcpStream, said: from_client::Said) -> std::io::Result<()> {
+fn send(socket: &mut TcpStream, said: from_client::Said) -> std::io::Result<()> {
     socket.write_all(&gaugestep_control_plane::transport::framing::encode(&FromClient { said: Some(said) }))
 }
 
@@ -17,11 +17,11 @@
 pub fn subscribe(
     service: SocketAddr,
     name: String,
-    told: &Sender<(u64, Instant, usize)>,
+    events: &Sender<(u64, Instant, usize)>,
 ) -> std::io::Result<()> {
     let mut socket = TcpStream::connect(service)?;
     socket.set_nodelay(true)?;
-    say(&mut socket, from_client::Said::Hello(Hello { protocol: 1, proxy: name, ..Hello::default() }))?;
+    send(&mut socket, from_client::Said::Hello(Hello { protocol: 1, proxy: name, ..Hello::default() }))?;
     loop {
         let mut head = [0; 4];
         socket.read_exact(&mut head)?;
@@ -30,23 +30,23 @@
         match FromService::decode(body.as_slice()).map_err(std::io::Error::other)?.said {
             Some(from_service::Said::Offer(offer)) => {
                 let number = offer.version.map_or(0, |version| version.number);
-                say(
+                send(
                     &mut socket,
                     from_client::Said::Answer(Answer { nonce: offer.nonce, number, refusal: None }),
                 )?;
-                let _ = told.send((number, Instant::now(), body.len() + 4));
+                let _ = events.send((number, Instant::now(), body.len() + 4));
             }
-            _ => drop(told.send((0, Instant::now(), body.len() + 4))),
+            _ => drop(events.send((0, Instant::now(), body.len() + 4))),
         }
     }
 }
 
 /// So many of them, each welcomed: what each message brought, when, and its bytes.
 pub fn subscribers(service: SocketAddr, count: usize) -> Receiver<(u64, Instant, usize)> {
-    let (told, heard) = channel();
+    let (events, heard) = channel();
     for number in 0..count {
-        let told = told.clone();
-        let run = move || drop(subscribe(service, format!("n{number}"), &told));
+        let events = events.clone();
+        let run = move || drop(subscribe(service, format!("n{number}"), &events));
         std::thread::Builder::new().stack_size(64 * 1024).spawn(run).unwrap();
     }
     for _ in 0..count {
--- a/tests/compatibility/administration.rs
+++ b/tests/compatibility/administration.rs
@@ -2,9 +2,9 @@
 
 use std::io::Write as _;
 
-use crate::control::{Control, Engine, until};
+use crate::control::{Control, Engine, wait_until};
 use crate::golden;
-use crate::proxy::{Launch, Proxy, query, rest};
+use crate::proxy::{Launch, Proxy, query, read_to_close};
 
 const PATHS: [&str; 6] =
     ["/ops/readiness", "/ops/stats", "/ops/drain/start", "/ops/drain/stop", "/ops/none", "/"];
@@ -12,10 +12,10 @@
 
 /// The head of an answer to these bytes, and its body if that is plain text.
 fn answer(proxy: &Proxy, call: &str) -> String {
-    let mut socket = proxy.door();
+    let mut socket = proxy.admin_connection();
     socket.write_all(call.as_bytes()).unwrap();
     socket.shutdown(std::net::Shutdown::Write).unwrap();
-    let answer = rest(&socket);
+    let answer = read_to_close(&socket);
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
     let head: Vec<&str> = head.lines().filter(|line| !line.starts_with("Content-Length: ")).collect();
     let body = if body.starts_with('{') { "{...}" } else { body.trim_end() };
@@ -29,15 +29,15 @@
 #[test]
 fn paths_methods_and_statuses_stay() {
     let proxy = Proxy::start(&[]);
-    let mut told = String::new();
+    let mut recorded = String::new();
     for path in PATHS {
         // A drain is ended at once, so that each call meets a proxy that serves.
         for method in METHODS {
-            told += &call(&proxy, method, path);
+            recorded += &call(&proxy, method, path);
             proxy.call("PUT", "/ops/drain/stop");
         }
     }
-    told += "while it drains:\n";
+    recorded += "while it drains:\n";
     for (method, path) in [
         ("PUT", "/ops/drain/start"),
         ("PUT", "/ops/drain/start"),
@@ -47,16 +47,16 @@
         ("PUT", "/ops/drain/stop"),
         ("GET", "/ops/readiness?verbose=1"),
     ] {
-        told += &call(&proxy, method, path);
+        recorded += &call(&proxy, method, path);
     }
-    told += "malformed:\n";
+    recorded += "malformed:\n";
     let long_path = format!("GET /{} HTTP/1.1\r\n", "a".repeat(9000));
     for (name, malformed) in
         [("noise", "\u{1}\u{2}\r\n\r\n"), ("half a call", "GET /ops/stats HT"), ("too long", &*long_path)]
     {
-        told += &format!("{name}: {}", answer(&proxy, malformed));
+        recorded += &format!("{name}: {}", answer(&proxy, malformed));
     }
-    golden::assert_matches("operators_http.txt", &told);
+    golden::assert_matches("operators_http.txt", &recorded);
 }
 
 #[test]
@@ -64,8 +64,8 @@
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine.database]);
     assert_eq!(proxy.client().ask(&query("lookup", 1, 3_000)), "TDC");
-    proxy.attempts_at_rest();
-    let statistics = golden::pretty(&golden::without_varying(&proxy.figures(), &["forwards"]));
+    proxy.attempts_once_idle();
+    let statistics = golden::pretty(&golden::without_varying(&proxy.statistics(), &["forwards"]));
     golden::assert_matches("statistics.json", &statistics);
 }
 
@@ -75,17 +75,21 @@
     let operator = Some(control.operator(&folder.path().join("n0")));
     let engine = Engine::new();
     let proxy = Launch { operator, ..Launch::new(&[&engine.database]) }.start();
-    until("the proxy follows", || proxy.figures()["configuration"]["connected"] == true);
+    wait_until("the proxy follows", || proxy.statistics()["configuration"]["connected"] == true);
     let first = control.publish(
         r#"limits { max_open: 500 } routes { name: "r" classes: "lookup" targets { engine: "s-0" } }"#,
         &[],
     );
-    until("the version is in force", || proxy.figure("/configuration/version") == Some(first));
+    wait_until("the version is in force", || proxy.statistic("/configuration/version") == Some(first));
     let second = control.publish(r#"classes: "unknown""#, &[]);
-    until("the version is rejected", || proxy.figure("/configuration/last_refusal/version") == Some(second));
-    until("the version before is back", || proxy.figure("/configuration/version") == Some(second + 1));
+    wait_until("the version is rejected", || {
+        proxy.statistic("/configuration/last_refusal/version") == Some(second)
+    });
+    wait_until("the version before is back", || {
+        proxy.statistic("/configuration/version") == Some(second + 1)
+    });
     let varying = ["age_s", "process", "term", "name_term", "reason", "connected"];
-    let statistics = golden::without_varying(&proxy.figures(), &varying);
+    let statistics = golden::without_varying(&proxy.statistics(), &varying);
     golden::assert_matches("statistics_followed.json", &golden::pretty(&statistics));
     let (status, readiness) = proxy.call("GET", "/ops/readiness");
     let digits_replaced =
--- a/tests/compatibility/command_line.rs
+++ b/tests/compatibility/command_line.rs
@@ -95,22 +95,22 @@
     let text = help(program, command);
     let usage = text.lines().find_map(|line| line.strip_prefix("Usage: ")).unwrap();
     let arguments = usage.split_whitespace().skip(1 + command.split_whitespace().count());
-    let mut told = format!("[{command}] {}\n", arguments.collect::<Vec<_>>().join(" "));
+    let mut recorded = format!("[{command}] {}\n", arguments.collect::<Vec<_>>().join(" "));
     for entry in help_entries(&text).iter().filter(|entry| entry.section != "Commands") {
-        told += &format!("  {}", entry.signature);
+        recorded += &format!("  {}", entry.signature);
         if let Some(variable) = attribute(&entry.description, "env") {
-            told += &format!(" env={}", variable.trim_end_matches('='));
+            recorded += &format!(" env={}", variable.trim_end_matches('='));
         }
         let random = RANDOM_DEFAULTS.iter().any(|option| entry.signature.starts_with(option));
         if let Some(value) = attribute(&entry.description, "default").filter(|_| !random) {
-            told += &format!(" default={value}");
+            recorded += &format!(" default={value}");
         }
         if let Some(values) = attribute(&entry.description, "possible values") {
-            told += &format!(" values={values}");
+            recorded += &format!(" values={values}");
         }
-        told.push('\n');
+        recorded.push('\n');
     }
-    told
+    recorded
 }
 
 /// How many commands a help text lists, `help` aside.
@@ -198,6 +198,6 @@
         (CONTROL, &["completions", "bash"]),
         (CONTROL, &["completions", "unknown"]),
     ];
-    let told: String = calls.iter().map(|(program, arguments)| outcome(program, arguments)).collect();
-    golden::assert_matches("exit_codes.txt", &told);
+    let recorded: String = calls.iter().map(|(program, arguments)| outcome(program, arguments)).collect();
+    golden::assert_matches("exit_codes.txt", &recorded);
 }
--- a/tests/compatibility/control_api.rs
+++ b/tests/compatibility/control_api.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use crate::control::{Control, Engine, until};
+use crate::control::{Control, Engine, wait_until};
 use crate::golden;
 use crate::proxy::{Launch, Proxy};
 
@@ -60,12 +60,14 @@
 
 /// Waits until the proxy has a version in force and its rollout is over.
 fn wait_until_complete(control: &Control, proxy: &Proxy, version: u64) {
-    until("the version is in force", || in_force(proxy) == Some(version));
-    until("the rollout is complete", || control.json(&["show", &version.to_string()])["state"] == "complete");
+    wait_until("the version is in force", || in_force(proxy) == Some(version));
+    wait_until("the rollout is complete", || {
+        control.json(&["show", &version.to_string()])["state"] == "complete"
+    });
 }
 
 fn in_force(proxy: &Proxy) -> Option<u64> {
-    proxy.figure("/configuration/version")
+    proxy.statistic("/configuration/version")
 }
 
 #[test]
@@ -74,7 +76,7 @@
     let operator = Some(control.operator(&folder.path().join("n0")));
     let engine = Engine::new();
     let proxy = Launch { operator, ..Launch::new(&[&engine.database]) }.start();
-    until("the proxy is known", || control.proxy("n0")["connected"] == true);
+    wait_until("the proxy is known", || control.proxy("n0")["connected"] == true);
     let first = control.file("first.textproto", r#"limits { max_open: 500 } logging { level: INFO }"#);
     let second = control.file("second.textproto", r#"limits { max_open: 600 }"#);
     let rejected = control.file("rejected.textproto", r#"classes: "unknown""#);
@@ -101,9 +103,11 @@
     wait_until_complete(&control, &proxy, 3);
     transcript.run(&["rollback", "99"]);
     transcript.run(&["publish", &rejected]);
-    until("the version is rejected", || proxy.figure("/configuration/last_refusal/version") == Some(4));
+    wait_until("the version is rejected", || {
+        proxy.statistic("/configuration/last_refusal/version") == Some(4)
+    });
     wait_until_complete(&control, &proxy, 5);
-    until("nothing is on its way", || {
+    wait_until("nothing is on its way", || {
         control.proxy("n0")["in_force"] == 5 && control.proxy("n0")["offered"] == 0
     });
     transcript.run(&["watch", "4"]);
@@ -119,7 +123,7 @@
     transcript.run(&["members", "remove", "9"]);
     transcript.run(&["seats"]);
     transcript.run(&["declare", "seats"]);
-    until("the roster has the proxy", || control.json(&["seats"])["proxies"][0] == "n0");
+    wait_until("the roster has the proxy", || control.json(&["seats"])["proxies"][0] == "n0");
     transcript.run(&["seats"]);
     transcript.run(&["duties"]);
     transcript.run(&["hand-over"]);
--- a/tests/compatibility/downstream.rs
+++ b/tests/compatibility/downstream.rs
@@ -5,7 +5,7 @@
 
 use crate::control::Engine;
 use crate::golden;
-use crate::proxy::{Database, PATIENCE, Proxy, query};
+use crate::proxy::{Database, Proxy, TIMEOUT, query};
 
 const PROTOCOL_3: u32 = 3 << 16;
 const TLS_REQUEST: u32 = 80_877_103;
@@ -37,7 +37,7 @@
 impl RawClient {
     fn connect(proxy: &Proxy) -> Self {
         let socket = TcpStream::connect(proxy.address).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         RawClient(socket)
     }
 
@@ -55,22 +55,22 @@
 
     /// All messages up to the next ReadyForQuery or the end of the connection, a line each.
     fn messages(&mut self) -> String {
-        let mut told = String::new();
+        let mut recorded = String::new();
         loop {
             let mut kind = [0];
             if self.0.read(&mut kind).unwrap() == 0 {
-                return told + "  end of connection\n";
+                return recorded + "  end of connection\n";
             }
             let mut length = [0; 4];
             self.0.read_exact(&mut length).unwrap();
             let mut body = vec![0; u32::from_be_bytes(length) as usize - 4];
             self.0.read_exact(&mut body).unwrap();
-            told += &match kind[0] {
+            recorded += &match kind[0] {
                 b'K' => format!("  K {} random bytes\n", body.len()),
                 kind => format!("  {} {}\n", char::from(kind), body.escape_ascii()),
             };
             if kind[0] == b'Z' {
-                return told;
+                return recorded;
             }
         }
     }
@@ -91,27 +91,27 @@
         ("cancel request that is too long", first_message(CANCEL_REQUEST, b"123456789")),
         ("too many requests for encryption", first_message(TLS_REQUEST, b"").repeat(3)),
     ];
-    let mut told = String::new();
+    let mut recorded = String::new();
     for (name, bytes) in cases {
         let mut client = RawClient::connect(&proxy);
         client.send(&bytes);
         if name.contains("encryption") {
             let mut answers = [0; 2];
             client.0.read_exact(&mut answers).unwrap();
-            told += &format!("  {}\n", answers.escape_ascii());
+            recorded += &format!("  {}\n", answers.escape_ascii());
         }
-        told += &format!("{name}\n{}", client.messages());
+        recorded += &format!("{name}\n{}", client.messages());
     }
     let mut client = RawClient::connect(&proxy);
     for code in [GSS_REQUEST, TLS_REQUEST] {
         client.send(&first_message(code, b""));
         let mut answer = [0];
         client.0.read_exact(&mut answer).unwrap();
-        told += &format!("encryption {code}: {}\n", answer.escape_ascii());
+        recorded += &format!("encryption {code}: {}\n", answer.escape_ascii());
     }
     client.send(&session_start());
-    told += &client.messages();
-    golden::assert_matches("downstream_start.txt", &told);
+    recorded += &client.messages();
+    golden::assert_matches("downstream_start.txt", &recorded);
 }
 
 #[test]
@@ -154,22 +154,22 @@
         ("length below 4", b"Q\0\0\0\x03".to_vec()),
         ("too long", b"Q\x7f\xff\xff\xff".to_vec()),
     ];
-    let mut told = String::new();
+    let mut recorded = String::new();
     for (name, bytes) in cases {
         let mut client = RawClient::session(&proxy);
         client.send(&bytes);
-        told += &format!("{name}\n{}", client.messages());
+        recorded += &format!("{name}\n{}", client.messages());
     }
     let mut client = RawClient::session(&proxy);
     client.send(&message(b'X', b""));
-    told += &format!("terminate\n{}", client.messages());
-    golden::assert_matches("downstream_session.txt", &told);
+    recorded += &format!("terminate\n{}", client.messages());
+    golden::assert_matches("downstream_session.txt", &recorded);
 }
 
 /// What becomes of requests that a database does not answer as it should.
 #[test]
 fn answers_to_requests_that_fail_stay() {
-    let mut told = String::new();
+    let mut recorded = String::new();
     for (class, word) in [("load", "FAULT"), ("load", "SHED"), ("lookup", "SHED"), ("load", "GONE")] {
         let database = Database::new();
         let proxy = Proxy::start(&[&database]);
@@ -179,10 +179,10 @@
         let serve = lines.command();
         match word {
             "GONE" => drop(lines),
-            word => lines.say(&serve[1], word, "-", ""),
+            word => lines.send(&serve[1], word, "-", ""),
         }
         drop(database);
-        told += &format!("{class}, {word}\n{}", client.messages());
+        recorded += &format!("{class}, {word}\n{}", client.messages());
     }
     // Silence up to the deadline.
     let database = Database::new();
@@ -190,14 +190,14 @@
     for class in ["lookup", "load"] {
         let mut client = RawClient::session(&proxy);
         client.send(&simple_query(&query(class, 2, 600)));
-        told += &format!("{class}, silence\n{}", client.messages());
+        recorded += &format!("{class}, silence\n{}", client.messages());
     }
     // No engine at all.
     let proxy = Proxy::start(&[]);
     let mut client = RawClient::session(&proxy);
     client.send(&simple_query(&query("lookup", 3, 300)));
-    told += &format!("lookup, no engine\n{}", client.messages());
-    golden::assert_matches("downstream_failures.txt", &told);
+    recorded += &format!("lookup, no engine\n{}", client.messages());
+    golden::assert_matches("downstream_failures.txt", &recorded);
 }
 
 /// The same request id twice, a cancel request, a client that closes its side, and a proxy that drains.
@@ -209,27 +209,27 @@
     busy.send(&query("lookup", 1, 15_000));
     let mut lines = database.accept();
     assert_eq!(lines.command()[0], "serve");
-    let mut told = String::new();
+    let mut recorded = String::new();
     let mut duplicate = RawClient::session(&proxy);
     duplicate.send(&simple_query(&query("lookup", 1, 15_000)));
-    told += &format!("duplicate request id\n{}", duplicate.messages());
-    drop(busy.call_off());
-    told += &format!("canceled by request: {}\n", busy.answer());
+    recorded += &format!("duplicate request id\n{}", duplicate.messages());
+    drop(busy.cancel());
+    recorded += &format!("canceled by request: {}\n", busy.answer());
 
     let mut half_closed = RawClient::session(&proxy);
     half_closed.send(&simple_query(&query("lookup", 2, 15_000)));
     half_closed.0.shutdown(Shutdown::Write).unwrap();
-    told += &format!("client closes its side\n{}", half_closed.messages());
+    recorded += &format!("client closes its side\n{}", half_closed.messages());
 
     let mut leaving = RawClient::session(&proxy);
     leaving.send(&[simple_query(&query("lookup", 3, 15_000)), message(b'X', b"")].concat());
-    told += &format!("client terminates\n{}", leaving.messages());
+    recorded += &format!("client terminates\n{}", leaving.messages());
 
     assert_eq!(proxy.call("PUT", "/ops/drain/start").0, 200);
     let mut idle = RawClient(busy.socket.try_clone().unwrap());
-    told += &format!("idle session of a drained proxy\n{}", idle.messages());
+    recorded += &format!("idle session of a drained proxy\n{}", idle.messages());
     let mut late = RawClient::connect(&proxy);
     late.send(&session_start());
-    told += &format!("new session of a drained proxy\n{}", late.messages());
-    golden::assert_matches("downstream_cancellation.txt", &told);
+    recorded += &format!("new session of a drained proxy\n{}", late.messages());
+    golden::assert_matches("downstream_cancellation.txt", &recorded);
 }
--- a/tests/compatibility/log_filters.rs
+++ b/tests/compatibility/log_filters.rs
@@ -1,7 +1,7 @@
 //! Log filters that operators have written down: names of parts in `GAUGESTEP_LOG` and in stored documents keep
 //! bringing out the lines of these parts, wherever their code has moved.
 //!
-//! Lines are told apart by their level alone, as their texts, fields and targets may be reworded. Where a filter names
+//! Lines are distinguished by their level alone, as their texts, fields and targets may be reworded. Where a filter names
 //! one part and silences all others, every line that comes is of that part.
 
 use std::io::Write as _;
@@ -10,7 +10,7 @@
 
 use serde_json::Value;
 
-use crate::control::{Control, Engine, StandIn, offer, offering, operator, until};
+use crate::control::{Control, Engine, ScriptedService, offer, offer_message, operator, wait_until};
 use crate::proxy::{Coordinator, Database, Launch, Proxy, event, free_address, query};
 use crate::upstream::accept_call;
 
@@ -48,7 +48,7 @@
     }
 
     fn wait_for(&self, level: &str, count: usize) {
-        until("lines of the part come", || lines_of_level(&self.log, level) >= count);
+        wait_until("lines of the part come", || lines_of_level(&self.log, level) >= count);
     }
 }
 
@@ -62,7 +62,7 @@
 
 /// Ends the proxy in order, so that whatever it had to log is in the file.
 fn stop(mut proxy: Proxy) {
-    assert!(proxy.stop().success());
+    assert!(proxy.terminate().success());
 }
 
 #[test]
@@ -99,7 +99,7 @@
     assert!(client.answer().starts_with("E 58000"));
 }
 
-/// Lines of the request's lifecycle when a load fails: its attempt, and the request itself.
+/// DatabaseConnection of the request's lifecycle when a load fails: its attempt, and the request itself.
 const LINES_OF_A_FAILED_REQUEST: usize = 2;
 
 /// Names of outer modules cover their parts: request lifecycle and connections to databases both tell.
@@ -135,7 +135,7 @@
     let proxy = logged.launch(&[], "gaugestep::facade=info").start();
     assert_eq!(lines(&logged.log), 0);
     let mut id = 0;
-    until("requests that were not served are logged", || {
+    wait_until("requests that were not served are logged", || {
         id += 1;
         assert!(proxy.client().ask(&query("lookup", id, 100)).starts_with("E 53000"));
         lines_of_level(&logged.log, "INFO") > 0
@@ -153,7 +153,7 @@
         let databases = [&engine.database];
         let proxy = logged.launch(&databases, filter).start();
         serve(&proxy, 0, 5);
-        let attempts = proxy.attempts_at_rest() as usize;
+        let attempts = proxy.attempts_once_idle() as usize;
         stop(proxy);
         assert_eq!(
             (lines(&logged.log), lines_of_level(&logged.log, "DEBUG")),
@@ -231,7 +231,7 @@
 #[test]
 fn control_follow_brings_out_versions() {
     for filter in ["gaugestep_control::follow=info", "gaugestep_control=info"] {
-        let (logged, service, engine) = (Logged::new(), StandIn::new(), Engine::new());
+        let (logged, service, engine) = (Logged::new(), ScriptedService::new(), Engine::new());
         let databases = [&engine.database];
         let address = service.0.local_addr().unwrap();
         let operator = Some(operator(logged.folder.path(), address, &logged.state(), ""));
@@ -239,10 +239,10 @@
         let mut stream = service.accept();
         logged.wait_for("INFO", 1);
         let before = lines_of_level(&logged.log, "INFO");
-        stream.say(&offering(offer(5, 1, "limits { max_open: 50 }")));
+        stream.send(&offer_message(offer(5, 1, "limits { max_open: 50 }")));
         assert_eq!(stream.answer(), (1, None));
         logged.wait_for("INFO", before + 1);
-        stream.say(&offering(offer(6, 2, r#"classes: "none""#)));
+        stream.send(&offer_message(offer(6, 2, r#"classes: "none""#)));
         assert!(stream.answer().1.is_some());
         logged.wait_for("WARN", 1);
         assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0, "{filter}");
@@ -267,7 +267,7 @@
         serve(&proxy, 0, 2);
         assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0, "{part}");
         let number = control.publish(&format!("logging {{ {part} }}"), &[]);
-        until("the version is in force", || proxy.figure("/configuration/version") == Some(number));
+        wait_until("the version is in force", || proxy.statistic("/configuration/version") == Some(number));
         serve(&proxy, 10, 2);
         logged.wait_for("DEBUG", 2);
 
@@ -279,9 +279,9 @@
         logged.wait_for("DEBUG", before + 2);
 
         control.restart();
-        until("the proxy follows again", || proxy.figures()["configuration"]["connected"] == true);
+        wait_until("the proxy follows again", || proxy.statistics()["configuration"]["connected"] == true);
         let number = control.publish("", &[]);
-        until("the version is in force", || proxy.figure("/configuration/version") == Some(number));
+        wait_until("the version is in force", || proxy.statistic("/configuration/version") == Some(number));
         let quiet = Quiet::since(&logged);
         serve(&proxy, 30, 2);
         stop(proxy);
@@ -289,7 +289,7 @@
     }
 }
 
-/// Lines of the level DEBUG up to a moment at which all earlier ones were written.
+/// DatabaseConnection of the level DEBUG up to a moment at which all earlier ones were written.
 struct Quiet(usize);
 
 impl Quiet {
@@ -297,7 +297,7 @@
     fn since(logged: &Logged) -> Self {
         const STABLE_LOOKS: usize = 20;
         let (mut count, mut stable) = (usize::MAX, 0);
-        until("the log comes to rest", || {
+        wait_until("the log comes to rest", || {
             let now = lines_of_level(&logged.log, "DEBUG");
             stable = if now == count { stable + 1 } else { 0 };
             count = now;
@@ -340,7 +340,7 @@
         };
         command.stdout(Stdio::null()).stderr(std::fs::File::create(&logged.log).unwrap());
         let service = FilteredService { child: command.spawn().unwrap(), operators, logged };
-        until("the control service starts", || service.run(&["list"]));
+        wait_until("the control service starts", || service.run(&["list"]));
         service
     }
 
@@ -354,7 +354,7 @@
     fn publish(&self) {
         let path = self.logged.folder.path().join("document.textproto");
         std::fs::write(&path, "limits { max_open: 5 }").unwrap();
-        until("a version is published", || self.run(&["publish", path.to_str().unwrap()]));
+        wait_until("a version is published", || self.run(&["publish", path.to_str().unwrap()]));
     }
 }
 
@@ -408,7 +408,7 @@
 fn control_seating_brings_out_the_roster() {
     let service = FilteredService::start("gaugestep_control::seating=info");
     assert_eq!(lines(&service.logged.log), 0);
-    until("the roster is kept", || service.run(&["declare", "seats"]));
+    wait_until("the roster is kept", || service.run(&["declare", "seats"]));
     service.logged.wait_for("INFO", 1);
 }
 
@@ -427,7 +427,7 @@
 fn control_calls_brings_out_a_take_over() {
     let service = FilteredService::start("gaugestep_control::calls=info");
     assert_eq!(lines(&service.logged.log), 0);
-    until("the take-over is done", || service.run(&["take-over"]));
+    wait_until("the take-over is done", || service.run(&["take-over"]));
     service.logged.wait_for("WARN", 1);
 }
 
--- a/tests/compatibility/rejection_codes.rs
+++ b/tests/compatibility/rejection_codes.rs
@@ -3,7 +3,7 @@
 use gaugestep_config::schema::{Offer, from_client};
 use gaugestep_config::{Document, text, version};
 
-use crate::control::{StandIn, Stream, offer, offering, operator, until};
+use crate::control::{ScriptedService, Stream, offer, offer_message, operator, wait_until};
 use crate::golden;
 use crate::proxy::{Database, Launch, query};
 
@@ -18,18 +18,18 @@
     /// Offers a version and notes the answer.
     fn offer(&mut self, name: &str, offered: Offer) {
         self.nonce += 1;
-        self.stream.say(&offering(Offer { nonce: self.nonce, ..offered }));
+        self.stream.send(&offer_message(Offer { nonce: self.nonce, ..offered }));
         let answer = loop {
             if let Some(from_client::Said::Answer(answer)) = self.stream.next().said {
                 break answer;
             }
         };
         assert_eq!(answer.nonce, self.nonce);
-        let told = answer.refusal.map_or("accepted".into(), |rejection| {
+        let recorded = answer.refusal.map_or("accepted".into(), |rejection| {
             assert!(!rejection.reason.is_empty() && rejection.reason.lines().count() == 1);
             format!("{} at '{}'", rejection.code, rejection.path)
         });
-        self.text += &format!("{name}: {told}\n");
+        self.text += &format!("{name}: {recorded}\n");
     }
 
     /// Offers a document under the next number.
@@ -40,7 +40,7 @@
 
 #[test]
 fn rejections_keep_codes_and_paths() {
-    let (service, folder) = (StandIn::new(), tempfile::tempdir().unwrap());
+    let (service, folder) = (ScriptedService::new(), tempfile::tempdir().unwrap());
     let (database, draining) = (Database::new(), Database::new());
     let address = service.0.local_addr().unwrap();
     let operator = Some(operator(folder.path(), address, &folder.path().join("n0"), ""));
@@ -87,7 +87,7 @@
     let (mut one, mut two) = (proxy.client(), proxy.client());
     one.send(&query("lookup", 1, 60_000));
     two.send(&query("lookup", 2, 60_000));
-    until("both requests are open", || proxy.figure("/outstanding") == Some(2));
+    wait_until("both requests are open", || proxy.statistic("/outstanding") == Some(2));
     offers.document(r#"limits { max_open: 1 }"#);
     offers.document(r#"classes: "load""#);
     golden::assert_matches("rejections.txt", &offers.text);
--- a/tests/compatibility/simulator_wire.rs
+++ b/tests/compatibility/simulator_wire.rs
@@ -182,11 +182,11 @@
         "provision dispatcher_id=5 salt=1 profile_data={",
         "provision dispatcher_id=5 salt=1 profile_data={}",
     ];
-    let mut told = String::new();
+    let mut recorded = String::new();
     for line in malformed {
         let mut lines = start(&settings());
         lines.extend(["tick wall_ms=1001".into(), line.into(), "eob".into()]);
-        told += &format!("> {line}\n{}", run(&lines));
+        recorded += &format!("> {line}\n{}", run(&lines));
     }
     let outside: [&[&str]; 7] = [
         &["eob"],
@@ -199,23 +199,23 @@
     ];
     for lines in outside {
         let lines: Vec<String> = lines.iter().map(|line| line.to_string()).collect();
-        told += &format!("> {}\n{}", lines.join("\n> "), run(&lines));
+        recorded += &format!("> {}\n{}", lines.join("\n> "), run(&lines));
     }
-    golden::assert_matches("simulator_malformed_lines.txt", &told);
+    golden::assert_matches("simulator_malformed_lines.txt", &recorded);
 }
 
 /// Each number among the settings, replaced by a text and by a number below 0: the answers name the key.
 #[test]
 fn answers_to_bad_settings_stay() {
-    let mut told = String::new();
+    let mut recorded = String::new();
     for pointer in number_pointers(&settings(), "") {
         for bad in [json!("x"), json!(-1)] {
             let mut changed = settings();
             *changed.pointer_mut(&pointer).unwrap() = bad.clone();
-            told += &format!("> {pointer} = {bad}\n{}", run(&start(&changed)));
+            recorded += &format!("> {pointer} = {bad}\n{}", run(&start(&changed)));
         }
     }
-    golden::assert_matches("simulator_bad_settings.txt", &told);
+    golden::assert_matches("simulator_bad_settings.txt", &recorded);
 }
 
 /// JSON pointers to all numbers.
--- a/tests/compatibility/startup_errors.rs
+++ b/tests/compatibility/startup_errors.rs
@@ -98,19 +98,19 @@
 #[test]
 fn bad_configurations_end_the_proxy_with_one_line() {
     let folder = tempfile::tempdir().unwrap();
-    let mut told = String::new();
+    let mut recorded = String::new();
     for BadValue { pointer, value, named } in bad_values() {
         let mut changed = configuration();
         *changed.pointer_mut(pointer).unwrap() = value.clone();
         let path = write(folder.path(), "config.json", &changed.to_string());
         for command in [&["check-config"][..], &["serve", "--config"]] {
             let failed = failure(proxy(command).arg(&path), named);
-            told += &format!("{pointer} = {value}, {}: {failed}", command[0]);
+            recorded += &format!("{pointer} = {value}, {}: {failed}", command[0]);
         }
     }
     let path = write(folder.path(), "config.json", "{");
-    told += &format!("not JSON: {}", failure(proxy(&["check-config"]).arg(&path), "config.json"));
-    golden::assert_matches("startup_errors_configuration.txt", &told);
+    recorded += &format!("not JSON: {}", failure(proxy(&["check-config"]).arg(&path), "config.json"));
+    golden::assert_matches("startup_errors_configuration.txt", &recorded);
 }
 
 #[test]
@@ -127,7 +127,7 @@
 fn bad_operator_files_end_the_proxy_with_one_line() {
     let folder = tempfile::tempdir().unwrap();
     let config = write(folder.path(), "config.json", &configuration().to_string());
-    let mut told = String::new();
+    let mut recorded = String::new();
     for (text, named) in [
         ("control {", "operator.textproto"),
         ("colour: 3", "colour"),
@@ -148,16 +148,16 @@
         let operator = write(folder.path(), "operator.textproto", text);
         let mut command = proxy(&["serve", "--config"]);
         command.arg(&config).arg("--operator").arg(&operator).env("GAUGESTEP_LOG", "off");
-        told += &format!("{text}: {}", failure(&mut command, named));
+        recorded += &format!("{text}: {}", failure(&mut command, named));
     }
-    golden::assert_matches("startup_errors_operator.txt", &told);
+    golden::assert_matches("startup_errors_operator.txt", &recorded);
 }
 
 #[test]
 fn bad_service_files_end_the_control_service_with_one_line() {
     let folder = tempfile::tempdir().unwrap();
     let listen = "listen: \"127.0.0.1:0\" operators: \"127.0.0.1:0\"";
-    let mut told = String::new();
+    let mut recorded = String::new();
     for (text, named) in [
         ("listen".to_owned(), "control.textproto"),
         ("colour: 3".to_owned(), "colour"),
@@ -181,9 +181,9 @@
         let file = write(folder.path(), "control.textproto", &text);
         let mut command = Command::new(CONTROL);
         command.env_clear().current_dir(folder.path()).args(["serve", "--config"]).arg(&file);
-        told += &format!("{text}: {}", failure(&mut command, named));
+        recorded += &format!("{text}: {}", failure(&mut command, named));
     }
-    golden::assert_matches("startup_errors_service.txt", &told);
+    golden::assert_matches("startup_errors_service.txt", &recorded);
 }
 
 /// Every fault of a document by code and path; the reason is prose.
@@ -223,14 +223,14 @@
         r#"proxies: "x" proxies: "x""#,
         &long_list,
     ];
-    let mut told = String::new();
+    let mut recorded = String::new();
     for document in documents {
         let path = write(folder.path(), "document.textproto", document);
         let output = Command::new(CONTROL).args(["--json", "validate"]).arg(&path).output().unwrap();
         let answer: Value = serde_json::from_slice(&output.stdout).unwrap();
         let shown = if document.len() > 200 { "1001 classes" } else { document };
         let answer = golden::without_varying(&answer, &["document", "reason"]);
-        told += &format!("{shown}\n  exit code {}: {answer}\n", output.status.code().unwrap());
+        recorded += &format!("{shown}\n  exit code {}: {answer}\n", output.status.code().unwrap());
     }
-    golden::assert_matches("document_faults.txt", &told);
+    golden::assert_matches("document_faults.txt", &recorded);
 }
--- a/tests/compatibility/upstream.rs
+++ b/tests/compatibility/upstream.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 
 use crate::golden;
-use crate::proxy::{Coordinator, Database, PATIENCE, Proxy, event, query};
+use crate::proxy::{Coordinator, Database, Proxy, TIMEOUT, event, query};
 
 /// A call of the proxy to the coordinator, not answered yet.
 pub struct CoordinatorCall {
@@ -18,7 +18,7 @@
 pub fn accept_call(coordinator: &Coordinator) -> CoordinatorCall {
     loop {
         let (socket, _) = coordinator.0.accept().unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut reader = BufReader::new(socket);
         let mut head = String::new();
         while reader.read_line(&mut head).unwrap() > 0 {
@@ -31,31 +31,31 @@
 
 /// Numbers replaced: times differ between runs.
 fn without_numbers(text: &str) -> String {
-    let mut told = String::new();
+    let mut recorded = String::new();
     for character in text.chars() {
         let kept = if character.is_ascii_digit() { 'N' } else { character };
-        if kept != 'N' || !told.ends_with('N') {
-            told.push(kept);
+        if kept != 'N' || !recorded.ends_with('N') {
+            recorded.push(kept);
         }
     }
-    told
+    recorded
 }
 
 #[test]
 fn commands_to_databases_stay() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
-    let mut told = String::new();
-    let mut show = |words: Vec<String>| told += &format!("{}\n", without_numbers(&words.join(" ")));
+    let mut recorded = String::new();
+    let mut show = |words: Vec<String>| recorded += &format!("{}\n", without_numbers(&words.join(" ")));
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
     let mut lines = database.accept();
     let serve = lines.command();
     show(serve.clone());
-    lines.say(&serve[1], "HIT", "total=2,elapsed=5,rss=8", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=2,elapsed=5,rss=8", "a\tb\tc\n");
     let read = lines.command();
     show(read.clone());
-    lines.say(&read[1], "PART", "index=1", "d\te\tf\n");
+    lines.send(&read[1], "PART", "index=1", "d\te\tf\n");
     assert_eq!(client.answer(), "TDDC");
     client.send(&query("lookup", 2, 15_000));
     let serve = lines.command();
@@ -63,7 +63,7 @@
     drop(client);
     let cancel = lines.command();
     show(cancel);
-    golden::assert_matches("upstream_commands.txt", &told);
+    golden::assert_matches("upstream_commands.txt", &recorded);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     let CoordinatorCall { head, mut stream } = accept_call(&coordinator);
     stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
     stream.write_all(event(2, &[database.member("s-0", "SERVING")]).as_bytes()).unwrap();
-    crate::control::until("the event is taken", || proxy.figure("/discovered") == Some(1));
+    crate::control::wait_until("the event is taken", || proxy.statistic("/discovered") == Some(1));
     let host = coordinator.0.local_addr().unwrap().to_string();
     golden::assert_matches("coordinator_call.txt", &head.replace(&host, "ADDRESS").replace('\r', ""));
 }
--- a/tests/event_races.rs
+++ b/tests/event_races.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use proxy::{
-    Client, Coordinator, Database, Launch, Lines, PATIENCE, Proxy, event, free_address, query, rest,
-    wait_within,
+    Client, Coordinator, Database, DatabaseConnection, Launch, Proxy, TIMEOUT, event, free_address, query,
+    read_to_close, wait_within,
 };
 
 const ANSWER: (&str, &str) = ("total=1", "a\tb\tc\n");
@@ -26,12 +26,12 @@
     text.replace(r#""seed":"8c1f""#, &format!(r#""seed":"8c1f","coordinator":"{coordinator}""#))
 }
 
-fn serve(lines: &mut Lines, id: u64) {
-    lines.say(&format!("{id:016x}"), "HIT", ANSWER.0, ANSWER.1);
+fn serve(lines: &mut DatabaseConnection, id: u64) {
+    lines.send(&format!("{id:016x}"), "HIT", ANSWER.0, ANSWER.1);
 }
 
 /// Has one query served, so that a connection to the database is open and rests. Returns that connection.
-fn warm(proxy: &Proxy, database: &Database, id: u64) -> Lines {
+fn warm(proxy: &Proxy, database: &Database, id: u64) -> DatabaseConnection {
     let mut client = proxy.client();
     client.send(&query("lookup", id, 15_000));
     let mut lines = database.accept();
@@ -43,11 +43,11 @@
 
 /// Sends a query behind all that came before, and has it served: whatever was to be sent has been sent by then. The database
 /// must hear of this query and of nothing else.
-fn marked(proxy: &Proxy, lines: &mut Lines) {
+fn marked(proxy: &Proxy, lines: &mut DatabaseConnection) {
     let mut client = proxy.client();
     client.send(&query("lookup", 0xeeee, 15_000));
-    let told = lines.command();
-    assert_eq!(told[..2], ["serve", "000000000000eeee"], "nothing else is sent");
+    let command = lines.command();
+    assert_eq!(command[..2], ["serve", "000000000000eeee"], "nothing else is sent");
     serve(lines, 0xeeee);
     assert_eq!(client.answer(), "TDC");
 }
@@ -62,14 +62,14 @@
     let mut others = proxy.client();
     for id in 2..6 {
         let mut client = proxy.client();
-        proxy.pause();
+        proxy.suspend();
         client.send(&query("lookup", id, 15_000));
         drop(client);
-        proxy.go_on();
+        proxy.resume();
     }
     assert_eq!(others.ask(""), "I", "other sessions go on");
     marked(&proxy, &mut lines);
-    assert_eq!(proxy.attempts_at_rest(), 2);
+    assert_eq!(proxy.attempts_once_idle(), 2);
 }
 
 #[test]
@@ -79,16 +79,16 @@
     let mut lines = warm(&proxy, &database, 1);
     let mut clients: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
     for (id, client) in (2..).zip(&mut clients) {
-        proxy.pause();
+        proxy.suspend();
         client.send(&query("lookup", id, 15_000));
-        let cancel = client.call_off();
-        proxy.go_on();
+        let cancel = client.cancel();
+        proxy.resume();
         assert!(client.answer().starts_with("E 57014"));
-        assert_eq!(rest(&cancel), "");
+        assert_eq!(read_to_close(&cancel), "");
         assert_eq!(client.ask(""), "I", "the session goes on");
     }
     marked(&proxy, &mut lines);
-    assert_eq!(proxy.attempts_at_rest(), 2);
+    assert_eq!(proxy.attempts_once_idle(), 2);
 }
 
 #[test]
@@ -100,19 +100,19 @@
     let text = query("lookup", 2, 15_000);
     let length = (text.len() as u32 + 5).to_be_bytes();
     let message = [&b"Q"[..], &length, text.as_bytes(), b"\0"].concat();
-    proxy.pause();
+    proxy.suspend();
     client.socket.write_all(&message[..40]).unwrap();
-    proxy.go_on();
-    assert_eq!(rest(&client.call_off()), "", "the cancel has been read");
+    proxy.resume();
+    assert_eq!(read_to_close(&client.cancel()), "", "the cancel has been read");
     client.socket.write_all(&message[40..]).unwrap();
     assert!(client.answer().starts_with("E 57014"));
     // A cancel that finds nothing holds for nothing that comes later.
-    assert_eq!(rest(&client.call_off()), "");
+    assert_eq!(read_to_close(&client.cancel()), "");
     client.send(&query("lookup", 3, 15_000));
     assert_eq!(lines.command()[1], format!("{:016x}", 3));
     serve(&mut lines, 3);
     assert_eq!(client.answer(), "TDC");
-    assert_eq!(proxy.attempts_at_rest(), 2);
+    assert_eq!(proxy.attempts_once_idle(), 2);
 }
 
 #[test]
@@ -121,40 +121,40 @@
     let proxy = Proxy::follow(&[&database], Some(&coordinator));
     let (mut stream, _) = coordinator.accept();
     let mut lines = warm(&proxy, &database, 9);
-    let mut told = |index: u64, phase: &str| {
+    let mut publish_phase = |index: u64, phase: &str| {
         stream.write_all(event(index, &[database.member("s-0", phase)]).as_bytes()).unwrap();
     };
-    told(2, "DRAINING");
+    publish_phase(2, "DRAINING");
     let (mut closing, mut cancelling) = (proxy.client(), proxy.client());
     closing.send(&query("lookup", 1, 15_000));
     cancelling.send(&query("load", 2, 15_000));
-    wait_within(PATIENCE, "they wait", || proxy.figure("/outstanding") == Some(2));
+    wait_within(TIMEOUT, "they wait", || proxy.statistic("/outstanding") == Some(2));
     // The engine takes work again, over a connection that is open, before it is seen that they have left.
-    proxy.pause();
-    told(3, "SERVING");
+    proxy.suspend();
+    publish_phase(3, "SERVING");
     drop(closing);
-    let _cancel = cancelling.call_off();
-    proxy.go_on();
+    let _cancel = cancelling.cancel();
+    proxy.resume();
     assert!(cancelling.answer().starts_with("E 57014"));
     marked(&proxy, &mut lines);
-    assert_eq!(proxy.attempts_at_rest(), 2);
+    assert_eq!(proxy.attempts_once_idle(), 2);
 }
 
 #[test]
 fn a_request_that_waits_for_a_dial_is_not_sent_once_its_client_has_left() {
-    let (database, first) = Database::narrow();
+    let (database, first) = Database::with_full_backlog();
     let proxy = Launch { change: &patient, ..Launch::new(&[&database]) }.start();
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
-    wait_within(PATIENCE, "it waits", || proxy.figure("/outstanding") == Some(1));
+    wait_within(TIMEOUT, "it waits", || proxy.statistic("/outstanding") == Some(1));
     // The dial comes up while the proxy stands still, and its client leaves.
-    proxy.pause();
+    proxy.suspend();
     drop(client);
     drop((first, database.accept()));
     let mut lines = database.accept();
-    proxy.go_on();
+    proxy.resume();
     marked(&proxy, &mut lines);
-    assert_eq!(proxy.attempts_at_rest(), 1);
+    assert_eq!(proxy.attempts_once_idle(), 1);
 }
 
 #[test]
@@ -175,9 +175,9 @@
     serve(&mut lines, 8);
     serve(&mut more, 9);
     assert_eq!([one.answer(), other.answer()], ["TDC", "TDC"]);
-    let told = [second.member("s-0", "DRAINING"), first.member("s-9", "SERVING")];
-    stream.write_all(event(2, &told).as_bytes()).unwrap();
-    wait_within(PATIENCE, "the first is listed", || proxy.figure("/discovered") == Some(2));
+    let entries = [second.member("s-0", "DRAINING"), first.member("s-9", "SERVING")];
+    stream.write_all(event(2, &entries).as_bytes()).unwrap();
+    wait_within(TIMEOUT, "the first is listed", || proxy.statistic("/discovered") == Some(2));
     // The first attempt fails: refused by a full database, or with its connection.
     let (mut full, mut broken) = (proxy.client(), proxy.client());
     full.send(&query("lookup", 1, 15_000));
@@ -186,20 +186,20 @@
     broken.send(&query("lookup", 2, 15_000));
     let mut breaks = first.accept();
     breaks.command();
-    let told =
+    let entries =
         [second.member("s-0", "SERVING"), first.member("s-9", "SERVING"), first.member("s-x", "SERVING")];
-    stream.write_all(event(3, &told).as_bytes()).unwrap();
-    wait_within(PATIENCE, "the second is back", || proxy.figure("/discovered") == Some(3));
+    stream.write_all(event(3, &entries).as_bytes()).unwrap();
+    wait_within(TIMEOUT, "the second is back", || proxy.statistic("/discovered") == Some(3));
     stream.write_all(event(4, &[first.member("s-x", "DELETED")]).as_bytes()).unwrap();
-    wait_within(PATIENCE, "and the third is gone", || proxy.figure("/discovered") == Some(2));
-    proxy.pause();
-    sheds.say(&format!("{:016x}", 1), "SHED", "-", "");
+    wait_within(TIMEOUT, "and the third is gone", || proxy.statistic("/discovered") == Some(2));
+    proxy.suspend();
+    sheds.send(&format!("{:016x}", 1), "SHED", "-", "");
     drop(breaks);
     drop((full, broken));
-    proxy.go_on();
-    assert_eq!(proxy.attempts_at_rest(), 4);
+    proxy.resume();
+    assert_eq!(proxy.attempts_once_idle(), 4);
     // The second hears of neither.
-    assert!(lines.silent() && more.silent());
+    assert!(lines.is_silent() && more.is_silent());
 }
 
 /// The run of one is cut at its class's timeout at the moment in which its client leaves: it is not relaunched.
@@ -222,19 +222,19 @@
     let cut = (0..20).any(|_| {
         let mut client = proxy.client();
         client.send(&text(4_000));
-        wait_within(PATIENCE, "it arrives", || engines.take() > 0);
-        proxy.pause();
+        wait_within(TIMEOUT, "it arrives", || engines.take() > 0);
+        proxy.suspend();
         // What was written before the stop is there to be read: a relaunch among it tells nothing.
         let early = engines.take();
         drop(client);
         std::thread::sleep(Duration::from_millis(400));
-        proxy.go_on();
-        proxy.attempts_at_rest();
+        proxy.resume();
+        proxy.attempts_once_idle();
         assert_eq!(engines.take(), 0, "an attempt began behind its client's back");
         // Had its client stayed, it would have been sent again.
-        let before = proxy.figure("/forwards").unwrap();
+        let before = proxy.statistic("/forwards").unwrap();
         engines.serve(&mut proxy.client(), &text(2_000));
-        early == 0 && proxy.figure("/forwards") == Some(before + 2)
+        early == 0 && proxy.statistic("/forwards") == Some(before + 2)
     });
     assert!(cut, "the class learns no timeout");
 }
@@ -243,7 +243,7 @@
 /// have taken is known at every moment.
 struct Engines {
     databases: [Database; 2],
-    lines: Vec<Lines>,
+    lines: Vec<DatabaseConnection>,
     /// Connection, id, and when it is answered.
     running: Vec<(usize, String, Instant)>,
 }
@@ -255,24 +255,24 @@
             database.0.set_nonblocking(true).unwrap();
             while let Ok((socket, _)) = database.0.accept() {
                 socket.set_nonblocking(false).unwrap();
-                self.lines.push(Lines(std::io::BufReader::new(socket)));
+                self.lines.push(DatabaseConnection(std::io::BufReader::new(socket)));
             }
         }
         let mut taken = 0;
         for (at, lines) in self.lines.iter_mut().enumerate() {
-            while !lines.silent() {
-                let told = lines.command();
-                match &*told[0] {
+            while !lines.is_silent() {
+                let command = lines.command();
+                match &*command[0] {
                     "serve" => {
-                        let cost = told[4].split(['_', '.']).nth(1).unwrap().parse().unwrap();
+                        let cost = command[4].split(['_', '.']).nth(1).unwrap().parse().unwrap();
                         self.running.push((
                             at,
-                            told[1].clone(),
+                            command[1].clone(),
                             Instant::now() + Duration::from_millis(cost),
                         ));
                         taken += 1;
                     }
-                    "cancel" => self.running.retain(|(place, id, _)| *place != at || *id != told[1]),
+                    "cancel" => self.running.retain(|(place, id, _)| *place != at || *id != command[1]),
                     "" => break,
                     _ => {}
                 }
@@ -289,7 +289,7 @@
                 self.take();
                 let now = Instant::now();
                 for (at, id, _) in self.running.iter().filter(|it| it.2 <= now) {
-                    self.lines[*at].say(id, "HIT", "total=1,elapsed=20,rss=1", "a\tb\tc\n");
+                    self.lines[*at].send(id, "HIT", "total=1,elapsed=20,rss=1", "a\tb\tc\n");
                 }
                 self.running.retain(|it| it.2 > now);
                 std::thread::sleep(Duration::from_millis(1));
@@ -307,10 +307,10 @@
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
     let mut lines = database.accept();
-    let told = lines.command();
+    let command = lines.command();
     client.socket.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(lines.command(), ["cancel", &told[1]]);
-    assert!(rest(&client.socket).contains("57014"));
+    assert_eq!(lines.command(), ["cancel", &command[1]]);
+    assert!(read_to_close(&client.socket).contains("57014"));
 }
 
 /// Much is sent ahead of the answer, so that the close behind it is not read for long: the query that runs is called off, and
@@ -322,7 +322,7 @@
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
     let mut lines = database.accept();
-    let told = lines.command();
+    let command = lines.command();
     let mut others = proxy.client();
     for id in 0x100..0x800 {
         // It may be reset in the middle, as it is sending too much.
@@ -330,11 +330,11 @@
             break;
         }
     }
-    assert_eq!(lines.command(), ["cancel", &told[1]]);
+    assert_eq!(lines.command(), ["cancel", &command[1]]);
     drop(client);
     assert_eq!(others.ask(""), "I");
     marked(&proxy, &mut lines);
-    assert_eq!(proxy.attempts_at_rest(), 2);
+    assert_eq!(proxy.attempts_once_idle(), 2);
 }
 
 // A connection is closed.
@@ -364,12 +364,12 @@
 fn bytes_after_a_terminate_message_do_not_discard_the_answer() {
     let proxy = Proxy::start(&[&Database::new()]);
     let mut client = proxy.client();
-    proxy.pause();
+    proxy.suspend();
     client.send("SELECT 1");
     client.socket.write_all(b"X\0\0\0\x04").unwrap();
     client.socket.write_all(&[b'x'; 4_000]).unwrap();
-    proxy.go_on();
-    assert!(rest(&client.socket).contains("42601"));
+    proxy.resume();
+    assert!(read_to_close(&client.socket).contains("42601"));
 }
 
 /// Many connect as the proxy stops listening, more than it takes in at a time: each is told so, or let in and then closed in
@@ -379,9 +379,9 @@
     let mut proxy = Proxy::start(&[&Database::new()]);
     let resting = proxy.client();
     proxy.signal("-TERM");
-    wait_within(PATIENCE, "it stops", || proxy.call("GET", "/ops/readiness").0 != 200);
+    wait_within(TIMEOUT, "it stops", || proxy.call("GET", "/ops/readiness").0 != 200);
     // It stands still past the time in which clients still come, and finds them behind that.
-    proxy.pause();
+    proxy.suspend();
     let late: Vec<TcpStream> = (0..60)
         .map(|_| {
             let mut late = TcpStream::connect(proxy.address).unwrap();
@@ -390,10 +390,10 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(1_000));
-    proxy.go_on();
+    proxy.resume();
     for late in &late {
-        let told = rest(late);
-        assert!(told.contains("57P03") || told.ends_with("Z\0\0\0\x05I"), "{told}");
+        let response = read_to_close(late);
+        assert!(response.contains("57P03") || response.ends_with("Z\0\0\0\x05I"), "{response}");
     }
     drop(resting);
     assert!(proxy.wait().success());
@@ -407,15 +407,15 @@
     let proxy = Proxy::start(&[&database]);
     let lines = warm(&proxy, &database, 1);
     let mut client = proxy.client();
-    proxy.pause();
+    proxy.suspend();
     client.send(&query("load", 2, 15_000));
     drop(lines);
-    proxy.go_on();
+    proxy.resume();
     let mut lines = database.accept();
     assert_eq!(lines.command()[1], format!("{:016x}", 2));
     serve(&mut lines, 2);
     assert_eq!(client.answer(), "TDC");
-    assert_eq!(proxy.attempts_at_rest(), 2);
+    assert_eq!(proxy.attempts_once_idle(), 2);
 }
 
 /// A whole answer and the reset of its connection come together: the answer counts. Half a line is none.
@@ -423,19 +423,19 @@
 fn a_complete_answer_counts_though_its_connection_breaks_and_a_partial_line_does_not() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
-    for (id, length, told) in [(1, 1_000, "TDC"), (2, 40, "E 58000 failed: the statement may have run")] {
+    for (id, length, response) in [(1, 1_000, "TDC"), (2, 40, "E 58000 failed: the statement may have run")] {
         let mut client = proxy.client();
         client.send(&query("load", id, 15_000));
         let mut lines = database.accept();
-        wait_within(PATIENCE, "it is sent", || proxy.figure("/forwards") == Some(id));
-        proxy.pause();
+        wait_within(TIMEOUT, "it is sent", || proxy.statistic("/forwards") == Some(id));
+        proxy.suspend();
         let answer = format!("{id:016x} HIT total=1,elapsed=5 6\r\na\tb\tc\n\r\n");
         let part = &answer.as_bytes()[..answer.len().min(length)];
         lines.0.get_mut().write_all(part).unwrap();
         // The command is still unread, so this resets the connection.
         drop(lines);
-        proxy.go_on();
-        assert_eq!(client.answer(), told);
+        proxy.resume();
+        assert_eq!(client.answer(), response);
     }
 }
 
@@ -447,11 +447,11 @@
     let mut client = proxy.client();
     client.send(&query("load", 1, 15_000));
     let mut lines = database.accept();
-    let told = lines.command();
-    lines.say(&told[1], "INFO", "detail=done,datum=0.4", "");
-    lines.say(&told[1], "SHED", "-", "");
+    let command = lines.command();
+    lines.send(&command[1], "INFO", "detail=done,datum=0.4", "");
+    lines.send(&command[1], "SHED", "-", "");
     assert!(client.answer().starts_with("E 58000"));
-    assert_eq!(proxy.attempts_at_rest(), 1);
+    assert_eq!(proxy.attempts_once_idle(), 1);
 }
 
 // Lists, windows and drains.
@@ -459,9 +459,9 @@
 /// The dial of a repeat comes up behind the window in which databases drop repeats: it is not sent, and answered for.
 #[test]
 fn a_retry_whose_dial_outlasts_its_deduplication_window_is_not_sent() {
-    for (group, told) in [("all", "E 53000"), ("zone", "E 58000")] {
+    for (group, command) in [("all", "E 53000"), ("zone", "E 58000")] {
         let (first, coordinator) = (Database::new(), Coordinator::new());
-        let (second, fills) = Database::narrow();
+        let (second, fills) = Database::with_full_backlog();
         let keyed = format!(r#""load", "effect": "keyed", "group": "{group}", "window_ms": 600"#);
         let at = coordinator.0.local_addr().unwrap();
         let change = |text: String| {
@@ -477,20 +477,20 @@
         lines.command();
         let sent = Instant::now();
         stream.write_all(event(2, &[second.member("s-9", "SERVING")]).as_bytes()).unwrap();
-        wait_within(PATIENCE, "the second is listed", || proxy.figure("/discovered") == Some(2));
+        wait_within(TIMEOUT, "the second is listed", || proxy.statistic("/discovered") == Some(2));
         drop(lines);
         // The window has passed, by far more than what rules leave for a slow clock.
         std::thread::sleep(Duration::from_millis(900).saturating_sub(sent.elapsed()));
         drop((fills, second.accept()));
-        assert!(client.answer().starts_with(told), "group {group}");
-        assert_eq!(proxy.attempts_at_rest(), 1);
+        assert!(client.answer().starts_with(command), "group {group}");
+        assert_eq!(proxy.attempts_once_idle(), 1);
     }
 }
 
 /// The database begins to drain as a request is on its way to it.
 #[test]
 fn a_request_that_crosses_a_drain_is_not_sent_after_it() {
-    let (database, first) = Database::narrow();
+    let (database, first) = Database::with_full_backlog();
     let coordinator = Coordinator::new();
     let at = coordinator.0.local_addr().unwrap();
     let change = |text: String| {
@@ -501,7 +501,7 @@
     let (mut stream, _) = coordinator.accept();
     let mut client = proxy.client();
     client.send(&query("load", 1, 4_000));
-    wait_within(PATIENCE, "it waits", || proxy.figure("/outstanding") == Some(1));
+    wait_within(TIMEOUT, "it waits", || proxy.statistic("/outstanding") == Some(1));
     stream.write_all(event(2, &[database.member("s-0", "DRAINING")]).as_bytes()).unwrap();
     // Told and read: what comes behind an event of the stream is applied in its order.
     let other = Database::new();
@@ -511,7 +511,7 @@
     assert_eq!(lines.command()[1], format!("{:016x}", 1), "it goes elsewhere");
     serve(&mut lines, 1);
     assert_eq!(client.answer(), "TDC");
-    assert_eq!(proxy.attempts_at_rest(), 1);
+    assert_eq!(proxy.attempts_once_idle(), 1);
 }
 
 /// A listed database is at another address from now on: what answers at the old one is another.
@@ -524,12 +524,12 @@
     stream.write_all(event(2, &[new.member("s-0", "SERVING")]).as_bytes()).unwrap();
     // Events are applied in their order.
     stream.write_all(event(3, &[Database::new().member("s-1", "DRAINING")]).as_bytes()).unwrap();
-    wait_within(PATIENCE, "both are applied", || proxy.figure("/discovered") == Some(2));
+    wait_within(TIMEOUT, "both are applied", || proxy.statistic("/discovered") == Some(2));
     let mut moved = warm(&proxy, &new, 2);
     marked(&proxy, &mut moved);
-    let mut told = String::new();
-    lines.0.read_line(&mut told).unwrap();
-    assert_eq!(told, "", "the old connection is closed and nothing was sent on it");
+    let mut answer = String::new();
+    lines.0.read_line(&mut answer).unwrap();
+    assert_eq!(answer, "", "the old connection is closed and nothing was sent on it");
 }
 
 // Floods.
@@ -562,7 +562,7 @@
     let coordinator = Coordinator(std::net::TcpListener::bind(place).unwrap());
     let (mut stream, _) = coordinator.accept();
     stream.write_all(event(2, &[database.member("s-0", "SERVING")]).as_bytes()).unwrap();
-    wait_within(PATIENCE, "the list is followed", || proxy.figure("/discovered") == Some(1));
+    wait_within(TIMEOUT, "the list is followed", || proxy.statistic("/discovered") == Some(1));
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
     let mut lines = database.accept();
@@ -600,9 +600,9 @@
     client.send(&query("load", 1, 2_000));
     let mut lines = endless.accept();
     let id = lines.command()[1].clone();
-    let told = [well.member("s-1", "SERVING"), endless.member("s-0", "DRAINING")];
-    stream.write_all(event(2, &told).as_bytes()).unwrap();
-    wait_within(PATIENCE, "both are listed", || proxy.figure("/discovered") == Some(2));
+    let entries = [well.member("s-1", "SERVING"), endless.member("s-0", "DRAINING")];
+    stream.write_all(event(2, &entries).as_bytes()).unwrap();
+    wait_within(TIMEOUT, "both are listed", || proxy.statistic("/discovered") == Some(2));
     let line = format!("{id} INFO detail=waits,datum=2 0\r\n\r\n").repeat(100);
     let mut socket = lines.0.get_ref().try_clone().unwrap();
     std::thread::spawn(move || while socket.write_all(line.as_bytes()).is_ok() {});
@@ -620,7 +620,7 @@
 /// All proxies restart together while discovery hangs, or refuses: each is ready as soon as it runs.
 #[test]
 fn restarted_proxies_become_ready_though_discovery_hangs_or_refuses() {
-    let (database, (hangs, _first)) = (Database::new(), Database::narrow());
+    let (database, (hangs, _first)) = (Database::new(), Database::with_full_backlog());
     for at in [hangs.0.local_addr().unwrap(), free_address()] {
         let change = |text: String| follows(text, at);
         let launch = || Launch { change: &change, ..Launch::new(&[&database]) }.start();
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use proxy::{PATIENCE, Proxy, free_address};
+use proxy::{Proxy, TIMEOUT, free_address};
 
 struct Toy(Child);
 
@@ -36,7 +36,7 @@
     let mut toy = Command::new("python3");
     toy.arg(file("examples/toy_database.py")).arg(at.to_string()).stdout(Stdio::null());
     let _toy = Toy(toy.spawn().unwrap());
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while TcpStream::connect(at).is_err() {
         assert!(Instant::now() < until, "the toy database does not start");
         std::thread::sleep(Duration::from_millis(20));
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -18,7 +18,7 @@
 use gaugestep_testbed::audit::SlowStartRule;
 use gaugestep_testbed::emulated_fleet::{Arrival, ArrivalLog, EmulatedEngine, EngineList};
 use gaugestep_testbed::fleet_audit::{EngineCapacity, arrivals_after_drain, proxies_by_engine, warm_up_load};
-use group::{Group, wait};
+use group::{Group, wait_until};
 use oorandom::Rand64;
 use proxy::{Client, Launch, Proxy};
 
@@ -157,7 +157,7 @@
     /// Waits until so many more requests are served.
     fn pass(&self, more: u64) {
         let until = self.served() + more;
-        wait("requests are served", || self.served() >= until);
+        wait_until("requests are served", || self.served() >= until);
     }
 
     /// Replaces an engine by a cold one; where the new one is, and when the old one began to drain.
@@ -165,10 +165,10 @@
         let name = format!("s-{}", self.engines.len());
         let new = EmulatedEngine::start(&name, 1.0, &self.log).unwrap();
         let (drained, started) = (self.log.now(), unix_ms());
-        let told = [self.engines[at].list_entry("DRAINING", 0), new.list_entry("SERVING", started)];
-        self.lists[0].publish(&told);
+        let entries = [self.engines[at].list_entry("DRAINING", 0), new.list_entry("SERVING", started)];
+        self.lists[0].publish(&entries);
         std::thread::sleep(late_by);
-        self.lists[1].publish(&told);
+        self.lists[1].publish(&entries);
         self.engines.push(new);
         (self.engines.len() - 1, drained, drained)
     }
@@ -203,7 +203,7 @@
     for at in 0..6 {
         replaced.push((at, crowd.replace(at, Duration::from_millis(150))));
         match at {
-            1 => [4, 5].iter().for_each(|it| crowd.proxies[*it].pause()),
+            1 => [4, 5].iter().for_each(|it| crowd.proxies[*it].suspend()),
             2 => [8, 9, 10, 12].iter().for_each(|it| crowd.proxies[*it].kill()),
             3 => {
                 for it in [8, 9, 10, 12] {
@@ -222,7 +222,7 @@
     }
     // They wake up with notices of drained engines waiting in their streams, and with rights that have long lapsed.
     let woken = crowd.log.now();
-    [4, 5].iter().for_each(|it| crowd.proxies[*it].go_on());
+    [4, 5].iter().for_each(|it| crowd.proxies[*it].resume());
     crowd.pass(3_000);
     crowd.end();
     let arrivals = crowd.log.arrivals();
@@ -261,7 +261,7 @@
     group.until_done(call::What::Declare(ORDINALS_ROLE.into()));
     let mut crowd = Crowd::start(12);
     (0..10).for_each(|number| crowd.add_following(&group, number));
-    group.seated(&crowd.proxies.iter().collect::<Vec<_>>(), 10);
+    group.wait_for_ordinals(&crowd.proxies.iter().collect::<Vec<_>>(), 10);
     crowd.load(3, 0..10);
     // Engines that are drawn by how many proxies, from when all have the roster until some requests later.
     let drawn_now = |crowd: &Crowd, more: u64| {
@@ -282,14 +282,14 @@
         }
     }
     crowd.load(4, 10..20);
-    group.seated(&crowd.proxies.iter().collect::<Vec<_>>(), 20);
-    wait("the replaced engines are warm", || {
+    group.wait_for_ordinals(&crowd.proxies.iter().collect::<Vec<_>>(), 20);
+    wait_until("the replaced engines are warm", || {
         replaced.iter().all(|(_, started, _)| crowd.log.now() > started + RULE.warm_up)
     });
     let many = drawn_now(&crowd, 8_000);
     assert!(many.len() == 12 && many.values().all(|count| (13..=14).contains(count)), "{many:?}");
     crowd.proxies[..10].iter_mut().for_each(Proxy::kill);
-    group.seated(&crowd.proxies[10..].iter().collect::<Vec<_>>(), 10);
+    group.wait_for_ordinals(&crowd.proxies[10..].iter().collect::<Vec<_>>(), 10);
     let half = drawn_now(&crowd, 4_000);
     assert!(half.len() == 12 && half.values().all(|count| (6..=7).contains(count)), "{half:?}");
     crowd.end();
@@ -322,7 +322,7 @@
         crowd.pass(300);
     }
     let last = replaced[3].1;
-    wait("the replaced engines are warm", || crowd.log.now() > last + RULE.warm_up);
+    wait_until("the replaced engines are warm", || crowd.log.now() > last + RULE.warm_up);
     crowd.end();
     let arrivals = crowd.log.arrivals();
     for (new, started, _) in &replaced {
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -13,7 +13,7 @@
 use gaugestep_testbed::faults::Schedule;
 use gaugestep_testbed::leadership_audit::{self, Violation, audit};
 use gaugestep_testbed::network::{Link, LinkFault, Partition};
-use group::{Group, Publisher, wait};
+use group::{Group, Publisher, wait_until};
 use proxy::Proxy;
 
 fn at_once() -> Plan {
@@ -21,11 +21,11 @@
 }
 
 fn version(proxy: &Proxy) -> Option<u64> {
-    proxy.figure("/configuration/version")
+    proxy.statistic("/configuration/version")
 }
 
 fn term(proxy: &Proxy) -> Option<u64> {
-    proxy.figure("/configuration/term")
+    proxy.statistic("/configuration/term")
 }
 
 /// A stream on which somebody says this hello, and no more.
@@ -44,13 +44,15 @@
 fn two_processes_with_one_name_are_listed_separately_and_the_earlier_one_is_notified() {
     let group = Group::start(1);
     let earlier = group.proxy_in("n0", "earlier", 0);
-    group
-        .in_force(std::slice::from_ref(&earlier), group.published("limits { max_open: 11 }", "a", at_once()));
+    group.wait_until_in_force(
+        std::slice::from_ref(&earlier),
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+    );
     let later = group.proxy_in("n0", "later", 0);
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
-    group.in_force(std::slice::from_ref(&later), second);
-    wait("the earlier one is told", || {
-        earlier.figures().pointer("/configuration/displaced") == Some(&true.into())
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.wait_until_in_force(std::slice::from_ref(&later), second);
+    wait_until("the earlier one is told", || {
+        earlier.statistics().pointer("/configuration/displaced") == Some(&true.into())
     });
     assert_eq!(earlier.call("GET", "/ops/readiness").0, 503);
     assert_eq!(later.call("GET", "/ops/readiness").0, 200);
@@ -59,10 +61,10 @@
     let two: Vec<_> = shown.iter().map(|it| (it.name.as_str(), it.displaced, it.in_force)).collect();
     assert_eq!(two, [("n0", false, 2), ("n0", true, 1)]);
     assert_ne!(shown[0].incarnation, shown[1].incarnation);
-    assert!(group.lines("earlier").iter().any(|line| line["level"] == "ERROR" && line["name_term"] == 2));
+    assert!(group.log_lines("earlier").iter().any(|line| line["level"] == "ERROR" && line["name_term"] == 2));
     // The later one goes for good: the name, and what it missed, come back to the earlier one.
     drop(later);
-    group.in_force(std::slice::from_ref(&earlier), second);
+    group.wait_until_in_force(std::slice::from_ref(&earlier), second);
     assert_eq!(earlier.call("GET", "/ops/readiness").0, 200);
 }
 
@@ -71,8 +73,8 @@
 fn a_copied_store_is_refused_and_a_lone_service_that_was_suspended_waits_for_a_proxy() {
     let mut group = Group::start(1);
     let proxies = [group.proxy("n0", 0)];
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, first);
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, first);
     let copy = group.folder.path().join("copy");
     std::fs::create_dir(&copy).unwrap();
     group.node_mut(1).kill();
@@ -80,8 +82,10 @@
         std::fs::copy(group.node(1).folder.join(name), copy.join(name)).unwrap();
     }
     group.node_mut(1).start();
-    group.owner();
-    wait("the proxy is back", || group.status().is_some_and(|it| it.proxies.iter().any(|one| one.connected)));
+    group.lease_holder();
+    wait_until("the proxy is back", || {
+        group.status().is_some_and(|it| it.proxies.iter().any(|one| one.connected))
+    });
     let (listen, operators) = (proxy::free_address(), proxy::free_address());
     let config = copy.join("control.textproto");
     let store = copy.join("versions.redb").display().to_string();
@@ -94,22 +98,22 @@
     assert!(why.contains("is a copy") && why.contains("--restored"), "{why}");
 
     // It stands still; its proxy does not reach it any more, as if it followed another by now.
-    group.node_mut(1).stop();
+    group.node_mut(1).suspend();
     group.net.partition("n0", "1", Partition::Closed);
-    wait("the proxy has left", || {
-        proxies[0].figures().pointer("/configuration/connected") == Some(&false.into())
+    wait_until("the proxy has left", || {
+        proxies[0].statistics().pointer("/configuration/connected") == Some(&false.into())
     });
     // Somebody says hello meanwhile and is not there any more by the time it is heard: that vouches for nothing.
     let _ghost = say_hello(&group, Hello { proxy: "ghost".into(), ..Hello::default() });
     std::thread::sleep(Duration::from_millis(2_100));
-    group.node_mut(1).go_on();
-    wait("the hello that waited is heard", || group.node(1).log().contains("ghost"));
+    group.node_mut(1).resume();
+    wait_until("the hello that waited is heard", || group.node(1).log().contains("ghost"));
     let refused = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
     assert!(refused.contains("stood still") && refused.contains("take-over"), "{refused}");
     assert_eq!(group.node(1).versions().len(), 1, "nothing was published");
     group.net.heal_all();
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
-    group.in_force(&proxies, second);
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.wait_until_in_force(&proxies, second);
 }
 
 #[test]
@@ -123,37 +127,37 @@
     let started = names.iter().enumerate();
     let mut proxies: Vec<Proxy> =
         started.map(|(at, name)| group.proxy_changed("", name, name, at, change(at))).collect();
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, first);
-    let (old, old_term) = group.owner();
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, first);
+    let (old, old_term) = group.lease_holder();
     let plan = Plan { first: 1, share: 0.75, hold_ms: 12_000, refusals: Some(2), ..Plan::default() };
-    let staged = group.published("limits { max_open: 12 } classes: \"lookup\"", "b", plan);
+    let staged = group.publish_until_acknowledged("limits { max_open: 12 } classes: \"lookup\"", "b", plan);
     assert_eq!(staged, 2);
     let second_step = |line: Option<serde_json::Value>| {
         line.is_some_and(|it| it["version"] == 2 && it["step"] == 1 && it["rejections"] == 1)
     };
-    wait("the second step is taken, and one refusal agreed on", || {
-        version(&proxies[1]) == Some(2) && second_step(group.said(old, "rollout progress committed"))
+    wait_until("the second step is taken, and one refusal agreed on", || {
+        version(&proxies[1]) == Some(2) && second_step(group.last_log_line(old, "rollout progress committed"))
     });
-    group.node_mut(old).stop();
+    group.node_mut(old).suspend();
     // The one that refused is gone for good: nobody but the old owner's progress tells of it.
     proxies.remove(2).kill();
-    let (next, next_term) = group.owner_but(old);
+    let (next, next_term) = group.lease_holder_other_than(old);
     assert!(next_term > old_term);
     assert!(
-        second_step(group.said(next, "lease acquired")),
+        second_step(group.last_log_line(next, "lease acquired")),
         "it goes on in the second step, with the refusal counted"
     );
     // The last step brings the second refusal, of two that halt it.
-    wait("it is halted", || group.state(staged) == "HALTED");
+    wait_until("it is halted", || group.state(staged) == "HALTED");
     let back = staged + 1;
-    group.in_force(&proxies, back);
-    group.node_mut(old).go_on();
-    group.settled();
-    let last = group.published("limits { max_open: 14 }", "d", at_once());
+    group.wait_until_in_force(&proxies, back);
+    group.node_mut(old).resume();
+    group.wait_for_equal_versions();
+    let last = group.publish_until_acknowledged("limits { max_open: 14 }", "d", at_once());
     assert_eq!(last, back + 1, "the old owner has published nothing");
-    group.in_force(&proxies, last);
-    group.settled();
+    group.wait_until_in_force(&proxies, last);
+    group.wait_for_equal_versions();
     let report = audit(&group.records(&["n0", "n1", "n2", "n3"]));
     assert_eq!(report.violations, []);
     assert!(report.terms >= 2, "{report:?}");
@@ -163,20 +167,22 @@
 fn a_version_of_a_leader_suspended_between_storing_and_answering_is_complete_or_absent() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, first);
-    let (old, _) = group.owner();
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, first);
+    let (old, _) = group.lease_holder();
     std::fs::write(group.node(old).folder.join("stop"), "stored").unwrap();
-    let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(50));
-    wait("it has stopped itself", || !group.node(old).folder.join("stop").exists());
-    group.node_mut(old).stop();
-    let (_, term) = group.owner_but(old);
-    wait("its successor publishes", || !group.state(first + 2).is_empty());
-    group.node_mut(old).go_on();
-    group.settled();
+    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(50));
+    wait_until("it has stopped itself", || !group.node(old).folder.join("stop").exists());
+    group.node_mut(old).suspend();
+    let (_, term) = group.lease_holder_other_than(old);
+    wait_until("its successor publishes", || !group.state(first + 2).is_empty());
+    group.node_mut(old).resume();
+    group.wait_for_equal_versions();
     let mut records = publisher.end();
-    wait("both proxies have seen the successor", || proxies.iter().all(|it| self::term(it) >= Some(term)));
-    group.settled();
+    wait_until("both proxies have seen the successor", || {
+        proxies.iter().all(|it| self::term(it) >= Some(term))
+    });
+    group.wait_for_equal_versions();
     records.extend(group.records(&["n0", "n1"]));
     let report = audit(&records);
     assert_eq!(report.violations, []);
@@ -187,9 +193,9 @@
 fn a_leader_cut_off_from_the_group_but_not_from_half_of_the_proxies_steps_down() {
     let group = Group::start(3);
     let proxies: Vec<Proxy> = (0..4).map(|at| group.proxy(&format!("n{at}"), at)).collect();
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, first);
-    let (old, _) = group.owner();
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, first);
+    let (old, _) = group.lease_holder();
     let name = old.to_string();
     for other in group.nodes.iter().filter(|node| node.number != old) {
         group.net.partition(&name, &other.name(), Partition::Silent);
@@ -197,23 +203,23 @@
     for proxy in ["n0", "n1"] {
         group.net.partition(proxy, &name, Partition::Closed);
     }
-    let why = |told: Result<(u64, String), String>| told.err();
+    let why = |answer: Result<(u64, String), String>| answer.err();
     let only_old = group.service(&[old]);
     let status = || only_old.call(&call::What::Status(Default::default()), Delivery::AtLeastOnce);
-    wait("the old owner says that it cannot act", || status().is_err());
-    wait("another one owns the versions", || {
+    wait_until("the old owner says that it cannot act", || status().is_err());
+    wait_until("another one owns the versions", || {
         let others = group.nodes.iter().filter(|node| node.number != old);
-        others.flat_map(|node| node.duties()).any(|duty| duty.owner != old && duty.owner > 0)
+        others.flat_map(|node| node.roles()).any(|duty| duty.owner != old && duty.owner > 0)
     });
-    wait("a version is published behind the cut", || {
+    wait_until("a version is published behind the cut", || {
         why(group.publish("limits { max_open: 12 }", "b", at_once())).is_none()
     });
     // Those that reached the old owner leave it, as it names nobody, and find the new one.
-    group.in_force(&proxies, first + 1);
+    group.wait_until_in_force(&proxies, first + 1);
     group.net.heal_all();
-    let third = group.published("limits { max_open: 13 }", "c", at_once());
-    group.in_force(&proxies, third);
-    group.settled();
+    let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
+    group.wait_until_in_force(&proxies, third);
+    group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1", "n2", "n3"])).violations, []);
 }
 
@@ -221,9 +227,12 @@
 fn one_way_link_failures_leave_one_active_leader() {
     let group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
+    group.wait_until_in_force(
+        &proxies,
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+    );
     for round in 0..3 {
-        let (owner, _) = group.owner();
+        let (owner, _) = group.lease_holder();
         let others: Vec<u64> = group.nodes.iter().map(|it| it.number).filter(|it| *it != owner).collect();
         // What the owner says is not heard, and then what is said to it; then one of the others alone is deaf to it.
         for other in if round < 2 { &others[..] } else { &others[..1] } {
@@ -231,15 +240,15 @@
             let deaf = Link { forward: LinkFault::Stalled, ..Link::default() };
             group.net.set(&from.to_string(), &to.to_string(), deaf);
         }
-        let number = group.published(
+        let number = group.publish_until_acknowledged(
             &format!("limits {{ max_open: {} }}", 20 + round),
             &format!("r{round}"),
             at_once(),
         );
-        group.in_force(&proxies, number);
+        group.wait_until_in_force(&proxies, number);
         group.net.heal_all();
     }
-    group.settled();
+    group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
@@ -247,23 +256,23 @@
 fn a_group_killed_at_once_under_load_and_restarted_in_another_order_loses_nothing() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(10));
+    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(10));
     for order in [[3, 1, 2], [2, 3, 1]] {
         let before = group.nodes[0].versions().len();
-        wait("some are published", || group.nodes[0].versions().len() >= before + 3);
+        wait_until("some are published", || group.nodes[0].versions().len() >= before + 3);
         group.nodes.iter_mut().for_each(|node| node.kill());
         assert!(group.call(call::What::Duties(Default::default())).is_err());
         for number in order {
             group.node_mut(number).start();
         }
-        group.owner();
+        group.lease_holder();
     }
     let last = group.nodes[0].versions().len();
-    wait("some more are published", || group.nodes[0].versions().len() >= last + 2);
+    wait_until("some more are published", || group.nodes[0].versions().len() >= last + 2);
     let mut records = publisher.end();
-    group.settled();
+    group.wait_for_equal_versions();
     let newest = group.nodes[0].versions()[0].0;
-    group.in_force(&proxies, newest);
+    group.wait_until_in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
     let report = audit(&records);
     assert_eq!(report.violations, []);
@@ -274,9 +283,9 @@
 fn without_a_majority_commands_fail_fast_and_proxies_run_and_start_on_their_last_version() {
     let mut group = Group::start(3);
     let mut proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, first);
-    let (owner, _) = group.owner();
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, first);
+    let (owner, _) = group.lease_holder();
     let left = group.nodes.iter().map(|it| it.number).find(|it| *it != owner).unwrap();
     for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
         group.node_mut(number).kill();
@@ -285,7 +294,7 @@
     let why = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
     assert!(why.contains("no majority") || why.contains("cannot be reached"), "{why}");
     assert!(asked.elapsed() < Duration::from_secs(15), "{:?}", asked.elapsed());
-    wait("it says that there is no majority", || {
+    wait_until("it says that there is no majority", || {
         group.publish("limits { max_open: 12 }", "b", at_once()).is_err_and(|why| why.contains("no majority"))
     });
     proxies[0].kill();
@@ -296,16 +305,19 @@
     for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
         group.node_mut(number).start();
     }
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
-    group.in_force(&proxies, second);
-    group.in_force(std::slice::from_ref(&fresh), second);
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.wait_until_in_force(&proxies, second);
+    group.wait_until_in_force(std::slice::from_ref(&fresh), second);
 }
 
 #[test]
 fn two_services_that_restart_with_swapped_addresses_are_identified_correctly() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1), group.proxy("n2", 2)];
-    group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
+    group.wait_until_in_force(
+        &proxies,
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+    );
     let (one, other) = (1, 2);
     group.nodes[one].kill();
     group.nodes[other].kill();
@@ -320,11 +332,11 @@
     group.nodes[one].start();
     group.nodes[other].start();
     for number in [1, 2, 3] {
-        wait("all hear all", || group.heard(number).len() == 3);
+        wait_until("all hear all", || group.known_members(number).len() == 3);
     }
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
-    group.in_force(&proxies, second);
-    group.settled();
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.wait_until_in_force(&proxies, second);
+    group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1", "n2"])).violations, []);
 }
 
@@ -332,16 +344,18 @@
 fn a_service_with_an_old_store_is_refused_by_its_generation_file_and_by_its_peers() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
-    group.published("limits { max_open: 11 }", "a", at_once());
+    group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
     let folder = group.nodes[2].folder.clone();
     let (store, seal) = (folder.join("versions.redb"), folder.join("versions.redb.seal"));
     group.nodes[2].kill();
     let yesterday = std::fs::read(&store).unwrap();
     let sealed = std::fs::read(&seal).unwrap();
     group.nodes[2].start();
-    wait("the others know of its start", || group.heard(1).contains(&3) && group.heard(2).contains(&3));
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
-    group.settled();
+    wait_until("the others know of its start", || {
+        group.known_members(1).contains(&3) && group.known_members(2).contains(&3)
+    });
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.wait_for_equal_versions();
     group.nodes[2].kill();
     // Only the store: its seal tells. Both: the others tell.
     for both in [false, true] {
@@ -350,7 +364,7 @@
             std::fs::write(&seal, &sealed).unwrap();
         }
         group.nodes[2].start();
-        wait("it has ended", || group.nodes[2].has_ended());
+        wait_until("it has ended", || group.nodes[2].has_ended());
         let log = group.nodes[2].log();
         let last = log.lines().last().unwrap_or_default();
         let wanted = if both { "a later start of member 3 is known" } else { "older than its seal" };
@@ -361,8 +375,8 @@
     group.until_done(call::What::RemoveMember(3));
     group.nodes.pop();
     group.add(4);
-    wait("the new one has all", || group.node(4).versions().len() == 2);
-    group.in_force(&proxies, second);
+    wait_until("the new one has all", || group.node(4).versions().len() == 2);
+    group.wait_until_in_force(&proxies, second);
     let again = group.nodes[0].call(call::What::AddMember(gaugestep_config::schema::Member {
         number: 3,
         listen: "127.0.0.1:1".into(),
@@ -375,36 +389,39 @@
 fn a_leader_with_a_full_disk_steps_down_and_returns_when_there_is_space() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
-    let (owner, _) = group.owner();
+    group.wait_until_in_force(
+        &proxies,
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+    );
+    let (owner, _) = group.lease_holder();
     // No file of its may grow any more.
     let node = group.node_mut(owner);
     node.kill();
     let blocks = std::fs::metadata(node.store()).unwrap().len() / 512;
     node.shell = format!("trap '' XFSZ; ulimit -f {blocks};");
     node.start();
-    group.owner();
-    let _ = group.hand_over(owner);
+    group.lease_holder();
+    let _ = group.transfer_role(owner);
     let long: String = (0..400)
         .map(|at| format!("routes {{ name: \"route-{at}\" classes: \"c{at}\" targets {{ engine: \"e-{at}\" }} otherwise: ANY }}\n"))
         .collect();
     let mut newest = 0;
-    wait("its store cannot be written", || {
+    wait_until("its store cannot be written", || {
         newest += 1;
         let document = format!("{long} limits {{ max_open: {} }}", 100 + newest);
-        group.published(&document, &format!("long-{newest}"), at_once());
+        group.publish_until_acknowledged(&document, &format!("long-{newest}"), at_once());
         group.node(owner).log().contains("the store cannot be used")
     });
-    let after = group.published("limits { max_open: 12 }", "after", at_once());
+    let after = group.publish_until_acknowledged("limits { max_open: 12 }", "after", at_once());
     for proxy in &proxies {
         // A long one that the proxies had turned down may be rolled back behind it.
-        wait("it is in force, or what follows it", || version(proxy) >= Some(after));
+        wait_until("it is in force, or what follows it", || version(proxy) >= Some(after));
     }
     let node = group.node_mut(owner);
     node.kill();
     node.shell.clear();
     node.start();
-    group.settled();
+    group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
@@ -412,31 +429,31 @@
 fn a_proxy_that_has_seen_a_higher_term_than_any_service_follows_none_until_a_takeover() {
     let mut group = Group::start(1);
     let mut proxies = [group.proxy("n0", 0)];
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, first);
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, first);
     // Its folder is of another fleet's proxy, whose owner has come further.
     let other = Group::start(1);
     for _ in 0..3 {
         other.until_done(call::What::TakeOver("versions".into()));
     }
     let there = other.proxy("n0", 0);
-    wait("the term is kept there", || term(&there).unwrap_or(0) >= 4);
+    wait_until("the term is kept there", || term(&there).unwrap_or(0) >= 4);
     let high = term(&there).unwrap();
     drop(there);
     proxies[0].kill();
     let (from, to) = (other.folder.path().join("proxy-n0/terms"), group.folder.path().join("proxy-n0/terms"));
     std::fs::copy(from.join("current"), to.join("current")).unwrap();
     proxies[0].restart();
-    wait("it is shown to be beyond", || {
+    wait_until("it is shown to be beyond", || {
         group.status().is_some_and(|it| it.proxies.iter().any(|one| one.beyond == high))
     });
     let why = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
     assert!(why.contains("take-over"), "{why}");
     assert_eq!(version(&proxies[0]), Some(first), "it goes on under what it has");
     group.until_done(call::What::TakeOver("versions".into()));
-    assert!(group.owner().1 > high);
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
-    group.in_force(&proxies, second);
+    assert!(group.lease_holder().1 > high);
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.wait_until_in_force(&proxies, second);
     group.node_mut(1).kill();
 }
 
@@ -444,29 +461,35 @@
 fn a_proxy_that_reports_the_highest_possible_term_neither_blocks_the_fleet_nor_exhausts_terms() {
     let group = Group::start(1);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 0)];
-    group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
+    group.wait_until_in_force(
+        &proxies,
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+    );
     let seen = vec![Seen { duty: "versions".into(), term: u64::MAX }];
     let _odd = say_hello(&group, Hello { proxy: "odd".into(), seen, ..Hello::default() });
-    wait("it is shown", || {
+    wait_until("it is shown", || {
         group.status().is_some_and(|it| it.proxies.iter().any(|one| one.beyond == u64::MAX))
     });
-    let (_, before) = group.owner();
+    let (_, before) = group.lease_holder();
     group.until_done(call::What::TakeOver("versions".into()));
-    assert_eq!(group.owner().1, before + 1, "a term that nobody can have come to is not gone above");
-    group.in_force(&proxies, group.published("limits { max_open: 12 }", "b", at_once()));
+    assert_eq!(group.lease_holder().1, before + 1, "a term that nobody can have come to is not gone above");
+    group.wait_until_in_force(
+        &proxies,
+        group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once()),
+    );
 }
 
 #[test]
 fn a_command_in_flight_across_a_change_of_leader_is_executed_once() {
     let group = Group::start(3);
-    let publisher = Publisher::start(group.service(&group.but(0)), Duration::ZERO);
+    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::ZERO);
     let (mut changes, began) = (0, Instant::now());
     // As many as a slow machine gets done, and no fewer than ten.
     while changes < 10 || began.elapsed() < Duration::from_secs(1) {
-        changes += u32::from(group.hand_over(0).is_ok());
+        changes += u32::from(group.transfer_role(0).is_ok());
     }
     let mut records = publisher.end();
-    group.settled();
+    group.wait_for_equal_versions();
     records.extend(group.records(&[]));
     let report = audit(&records);
     assert_eq!(report.violations, []);
@@ -477,15 +500,15 @@
 fn fifty_consecutive_changes_of_leader_under_publications_leave_one_history() {
     let group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(100));
-    let (_, first) = group.owner();
-    while group.owner().1 < first + 50 {
-        let _ = group.hand_over(0);
+    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(100));
+    let (_, first) = group.lease_holder();
+    while group.lease_holder().1 < first + 50 {
+        let _ = group.transfer_role(0);
     }
     let mut records = publisher.end();
-    group.settled();
+    group.wait_for_equal_versions();
     let newest = group.nodes[0].versions().first().map_or(0, |it| it.0);
-    group.in_force(&proxies, newest);
+    group.wait_until_in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
     let report = audit(&records);
     assert_eq!(report.violations, []);
@@ -503,50 +526,51 @@
         group.node_mut(old).kill();
         group.node_mut(old).out = "owner";
         group.node_mut(old).start();
-        wait("it owns the versions", || {
-            group.owner().0 == old || (group.hand_over(old).is_ok() && group.owner().0 == old)
+        wait_until("it owns the versions", || {
+            group.lease_holder().0 == old
+                || (group.transfer_role(old).is_ok() && group.lease_holder().0 == old)
         });
         let proxies = [group.proxy_without(out, "n0", "n0", 0), group.proxy_without(out, "n1", "n1", 0)];
-        let first = group.published("limits { max_open: 11 }", "a", at_once());
-        group.in_force(&proxies, first);
+        let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+        group.wait_until_in_force(&proxies, first);
         // One proxy is away while the next version goes to all that are here, and is held.
-        group.only_away("n1", &[1, 2, 3]);
-        wait("it is away", || {
-            proxies[1].figures().pointer("/configuration/connected") == Some(&false.into())
+        group.partition_proxy_only_from("n1", &[1, 2, 3]);
+        wait_until("it is away", || {
+            proxies[1].statistics().pointer("/configuration/connected") == Some(&false.into())
         });
         let hold = Plan { hold_ms: 3_600_000, ..Plan::default() };
-        let overtaken = group.published("limits { max_open: 12 }", "b", hold);
-        group.in_force(&proxies[..1], overtaken);
+        let overtaken = group.publish_until_acknowledged("limits { max_open: 12 }", "b", hold);
+        group.wait_until_in_force(&proxies[..1], overtaken);
         // Its owner is cut off; the next one publishes a version that only the first proxy gets.
         group.isolate(old);
-        group.only_away("n0", &[old]);
-        let (_, next) = group.owner_beside(old);
-        wait("the first proxy follows the new owner", || term(&proxies[0]) == Some(next));
+        group.partition_proxy_only_from("n0", &[old]);
+        let (_, next) = group.successor_of(old);
+        wait_until("the first proxy follows the new owner", || term(&proxies[0]) == Some(next));
         let staged = Plan { first: 1, hold_ms: 3_600_000, ..Plan::default() };
-        let others = group.service(&group.but(old));
+        let others = group.service(&group.all_except(old));
         let publish = gaugestep_config::schema::Publish {
             document: Some(gaugestep_config::text::parse("limits { max_open: 13 }").unwrap()),
             key: "c".into(),
             plan: Some(staged),
             ..Default::default()
         };
-        wait("the new owner publishes", || {
+        wait_until("the new owner publishes", || {
             others.call(&call::What::Publish(publish.clone()), Delivery::AtLeastOnce).is_ok()
         });
-        group.in_force(&proxies[..1], overtaken + 1);
-        group.only_away("n1", &[old]);
-        wait("the other proxy follows the new owner too", || term(&proxies[1]) == Some(next));
+        group.wait_until_in_force(&proxies[..1], overtaken + 1);
+        group.partition_proxy_only_from("n1", &[old]);
+        wait_until("the other proxy follows the new owner too", || term(&proxies[1]) == Some(next));
         assert_eq!(version(&proxies[1]), Some(first));
         // And now it meets the old owner alone, which knows of none of this.
-        group.only_away("n1", &group.but(old));
+        group.partition_proxy_only_from("n1", &group.all_except(old));
         match out {
             "" => {
                 let refused = |line: &serde_json::Value| line["code"] == "stale-term";
-                wait("it refuses the old owner", || group.lines("n1").iter().any(refused));
+                wait_until("it refuses the old owner", || group.log_lines("n1").iter().any(refused));
                 assert_eq!(version(&proxies[1]), Some(first));
-                assert!(proxies[1].figure("/configuration/stale_refused") > Some(0));
+                assert!(proxies[1].statistic("/configuration/stale_refused") > Some(0));
             }
-            _ => group.in_force(&proxies[1..], overtaken),
+            _ => group.wait_until_in_force(&proxies[1..], overtaken),
         }
         let violations = audit(&group.records(&["n0", "n1"])).violations;
         let harm = violations
@@ -560,8 +584,8 @@
 fn a_group_grows_to_three_and_shrinks_to_one_and_replaces_a_dead_member() {
     let mut group = Group::start(1);
     let proxies = [group.proxy("n0", 0)];
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, first);
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, first);
     group.add(2);
     group.add(3);
     assert_eq!(group.node(3).versions().len(), 1, "what one had, three have");
@@ -569,20 +593,20 @@
     group.until_done(call::What::RemoveMember(3));
     group.nodes.pop();
     group.add(4);
-    let (owner, _) = group.owner();
-    group.published("limits { max_open: 12 }", "b", at_once());
+    let (owner, _) = group.lease_holder();
+    group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     group.until_done(call::What::RemoveMember(if owner == 2 { 4 } else { 2 }));
     let gone = if owner == 2 { 4 } else { 2 };
-    wait("the one that was removed ends", || group.node_mut(gone).has_ended());
+    wait_until("the one that was removed ends", || group.node_mut(gone).has_ended());
     group.nodes.retain(|node| node.number != gone);
     let rest: Vec<u64> = group.nodes.iter().map(|it| it.number).filter(|it| *it != 1).collect();
     for number in rest {
         group.until_done(call::What::RemoveMember(number));
-        wait("it ends too", || group.node_mut(number).has_ended());
+        wait_until("it ends too", || group.node_mut(number).has_ended());
         group.nodes.retain(|node| node.number != number);
     }
-    let last = group.published("limits { max_open: 13 }", "c", at_once());
-    group.in_force(&proxies, last);
+    let last = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
+    group.wait_until_in_force(&proxies, last);
     assert!(group.nodes[0].call(call::What::RemoveMember(1)).unwrap_err().contains("last member"));
     assert_eq!(audit(&group.records(&["n0"])).violations, []);
 }
@@ -591,18 +615,18 @@
 fn a_service_that_is_terminated_transfers_its_roles_first() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
-    let (old, term) = group.owner();
+    let (old, term) = group.lease_holder();
     let ended = group.node_mut(old).process.take().unwrap().terminate().unwrap();
     assert!(ended.success());
-    let (next, later) = group.owner_beside(old);
+    let (next, later) = group.successor_of(old);
     assert_eq!(later, term + 1);
     let assigned = |log: String| log.lines().any(|line| line.contains("assigns a duty"));
     assert!(
-        group.but(old).into_iter().all(|it| !assigned(group.node(it).log())),
+        group.all_except(old).into_iter().all(|it| !assigned(group.node(it).log())),
         "nobody had to wait for a lease"
     );
-    let number = group.published("limits { max_open: 11 }", "a", at_once());
-    group.in_force(&proxies, number);
+    let number = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    group.wait_until_in_force(&proxies, number);
     assert_ne!(next, old);
 }
 
@@ -610,25 +634,28 @@
 fn five_services_keep_working_with_two_dead_and_a_third_cut_off_for_a_while() {
     let mut group = Group::start(5);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 3)];
-    group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
-    let (owner, _) = group.owner();
+    group.wait_until_in_force(
+        &proxies,
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+    );
+    let (owner, _) = group.lease_holder();
     group.node_mut(owner).kill();
-    let (next, _) = group.owner_beside(owner);
+    let (next, _) = group.successor_of(owner);
     group.node_mut(next).kill();
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
-    group.in_force(&proxies, second);
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.wait_until_in_force(&proxies, second);
     // Three are left, and all of them are needed.
     let left = group.nodes.iter().find(|node| node.runs()).unwrap().number;
     group.isolate(left);
-    wait("there is no majority", || group.publish("limits { max_open: 13 }", "c", at_once()).is_err());
+    wait_until("there is no majority", || group.publish("limits { max_open: 13 }", "c", at_once()).is_err());
     // What was under way at the moment of the cut may have been agreed on still.
     assert!(proxies.iter().all(|proxy| version(proxy) >= Some(second)));
     group.net.heal_all();
-    let third = group.published("limits { max_open: 13 }", "c", at_once());
-    group.in_force(&proxies, third);
+    let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
+    group.wait_until_in_force(&proxies, third);
     group.node_mut(owner).start();
     group.node_mut(next).start();
-    group.settled();
+    group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
@@ -661,29 +688,29 @@
     }
     group.node_mut(1).start();
     let proxies = [group.proxy("n0", 0)];
-    group.in_force(&proxies, 5);
-    assert!(group.lines("n0").iter().any(|line| line["lineage"] == 77));
-    let next = group.published("limits { max_open: 18 }", "a", at_once());
+    group.wait_until_in_force(&proxies, 5);
+    assert!(group.log_lines("n0").iter().any(|line| line["lineage"] == 77));
+    let next = group.publish_until_acknowledged("limits { max_open: 18 }", "a", at_once());
     assert_eq!(next, 6);
-    group.in_force(&proxies, next);
+    group.wait_until_in_force(&proxies, next);
 }
 
 /// More is agreed on while a member is away than anybody keeps as a log: it is sent all of it, and every member lets go.
 #[test]
 fn a_member_that_lags_behind_the_compacted_log_receives_a_snapshot() {
     let mut group = Group::start(3);
-    let first = group.published("limits { max_open: 11 }", "a", at_once());
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
     group.node_mut(3).kill();
-    group.owner();
+    group.lease_holder();
     for _ in 0..1_500 {
         group.until_done(call::What::Declare("further".into()));
     }
-    let second = group.published("limits { max_open: 12 }", "b", at_once());
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     let took = |group: &Group| group.node(3).log().matches("took all that is agreed").count();
     let before = took(&group);
     group.node_mut(3).start();
-    wait("it has been sent all of it", || took(&group) > before);
-    group.settled();
+    wait_until("it has been sent all of it", || took(&group) > before);
+    group.wait_for_equal_versions();
     // Those that were there hold no more of the log either, whoever led; what they stored of it starts anew too.
     for number in [1, 2] {
         group.node_mut(number).kill();
@@ -694,7 +721,7 @@
         drop(store);
         group.node_mut(number).start();
     }
-    group.settled();
+    group.wait_for_equal_versions();
     assert_eq!(group.nodes[0].versions().iter().map(|it| it.0).collect::<Vec<_>>(), [second, first]);
 }
 
@@ -707,7 +734,7 @@
     let owners = |group: &Group| {
         let asked = group.nodes.iter().find(|node| node.runs()).unwrap();
         asked
-            .duties()
+            .roles()
             .into_iter()
             .map(|it| (it.name, (it.owner, it.changes)))
             .collect::<std::collections::BTreeMap<_, _>>()
@@ -721,15 +748,15 @@
         counts.sort_unstable();
         counts == parts
     };
-    wait("nine duties are spread over three", || even(&group, &[3, 3, 3]));
+    wait_until("nine duties are spread over three", || even(&group, &[3, 3, 3]));
     let before = owners(&group);
     group.node_mut(3).kill();
-    wait("two have them all", || even(&group, &[4, 5]));
+    wait_until("two have them all", || even(&group, &[4, 5]));
     let after = owners(&group);
     let moved = before.iter().filter(|(name, owner)| after[*name].0 != owner.0).count();
     assert_eq!(moved, 3, "only those of the dead one move");
     group.node_mut(3).start();
-    wait("three have them again", || even(&group, &[3, 3, 3]));
+    wait_until("three have them again", || even(&group, &[3, 3, 3]));
     let changes =
         |owners: &std::collections::BTreeMap<String, (u64, u64)>| owners.values().map(|it| it.1).sum::<u64>();
     assert_eq!(changes(&owners(&group)) - changes(&after), 3, "and three come back");
@@ -741,14 +768,14 @@
     let mut group = Group::start(3);
     let names: Vec<String> = (0..3).map(|at| format!("n{at}")).collect();
     let proxies: Vec<Proxy> = names.iter().enumerate().map(|(at, name)| group.proxy(name, at)).collect();
-    let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(100));
+    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(100));
     group.play(&Schedule::draw(seed, 3, 3, faults), &names);
     // All is healed: there is one owner again, it publishes, and everybody comes to what it published.
-    group.owner();
+    group.lease_holder();
     let mut records = publisher.end();
-    let last = group.published("limits { max_open: 9 }", "last", Plan::default());
-    group.in_force(&proxies, last);
-    group.settled();
+    let last = group.publish_until_acknowledged("limits { max_open: 9 }", "last", Plan::default());
+    group.wait_until_in_force(&proxies, last);
+    group.wait_for_equal_versions();
     assert!(group.nodes.iter_mut().all(|node| !node.has_ended()), "no process ends by itself");
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     records.extend(group.records(&names));
@@ -760,8 +787,8 @@
 /// A few schedules; `GAUGESTEP_SEED` names another one to replay.
 #[test]
 fn seeded_fault_schedules_leave_one_history() {
-    let told = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
-    let seeds = told.map_or(vec![1, 2], |seed| vec![seed]);
+    let configured = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
+    let seeds = configured.map_or(vec![1, 2], |seed| vec![seed]);
     for seed in seeds {
         let report = storm(seed, 10);
         assert!(report.acknowledged > 0, "{report:?}");
--- a/tests/ordinals.rs
+++ b/tests/ordinals.rs
@@ -13,7 +13,7 @@
 use gaugestep_testbed::faults::Schedule;
 use gaugestep_testbed::fleet_audit::{OrdinalConflict, OrdinalGrant, ordinal_conflicts};
 use gaugestep_testbed::network::{Link, LinkFault};
-use group::{Group, wait};
+use group::{Group, wait_until};
 use oorandom::Rand64;
 use proxy::Proxy;
 
@@ -22,12 +22,12 @@
     let group = Group::start(services);
     group.until_done(call::What::Declare(ORDINALS_ROLE.into()));
     let logging = "logging { level: INFO parts { name: \"gaugestep_control::follow\" level: DEBUG } }";
-    group.published(logging, "logging", Plan::default());
+    group.publish_until_acknowledged(logging, "logging", Plan::default());
     group
 }
 
 fn seat(proxy: &Proxy) -> Option<u64> {
-    proxy.figure("/configuration/seat/seat")
+    proxy.statistic("/configuration/seat/seat")
 }
 
 fn start(group: &Group, names: &[String]) -> Vec<Proxy> {
@@ -44,7 +44,7 @@
     for folder in folders {
         // A process that was started anew under the same name is another one: its first line says so.
         let mut starts = 0;
-        for line in group.lines(folder) {
+        for line in group.log_lines(folder) {
             let number = |key: &str| line[key].as_u64().unwrap_or(0);
             match line["message"].as_str() {
                 Some("serving") => starts += 1,
@@ -76,28 +76,28 @@
     let mut group = group(3);
     let mut known = names(0, 12);
     let mut proxies = start(&group, &known);
-    group.seated(&proxies.iter().collect::<Vec<_>>(), 12);
+    group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 12);
     // A restart keeps the seat.
     let before = seat(&proxies[5]);
     proxies[5].kill();
     proxies[5].restart();
-    wait("it has a seat again", || seat(&proxies[5]).is_some());
+    wait_until("it has a seat again", || seat(&proxies[5]).is_some());
     assert_eq!(seat(&proxies[5]), before);
     // A third at one moment, two stopped, and the keeper with them.
     for killed in [0, 3, 6, 9] {
         proxies[killed].kill();
     }
     for stopped in [1, 2] {
-        proxies[stopped].pause();
+        proxies[stopped].suspend();
     }
     let keeper = |group: &Group, but: u64| {
         let asked = group.nodes.iter().filter(|node| node.number != but && node.runs());
-        let told = asked.flat_map(|node| node.duties()).filter(|it| it.name == ORDINALS_ROLE);
-        told.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
+        let answer = asked.flat_map(|node| node.roles()).filter(|it| it.name == ORDINALS_ROLE);
+        answer.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
     };
     let (old, old_term) = keeper(&group, 0);
-    group.node_mut(old).stop();
-    wait("another one keeps the roster", || {
+    group.node_mut(old).suspend();
+    wait_until("another one keeps the roster", || {
         let (owner, term) = keeper(&group, old);
         owner != old && owner > 0 && term > old_term
     });
@@ -106,15 +106,15 @@
     proxies.extend(start(&group, &known[12..]));
     let left: Vec<usize> = vec![4, 5, 7, 8, 10, 11, 12, 13, 14];
     let here: Vec<&Proxy> = left.iter().map(|at| &proxies[*at]).collect();
-    group.seated(&here, 9);
-    group.node_mut(old).go_on();
+    group.wait_for_ordinals(&here, 9);
+    group.node_mut(old).resume();
     // They wake up and believe to have seats that are others' by now.
     for stopped in [1, 2] {
-        proxies[stopped].go_on();
+        proxies[stopped].resume();
     }
     let all: Vec<&Proxy> = here.into_iter().chain([&proxies[1], &proxies[2]]).collect();
-    group.seated(&all, 11);
-    let terms: Vec<u64> = all.iter().filter_map(|it| it.figure("/configuration/seat/term")).collect();
+    group.wait_for_ordinals(&all, 11);
+    let terms: Vec<u64> = all.iter().filter_map(|it| it.statistic("/configuration/seat/term")).collect();
     assert!(terms.iter().all(|term| *term > old_term), "{terms:?}, {old_term} before");
     assert_eq!(conflicts(&group, &known), []);
 }
@@ -124,22 +124,24 @@
     let group = group(3);
     let known = names(0, 4);
     let proxies = start(&group, &known);
-    group.seated(&proxies.iter().collect::<Vec<_>>(), 4);
+    group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 4);
     let before = seat(&proxies[0]);
     // What it says does not arrive, what it is told does.
     for node in &group.nodes {
         group.net.set("n0", &node.name(), Link { forward: LinkFault::Stalled, ..Link::default() });
     }
-    wait("it goes by its name", || seat(&proxies[0]).is_none());
-    wait("it says so", || group.lines("n0").iter().any(|line| line["message"] == "no seat any more"));
+    wait_until("it goes by its name", || seat(&proxies[0]).is_none());
+    wait_until("it says so", || {
+        group.log_lines("n0").iter().any(|line| line["message"] == "no seat any more")
+    });
     // All services gone: the others go on for a while, then by their names, and serve all the same.
     let mut group = group;
-    group.nodes.iter_mut().for_each(|node| node.stop());
-    wait("nobody has a seat", || proxies.iter().all(|proxy| seat(proxy).is_none()));
+    group.nodes.iter_mut().for_each(|node| node.suspend());
+    wait_until("nobody has a seat", || proxies.iter().all(|proxy| seat(proxy).is_none()));
     assert!(proxies.iter().all(|proxy| proxy.client().ask("") == "I"));
-    group.nodes.iter_mut().for_each(|node| node.go_on());
+    group.nodes.iter_mut().for_each(|node| node.resume());
     group.net.heal_all();
-    group.seated(&proxies.iter().collect::<Vec<_>>(), 4);
+    group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 4);
     assert!(before.is_some());
     assert_eq!(conflicts(&group, &known), []);
 }
@@ -151,13 +153,15 @@
     let mut known = names(0, 3);
     let careless = group.proxy_without("seat", "n0", "n0", 0);
     let other = group.proxy("n1", 0);
-    group.seated(&[&careless, &other], 2);
-    careless.pause();
+    group.wait_for_ordinals(&[&careless, &other], 2);
+    careless.suspend();
     let late = group.proxy("n2", 0);
-    wait("the newcomer has a seat for good", || seat(&late).is_some() && group.nodes[0].seats().len() == 2);
-    careless.go_on();
+    wait_until("the newcomer has a seat for good", || {
+        seat(&late).is_some() && group.nodes[0].ordinals().len() == 2
+    });
+    careless.resume();
     known.truncate(3);
-    wait("the audit finds it", || {
+    wait_until("the audit finds it", || {
         conflicts(&group, &known).iter().any(|one| one.processes[0].starts_with("n0/"))
     });
 }
@@ -165,8 +169,8 @@
 /// Faults of services and proxies from a seed: `GAUGESTEP_SEED` names one to replay.
 #[test]
 fn seeded_fault_schedules_leave_ordinals_unique_and_every_proxy_with_one() {
-    let told = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
-    let seed: u64 = told.unwrap_or(11);
+    let configured = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
+    let seed: u64 = configured.unwrap_or(11);
     eprintln!("seed {seed}");
     let mut group = group(3);
     let known = names(0, 10);
@@ -182,16 +186,16 @@
                     proxies[one].kill();
                     proxies[one].restart();
                 }
-                1 if stopped.insert(one) => proxies[one].pause(),
-                _ if stopped.remove(&one) => proxies[one].go_on(),
+                1 if stopped.insert(one) => proxies[one].suspend(),
+                _ if stopped.remove(&one) => proxies[one].resume(),
                 _ => {}
             }
         }
         group.play(&schedule, &known);
         let _ = group.call(call::What::HandOver(HandOver { duty: ORDINALS_ROLE.into(), to: 0 }));
     }
-    stopped.iter().for_each(|one| proxies[*one].go_on());
-    group.seated(&proxies.iter().collect::<Vec<_>>(), 10);
+    stopped.iter().for_each(|one| proxies[*one].resume());
+    group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 10);
     assert_eq!(conflicts(&group, &known), [], "seed {seed}");
     assert!(group.nodes.iter_mut().all(|node| !node.has_ended()), "no process ends by itself");
 }
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -6,7 +6,7 @@
 use std::io::Write as _;
 use std::net::TcpStream;
 
-use proxy::{Client, Coordinator, Database, Proxy, event, query, rest};
+use proxy::{Client, Coordinator, Database, Proxy, event, query, read_to_close};
 
 #[test]
 fn a_result_of_two_pages_is_served_completely_and_the_statement_is_forwarded_unchanged() {
@@ -19,9 +19,9 @@
     assert_eq!(serve[1], format!("{:016x}", 1));
     assert!(serve[2].starts_with("queue=lookup,budget="), "{}", serve[2]);
     assert_eq!(serve[4], "SELECT a FROM sales_17.orders");
-    lines.say(&serve[1], "HIT", "total=2,elapsed=5,rss=8,use=q:0;rif:1;x0:0.1", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=2,elapsed=5,rss=8,use=q:0;rif:1;x0:0.1", "a\tb\tc\n");
     assert_eq!(lines.command(), ["read", &serve[1], "1"]);
-    lines.say(&serve[1], "PART", "index=1", "d\te\tf\n");
+    lines.send(&serve[1], "PART", "index=1", "d\te\tf\n");
     assert_eq!(client.answer(), "TDDC");
 }
 
@@ -55,7 +55,7 @@
     client.send(&query("load", 2, 900));
     let mut lines = second.accept();
     let serve = lines.command();
-    lines.say(&serve[1], "SHED", "-", "");
+    lines.send(&serve[1], "SHED", "-", "");
     assert!(client.answer().starts_with("E 53000 refused"));
 }
 
@@ -72,8 +72,8 @@
     assert_eq!(client.ask(" ; "), "I");
     let mut garbage = Client::open(proxy.address);
     garbage.socket.write_all(b"Q\x7f\xff\xff\xff").unwrap();
-    let told = rest(&garbage.socket);
-    assert!(told.contains("54000"), "{told:?}");
+    let response = read_to_close(&garbage.socket);
+    assert!(response.contains("54000"), "{response:?}");
     for bad in ["budget=1e9", "budget=50,est=1e12", "budget=50,est=-1", "budget=50,space=NaN", "budget=inf"] {
         let text = format!("/* method=lookup,rid={:016x},{bad} */ SELECT a FROM sales_17.orders", 1);
         assert!(client.ask(&text).starts_with("E 42601"), "{bad}");
@@ -116,10 +116,10 @@
     let serve = lines.command();
     let answer = std::thread::spawn(move || {
         std::thread::sleep(std::time::Duration::from_millis(1_500));
-        lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
-        (client.answer(), rest(&client.socket))
+        lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+        (client.answer(), read_to_close(&client.socket))
     });
-    assert!(proxy.stop().success());
+    assert!(proxy.terminate().success());
     let (answer, rest) = answer.join().unwrap();
     assert_eq!(answer, "TDC");
     assert!(rest.contains("57P03"), "what comes behind the window is refused: {rest:?}");
@@ -142,12 +142,12 @@
     let gone = [first.member("s-0", "DRAINING"), second.member("s-9", "SERVING")];
     stream.write_all(event(2, &gone).as_bytes()).unwrap();
     reached(&proxy, &second);
-    proxy.spoil_configuration();
+    proxy.load_invalid_configuration();
     proxy.reconfigure(&[&first], &new);
     let (_stream, last) = new.accept();
     assert_eq!(last, 2);
     assert_eq!(std::io::Read::read(&mut stream, &mut [0]).unwrap(), 0, "the old stream is shut");
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(client.answer(), "TDC");
     reached(&proxy, &second);
 }
@@ -158,15 +158,15 @@
     let (first, second) = (Database::new(), Database::new());
     let coordinator = Coordinator::new();
     let proxy = Proxy::follow(&[&first], Some(&coordinator));
-    let told = event(2, &[first.member("s-0", "DELETED"), second.member("s-9", "SERVING")]);
+    let notice = event(2, &[first.member("s-0", "DELETED"), second.member("s-9", "SERVING")]);
     let (mut stream, _) = coordinator.accept();
-    stream.write_all(&told.as_bytes()[..told.len() - 1]).unwrap();
+    stream.write_all(&notice.as_bytes()[..notice.len() - 1]).unwrap();
     drop(stream);
     coordinator.fail();
     let (mut stream, last) = coordinator.accept();
     assert_eq!(last, 1);
-    stream.write_all(told.as_bytes()).unwrap();
-    stream.write_all(told.as_bytes()).unwrap();
+    stream.write_all(notice.as_bytes()).unwrap();
+    stream.write_all(notice.as_bytes()).unwrap();
     reached(&proxy, &second);
 }
 
@@ -193,8 +193,8 @@
     let mut half = proxy.client();
     let idle = &mut proxy.client();
     half.socket.write_all(b"Q\0\0\0\x20/* met").unwrap();
-    assert!(rest(&silent).contains("57014"));
-    assert!(rest(&half.socket).contains("57014"));
+    assert!(read_to_close(&silent).contains("57014"));
+    assert!(read_to_close(&half.socket).contains("57014"));
     assert_eq!(idle.ask(""), "I", "an idle session is left alone");
 }
 
@@ -207,7 +207,7 @@
     for _ in 0..600 {
         client.socket.write_all(&[b'x'; 10_000]).expect("the proxy goes on reading");
     }
-    assert!(rest(&client.socket).contains("54000"));
+    assert!(read_to_close(&client.socket).contains("54000"));
 }
 
 /// Guards the request that is open: the answer would go to whoever names its id.
@@ -220,7 +220,7 @@
     let mut lines = database.accept();
     let serve = lines.command();
     assert!(second.ask(&query("load", 1, 15_000)).starts_with("E 42710"));
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(first.answer(), "TDC");
 }
 
@@ -236,8 +236,8 @@
     // Two fifths of 256 descriptors are for sessions.
     let idle: Vec<Client> = (0..101).map(|_| proxy.client()).collect();
     assert_eq!(proxy.client().ask(""), "I");
-    assert_eq!(rest(&idle[0].socket), "");
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    assert_eq!(read_to_close(&idle[0].socket), "");
+    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(busy.answer(), "TDC");
 }
 
@@ -250,7 +250,7 @@
     safe.send(&query("lookup", 1, 60_000));
     load.send(&query("load", 2, 60_000));
     let _open = [database.accept().command(), database.accept().command()];
-    assert!(proxy.stop().success());
+    assert!(proxy.terminate().success());
     assert!(safe.answer().starts_with("E 53000"));
     assert!(load.answer().starts_with("E 58000"));
 }
@@ -264,11 +264,11 @@
     client.send(&query("lookup", 1, 15_000));
     let mut lines = database.accept();
     let serve = lines.command();
-    lines.say("00000000deadbeef", "HIT", "total=1", "x\ty\tz\n");
-    lines.say(&serve[1], "HIT", "total=2", "a\tb\tc\n");
-    lines.say(&serve[1], "HIT", "total=2", "a\tb\tc\n");
+    lines.send("00000000deadbeef", "HIT", "total=1", "x\ty\tz\n");
+    lines.send(&serve[1], "HIT", "total=2", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=2", "a\tb\tc\n");
     for _ in 0..2 {
-        lines.say(&serve[1], "PART", "index=1", "d\te\tf\n");
+        lines.send(&serve[1], "PART", "index=1", "d\te\tf\n");
     }
     assert_eq!(client.answer(), "TDDC");
     client.send(&query("lookup", 2, 15_000));
@@ -296,12 +296,12 @@
         let mut lines = database.accept();
         let id = lines.command()[1].clone();
         if word == "SHED" {
-            lines.say(&id, "HIT", "total=2", "a\tb\tc\n");
+            lines.send(&id, "HIT", "total=2", "a\tb\tc\n");
         }
-        lines.say(&id, word, fields, body);
+        lines.send(&id, word, fields, body);
         assert!(client.answer().starts_with("E 58000"), "{word} {fields} {body}");
     }
-    well.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    well.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(other.answer(), "TDC");
 }
 
@@ -346,10 +346,10 @@
     client.send(&query("lookup", 1, 15_000));
     let mut lines = first.accept();
     let serve = lines.command();
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(client.answer(), "TDC");
     stream.write_all(event(2, &[first.member("s-0", "DELETED")]).as_bytes()).unwrap();
-    assert_eq!(rest(lines.0.get_ref()), "", "the old connection is closed");
+    assert_eq!(read_to_close(lines.0.get_ref()), "", "the old connection is closed");
     stream.write_all(event(3, &[second.member("s-0", "SERVING")]).as_bytes()).unwrap();
     reached(&proxy, &second);
 }
@@ -368,6 +368,6 @@
 #[cfg(target_os = "linux")]
 #[test]
 fn the_descriptor_table_has_its_full_size_from_the_start() {
-    let room: usize = Proxy::roomy(900).status("FDSize:").parse().unwrap();
+    let room: usize = Proxy::with_descriptors(900).status("FDSize:").parse().unwrap();
     assert!(room >= 900, "room for {room}");
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -43,10 +43,10 @@
 
 use addresses::StoredAddresses;
 use agreed::Agreed;
-use control::{StandIn, offer, offering};
+use control::{ScriptedService, offer, offer_message};
 use files::{MEMBERS, PROXY, copy_proxy_state, copy_store, proxy_data};
 use generation_file::GenerationFile;
-use group::{Group, Node, wait};
+use group::{Group, Node, wait_until};
 use proxy::{Launch, Proxy, free_address};
 use records::Records;
 
@@ -110,11 +110,11 @@
 }
 
 fn version_in_force(proxy: &Proxy) -> Option<u64> {
-    proxy.figure("/configuration/version")
+    proxy.statistic("/configuration/version")
 }
 
 fn term_seen(proxy: &Proxy) -> Option<u64> {
-    proxy.figure("/configuration/term")
+    proxy.statistic("/configuration/term")
 }
 
 #[test]
@@ -128,15 +128,15 @@
     let proxy = group.proxy(PROXY, 0);
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
     assert_eq!(term_seen(&proxy), Some(stored_term(&proxy_data())));
-    assert_eq!(proxy.figures().pointer("/configuration/connected"), Some(&false.into()));
+    assert_eq!(proxy.statistics().pointer("/configuration/connected"), Some(&false.into()));
     let digest = stored.versions[0].digest.as_str();
-    assert_eq!(proxy.figures().pointer("/configuration/digest"), Some(&digest.into()));
+    assert_eq!(proxy.statistics().pointer("/configuration/digest"), Some(&digest.into()));
 
     group.nodes.iter_mut().for_each(Node::start);
-    group.owner();
-    group.settled();
+    group.lease_holder();
+    group.wait_for_equal_versions();
     for node in &group.nodes {
-        wait("every role has an owner", || {
+        wait_until("every role has an owner", || {
             let roles = Agreed::by_running(node).roles;
             !roles.is_empty() && roles.iter().all(|role| role.owner > 0)
         });
@@ -148,12 +148,12 @@
 
     let (again, _) = group.publish(SECOND_DOCUMENT, SECOND_KEY, Plan::default()).unwrap();
     assert_eq!(again, SECOND_VERSION, "its key is known: it is not published twice");
-    let third = group.published(THIRD_DOCUMENT, "third", Plan::default());
+    let third = group.publish_until_acknowledged(THIRD_DOCUMENT, "third", Plan::default());
     assert_eq!(third, THIRD_VERSION);
     let proxies = [proxy];
-    group.in_force(&proxies, third);
-    group.settled();
-    group.seated(&[&proxies[0]], 1);
+    group.wait_until_in_force(&proxies, third);
+    group.wait_for_equal_versions();
+    group.wait_for_ordinals(&[&proxies[0]], 1);
     for node in &group.nodes {
         let running = Agreed::by_running(node);
         assert_eq!(running.versions[1..], stored.versions);
@@ -171,7 +171,7 @@
         );
     }
     let state = proxy_state(&group);
-    wait("the third version is stored", || stored_version(&state, "current") == THIRD_VERSION);
+    wait_until("the third version is stored", || stored_version(&state, "current") == THIRD_VERSION);
     assert_eq!(stored_version(&state, "previous"), SECOND_VERSION);
     assert!(stored_term(&state) >= stored_term(&proxy_data()));
 }
@@ -183,24 +183,24 @@
     copy_proxy_state(&proxy_data(), &state);
     let seen = stored_term(&state);
     assert!(seen > 1, "there is a lower term");
-    let service = StandIn::new();
+    let service = ScriptedService::new();
     let operator = control::operator(folder.path(), service.0.local_addr().unwrap(), &state, "");
     // The stand-in answers later: the proxy starts without it.
     let proxy = Launch { operator: Some(operator), ..Launch::new(&[]) }.start();
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
 
-    let mut stream = service.accept_under(seen);
+    let mut stream = service.accept_with_term(seen);
     assert_eq!(stream.hello.in_force.as_ref().map(|version| version.number), Some(SECOND_VERSION));
     let hello_seen = stream.hello.seen.iter().find(|it| it.duty == CONFIGURATION_ROLE);
     assert_eq!(hello_seen.map(|it| it.term), Some(seen));
     let stale = Offer { term: seen - 1, ..offer(THIRD_VERSION, 1, THIRD_DOCUMENT) };
-    stream.say(&offering(stale));
+    stream.send(&offer_message(stale));
     assert_eq!(stream.answer(), (1, Some("stale-term".into())));
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
-    assert_eq!(proxy.figure("/configuration/stale_refused"), Some(1));
+    assert_eq!(proxy.statistic("/configuration/stale_refused"), Some(1));
 
     let present = Offer { term: seen, ..offer(THIRD_VERSION, 2, THIRD_DOCUMENT) };
-    stream.say(&offering(present));
+    stream.send(&offer_message(present));
     assert_eq!(stream.answer(), (2, None));
     assert_eq!(version_in_force(&proxy), Some(THIRD_VERSION));
 }
@@ -217,7 +217,7 @@
     command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).unwrap());
     let mut process = Process::start(&mut command).unwrap();
     let mut exit = None;
-    wait("a control service refuses the store", || {
+    wait_until("a control service refuses the store", || {
         exit = process.exit_status().unwrap();
         exit.is_some()
     });
@@ -301,18 +301,18 @@
         group.until_done(call::What::Declare(role.into()));
     }
     let mut proxies = [group.proxy(PROXY, 0)];
-    let first = group.published(FIRST_DOCUMENT, FIRST_KEY, Plan::default());
-    group.in_force(&proxies, first);
+    let first = group.publish_until_acknowledged(FIRST_DOCUMENT, FIRST_KEY, Plan::default());
+    group.wait_until_in_force(&proxies, first);
     restart_last_member(&mut group);
     raise_terms(&group);
     let plan = Plan { first: 1, share: 0.5, hold_ms: 100, refusals: Some(2), ..Plan::default() };
-    let second = group.published(SECOND_DOCUMENT, SECOND_KEY, plan);
-    group.in_force(&proxies, second);
-    wait("its rollout is complete", || group.state(second) == "COMPLETE");
-    group.seated(&[&proxies[0]], 1);
-    let (_, term) = group.owner();
-    wait("the proxy has seen the term", || term_seen(&proxies[0]) == Some(term));
-    group.settled();
+    let second = group.publish_until_acknowledged(SECOND_DOCUMENT, SECOND_KEY, plan);
+    group.wait_until_in_force(&proxies, second);
+    wait_until("its rollout is complete", || group.state(second) == "COMPLETE");
+    group.wait_for_ordinals(&[&proxies[0]], 1);
+    let (_, term) = group.lease_holder();
+    wait_until("the proxy has seen the term", || term_seen(&proxies[0]) == Some(term));
+    group.wait_for_equal_versions();
 
     proxies[0].kill();
     group.nodes[0].process.take().unwrap().terminate().unwrap();
@@ -326,10 +326,10 @@
     last.kill();
     last.start();
     let number = last.number;
-    wait("the others know of its start", || {
-        group.heard(1).contains(&number) && group.heard(2).contains(&number)
+    wait_until("the others know of its start", || {
+        group.known_members(1).contains(&number) && group.known_members(2).contains(&number)
     });
-    group.settled();
+    group.wait_for_equal_versions();
 }
 
 /// Hands each role over to each member in turn.
@@ -337,7 +337,7 @@
     for role in [CONFIGURATION_ROLE, ORDINALS_ROLE, REPORTS] {
         for to in MEMBERS {
             let owner = || Agreed::by_running(&group.nodes[0]).role(role).map_or(0, |it| it.owner);
-            wait("the role is handed over", || {
+            wait_until("the role is handed over", || {
                 let hand_over = HandOver { duty: role.into(), to };
                 owner() == to || (group.call(call::What::HandOver(hand_over)).is_ok() && owner() == to)
             });
--- a/tests/stored_data/agreed.rs
+++ b/tests/stored_data/agreed.rs
@@ -96,7 +96,7 @@
         let version = |(number, digest, key)| HeldVersion { number, digest, key };
         Agreed {
             members: members.into_iter().map(MemberAddresses::from).collect(),
-            roles: node.duties().into_iter().map(role).collect(),
+            roles: node.roles().into_iter().map(role).collect(),
             versions: node.versions().into_iter().map(version).collect(),
         }
     }
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use control::{Control, operator, until};
+use control::{Control, operator, wait_until};
 use proxy::{Launch, Proxy};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
@@ -21,17 +21,17 @@
 impl Authority {
     fn new(name: &str) -> Self {
         let key = KeyPair::generate().unwrap();
-        let mut told = CertificateParams::new(vec![name.to_owned()]).unwrap();
-        told.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-        let pem = told.self_signed(&key).unwrap().pem();
-        Authority { issuer: Issuer::new(told, key), pem }
+        let mut params = CertificateParams::new(vec![name.to_owned()]).unwrap();
+        params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
+        let pem = params.self_signed(&key).unwrap().pem();
+        Authority { issuer: Issuer::new(params, key), pem }
     }
 
     /// Writes a certificate for a name with its key, and this authority's own certificate beside them.
     fn sign(&self, folder: &Path, file: &str, name: &str) {
         let key = KeyPair::generate().unwrap();
-        let told = CertificateParams::new(vec![name.to_owned()]).unwrap();
-        let certificate = told.signed_by(&key, &self.issuer).unwrap();
+        let params = CertificateParams::new(vec![name.to_owned()]).unwrap();
+        let certificate = params.signed_by(&key, &self.issuer).unwrap();
         std::fs::write(folder.join(format!("{file}.key")), key.serialize_pem()).unwrap();
         std::fs::write(folder.join(format!("{file}.pem")), certificate.pem()).unwrap();
     }
@@ -74,7 +74,7 @@
     let mut client: Vec<String> =
         client.iter().map(|it| if it.starts_with("--") { (*it).to_owned() } else { path(it) }).collect();
     client.extend(["--service-name".to_owned(), name.to_owned()]);
-    Control::keyed(folder, extra, client)
+    Control::with_settings(folder, extra, client)
 }
 
 /// A proxy that shows the certificate of this name in its files.
@@ -86,7 +86,7 @@
 }
 
 fn in_force(proxy: &Proxy) -> u64 {
-    proxy.figure("/configuration/version").unwrap()
+    proxy.statistic("/configuration/version").unwrap()
 }
 
 #[test]
@@ -96,17 +96,17 @@
     let kept = tempfile::tempdir().unwrap();
     let proxy = proxy(&control, &kept, "n0");
     let first = control.publish("limits { max_open: 21 }", &[]);
-    until("the first is in force", || in_force(&proxy) == first);
+    wait_until("the first is in force", || in_force(&proxy) == first);
     // New keys on both sides, each file behind the other.
     proxies.sign(control.folder.path(), "service", "control.test");
     proxies.sign(control.folder.path(), "n0", "n0");
-    until("the service takes its new keys", || control.log().matches("keys reloaded").count() >= 2);
+    wait_until("the service takes its new keys", || control.log().matches("keys reloaded").count() >= 2);
     let second = control.publish("limits { max_open: 22 }", &[]);
-    until("the second is in force", || in_force(&proxy) == second);
+    wait_until("the second is in force", || in_force(&proxy) == second);
     assert_eq!(control.log().matches("proxy connected").count(), 1, "over the stream that was open");
     let kept = tempfile::tempdir().unwrap();
     let newcomer = self::proxy(&control, &kept, "n0");
-    until("a newcomer follows with the new keys", || in_force(&newcomer) == second);
+    wait_until("a newcomer follows with the new keys", || in_force(&newcomer) == second);
 }
 
 #[test]
@@ -119,7 +119,7 @@
     let kept: Vec<_> = (0..2).map(|_| tempfile::tempdir().unwrap()).collect();
     let refused: Vec<Proxy> =
         ["other", "foreign"].iter().zip(&kept).map(|(file, kept)| proxy(&control, kept, file)).collect();
-    until("the other proxy's name is told", || control.log().contains("does not carry the name 'n0'"));
+    wait_until("the other proxy's name is told", || control.log().contains("does not carry the name 'n0'"));
     // A proxy's key is no operator's.
     proxies.sign(folder, "n0", "n0");
     let path = |name: &str| folder.join(name).display().to_string();
@@ -145,7 +145,7 @@
     }
     let kept = tempfile::tempdir().unwrap();
     let believed = proxy(&control, &kept, "n0");
-    until("its own key is believed", || in_force(&believed) == number);
+    wait_until("its own key is believed", || in_force(&believed) == number);
 }
 
 /// Members show each other the service's certificate; one that shows a proxy's is of no group.
@@ -166,15 +166,15 @@
         let members = first.json(&["members"])["members"].clone();
         members.as_array().unwrap().iter().filter(|it| it["votes"] == true && it["here"] == true).count()
     };
-    until("both vote", || votes() == 2);
+    wait_until("both vote", || votes() == 2);
     let number = first.publish("limits { max_open: 21 }", &[]);
-    until("the second holds it", || second.json(&["list"])[0]["version"] == number);
+    wait_until("the second holds it", || second.json(&["list"])[0]["version"] == number);
     let third = of(3, true, "n0");
-    until("it is added, though it is never spoken to", || {
+    wait_until("it is added, though it is never spoken to", || {
         let (code, _, why) = add("3", &third);
         code == 0 || why.contains("is there already")
     });
-    until("its certificate is not believed", || first.log().contains("not valid for name"));
+    wait_until("its certificate is not believed", || first.log().contains("not valid for name"));
     assert_eq!(votes(), 2);
     assert_eq!(first.publish("limits { max_open: 22 }", &[]), number + 1, "and it holds nothing up");
 }
