--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -3,6 +3,8 @@
 use std::io;
 use std::net::SocketAddr;
 
+use crate::raft::error::ReplicaError;
+use crate::raft::transport::inbound::InboundError;
 use crate::transport::connection::ConnectionError;
 use crate::transport::tls::TlsError;
 
@@ -10,13 +12,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The replicated state cannot be used.
-    #[error("{0}")]
-    Replica(String),
+    #[error(transparent)]
+    Replica(#[from] ReplicaError),
     /// The keys cannot be used.
     #[error(transparent)]
     Keys(TlsError),
     /// An address cannot be listened on.
-    #[error("cannot listen on {address}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -24,7 +26,7 @@
         source: io::Error,
     },
     /// A thread or a coroutine cannot be started.
-    #[error("cannot start {what}")]
+    #[error("cannot start {what}: {source}")]
     Spawn {
         /// Which.
         what: &'static str,
@@ -40,6 +42,8 @@
     Io(#[from] io::Error),
     #[error(transparent)]
     Connection(#[from] ConnectionError),
+    #[error(transparent)]
+    Peer(#[from] InboundError),
     #[error("too many streams are open")]
     TooManySessions,
     #[error("too many calls are open")]
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -624,7 +624,7 @@
     assert!(ended.success());
     let (next, later) = group.successor_of(old);
     assert_eq!(later, term + 1);
-    let assigned = |log: String| log.lines().any(|line| line.contains("assigns a duty"));
+    let assigned = |log: String| log.lines().any(|line| line.contains("assigning a role"));
     assert!(
         group.all_except(old).into_iter().all(|it| !assigned(group.node(it).log())),
         "nobody had to wait for a lease"
@@ -710,7 +710,7 @@
         group.until_done(call::What::Declare("further".into()));
     }
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
-    let took = |group: &Group| group.node(3).log().matches("took all that is agreed").count();
+    let took = |group: &Group| group.node(3).log().matches("installed a snapshot of another member").count();
     let before = took(&group);
     group.node_mut(3).start();
     wait_until("it has been sent all of it", || took(&group) > before);
--- a/tests/ordinals.rs
+++ b/tests/ordinals.rs
@@ -49,10 +49,10 @@
             let number = |key: &str| line[key].as_u64().unwrap_or(0);
             match line["message"].as_str() {
                 Some("serving") => starts += 1,
-                Some("seat confirmed") => grants.push(OrdinalGrant {
+                Some("ordinal confirmed") => grants.push(OrdinalGrant {
                     process: format!("{folder}/{starts}"),
-                    ordinal: number("seat"),
-                    fleet_size: number("seats"),
+                    ordinal: number("ordinal"),
+                    fleet_size: number("fleet_size"),
                     epoch: number("epoch"),
                     from: line["at"].as_f64().unwrap_or(0.0),
                     until: line["until"].as_f64().unwrap_or(0.0),
@@ -132,9 +132,7 @@
         group.net.set("n0", &node.name(), Link { forward: LinkFault::Stalled, ..Link::default() });
     }
     wait_until("it falls back to its name", || ordinal(&proxies[0]).is_none());
-    wait_until("it logs it", || {
-        group.log_lines("n0").iter().any(|line| line["message"] == "no seat any more")
-    });
+    wait_until("it logs it", || group.log_lines("n0").iter().any(|line| line["message"] == "ordinal lost"));
     // All services are gone: the others keep their ordinals for a while, then fall back to their names, and serve all the same.
     let mut group = group;
     group.nodes.iter_mut().for_each(|node| node.suspend());
