--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -1,5 +1,5 @@
 //! A control service as a process, a scripted control service, and engines that answer on their own.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -1,25 +1,30 @@
 //! A group of control services as processes, with links between them and their proxies that fail on demand.
-#![allow(dead_code)]
+#![allow(dead_code, unused_imports, reason = "each test uses a part of it")]
+
+#[path = "group/node.rs"]
+mod node;
+#[path = "group/publisher.rs"]
+mod publisher;
+#[path = "group/records.rs"]
+mod records;
 
-use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Command, Stdio};
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
 use gaugestep_config::schema::{
-    DutyState, Fleet as Told, FromClient, HandOver, List, ListDuties, ListMembers, ListSeats, Member, Plan,
-    Publish, Status, call, from_client, reply,
+    Fleet, FromClient, HandOver, List, ListMembers, Member, Plan, Publish, Status, call, from_client, reply,
 };
 use gaugestep_config::{short_digest, text};
 use gaugestep_control_plane::cli::admin_client::{AdminClient, Delivery};
 use gaugestep_testbed::faults::{Fault, Schedule, ScheduledFault};
 use gaugestep_testbed::leadership_audit::Record;
 use gaugestep_testbed::network::{Link, LinkFault, Network, Partition};
-use gaugestep_testbed::process::Process;
 use prost::Message as _;
 use serde_json::Value;
 
+pub use self::node::Node;
+pub use self::publisher::Publisher;
+pub use self::records::{read_log, records_of_proxy};
 use crate::proxy::{Launch, Proxy, free_address, wait_within};
 
 /// Far more than anything here takes, also on a busy machine.
@@ -42,118 +47,10 @@
 }
 
 /// Calls a service, again where the outcome is unknown; an error is the line that a command would print.
-fn call(client: &AdminClient, request: &call::What) -> Result<reply::What, String> {
+fn call_service(client: &AdminClient, request: &call::What) -> Result<reply::What, String> {
     client.call(request, Delivery::AtLeastOnce).map_err(|error| error.to_string())
 }
 
-/// A control service.
-pub struct Node {
-    pub number: u64,
-    pub folder: PathBuf,
-    /// Where it listens, and where all others reach it.
-    pub listen: SocketAddr,
-    pub relay: SocketAddr,
-    pub operators: SocketAddr,
-    pub process: Option<Process>,
-    /// Checks that are disabled in it.
-    pub disabled_check: &'static str,
-    /// What precedes its command in the shell.
-    pub shell: String,
-}
-
-impl Node {
-    pub fn name(&self) -> String {
-        self.number.to_string()
-    }
-
-    pub fn store(&self) -> PathBuf {
-        self.folder.join("versions.redb")
-    }
-
-    pub fn log(&self) -> String {
-        std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
-    }
-
-    /// Writes its file and starts it.
-    pub fn start(&mut self) {
-        let (config, joins) = (self.folder.join("control.textproto"), self.number > 1);
-        let settings = format!(
-            "listen: \"{}\" operators: \"{}\" store: {:?} keep: 2000 group {{ member: {} joins: {joins} listen_as: \"{}\" }}",
-            self.listen,
-            self.operators,
-            self.store().display().to_string(),
-            self.number,
-            self.relay
-        );
-        std::fs::write(&config, settings).unwrap();
-        let log =
-            std::fs::OpenOptions::new().append(true).create(true).open(self.folder.join("log")).unwrap();
-        let mut command = Command::new("sh");
-        command.args(["-c", &format!("{} exec \"$0\" --json serve --config \"$1\"", self.shell)]);
-        command.arg(env!("CARGO_BIN_EXE_gaugestep-control")).arg(&config);
-        command
-            .env("GAUGESTEP_TEST_OUT", self.disabled_check)
-            .env("GAUGESTEP_TEST_STOP", self.folder.join("stop"));
-        self.process = Some(Process::start(command.stdout(Stdio::null()).stderr(log)).unwrap());
-    }
-
-    pub fn kill(&mut self) {
-        if let Some(mut process) = self.process.take() {
-            process.kill().unwrap();
-        }
-    }
-
-    pub fn suspend(&mut self) {
-        self.process.as_mut().unwrap().suspend().unwrap();
-    }
-
-    pub fn resume(&mut self) {
-        self.process.as_mut().unwrap().resume().unwrap();
-    }
-
-    /// Whether it runs.
-    pub fn runs(&self) -> bool {
-        self.process.as_ref().is_some_and(|process| !process.is_suspended())
-    }
-
-    /// Whether its process has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
-        self.process.as_mut().is_some_and(|process| process.exit_status().unwrap().is_some())
-    }
-
-    /// Calls this one, and whomever it names.
-    pub fn call(&self, what: call::What) -> Result<reply::What, String> {
-        call(&AdminClient { addresses: vec![self.operators], keys: None }, &what)
-    }
-
-    /// Names by ordinal, as it knows them; none while no roster is managed.
-    pub fn ordinals(&self) -> Vec<String> {
-        match self.call(call::What::Seats(ListSeats {})) {
-            Ok(reply::What::Seats(answer)) => answer.proxies,
-            _ => Vec::new(),
-        }
-    }
-
-    pub fn roles(&self) -> Vec<DutyState> {
-        match self.call(call::What::Duties(ListDuties {})) {
-            Ok(reply::What::Duties(answer)) => answer.duties,
-            _ => Vec::new(),
-        }
-    }
-
-    /// Versions that it holds: number, digest, key.
-    pub fn versions(&self) -> Vec<(u64, String, String)> {
-        let Ok(reply::What::Versions(answer)) = self.call(call::What::List(List { most: 0 })) else {
-            return Vec::new();
-        };
-        let one = |entry: gaugestep_config::schema::Entry| {
-            let version = entry.version.unwrap_or_default();
-            (version.number, short_digest(&version.digest), entry.key)
-        };
-        answer.entries.into_iter().map(one).collect()
-    }
-}
-
 /// A fleet of processes.
 pub struct Group {
     pub net: Network,
@@ -220,7 +117,7 @@
     /// Calls any service that runs, and whomever it names.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
         let running: Vec<u64> = self.nodes.iter().filter(|it| it.runs()).map(|it| it.number).collect();
-        call(&self.service(&running), &what)
+        call_service(&self.service(&running), &what)
     }
 
     /// Calls until it is done.
@@ -337,7 +234,7 @@
         number
     }
 
-    pub fn status(&self) -> Option<Told> {
+    pub fn status(&self) -> Option<Fleet> {
         match self.call(call::What::Status(Status {})) {
             Ok(reply::What::Fleet(fleet)) => Some(fleet),
             _ => None,
@@ -481,12 +378,14 @@
 
     /// The last line of a service's log with this message.
     pub fn last_log_line(&self, number: u64, message: &str) -> Option<Value> {
-        read(&self.node(number).log()).into_iter().rfind(|line| line["message"] == message)
+        read_log(&self.node(number).log()).into_iter().rfind(|line| line["message"] == message)
     }
 
     /// Lines of a proxy's log, as JSON.
     pub fn log_lines(&self, folder: &str) -> Vec<Value> {
-        read(&std::fs::read_to_string(self.folder.path().join(format!("log-{folder}"))).unwrap_or_default())
+        read_log(
+            &std::fs::read_to_string(self.folder.path().join(format!("log-{folder}"))).unwrap_or_default(),
+        )
     }
 
     /// What all processes recorded, as their logs say, and what the services hold.
@@ -497,7 +396,7 @@
         }
         for node in &self.nodes {
             let service = node.name();
-            for line in read(&node.log()) {
+            for line in read_log(&node.log()) {
                 let term = line["term"].as_u64().unwrap_or(0);
                 match line["message"].as_str() {
                     Some("lease acquired") => {
@@ -539,84 +438,6 @@
     }
 }
 
-fn read(log: &str) -> Vec<Value> {
-    log.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
-}
-
-/// What a proxy's log says.
-pub fn records_of_proxy(proxy: &str, lines: &[Value]) -> Vec<Record> {
-    let mut records = Vec::new();
-    let mut offered = (0, 0);
-    for line in lines {
-        let number = |key: &str| line[key].as_u64().unwrap_or(0);
-        let (proxy, digest) = (proxy.to_owned(), line["digest"].as_str().unwrap_or_default().to_owned());
-        match line["message"].as_str() {
-            Some("term stored") => records.push(Record::TermSeen { proxy, term: number("term") }),
-            Some("version offered") => offered = (number("version"), number("term")),
-            Some("version in force") => {
-                let term = if offered.0 == number("version") { offered.1 } else { 0 };
-                records.push(Record::InForce { proxy, number: number("version"), digest, term });
-            }
-            Some("starts on the last good version") => {
-                records.push(Record::InForce { proxy, number: number("version"), digest, term: 0 });
-            }
-            _ if line["code"] == "stale-term" => {
-                records.push(Record::StaleRejected { at: proxy, term: number("term") });
-            }
-            _ => {}
-        }
-    }
-    records
-}
-
-/// An operator who publishes one version after the other from a thread, and records the answers.
-pub struct Publisher {
-    ends: std::sync::Arc<AtomicBool>,
-    thread: std::thread::JoinHandle<Vec<Record>>,
-}
-
-impl Publisher {
-    /// Publishes a document of its own every so often, each until it is answered.
-    pub fn start(service: AdminClient, every: Duration) -> Self {
-        let ends = std::sync::Arc::new(AtomicBool::new(false));
-        let end = ends.clone();
-        let thread = std::thread::spawn(move || {
-            let mut records = Vec::new();
-            for at in 0.. {
-                if end.load(Ordering::SeqCst) {
-                    break;
-                }
-                let (key, document) = (format!("key-{at}"), format!("limits {{ max_open: {} }}", 10 + at));
-                let publish = Publish {
-                    document: Some(text::parse(&document).unwrap()),
-                    key: key.clone(),
-                    ..Publish::default()
-                };
-                // The same again until there is an answer: under one key it is one publication.
-                while !end.load(Ordering::SeqCst) {
-                    if let Ok(reply::What::Published(answer)) =
-                        service.call(&call::What::Publish(publish.clone()), Delivery::AtLeastOnce)
-                    {
-                        let version = answer.version.unwrap_or_default();
-                        let (number, digest) = (version.number, short_digest(&version.digest));
-                        records.push(Record::Acknowledged { key, number, digest });
-                        break;
-                    }
-                }
-                std::thread::sleep(every);
-            }
-            records
-        });
-        Publisher { ends, thread }
-    }
-
-    /// Ends it; the answers in their order.
-    pub fn end(self) -> Vec<Record> {
-        self.ends.store(true, Ordering::SeqCst);
-        self.thread.join().unwrap()
-    }
-}
-
 impl Drop for Group {
     /// Prints the end of every log if a test fails.
     fn drop(&mut self) {
--- /dev/null
+++ b/tests/common/group/node.rs
@@ -0,0 +1,120 @@
+//! One control service of a group.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Command, Stdio};
+
+use gaugestep_config::schema::{DutyState, List, ListDuties, ListSeats, call, reply};
+use gaugestep_config::short_digest;
+use gaugestep_control_plane::cli::admin_client::AdminClient;
+use gaugestep_testbed::process::Process;
+
+use super::call_service;
+
+/// A control service.
+pub struct Node {
+    pub number: u64,
+    pub folder: PathBuf,
+    /// Where it listens, and where all others reach it.
+    pub listen: SocketAddr,
+    pub relay: SocketAddr,
+    pub operators: SocketAddr,
+    pub process: Option<Process>,
+    /// Checks that are disabled in it.
+    pub disabled_check: &'static str,
+    /// What precedes its command in the shell.
+    pub shell: String,
+}
+
+impl Node {
+    pub fn name(&self) -> String {
+        self.number.to_string()
+    }
+
+    pub fn store(&self) -> PathBuf {
+        self.folder.join("versions.redb")
+    }
+
+    pub fn log(&self) -> String {
+        std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
+    }
+
+    /// Writes its file and starts it.
+    pub fn start(&mut self) {
+        let (config, joins) = (self.folder.join("control.textproto"), self.number > 1);
+        let settings = format!(
+            "listen: \"{}\" operators: \"{}\" store: {:?} keep: 2000 group {{ member: {} joins: {joins} listen_as: \"{}\" }}",
+            self.listen,
+            self.operators,
+            self.store().display().to_string(),
+            self.number,
+            self.relay
+        );
+        std::fs::write(&config, settings).unwrap();
+        let log =
+            std::fs::OpenOptions::new().append(true).create(true).open(self.folder.join("log")).unwrap();
+        let mut command = Command::new("sh");
+        command.args(["-c", &format!("{} exec \"$0\" --json serve --config \"$1\"", self.shell)]);
+        command.arg(env!("CARGO_BIN_EXE_gaugestep-control")).arg(&config);
+        command
+            .env("GAUGESTEP_TEST_OUT", self.disabled_check)
+            .env("GAUGESTEP_TEST_STOP", self.folder.join("stop"));
+        self.process = Some(Process::start(command.stdout(Stdio::null()).stderr(log)).unwrap());
+    }
+
+    pub fn kill(&mut self) {
+        if let Some(mut process) = self.process.take() {
+            process.kill().unwrap();
+        }
+    }
+
+    pub fn suspend(&mut self) {
+        self.process.as_mut().unwrap().suspend().unwrap();
+    }
+
+    pub fn resume(&mut self) {
+        self.process.as_mut().unwrap().resume().unwrap();
+    }
+
+    /// Whether it runs.
+    pub fn runs(&self) -> bool {
+        self.process.as_ref().is_some_and(|process| !process.is_suspended())
+    }
+
+    /// Whether its process has ended by itself.
+    pub fn has_ended(&mut self) -> bool {
+        self.process.as_mut().is_some_and(|process| process.exit_status().unwrap().is_some())
+    }
+
+    /// Calls this one, and whomever it names.
+    pub fn call(&self, what: call::What) -> Result<reply::What, String> {
+        call_service(&AdminClient { addresses: vec![self.operators], keys: None }, &what)
+    }
+
+    /// Names by ordinal, as it knows them; none while no roster is managed.
+    pub fn ordinals(&self) -> Vec<String> {
+        match self.call(call::What::Seats(ListSeats {})) {
+            Ok(reply::What::Seats(answer)) => answer.proxies,
+            _ => Vec::new(),
+        }
+    }
+
+    pub fn roles(&self) -> Vec<DutyState> {
+        match self.call(call::What::Duties(ListDuties {})) {
+            Ok(reply::What::Duties(answer)) => answer.duties,
+            _ => Vec::new(),
+        }
+    }
+
+    /// Versions that it holds: number, digest, key.
+    pub fn versions(&self) -> Vec<(u64, String, String)> {
+        let Ok(reply::What::Versions(answer)) = self.call(call::What::List(List { most: 0 })) else {
+            return Vec::new();
+        };
+        let one = |entry: gaugestep_config::schema::Entry| {
+            let version = entry.version.unwrap_or_default();
+            (version.number, short_digest(&version.digest), entry.key)
+        };
+        answer.entries.into_iter().map(one).collect()
+    }
+}
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -1,7 +1,12 @@
 //! The proxy as a process, with the test as its client, its databases and its coordinator.
-#![allow(dead_code)]
+#![allow(dead_code, unused_imports, reason = "each test uses a part of it")]
 
-use std::io::{BufRead, BufReader, Read, Write};
+#[path = "proxy/client.rs"]
+mod client;
+#[path = "proxy/database.rs"]
+mod database;
+
+use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
@@ -9,6 +14,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+pub use client::{Client, query, read_to_close};
+pub use database::{Coordinator, Database, DatabaseConnection, event};
+
 /// Far more than anything here takes.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -356,226 +364,3 @@
         let _ = std::fs::remove_file(&self.config);
     }
 }
-
-/// A client with an open session.
-pub struct Client {
-    pub socket: TcpStream,
-    /// The hint of the last error.
-    pub hint: Option<String>,
-    /// The key that cancels the session's query.
-    key: Vec<u8>,
-}
-
-impl Client {
-    pub fn open(address: SocketAddr) -> Self {
-        Client::try_open(address).unwrap()
-    }
-
-    /// The same, before a proxy that may not be there.
-    pub fn try_open(address: SocketAddr) -> std::io::Result<Self> {
-        let mut client = Client { socket: TcpStream::connect(address)?, hint: None, key: Vec::new() };
-        client.socket.set_read_timeout(Some(TIMEOUT))?;
-        let body = b"\0\x03\0\0user\0app\0database\0dw\0\0";
-        client.socket.write_all(&(body.len() as u32 + 4).to_be_bytes())?;
-        client.socket.write_all(body)?;
-        client.try_answer()?;
-        Ok(client)
-    }
-
-    pub fn send(&mut self, text: &str) {
-        self.try_send(text).unwrap();
-    }
-
-    pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
-        let mut message = vec![b'Q'];
-        message.extend((text.len() as u32 + 5).to_be_bytes());
-        message.extend(text.as_bytes());
-        message.push(0);
-        self.socket.write_all(&message)
-    }
-
-    /// The kinds of all messages up to ReadyForQuery; an error also shows its code and text.
-    pub fn answer(&mut self) -> String {
-        self.try_answer().expect("the session stays open")
-    }
-
-    fn try_answer(&mut self) -> std::io::Result<String> {
-        let mut seen = String::new();
-        loop {
-            let mut head = [0; 5];
-            self.socket.read_exact(&mut head)?;
-            let length = u32::from_be_bytes(head[1..].try_into().unwrap()) as usize - 4;
-            let mut body = vec![0; length];
-            self.socket.read_exact(&mut body)?;
-            match head[0] {
-                b'Z' => return Ok(seen),
-                b'K' => {
-                    self.key = body;
-                    seen.push('K');
-                }
-                b'E' => {
-                    let fields: Vec<&str> =
-                        body.split(|byte| *byte == 0).map(|f| std::str::from_utf8(f).unwrap()).collect();
-                    seen += &format!("E {} {}", &fields[2][1..], &fields[3][1..]);
-                    self.hint = fields.iter().find_map(|field| field.strip_prefix('H')).map(String::from);
-                }
-                kind => seen.push(kind.into()),
-            }
-        }
-    }
-
-    /// Cancels the session's query on a connection of its own.
-    pub fn cancel(&self) -> TcpStream {
-        let mut socket = TcpStream::connect(self.socket.peer_addr().unwrap()).unwrap();
-        let message = [&16u32.to_be_bytes(), &80_877_102u32.to_be_bytes(), &self.key[..]].concat();
-        socket.write_all(&message).unwrap();
-        socket
-    }
-
-    pub fn ask(&mut self, text: &str) -> String {
-        self.try_ask(text).expect("the session stays open")
-    }
-
-    /// The same, before a proxy that may end.
-    pub fn try_ask(&mut self, text: &str) -> std::io::Result<String> {
-        self.try_send(text)?;
-        self.try_answer()
-    }
-}
-
-/// Reads a connection up to its orderly close.
-pub fn read_to_close(mut socket: &TcpStream) -> String {
-    let mut rest = Vec::new();
-    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-    socket.read_to_end(&mut rest).expect("the connection is closed and not reset");
-    String::from_utf8_lossy(&rest).into_owned()
-}
-
-/// A query of a class with the fields that it needs.
-pub fn query(class: &str, id: u64, budget: u32) -> String {
-    format!("/* method={class},rid={id:016x},budget={budget},est=20 */ SELECT a FROM sales_17.orders")
-}
-
-/// A database that listens; the test writes its answers.
-pub struct Database(pub TcpListener);
-
-impl Database {
-    pub fn new() -> Self {
-        Database(TcpListener::bind("127.0.0.1:0").unwrap())
-    }
-
-    /// Its entry in the coordinator's list.
-    pub fn member(&self, id: &str, phase: &str) -> String {
-        let at = self.0.local_addr().unwrap();
-        format!(r#"{{"id":"{id}","host_port":"{at}","locality":"dc","flavor":"k","phase":"{phase}"}}"#)
-    }
-
-    /// One to which nobody connects any more until the connection that is returned beside it has been accepted: the
-    /// system drops what comes meanwhile, and a dial hangs until it is tried again.
-    pub fn with_full_backlog() -> (Self, TcpStream) {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        socket.listen(0).unwrap();
-        let database = Database(socket.into());
-        let first = TcpStream::connect(database.0.local_addr().unwrap()).unwrap();
-        (database, first)
-    }
-
-    /// The next connection of the proxy.
-    pub fn accept(&self) -> DatabaseConnection {
-        DatabaseConnection(BufReader::new(accept(&self.0)))
-    }
-}
-
-/// A coordinator that listens; the test writes its events.
-pub struct Coordinator(pub TcpListener);
-
-impl Coordinator {
-    pub fn new() -> Self {
-        Coordinator(TcpListener::bind("127.0.0.1:0").unwrap())
-    }
-
-    /// Answers the next call with an error.
-    pub fn fail(&self) {
-        accept(&self.0).write_all(b"HTTP/1.1 503 Service Unavailable\r\n\r\n").unwrap();
-    }
-
-    /// The next stream that the proxy opens, and the index of its last event. A busy proxy may take a dial for late and close
-    /// the connection without a request; then it dials again.
-    pub fn accept(&self) -> (TcpStream, u64) {
-        loop {
-            if let Some(asked) = self.asked() {
-                return asked;
-            }
-        }
-    }
-
-    fn asked(&self) -> Option<(TcpStream, u64)> {
-        let (mut reader, mut last) = (BufReader::new(accept(&self.0)), 0);
-        loop {
-            let mut line = String::new();
-            if reader.read_line(&mut line).unwrap() == 0 {
-                return None;
-            }
-            if let Some(number) = line.strip_prefix("Last-Event-ID: ") {
-                last = number.trim().parse().unwrap();
-            }
-            if line == "\r\n" {
-                reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
-                return Some((reader.into_inner(), last));
-            }
-        }
-    }
-}
-
-/// The next connection to a listener, which a failing proxy may never make.
-fn accept(listener: &TcpListener) -> TcpStream {
-    let until = Instant::now() + TIMEOUT;
-    listener.set_nonblocking(true).unwrap();
-    loop {
-        if let Ok((socket, _)) = listener.accept() {
-            socket.set_nonblocking(false).unwrap();
-            socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-            return socket;
-        }
-        assert!(Instant::now() < until, "the proxy does not connect");
-        std::thread::sleep(Duration::from_millis(2));
-    }
-}
-
-/// An event of the coordinator.
-pub fn event(index: u64, members: &[String]) -> String {
-    let members = members.join(",");
-    format!("id: {index}\ndata: {{\"endpoints\":{{\"complete\":false,\"members\":[{members}]}}}}\n\n")
-}
-
-/// A connection at a database.
-pub struct DatabaseConnection(pub BufReader<TcpStream>);
-
-impl DatabaseConnection {
-    /// The words of the next command; a statement is read and added as the last.
-    pub fn command(&mut self) -> Vec<String> {
-        let mut line = String::new();
-        self.0.read_line(&mut line).unwrap();
-        let mut words: Vec<String> = line.trim_end().split(' ').map(String::from).collect();
-        if words[0] == "serve" {
-            let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
-            self.0.read_exact(&mut body).unwrap();
-            words.push(String::from_utf8(body).unwrap().trim_end_matches("\r\n").into());
-        }
-        words
-    }
-
-    /// Whether nothing has arrived.
-    pub fn is_silent(&mut self) -> bool {
-        self.0.get_ref().set_nonblocking(true).unwrap();
-        let silent = self.0.fill_buf().is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-        self.0.get_ref().set_nonblocking(false).unwrap();
-        silent
-    }
-
-    pub fn send(&mut self, id: &str, word: &str, fields: &str, body: &str) {
-        let line = format!("{id} {word} {fields} {}\r\n{body}\r\n", body.len());
-        self.0.get_mut().write_all(line.as_bytes()).unwrap();
-    }
-}
--- /dev/null
+++ b/tests/common/proxy/client.rs
@@ -0,0 +1,105 @@
+//! A client of the proxy: sessions, queries and their answers.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+
+use super::TIMEOUT;
+
+/// A client with an open session.
+pub struct Client {
+    pub socket: TcpStream,
+    /// The hint of the last error.
+    pub hint: Option<String>,
+    /// The key that cancels the session's query.
+    key: Vec<u8>,
+}
+
+impl Client {
+    pub fn open(address: SocketAddr) -> Self {
+        Client::try_open(address).unwrap()
+    }
+
+    /// The same, before a proxy that may not be there.
+    pub fn try_open(address: SocketAddr) -> std::io::Result<Self> {
+        let mut client = Client { socket: TcpStream::connect(address)?, hint: None, key: Vec::new() };
+        client.socket.set_read_timeout(Some(TIMEOUT))?;
+        let body = b"\0\x03\0\0user\0app\0database\0dw\0\0";
+        client.socket.write_all(&(body.len() as u32 + 4).to_be_bytes())?;
+        client.socket.write_all(body)?;
+        client.try_answer()?;
+        Ok(client)
+    }
+
+    pub fn send(&mut self, text: &str) {
+        self.try_send(text).unwrap();
+    }
+
+    pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
+        let mut message = vec![b'Q'];
+        message.extend((text.len() as u32 + 5).to_be_bytes());
+        message.extend(text.as_bytes());
+        message.push(0);
+        self.socket.write_all(&message)
+    }
+
+    /// The kinds of all messages up to ReadyForQuery; an error also shows its code and text.
+    pub fn answer(&mut self) -> String {
+        self.try_answer().expect("the session stays open")
+    }
+
+    fn try_answer(&mut self) -> std::io::Result<String> {
+        let mut seen = String::new();
+        loop {
+            let mut head = [0; 5];
+            self.socket.read_exact(&mut head)?;
+            let length = u32::from_be_bytes(head[1..].try_into().unwrap()) as usize - 4;
+            let mut body = vec![0; length];
+            self.socket.read_exact(&mut body)?;
+            match head[0] {
+                b'Z' => return Ok(seen),
+                b'K' => {
+                    self.key = body;
+                    seen.push('K');
+                }
+                b'E' => {
+                    let fields: Vec<&str> =
+                        body.split(|byte| *byte == 0).map(|f| std::str::from_utf8(f).unwrap()).collect();
+                    seen += &format!("E {} {}", &fields[2][1..], &fields[3][1..]);
+                    self.hint = fields.iter().find_map(|field| field.strip_prefix('H')).map(String::from);
+                }
+                kind => seen.push(kind.into()),
+            }
+        }
+    }
+
+    /// Cancels the session's query on a connection of its own.
+    pub fn cancel(&self) -> TcpStream {
+        let mut socket = TcpStream::connect(self.socket.peer_addr().unwrap()).unwrap();
+        let message = [&16u32.to_be_bytes(), &80_877_102u32.to_be_bytes(), &self.key[..]].concat();
+        socket.write_all(&message).unwrap();
+        socket
+    }
+
+    pub fn ask(&mut self, text: &str) -> String {
+        self.try_ask(text).expect("the session stays open")
+    }
+
+    /// The same, before a proxy that may end.
+    pub fn try_ask(&mut self, text: &str) -> std::io::Result<String> {
+        self.try_send(text)?;
+        self.try_answer()
+    }
+}
+
+/// Reads a connection up to its orderly close.
+pub fn read_to_close(mut socket: &TcpStream) -> String {
+    let mut rest = Vec::new();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
+    socket.read_to_end(&mut rest).expect("the connection is closed and not reset");
+    String::from_utf8_lossy(&rest).into_owned()
+}
+
+/// A query of a class with the fields that it needs.
+pub fn query(class: &str, id: u64, budget: u32) -> String {
+    format!("/* method={class},rid={id:016x},budget={budget},est=20 */ SELECT a FROM sales_17.orders")
+}
--- /dev/null
+++ b/tests/common/proxy/database.rs
@@ -0,0 +1,131 @@
+//! Scripted databases and a scripted coordinator, as the proxy sees them.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+use super::TIMEOUT;
+
+/// A database that listens; the test writes its answers.
+pub struct Database(pub TcpListener);
+
+impl Database {
+    pub fn new() -> Self {
+        Database(TcpListener::bind("127.0.0.1:0").unwrap())
+    }
+
+    /// Its entry in the coordinator's list.
+    pub fn member(&self, id: &str, phase: &str) -> String {
+        let at = self.0.local_addr().unwrap();
+        format!(r#"{{"id":"{id}","host_port":"{at}","locality":"dc","flavor":"k","phase":"{phase}"}}"#)
+    }
+
+    /// One to which nobody connects any more until the connection that is returned beside it has been accepted: the
+    /// system drops what comes meanwhile, and a dial hangs until it is tried again.
+    pub fn with_full_backlog() -> (Self, TcpStream) {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket.listen(0).unwrap();
+        let database = Database(socket.into());
+        let first = TcpStream::connect(database.0.local_addr().unwrap()).unwrap();
+        (database, first)
+    }
+
+    /// The next connection of the proxy.
+    pub fn accept(&self) -> DatabaseConnection {
+        DatabaseConnection(BufReader::new(accept(&self.0)))
+    }
+}
+
+/// A coordinator that listens; the test writes its events.
+pub struct Coordinator(pub TcpListener);
+
+impl Coordinator {
+    pub fn new() -> Self {
+        Coordinator(TcpListener::bind("127.0.0.1:0").unwrap())
+    }
+
+    /// Answers the next call with an error.
+    pub fn fail(&self) {
+        accept(&self.0).write_all(b"HTTP/1.1 503 Service Unavailable\r\n\r\n").unwrap();
+    }
+
+    /// The next stream that the proxy opens, and the index of its last event. A busy proxy may take a dial for late and close
+    /// the connection without a request; then it dials again.
+    pub fn accept(&self) -> (TcpStream, u64) {
+        loop {
+            if let Some(asked) = self.asked() {
+                return asked;
+            }
+        }
+    }
+
+    fn asked(&self) -> Option<(TcpStream, u64)> {
+        let (mut reader, mut last) = (BufReader::new(accept(&self.0)), 0);
+        loop {
+            let mut line = String::new();
+            if reader.read_line(&mut line).unwrap() == 0 {
+                return None;
+            }
+            if let Some(number) = line.strip_prefix("Last-Event-ID: ") {
+                last = number.trim().parse().unwrap();
+            }
+            if line == "\r\n" {
+                reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
+                return Some((reader.into_inner(), last));
+            }
+        }
+    }
+}
+
+/// The next connection to a listener, which a failing proxy may never make.
+fn accept(listener: &TcpListener) -> TcpStream {
+    let until = Instant::now() + TIMEOUT;
+    listener.set_nonblocking(true).unwrap();
+    loop {
+        if let Ok((socket, _)) = listener.accept() {
+            socket.set_nonblocking(false).unwrap();
+            socket.set_read_timeout(Some(TIMEOUT)).unwrap();
+            return socket;
+        }
+        assert!(Instant::now() < until, "the proxy does not connect");
+        std::thread::sleep(Duration::from_millis(2));
+    }
+}
+
+/// An event of the coordinator.
+pub fn event(index: u64, members: &[String]) -> String {
+    let members = members.join(",");
+    format!("id: {index}\ndata: {{\"endpoints\":{{\"complete\":false,\"members\":[{members}]}}}}\n\n")
+}
+
+/// A connection at a database.
+pub struct DatabaseConnection(pub BufReader<TcpStream>);
+
+impl DatabaseConnection {
+    /// The words of the next command; a statement is read and added as the last.
+    pub fn command(&mut self) -> Vec<String> {
+        let mut line = String::new();
+        self.0.read_line(&mut line).unwrap();
+        let mut words: Vec<String> = line.trim_end().split(' ').map(String::from).collect();
+        if words[0] == "serve" {
+            let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
+            self.0.read_exact(&mut body).unwrap();
+            words.push(String::from_utf8(body).unwrap().trim_end_matches("\r\n").into());
+        }
+        words
+    }
+
+    /// Whether nothing has arrived.
+    pub fn is_silent(&mut self) -> bool {
+        self.0.get_ref().set_nonblocking(true).unwrap();
+        let silent = self.0.fill_buf().is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
+        self.0.get_ref().set_nonblocking(false).unwrap();
+        silent
+    }
+
+    pub fn send(&mut self, id: &str, word: &str, fields: &str, body: &str) {
+        let line = format!("{id} {word} {fields} {}\r\n{body}\r\n", body.len());
+        self.0.get_mut().write_all(line.as_bytes()).unwrap();
+    }
+}
--- a/tests/common/subscriber.rs
+++ b/tests/common/subscriber.rs
@@ -1,5 +1,5 @@
 //! Scripted subscribers of a control service, for benchmarks.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each benchmark uses a part of it")]
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
