--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -94,7 +94,7 @@
             .map_err(|source| StartError::Listen { address: config.listen, source })?;
         let resources = ResourceLimits::new(&config.limits, has_successor);
         let platform = PlatformConfig::new(&config);
-        let stagger_factor = platform.settings.place.rotation_slot().stagger_factor();
+        let stagger_factor = platform.settings.fleet_position.rotation_slot().stagger_factor();
         let handler = request_handler(&config, &platform, resources)?;
         let endpoint_list = Arc::new(EndpointList::new(handler.clone()));
         endpoint_list.apply_known(config.known_index, &config.known);
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -49,8 +49,8 @@
             serde_json::from_str(fields.text("profile_data")?).map_err(LineError::ProfileNotJson)?;
         let mut settings = gaugestep_settings::decode(&profile)?;
         let format = message_format(&profile, settings.classes.len());
-        if settings.place == FleetPosition::NameKey(0) {
-            settings.place = FleetPosition::NameKey(seed);
+        if settings.fleet_position == FleetPosition::NameKey(0) {
+            settings.fleet_position = FleetPosition::NameKey(seed);
         }
         Ok(Instance { dispatcher: Dispatcher::new(settings, seed)?, format })
     }
