--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -19,11 +19,9 @@
     let mut half = proxy.admin_connection();
     half.write_all(b"GET /ops/stats HT").unwrap();
     let (mut client, mut load) = (proxy.client(), proxy.client());
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 15_000));
     assert_eq!(proxy.statistic("/outstanding"), Some(1));
-    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(client.answer(), "TDC");
     load.send(&query("load", 2, 15_000));
     let serve = lines.command();
@@ -54,13 +52,11 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut busy, idle) = (proxy.client(), proxy.client());
-    busy.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = busy.send_to(&database, &query("lookup", 1, 15_000));
     assert_eq!(proxy.call("PUT", "/ops/drain/start").0, 200);
     assert_eq!(proxy.call("GET", "/ops/readiness").0, 503);
     assert_eq!(read_to_close(&idle.socket), "", "an idle session is closed");
-    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(busy.answer(), "TDC", "an open request is answered");
     assert_eq!(read_to_close(&busy.socket), "");
     let late = std::net::TcpStream::connect(proxy.address).unwrap();
@@ -85,9 +81,7 @@
         proxy.reload_with(from, to, "/sighup_rejected");
     }
     let (mut old, mut new) = (proxy.client(), proxy.client());
-    old.send(&query("lookup", 1, 15_000));
-    let mut lines = first.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = old.send_to(&first, &query("lookup", 1, 15_000));
     let renamed = r#""name": "lookup", "effect": "unsafe""#;
     proxy.reload_with(r#""name": "lookup", "effect": "safe""#, renamed, "/sighup_applied");
     proxy.reload_with(r#""name": "load""#, r#""name": "import""#, "/sighup_applied");
@@ -111,9 +105,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut old = Proxy::inherit(&listener, &[&database]);
     let (mut busy, mut idle) = (old.client(), old.client());
-    busy.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = busy.send_to(&database, &query("lookup", 1, 15_000));
     let new = Proxy::inherit(&listener, &[&database]);
     old.signal("-TERM");
     let until = Instant::now() + TIMEOUT;
@@ -125,7 +117,7 @@
     assert!(clients.iter_mut().all(|client| client.ask("") == "I"));
     assert_eq!(idle.ask(""), "I", "an idle session stays open");
     drop(idle);
-    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(busy.answer(), "TDC");
     assert_eq!(read_to_close(&busy.socket), "", "closed after its answer");
     assert!(old.wait().success());
--- a/tests/common/proxy/client.rs
+++ b/tests/common/proxy/client.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::TIMEOUT;
+use super::{Database, DatabaseConnection, TIMEOUT};
 
 /// A client with an open session.
 pub struct Client {
@@ -34,6 +34,15 @@
         self.try_send(text).unwrap();
     }
 
+    /// Sends a query that the proxy forwards on a new connection to this database; the connection, and the words of the
+    /// command on it.
+    pub fn send_to(&mut self, database: &Database, text: &str) -> (DatabaseConnection, Vec<String>) {
+        self.send(text);
+        let mut connection = database.accept();
+        let command = connection.command();
+        (connection, command)
+    }
+
     pub fn try_send(&mut self, text: &str) -> std::io::Result<()> {
         let mut message = vec![b'Q'];
         message.extend((text.len() as u32 + 5).to_be_bytes());
--- a/tests/common/proxy/database.rs
+++ b/tests/common/proxy/database.rs
@@ -124,6 +124,12 @@
         silent
     }
 
+    /// Answers a request with a result of one row.
+    pub fn serve(&mut self, id: &str) {
+        self.send(id, "HIT", "total=1", "a\tb\tc\n");
+    }
+
+    /// Sends a line about a request, with a body.
     pub fn send(&mut self, id: &str, word: &str, fields: &str, body: &str) {
         let line = format!("{id} {word} {fields} {}\r\n{body}\r\n", body.len());
         self.0.get_mut().write_all(line.as_bytes()).unwrap();
--- a/tests/compatibility/upstream.rs
+++ b/tests/compatibility/upstream.rs
@@ -48,9 +48,7 @@
     let mut recorded = String::new();
     let mut show = |words: Vec<String>| recorded += &format!("{}\n", without_numbers(&words.join(" ")));
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 15_000));
     show(serve.clone());
     lines.send(&serve[1], "HIT", "total=2,elapsed=5,rss=8", "a\tb\tc\n");
     let read = lines.command();
--- a/tests/event_races/client_leaves.rs
+++ b/tests/event_races/client_leaves.rs
@@ -261,9 +261,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let command = lines.command();
+    let (mut lines, command) = client.send_to(&database, &query("lookup", 1, 15_000));
     client.socket.shutdown(Shutdown::Write).unwrap();
     assert_eq!(lines.command(), ["cancel", &command[1]]);
     assert!(read_to_close(&client.socket).contains("57014"));
@@ -276,9 +274,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let command = lines.command();
+    let (mut lines, command) = client.send_to(&database, &query("lookup", 1, 15_000));
     let mut others = proxy.client();
     for id in 0x100..0x800 {
         // It may be reset in the middle, as it is sending too much.
--- a/tests/event_races/connections_close.rs
+++ b/tests/event_races/connections_close.rs
@@ -113,9 +113,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("load", 1, 15_000));
-    let mut lines = database.accept();
-    let command = lines.command();
+    let (mut lines, command) = client.send_to(&database, &query("load", 1, 15_000));
     lines.send(&command[1], "INFO", "detail=done,datum=0.4", "");
     lines.send(&command[1], "SHED", "-", "");
     assert!(client.answer().starts_with("E 58000"));
--- a/tests/event_races/main.rs
+++ b/tests/event_races/main.rs
@@ -15,8 +15,6 @@
 
 use proxy::{Database, DatabaseConnection, Proxy, query};
 
-const ANSWER: (&str, &str) = ("total=1", "a\tb\tc\n");
-
 /// A configuration with far more time to dial than anything here takes.
 fn with_long_dial_timeout(text: String) -> String {
     text.replace(r#""dial_timeout_ms": 250"#, r#""dial_timeout_ms": 15000"#)
@@ -27,8 +25,9 @@
     text.replace(r#""seed":"8c1f""#, &format!(r#""seed":"8c1f","coordinator":"{coordinator}""#))
 }
 
+/// Answers the request that [`query`] names by this number.
 fn serve(lines: &mut DatabaseConnection, id: u64) {
-    lines.send(&format!("{id:016x}"), "HIT", ANSWER.0, ANSWER.1);
+    lines.serve(&format!("{id:016x}"));
 }
 
 /// Has one query served, so that a connection to the database is open and idle. Returns that connection.
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -14,9 +14,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 5_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 5_000));
     assert_eq!(serve[1], format!("{:016x}", 1));
     assert!(serve[2].starts_with("queue=lookup,budget="), "{}", serve[2]);
     assert_eq!(serve[4], "SELECT a FROM sales_17.orders");
@@ -53,9 +51,7 @@
     drop(proxy);
     let proxy = Proxy::start(&[&second]);
     let mut client = proxy.client();
-    client.send(&query("load", 2, 900));
-    let mut lines = second.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&second, &query("load", 2, 900));
     lines.send(&serve[1], "SHED", "-", "");
     assert!(client.answer().starts_with("E 53000 refused"));
 }
@@ -99,9 +95,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 7, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 7, 15_000));
     drop(client);
     assert_eq!(lines.command(), ["cancel", &serve[1]]);
 }
@@ -112,12 +106,10 @@
     let mut proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
-    client.send(&query("lookup", 2, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 2, 15_000));
     let answer = std::thread::spawn(move || {
         std::thread::sleep(std::time::Duration::from_millis(1_500));
-        lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+        lines.serve(&serve[1]);
         (client.answer(), read_to_close(&client.socket))
     });
     assert!(proxy.terminate().success());
@@ -136,9 +128,7 @@
     assert_eq!(last, 1);
     let mut client = proxy.client();
     // Of another class than those below: on a busy machine this one is answered late, and its class is taken to be slow.
-    client.send(&query("load", 1, 15_000));
-    let mut lines = first.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&first, &query("load", 1, 15_000));
     // The new configuration holds event 1 again, by which the first database would be back.
     let gone = [first.member("s-0", "DRAINING"), second.member("s-9", "SERVING")];
     stream.write_all(event(2, &gone).as_bytes()).unwrap();
@@ -148,7 +138,7 @@
     let (_stream, last) = new.accept();
     assert_eq!(last, 2);
     assert_eq!(std::io::Read::read(&mut stream, &mut [0]).unwrap(), 0, "the old stream is shut");
-    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(client.answer(), "TDC");
     reached(&proxy, &second);
 }
@@ -217,11 +207,9 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut first, mut second) = (proxy.client(), proxy.client());
-    first.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = first.send_to(&database, &query("lookup", 1, 15_000));
     assert!(second.ask(&query("load", 1, 15_000)).starts_with("E 42710"));
-    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(first.answer(), "TDC");
 }
 
@@ -231,14 +219,12 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut busy = proxy.client();
-    busy.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = busy.send_to(&database, &query("lookup", 1, 15_000));
     // Two fifths of 256 descriptors are for sessions.
     let idle: Vec<Client> = (0..101).map(|_| proxy.client()).collect();
     assert_eq!(proxy.client().ask(""), "I");
     assert_eq!(read_to_close(&idle[0].socket), "");
-    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(busy.answer(), "TDC");
 }
 
@@ -262,9 +248,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 15_000));
     lines.send("00000000deadbeef", "HIT", "total=1", "x\ty\tz\n");
     lines.send(&serve[1], "HIT", "total=2", "a\tb\tc\n");
     lines.send(&serve[1], "HIT", "total=2", "a\tb\tc\n");
@@ -289,9 +273,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut client, mut other) = (proxy.client(), proxy.client());
-    other.send(&query("load", 99, 15_000));
-    let mut well = database.accept();
-    let serve = well.command();
+    let (mut well, serve) = other.send_to(&database, &query("load", 99, 15_000));
     for (id, (word, fields, body)) in (1..).zip(spoilt) {
         client.send(&query("load", id, 15_000));
         let mut lines = database.accept();
@@ -302,7 +284,7 @@
         lines.send(&id, word, fields, body);
         assert!(client.answer().starts_with("E 58000"), "{word} {fields} {body}");
     }
-    well.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    well.serve(&serve[1]);
     assert_eq!(other.answer(), "TDC");
 }
 
@@ -325,9 +307,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("load", 1, 60_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("load", 1, 60_000));
     let socket = lines.0.get_mut();
     write!(socket, "{} HIT total=1 5000\r\n", serve[1]).unwrap();
     while socket.write_all(b"x").is_ok() {
@@ -344,10 +324,8 @@
     let proxy = Proxy::follow(&[&first], Some(&coordinator));
     let (mut stream, _) = coordinator.accept();
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = first.accept();
-    let serve = lines.command();
-    lines.send(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    let (mut lines, serve) = client.send_to(&first, &query("lookup", 1, 15_000));
+    lines.serve(&serve[1]);
     assert_eq!(client.answer(), "TDC");
     stream.write_all(event(2, &[first.member("s-0", "DELETED")]).as_bytes()).unwrap();
     assert_eq!(read_to_close(lines.0.get_ref()), "", "the old connection is closed");
