--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -1,4 +1,4 @@
-//! What one owner at a time costs: `cargo bench --bench leadership`. Prints figures and asserts none; those of note are kept in
+//! What leadership costs: `cargo bench --bench leadership`. Prints figures and asserts none; those of note are kept in
 //! docs/leadership.md, as ratios within one run. `GAUGESTEP_ROUNDS` sets how often a lease holder is lost (50). If
 //! `GAUGESTEP_EARLIER` names a control service of an earlier build, it is measured in the same run.
 #![allow(clippy::unwrap_used, reason = "a benchmark that fails may panic")]
@@ -21,7 +21,7 @@
 use group::{Group, wait_until};
 use subscriber::{median, subscribers};
 
-/// How long nobody owns the versions once their owner is lost.
+/// How long no service leads once the leader is lost.
 fn lost(kind: &str, rounds: usize) {
     let mut group = Group::start(3);
     let mut spans = Vec::new();
@@ -100,7 +100,7 @@
     Some(published(listen, operators, count))
 }
 
-/// Publish to in force and synced at so many proxies of the real program, in milliseconds.
+/// Publish to in force and synced at this many proxies of the real program, in milliseconds.
 fn real(group: &Group, count: usize) {
     let proxies: Vec<proxy::Proxy> = (0..count).map(|at| group.proxy(&format!("n{at}"), at)).collect();
     let have = |number: u64| {
@@ -136,7 +136,7 @@
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) * 10.0
 }
 
-/// What a group costs that does nothing, with so many duties.
+/// What a group costs that does nothing, with this many roles.
 fn idle(group: &Group, duties: usize) {
     let have = group.nodes[0].roles().len();
     for at in have..duties {
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -173,12 +173,12 @@
         ScriptedService(free_listener())
     }
 
-    /// The next stream of a proxy, after its hello was welcomed by the owner of the first term.
+    /// The next stream of a proxy, after its hello was answered by the lease holder of the first term.
     pub fn accept(&self) -> Stream {
         self.accept_with_term(1)
     }
 
-    /// The same, by the owner of this term.
+    /// The same, by the lease holder of this term.
     pub fn accept_with_term(&self, term: u64) -> Stream {
         let (socket, _) = self.0.accept().unwrap();
         socket.set_read_timeout(Some(TIMEOUT)).unwrap();
--- a/tests/compatibility/command_line.rs
+++ b/tests/compatibility/command_line.rs
@@ -84,7 +84,7 @@
     entries
 }
 
-/// What stands in a description behind `[name: `, up to the closing bracket.
+/// The text of a description after `[name: `, up to the closing bracket.
 fn attribute<'a>(description: &'a str, name: &str) -> Option<&'a str> {
     let (_, behind) = description.split_once(&format!("[{name}: "))?;
     behind.split_once(']').map(|(value, _)| value)
--- a/tests/compatibility/golden.rs
+++ b/tests/compatibility/golden.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// JSON with the values of these keys replaced, wherever the keys stand. An absent value (`null`) stays.
+/// JSON with the values of these keys replaced, wherever the keys occur. An absent value (`null`) stays.
 pub fn without_varying(value: &Value, varying: &[&str]) -> Value {
     match value {
         Value::Array(entries) => entries.iter().map(|entry| without_varying(entry, varying)).collect(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// JSON as it stands in a golden file.
+/// JSON in the form of a golden file.
 pub fn pretty(value: &Value) -> String {
     serde_json::to_string_pretty(value).unwrap()
 }
--- a/tests/compatibility/log_filters.rs
+++ b/tests/compatibility/log_filters.rs
@@ -293,7 +293,7 @@
 struct Quiet(usize);
 
 impl Quiet {
-    /// Waits until the log has taken in whatever was on its way: the count stays the same over several looks.
+    /// Waits until the log holds all lines that were being written: the count stays the same over several looks.
     fn since(logged: &Logged) -> Self {
         const STABLE_LOOKS: usize = 20;
         let (mut count, mut stable) = (usize::MAX, 0);
@@ -388,14 +388,14 @@
     service.logged.wait_for("INFO", 2);
 }
 
-/// Raft's own lines, at the level under which they are told.
+/// Raft's own lines, at the level under which they are logged.
 #[test]
 fn control_node_brings_out_raft_at_its_lowest_level() {
     let service = FilteredService::start("gaugestep_control::node=trace");
     service.logged.wait_for("TRACE", 1);
 }
 
-/// Rollouts of versions: nothing else is told, so the count grows with a publication.
+/// Rollouts of versions: nothing else is logged, so the count grows with a publication.
 #[test]
 fn control_driving_brings_out_publications() {
     let service = FilteredService::start("gaugestep_control::driving=info");
@@ -403,7 +403,7 @@
     service.logged.wait_for("INFO", 1);
 }
 
-/// The roster of proxies, once it is to be kept.
+/// The roster of proxies, once it is managed.
 #[test]
 fn control_seating_brings_out_the_roster() {
     let service = FilteredService::start("gaugestep_control::seating=info");
--- a/tests/compatibility/rejection_codes.rs
+++ b/tests/compatibility/rejection_codes.rs
@@ -7,7 +7,7 @@
 use crate::golden;
 use crate::proxy::{Database, Launch, query};
 
-/// What is offered, and what becomes of it, as it stands in a golden file.
+/// What is offered, and what becomes of it, in the form of a golden file.
 struct Offers {
     stream: Stream,
     nonce: u64,
--- a/tests/compatibility/schema.rs
+++ b/tests/compatibility/schema.rs
@@ -30,7 +30,7 @@
     pool.all_messages().filter(|message| message.parent_file().name() == file).collect()
 }
 
-/// What stands before the type of a field: whether it is repeated, optional or one of a choice.
+/// What precedes the type of a field: whether it is repeated, optional or one of a choice.
 fn label(field: &FieldDescriptor) -> &'static str {
     match (field.cardinality(), field.containing_oneof()) {
         (Cardinality::Repeated, _) => "repeated ",
--- a/tests/compatibility/startup_errors.rs
+++ b/tests/compatibility/startup_errors.rs
@@ -70,7 +70,7 @@
     ]
 }
 
-/// How a program failed to start, as it stands in a golden file; that the error names `named` is asserted here.
+/// How a program failed to start, in the form of a golden file; that the error names `named` is asserted here.
 fn failure(command: &mut Command, named: &str) -> String {
     let output = command.output().unwrap();
     let error = String::from_utf8(output.stderr).unwrap();
--- a/tests/configuration/rollouts.rs
+++ b/tests/configuration/rollouts.rs
@@ -41,7 +41,7 @@
     assert_eq!(code, 1, "{output}");
 }
 
-/// A few proxies first, then a share, then all; what one of the first turns down goes to nobody else and is taken back.
+/// A few proxies first, then a share, then all; a version that a canary rejects reaches no other proxy and is rolled back.
 #[test]
 fn a_rollout_proceeds_by_stages_and_a_rejected_one_halts_at_the_canary() {
     let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
--- a/tests/event_races/client_leaves.rs
+++ b/tests/event_races/client_leaves.rs
@@ -194,7 +194,7 @@
     let entries = [second.member("s-0", "DRAINING"), first.member("s-9", "SERVING")];
     stream.write_all(event(2, &entries).as_bytes()).unwrap();
     wait_within(TIMEOUT, "the first is listed", || proxy.statistic("/discovered") == Some(2));
-    // The first attempt fails: refused by a full database, or with its connection.
+    // The first attempt fails: rejected by a full database, or with its connection.
     let (mut full, mut broken) = (proxy.client(), proxy.client());
     full.send(&query("lookup", 1, 15_000));
     let mut sheds = first.accept();
--- a/tests/event_races/connections_close.rs
+++ b/tests/event_races/connections_close.rs
@@ -40,8 +40,8 @@
     assert!(read_to_close(&client.socket).contains("42601"));
 }
 
-/// Many connect as the proxy stops listening, more than it takes in at a time: each is told so, or let in and then closed in
-/// order. Nobody is reset.
+/// Many clients connect as the proxy stops listening, more than it accepts at a time: each receives an error, or is accepted
+/// and then closed in order.
 #[test]
 fn clients_that_connect_as_the_listener_closes_are_not_reset() {
     let mut proxy = Proxy::start(&[&Database::new()]);
--- a/tests/event_races/floods.rs
+++ b/tests/event_races/floods.rs
@@ -92,7 +92,7 @@
     assert!(client.answer().starts_with("E 58000"), "its deadline comes in time");
 }
 
-/// All proxies restart together while discovery hangs, or refuses: each is ready as soon as it runs.
+/// All proxies restart together while discovery hangs or refuses connections: each is ready as soon as it runs.
 #[test]
 fn restarted_proxies_become_ready_though_discovery_hangs_or_refuses() {
     let (database, (hangs, _first)) = (Database::new(), Database::with_full_backlog());
--- a/tests/leadership/failover.rs
+++ b/tests/leadership/failover.rs
@@ -14,7 +14,7 @@
 fn a_leader_suspended_in_the_second_stage_of_a_rollout_changes_nothing_after_its_successor_completed_it() {
     let mut group = Group::start(3);
     // By its lot in version 2 one proxy goes first, two more second, one last. The third and the last know no class
-    // `lookup`, and turn down a document that names it.
+    // `lookup`, and reject a document that names it.
     let mut names: Vec<String> = (0..4).map(|at| format!("n{at}")).collect();
     names.sort_by_key(|name| selection_rank(2, name));
     let change = |at| if at < 2 { ("", "") } else { ("\"lookup\"", "\"look-up\"") };
@@ -34,7 +34,7 @@
         version(&proxies[1]) == Some(2) && second_step(group.last_log_line(old, "rollout progress committed"))
     });
     group.node_mut(old).suspend();
-    // The one that refused is gone for good: nobody but the old owner's progress tells of it.
+    // The one that refused is gone for good: only the old leader's progress records it.
     proxies.remove(2).kill();
     let (next, next_term) = group.lease_holder_other_than(old);
     assert!(next_term > old_term);
--- a/tests/leadership/fencing.rs
+++ b/tests/leadership/fencing.rs
@@ -13,7 +13,7 @@
     let mut proxies = [group.proxy("n0", 0)];
     let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
     group.wait_until_in_force(&proxies, first);
-    // Its folder is of another fleet's proxy, whose owner has come further.
+    // Its state directory is of another fleet's proxy, whose terms are higher.
     let other = Group::start(1);
     for _ in 0..3 {
         other.until_done(call::What::TakeOver("versions".into()));
@@ -89,7 +89,7 @@
         let hold = Plan { hold_ms: 3_600_000, ..Plan::default() };
         let overtaken = group.publish_until_acknowledged("limits { max_open: 12 }", "b", hold);
         group.wait_until_in_force(&proxies[..1], overtaken);
-        // Its owner is cut off; the next one publishes a version that only the first proxy gets.
+        // The leader is cut off; the next one publishes a version that only the first proxy gets.
         group.isolate(old);
         group.partition_proxy_only_from("n0", &[old]);
         let (_, next) = group.successor_of(old);
@@ -109,7 +109,7 @@
         group.partition_proxy_only_from("n1", &[old]);
         wait_until("the other proxy follows the new owner too", || term(&proxies[1]) == Some(next));
         assert_eq!(version(&proxies[1]), Some(first));
-        // And now it meets the old owner alone, which knows of none of this.
+        // Now it reaches the old leader alone, which knows of none of this.
         group.partition_proxy_only_from("n1", &group.all_except(old));
         match disabled_check {
             "" => {
--- a/tests/leadership/partitions.rs
+++ b/tests/leadership/partitions.rs
@@ -36,7 +36,7 @@
     wait_until("a version is published behind the cut", || {
         why(group.publish("limits { max_open: 12 }", "b", at_once())).is_none()
     });
-    // Those that reached the old owner leave it, as it names nobody, and find the new one.
+    // Those that reached the old leader leave it, as it names no leader, and find the new one.
     group.wait_until_in_force(&proxies, first + 1);
     group.net.heal_all();
     let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
--- a/tests/leadership/seeded_faults.rs
+++ b/tests/leadership/seeded_faults.rs
@@ -17,7 +17,7 @@
     let proxies: Vec<Proxy> = names.iter().enumerate().map(|(at, name)| group.proxy(name, at)).collect();
     let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(100));
     group.play(&Schedule::draw(seed, 3, 3, faults), &names);
-    // All is healed: there is one owner again, it publishes, and everybody comes to what it published.
+    // All is healed: there is one leader again, it publishes, and all proxies reach what it published.
     group.lease_holder();
     let mut records = publisher.end();
     let last = group.publish_until_acknowledged("limits { max_open: 9 }", "last", Plan::default());
@@ -42,7 +42,7 @@
     }
 }
 
-/// Out of CI: `cargo test --test duties campaign -- --ignored --nocapture`, a hundred schedules, their sums printed.
+/// Out of CI: `cargo test --test leadership campaign -- --ignored --nocapture`, a hundred schedules, their sums printed.
 #[test]
 #[ignore = "a quarter of an hour"]
 fn campaign() {
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -37,7 +37,7 @@
     assert_eq!(load.answer(), "E 58000 failed: the statement may have run");
 }
 
-/// Guards the unsafe class: a reset proves nothing, a refused connection does.
+/// The unsafe class is protected: a reset proves nothing, a refused connection proves that it never ran.
 #[test]
 fn a_load_is_retried_after_a_rejection_but_not_after_a_reset() {
     let (first, second) = (Database::new(), Database::new());
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -186,7 +186,7 @@
     assert!(seen > 1, "there is a lower term");
     let service = ScriptedService::new();
     let operator = control::operator(folder.path(), service.0.local_addr().unwrap(), &state, "");
-    // The stand-in answers later: the proxy starts without it.
+    // The scripted service answers later: the proxy starts without it.
     let proxy = Launch { operator: Some(operator), ..Launch::new(&[]) }.start();
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
 
