--- a/tests/compatibility/downstream.rs
+++ b/tests/compatibility/downstream.rs
@@ -5,7 +5,7 @@
 
 use crate::control::Engine;
 use crate::golden;
-use crate::proxy::{Database, PATIENCE, Proxy, query};
+use crate::proxy::{Database, Proxy, TIMEOUT, query};
 
 const PROTOCOL_3: u32 = 3 << 16;
 const TLS_REQUEST: u32 = 80_877_103;
@@ -37,7 +37,7 @@
 impl RawClient {
     fn connect(proxy: &Proxy) -> Self {
         let socket = TcpStream::connect(proxy.address).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         RawClient(socket)
     }
 
@@ -53,7 +53,7 @@
         self.0.write_all(bytes).unwrap();
     }
 
-    /// Reads once; 0 at the end of the connection. A suspension of the test's own process interrupts a read and tells nothing.
+    /// Reads once; 0 at the end of the connection. A suspension of the test's own process interrupts a read, which is no answer.
     fn read_or_end(&mut self, buffer: &mut [u8]) -> usize {
         loop {
             match self.0.read(buffer) {
@@ -189,7 +189,7 @@
         let serve = lines.command();
         match word {
             "GONE" => drop(lines),
-            word => lines.say(&serve[1], word, "-", ""),
+            word => lines.send(&serve[1], word, "-", ""),
         }
         drop(database);
         received += &format!("{class}, {word}\n{}", client.messages());
@@ -223,7 +223,7 @@
     let mut duplicate = RawClient::session(&proxy);
     duplicate.send(&simple_query(&query("lookup", 1, 15_000)));
     received += &format!("duplicate request id\n{}", duplicate.messages());
-    drop(busy.call_off());
+    drop(busy.cancel());
     received += &format!("canceled by request: {}\n", busy.answer());
 
     let mut half_closed = RawClient::session(&proxy);
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -1,4 +1,5 @@
 //! The README's first example, as a newcomer plays it: `examples/config.json`, the toy database, the statement.
+#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 #[path = "common/proxy.rs"]
 mod proxy;
@@ -8,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use proxy::{PATIENCE, Proxy, free_address};
+use proxy::{Proxy, TIMEOUT, free_address};
 
 struct Toy(Child);
 
@@ -36,7 +37,7 @@
     let mut toy = Command::new("python3");
     toy.arg(file("examples/toy_database.py")).arg(at.to_string()).stdout(Stdio::null());
     let _toy = Toy(toy.spawn().unwrap());
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while TcpStream::connect(at).is_err() {
         assert!(Instant::now() < until, "the toy database does not start");
         std::thread::sleep(Duration::from_millis(20));
@@ -53,7 +54,7 @@
     }
 }
 
-/// A client that reads the error alone learns whether to come back, and why it was turned away.
+/// A client that reads the error alone learns whether to retry, and why it was rejected.
 #[test]
 fn a_rejection_carries_its_code_and_reason() {
     let proxy = Proxy::start(&[]);
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -1,4 +1,5 @@
 //! Tests of the real program, started as a process.
+#![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 #[path = "common/proxy.rs"]
 mod proxy;
@@ -6,22 +7,20 @@
 use std::io::Write as _;
 use std::net::TcpStream;
 
-use proxy::{Client, Coordinator, Database, Proxy, event, query, rest};
+use proxy::{Client, Coordinator, Database, Proxy, event, query, read_to_close};
 
 #[test]
 fn a_result_of_two_pages_is_served_completely_and_the_statement_is_forwarded_unchanged() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 5_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 5_000));
     assert_eq!(serve[1], format!("{:016x}", 1));
     assert!(serve[2].starts_with("queue=lookup,budget="), "{}", serve[2]);
     assert_eq!(serve[4], "SELECT a FROM sales_17.orders");
-    lines.say(&serve[1], "HIT", "total=2,elapsed=5,rss=8,use=q:0;rif:1;x0:0.1", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=2,elapsed=5,rss=8,use=q:0;rif:1;x0:0.1", "a\tb\tc\n");
     assert_eq!(lines.command(), ["read", &serve[1], "1"]);
-    lines.say(&serve[1], "PART", "index=1", "d\te\tf\n");
+    lines.send(&serve[1], "PART", "index=1", "d\te\tf\n");
     assert_eq!(client.answer(), "TDDC");
 }
 
@@ -38,7 +37,7 @@
     assert_eq!(load.answer(), "E 58000 failed: the statement may have run");
 }
 
-/// Guards the unsafe class: a reset proves nothing, a refused connection does.
+/// The unsafe class is protected: a reset proves nothing, a refused connection proves that it never ran.
 #[test]
 fn a_load_is_retried_after_a_rejection_but_not_after_a_reset() {
     let (first, second) = (Database::new(), Database::new());
@@ -52,10 +51,8 @@
     drop(proxy);
     let proxy = Proxy::start(&[&second]);
     let mut client = proxy.client();
-    client.send(&query("load", 2, 900));
-    let mut lines = second.accept();
-    let serve = lines.command();
-    lines.say(&serve[1], "SHED", "-", "");
+    let (mut lines, serve) = client.send_to(&second, &query("load", 2, 900));
+    lines.send(&serve[1], "SHED", "-", "");
     assert!(client.answer().starts_with("E 53000 refused"));
 }
 
@@ -72,8 +69,8 @@
     assert_eq!(client.ask(" ; "), "I");
     let mut garbage = Client::open(proxy.address);
     garbage.socket.write_all(b"Q\x7f\xff\xff\xff").unwrap();
-    let told = rest(&garbage.socket);
-    assert!(told.contains("54000"), "{told:?}");
+    let response = read_to_close(&garbage.socket);
+    assert!(response.contains("54000"), "{response:?}");
     for bad in ["budget=1e9", "budget=50,est=1e12", "budget=50,est=-1", "budget=50,space=NaN", "budget=inf"] {
         let text = format!("/* method=lookup,rid={:016x},{bad} */ SELECT a FROM sales_17.orders", 1);
         assert!(client.ask(&text).starts_with("E 42601"), "{bad}");
@@ -98,9 +95,7 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 7, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 7, 15_000));
     drop(client);
     assert_eq!(lines.command(), ["cancel", &serve[1]]);
 }
@@ -111,15 +106,13 @@
     let mut proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
-    client.send(&query("lookup", 2, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 2, 15_000));
     let answer = std::thread::spawn(move || {
         std::thread::sleep(std::time::Duration::from_millis(1_500));
-        lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
-        (client.answer(), rest(&client.socket))
+        lines.serve(&serve[1]);
+        (client.answer(), read_to_close(&client.socket))
     });
-    assert!(proxy.stop().success());
+    assert!(proxy.terminate().success());
     let (answer, rest) = answer.join().unwrap();
     assert_eq!(answer, "TDC");
     assert!(rest.contains("57P03"), "what comes behind the window is refused: {rest:?}");
@@ -135,19 +128,17 @@
     assert_eq!(last, 1);
     let mut client = proxy.client();
     // Of another class than those below: on a busy machine this one is answered late, and its class is taken to be slow.
-    client.send(&query("load", 1, 15_000));
-    let mut lines = first.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&first, &query("load", 1, 15_000));
     // The new configuration holds event 1 again, by which the first database would be back.
     let gone = [first.member("s-0", "DRAINING"), second.member("s-9", "SERVING")];
     stream.write_all(event(2, &gone).as_bytes()).unwrap();
     reached(&proxy, &second);
-    proxy.spoil_configuration();
+    proxy.load_invalid_configuration();
     proxy.reconfigure(&[&first], &new);
     let (_stream, last) = new.accept();
     assert_eq!(last, 2);
     assert_eq!(std::io::Read::read(&mut stream, &mut [0]).unwrap(), 0, "the old stream is shut");
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(client.answer(), "TDC");
     reached(&proxy, &second);
 }
@@ -158,19 +149,19 @@
     let (first, second) = (Database::new(), Database::new());
     let coordinator = Coordinator::new();
     let proxy = Proxy::follow(&[&first], Some(&coordinator));
-    let told = event(2, &[first.member("s-0", "DELETED"), second.member("s-9", "SERVING")]);
+    let notice = event(2, &[first.member("s-0", "DELETED"), second.member("s-9", "SERVING")]);
     let (mut stream, _) = coordinator.accept();
-    stream.write_all(&told.as_bytes()[..told.len() - 1]).unwrap();
+    stream.write_all(&notice.as_bytes()[..notice.len() - 1]).unwrap();
     drop(stream);
     coordinator.fail();
     let (mut stream, last) = coordinator.accept();
     assert_eq!(last, 1);
-    stream.write_all(told.as_bytes()).unwrap();
-    stream.write_all(told.as_bytes()).unwrap();
+    stream.write_all(notice.as_bytes()).unwrap();
+    stream.write_all(notice.as_bytes()).unwrap();
     reached(&proxy, &second);
 }
 
-/// Sends short queries until one reaches this database, as it does once the proxy has been told of it.
+/// Sends short queries until one reaches this database, as it does once the proxy knows of it.
 fn reached(proxy: &Proxy, database: &Database) {
     database.0.set_nonblocking(true).unwrap();
     let mut client = proxy.client();
@@ -185,7 +176,7 @@
     }
 }
 
-/// Guards the descriptors against those who connect and say nothing, or half of something.
+/// Clients that connect and send nothing, or part of a message, do not hold descriptors for good.
 #[test]
 fn an_unfinished_client_message_is_answered_with_an_error() {
     let proxy = Proxy::start(&[&Database::new()]);
@@ -193,12 +184,12 @@
     let mut half = proxy.client();
     let idle = &mut proxy.client();
     half.socket.write_all(b"Q\0\0\0\x20/* met").unwrap();
-    assert!(rest(&silent).contains("57014"));
-    assert!(rest(&half.socket).contains("57014"));
-    assert_eq!(idle.ask(""), "I", "an idle session is left alone");
+    assert!(read_to_close(&silent).contains("57014"));
+    assert!(read_to_close(&half.socket).contains("57014"));
+    assert_eq!(idle.ask(""), "I", "an idle session stays open");
 }
 
-/// Guards the error: a connection closed with bytes unread is reset, and what was sent last is lost.
+/// The error arrives: a connection closed with unread bytes is reset, and what was sent last is lost.
 #[test]
 fn an_oversized_message_is_answered_while_the_client_still_sends() {
     let proxy = Proxy::start(&[&Database::new()]);
@@ -207,41 +198,37 @@
     for _ in 0..600 {
         client.socket.write_all(&[b'x'; 10_000]).expect("the proxy goes on reading");
     }
-    assert!(rest(&client.socket).contains("54000"));
+    assert!(read_to_close(&client.socket).contains("54000"));
 }
 
-/// Guards the request that is open: the answer would go to whoever names its id.
+/// The open request is protected: its answer would go to whoever names its id.
 #[test]
 fn the_id_of_an_open_request_is_rejected_for_other_requests() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut first, mut second) = (proxy.client(), proxy.client());
-    first.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = first.send_to(&database, &query("lookup", 1, 15_000));
     assert!(second.ask(&query("load", 1, 15_000)).starts_with("E 42710"));
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    lines.serve(&serve[1]);
     assert_eq!(first.answer(), "TDC");
 }
 
-/// Guards usual clients against those who ask once and keep their connection for good.
+/// Clients that keep an idle connection for good do not keep others out.
 #[test]
 fn the_longest_idle_session_is_evicted_and_a_busy_one_is_not() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut busy = proxy.client();
-    busy.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = busy.send_to(&database, &query("lookup", 1, 15_000));
     // Two fifths of 256 descriptors are for sessions.
     let idle: Vec<Client> = (0..101).map(|_| proxy.client()).collect();
     assert_eq!(proxy.client().ask(""), "I");
-    assert_eq!(rest(&idle[0].socket), "");
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    assert_eq!(read_to_close(&idle[0].socket), "");
+    lines.serve(&serve[1]);
     assert_eq!(busy.answer(), "TDC");
 }
 
-/// Guards what is taken against SIGKILL, which comes long before some deadlines.
+/// Accepted requests are answered before SIGKILL, which comes long before some deadlines.
 #[test]
 fn sigterm_answers_requests_that_would_outlast_the_shutdown() {
     let database = Database::new();
@@ -250,25 +237,23 @@
     safe.send(&query("lookup", 1, 60_000));
     load.send(&query("load", 2, 60_000));
     let _open = [database.accept().command(), database.accept().command()];
-    assert!(proxy.stop().success());
+    assert!(proxy.terminate().success());
     assert!(safe.answer().starts_with("E 53000"));
     assert!(load.answer().starts_with("E 58000"));
 }
 
-/// Guards both clients: what belongs to no request is dropped, and the connection goes on.
+/// What belongs to no request is dropped, and the connection stays in use.
 #[test]
 fn answers_with_an_unknown_id_and_duplicate_answers_are_ignored() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
-    lines.say("00000000deadbeef", "HIT", "total=1", "x\ty\tz\n");
-    lines.say(&serve[1], "HIT", "total=2", "a\tb\tc\n");
-    lines.say(&serve[1], "HIT", "total=2", "a\tb\tc\n");
+    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 15_000));
+    lines.send("00000000deadbeef", "HIT", "total=1", "x\ty\tz\n");
+    lines.send(&serve[1], "HIT", "total=2", "a\tb\tc\n");
+    lines.send(&serve[1], "HIT", "total=2", "a\tb\tc\n");
     for _ in 0..2 {
-        lines.say(&serve[1], "PART", "index=1", "d\te\tf\n");
+        lines.send(&serve[1], "PART", "index=1", "d\te\tf\n");
     }
     assert_eq!(client.answer(), "TDDC");
     client.send(&query("lookup", 2, 15_000));
@@ -276,7 +261,7 @@
     assert_eq!(lines.command()[1], format!("{:016x}", 2));
 }
 
-/// Guards the client against noise, and the unsafe class against being told that it never ran.
+/// The client sees no malformed data, and a request of an unsafe class is not reported as never run.
 #[test]
 fn a_malformed_answer_fails_a_load_without_affecting_other_requests() {
     let spoilt = [
@@ -288,24 +273,22 @@
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let (mut client, mut other) = (proxy.client(), proxy.client());
-    other.send(&query("load", 99, 15_000));
-    let mut well = database.accept();
-    let serve = well.command();
+    let (mut well, serve) = other.send_to(&database, &query("load", 99, 15_000));
     for (id, (word, fields, body)) in (1..).zip(spoilt) {
         client.send(&query("load", id, 15_000));
         let mut lines = database.accept();
         let id = lines.command()[1].clone();
         if word == "SHED" {
-            lines.say(&id, "HIT", "total=2", "a\tb\tc\n");
+            lines.send(&id, "HIT", "total=2", "a\tb\tc\n");
         }
-        lines.say(&id, word, fields, body);
+        lines.send(&id, word, fields, body);
         assert!(client.answer().starts_with("E 58000"), "{word} {fields} {body}");
     }
-    well.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    well.serve(&serve[1]);
     assert_eq!(other.answer(), "TDC");
 }
 
-/// Guards against a machine that has vanished: its connections stay open and say nothing.
+/// A machine that has vanished leaves its connections open and silent.
 #[test]
 fn a_silent_connection_is_closed() {
     let database = Database::new();
@@ -318,15 +301,13 @@
     assert!(client.answer().starts_with("E 58000"));
 }
 
-/// Guards against a length that is too long: whatever comes is taken for the answer's own bytes.
+/// With a length that is too large, whatever follows is taken for the answer's own bytes.
 #[test]
 fn an_answer_that_never_completes_ends_its_connection() {
     let database = Database::new();
     let proxy = Proxy::start(&[&database]);
     let mut client = proxy.client();
-    client.send(&query("load", 1, 60_000));
-    let mut lines = database.accept();
-    let serve = lines.command();
+    let (mut lines, serve) = client.send_to(&database, &query("load", 1, 60_000));
     let socket = lines.0.get_mut();
     write!(socket, "{} HIT total=1 5000\r\n", serve[1]).unwrap();
     while socket.write_all(b"x").is_ok() {
@@ -335,7 +316,7 @@
     assert!(client.answer().starts_with("E 58000"));
 }
 
-/// Guards against meeting an old connection, and old news of health, at an address or id that is used again.
+/// Neither an old connection nor old health is used for an address or id that is used again.
 #[test]
 fn a_database_that_returns_at_another_address_is_reached_on_new_connections() {
     let (first, second) = (Database::new(), Database::new());
@@ -343,18 +324,16 @@
     let proxy = Proxy::follow(&[&first], Some(&coordinator));
     let (mut stream, _) = coordinator.accept();
     let mut client = proxy.client();
-    client.send(&query("lookup", 1, 15_000));
-    let mut lines = first.accept();
-    let serve = lines.command();
-    lines.say(&serve[1], "HIT", "total=1", "a\tb\tc\n");
+    let (mut lines, serve) = client.send_to(&first, &query("lookup", 1, 15_000));
+    lines.serve(&serve[1]);
     assert_eq!(client.answer(), "TDC");
     stream.write_all(event(2, &[first.member("s-0", "DELETED")]).as_bytes()).unwrap();
-    assert_eq!(rest(lines.0.get_ref()), "", "the old connection is closed");
+    assert_eq!(read_to_close(lines.0.get_ref()), "", "the old connection is closed");
     stream.write_all(event(3, &[second.member("s-0", "SERVING")]).as_bytes()).unwrap();
     reached(&proxy, &second);
 }
 
-/// Guards the one worker: a coroutine whose sleep runs out in may's own timers goes on in another thread beside it.
+/// There is one worker: a coroutine whose sleep ended in may's own timers would continue in another thread.
 #[cfg(target_os = "linux")]
 #[test]
 fn coroutines_run_on_one_thread() {
@@ -364,10 +343,10 @@
     assert_eq!(busy, 1, "{:?}", proxy.threads());
 }
 
-/// Guards against a worker that stands still while the kernel makes room for descriptors.
+/// The worker is never blocked while the kernel enlarges the descriptor table.
 #[cfg(target_os = "linux")]
 #[test]
 fn the_descriptor_table_has_its_full_size_from_the_start() {
-    let room: usize = Proxy::roomy(900).status("FDSize:").parse().unwrap();
+    let room: usize = Proxy::with_descriptors(900).status("FDSize:").parse().unwrap();
     assert!(room >= 900, "room for {room}");
 }
