--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -51,8 +51,7 @@
 
 /// The dispatcher's settings. A proxy without an ordinal takes its position in the fleet from its name.
 fn settings(json: &Value, name: &str) -> Result<Settings, DecodeError> {
-    let mut settings =
-        gaugestep_settings::decode(json).map_err(|error| DecodeError::Settings(error.into()))?;
+    let mut settings = gaugestep_settings::decode(json)?;
     if settings.fleet_position == FleetPosition::NameKey(0) {
         settings.fleet_position = FleetPosition::NameKey(gaugestep_subsetting::key(name));
     }
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,10 +1,10 @@
 //! Why a configuration cannot be used.
 
-use std::error::Error;
 use std::io;
 use std::path::PathBuf;
 
 use gaugestep_dispatch::interface::SettingsError;
+use gaugestep_settings::SettingError;
 use serde_json::Value;
 
 /// Why a configuration file cannot be used. The message names the file; the source says what is wrong with it.
@@ -91,7 +91,7 @@
     TooFewDescriptors,
     /// The dispatcher's settings cannot be decoded.
     #[error(transparent)]
-    Settings(Box<dyn Error + Send + Sync>),
+    Settings(#[from] SettingError),
     /// The dispatcher's settings are invalid.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
--- a/crates/proxy/src/config/shape.rs
+++ b/crates/proxy/src/config/shape.rs
@@ -25,3 +25,7 @@
         _ => None,
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/config_shape.rs"]
+mod tests;
--- a/crates/proxy/src/discovery/endpoint.rs
+++ b/crates/proxy/src/discovery/endpoint.rs
@@ -75,3 +75,7 @@
         })
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/endpoint.rs"]
+mod tests;
--- a/crates/proxy/src/discovery/event_parser.rs
+++ b/crates/proxy/src/discovery/event_parser.rs
@@ -100,3 +100,7 @@
         None
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/event_parser.rs"]
+mod tests;
--- a/crates/proxy/src/discovery/http_body.rs
+++ b/crates/proxy/src/discovery/http_body.rs
@@ -134,3 +134,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/http_body.rs"]
+mod tests;
--- a/crates/proxy/src/server/resource_limits.rs
+++ b/crates/proxy/src/server/resource_limits.rs
@@ -56,3 +56,7 @@
         eprintln!("gaugestep: no room for {descriptors} descriptors: {error}");
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/resource_limits.rs"]
+mod tests;
--- a/crates/proxy/src/upstream/line_protocol/health.rs
+++ b/crates/proxy/src/upstream/line_protocol/health.rs
@@ -79,3 +79,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/health.rs"]
+mod tests;
--- a/crates/proxy/src/upstream/line_protocol/message.rs
+++ b/crates/proxy/src/upstream/line_protocol/message.rs
@@ -229,3 +229,7 @@
     let separators = row.bytes().filter(|byte| *byte == b'\t').count();
     row.ends_with('\n') && separators == COLUMNS_PER_ROW - 1
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/upstream_message.rs"]
+mod tests;
