--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -6,7 +6,7 @@
 use crate::engines::{Fleet, GrantedPosition};
 use crate::interface::*;
 use crate::policy::*;
-use crate::requests::{OrderedQueues, Request, Requests};
+use crate::requests::{OrderedQueues, Requests};
 use crate::stats::Mean;
 
 /// The time and the settings by which all parts decide.
@@ -145,14 +145,6 @@
         self.quotas.0.resize(new.tenants.len(), Mean::default());
         self.fleet.draw_subset(&self.context);
     }
-
-    /// Removes a finished request once all its attempts have ended; only then does its key move on.
-    pub(crate) fn remove_if_over(&mut self, id: &RequestId) {
-        let over = |request: &&Request| request.finished && request.is_idle();
-        let Some(request) = self.requests.get(id).filter(over) else { return };
-        self.queues.remove(self.context.settings.order_key(&request.new), id);
-        self.requests.remove(id);
-    }
 }
 
 /// Takes over new settings of classes: what is known of a class is forgotten with its rules.
--- a/crates/dispatch/src/engines.rs
+++ b/crates/dispatch/src/engines.rs
@@ -107,14 +107,6 @@
     pub refresh_at: Millis,
 }
 
-impl EngineSubset {
-    /// The position at this time: the one by a roster while that holds, else the one by the settings.
-    pub fn position(&self, now: Millis, by_settings: FleetPosition) -> FleetPosition {
-        let granted = self.granted.filter(|granted| now < granted.until);
-        granted.map_or(by_settings, |granted| granted.position)
-    }
-}
-
 /// A position by a roster.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantedPosition {
--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -1,5 +1,4 @@
-//! The fleet of engines, and the subset of them that this dispatcher draws from: over the whole of a large
-//! fleet handshakes are paid for and connections scarce.
+//! The fleet of engines, and the subset of them that this dispatcher draws from, as connections are scarce.
 
 use super::*;
 
@@ -13,6 +12,13 @@
 const MIN_SLOWNESS: f64 = 0.5;
 const MAX_SLOWNESS: f64 = 10.0;
 
+impl EngineSubset {
+    /// The position at this time: the one by a roster while that holds, else the one by the settings.
+    pub fn position(&self, now: Millis, by_settings: FleetPosition) -> FleetPosition {
+        self.granted.filter(|granted| now < granted.until).map_or(by_settings, |granted| granted.position)
+    }
+}
+
 impl Fleet {
     /// Takes lines of the list of engines; engines missing from a complete list are gone.
     pub fn on_engine_list(&mut self, context: &Context, entries: Vec<EngineEntry>, complete: bool) {
--- a/crates/dispatch/src/policy/lifecycle.rs
+++ b/crates/dispatch/src/policy/lifecycle.rs
@@ -1,8 +1,6 @@
-//! The dispatcher: the way of a request through the parts.
-//!
-//! `on_request` admits it. `send_waiting` ranks what waits and gives each request an engine with capacity.
-//! `on_timer` watches what runs: past its class's timeout a run is cancelled, and the request waits for its
-//! one relaunch on another engine, which runs to its end. `on_attempt_ended` learns from each outcome, and
+//! The way of a request through the parts. `on_request` admits it. `send_waiting` ranks what waits and gives
+//! each request an engine with capacity. `on_timer` cancels a run past its class's timeout; the request waits
+//! for its one relaunch elsewhere, which runs to its end. `on_attempt_ended` learns from each outcome, and
 //! retries or answers. What cannot be served in time is rejected; every request gets one final answer.
 
 use super::*;
@@ -13,8 +11,7 @@
 const REVIEW_INTERVAL: Millis = 1_000.0;
 /// Open requests up to which each event is followed by a look at all that waits.
 const MAX_OPEN_FOR_EACH_EVENT: usize = 300;
-/// Share of the requests that may be open from which on only the most urgent are sent: slow queries must not
-/// fill the limit, as the quick ones behind them are worth more for it.
+/// Share of `max_open` from which only the most urgent requests are sent: slow ones must not fill the limit.
 const URGENT_ONLY_FROM: f64 = 0.85;
 
 impl Dispatcher {
@@ -124,9 +121,8 @@
     fn review(&mut self, out: &mut Vec<Action>) {
         self.reviewed_at = self.context.now;
         let ongoing: Vec<OngoingRun> = self.requests.values().flat_map(|it| self.ongoing_runs(it)).collect();
-        let settings = &self.context.settings;
-        for class in (0..settings.classes.len()).map(ClassId) {
-            let change = self.timeouts.choose_timeout(class, &ongoing, settings.cancellation);
+        for class in (0..self.context.settings.classes.len()).map(ClassId) {
+            let change = self.timeouts.choose_timeout(class, &ongoing, self.context.settings.cancellation);
             out.extend(change.map(Action::Log));
         }
         if self.unserved > 0 {
@@ -206,7 +202,8 @@
     /// Whether a request that waits can earn nothing any more, as half its usual run no longer fits.
     fn is_too_late(&self, request: &Request) -> bool {
         let run = self.work.expected_run(&self.context, &request.new);
-        self.rank(request) <= 0.0 || is_hopeless(&self.context, request, run)
+        let rank = rank(&self.context, &self.work, &self.queues, request);
+        rank <= 0.0 || is_hopeless(&self.context, request, run)
     }
 
     /// The time-out at the deadline answers for what runs; this guards against its coming late.
@@ -232,10 +229,6 @@
         next.max(now + 1.0)
     }
 
-    fn rank(&self, request: &Request) -> f64 {
-        rank(&self.context, &self.work, &self.queues, request)
-    }
-
     /// The requests that wait for an engine, best first.
     fn waiting(&self) -> Vec<Waiting> {
         let waits = |request: &&Request| {
@@ -244,9 +237,11 @@
                 && self.queues.is_next(&self.context, &request.new)
                 && !self.is_too_late(request)
         };
-        let waiting = self.requests.values().filter(waits);
-        let mut waiting: Vec<_> =
-            waiting.map(|it| Waiting { rank: self.rank(it), id: it.new.id.clone() }).collect();
+        let ranked = |request: &Request| {
+            let rank = rank(&self.context, &self.work, &self.queues, request);
+            Waiting { rank, id: request.new.id.clone() }
+        };
+        let mut waiting: Vec<_> = self.requests.values().filter(waits).map(ranked).collect();
         waiting.sort_by(|a, b| b.rank.total_cmp(&a.rank).then_with(|| a.id.cmp(&b.id)));
         waiting
     }
@@ -272,8 +267,8 @@
             let (class, memory_mb) = (request.new.class.0, request.new.memory_mb);
             let (fresh, priority) = (request.attempts.is_empty(), self.ranking.priority(rank));
             let opens = priority == HIGHEST_PRIORITY || (running as f64) < max_running;
-            let allowed = opens && self.retries.allows(&self.context, request, false);
-            let may_send = allowed && memory_mb < full_from[class];
+            let may_fit = opens && memory_mb < full_from[class];
+            let may_send = may_fit && self.retries.allows(&self.context, request, false);
             if may_send && self.send(&id, priority, out) {
                 running += 1;
                 continue;
@@ -347,4 +342,11 @@
         }
         self.remove_if_over(id);
     }
+
+    /// Removes a finished request once all its attempts have ended; only then does its key move on.
+    fn remove_if_over(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get(id).filter(|it| it.finished && it.is_idle()) else { return };
+        self.queues.remove(self.context.settings.order_key(&request.new), id);
+        self.requests.remove(id);
+    }
 }
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -1,7 +1,6 @@
-//! All decisions, one concern a module; [`Dispatcher`] shows the way of a request through them.
-//!
-//! What decides stays in this folder, whose files `policy` in `deploy/balancer.toml` names. The records and
-//! statistics beside it decide nothing. Each module takes what all share by `use super::*`.
+//! All decisions, one concern a module; `lifecycle` shows the way of a request through them. What decides
+//! stays in this folder, whose files `policy` in `deploy/balancer.toml` names. The records and statistics
+//! beside it decide nothing. Each module takes what all share by `use super::*`.
 
 use std::collections::BTreeMap;
 
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -107,6 +107,5 @@
 pub fn lock_holders(settings: &Settings, requests: &Requests, new: &NewRequest) -> Vec<EngineId> {
     let locks = |it: &NewRequest| settings.class(it).locks_tables && it.tables == new.tables;
     let others = locks(new).then(|| requests.values().filter(|other| locks(&other.new)));
-    let runs = others.into_iter().flatten().flat_map(Request::live);
-    runs.map(|(_, attempt)| attempt.engine).collect()
+    others.into_iter().flatten().flat_map(Request::live).map(|(_, attempt)| attempt.engine).collect()
 }
--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -5,8 +5,7 @@
 impl WarmUp {
     /// The share of its capacity that the engine has by now, at the least.
     pub fn capacity_share(&self, context: &Context) -> f64 {
-        let age = self.started_at.map(|started_at| context.now - started_at);
-        age.map_or(1.0, |age| context.settings.slow_start.capacity_share(age))
+        self.started_at.map_or(1.0, |at| context.settings.slow_start.capacity_share(context.now - at))
     }
 }
 
@@ -19,7 +18,7 @@
         let cores = context.settings.machine(&engine.entry).cores;
         let limit = SlowStartLimit { cores, settings: context.settings.slow_start };
         let works = (0..work.0.len()).map(|class| work.typical_work(ClassId(class)));
-        let age = context.now - started_at;
-        engine.warm_up.budget.available(&limit, slot, age, works, work.typical_work(class))
+        let typical = work.typical_work(class);
+        engine.warm_up.budget.available(&limit, slot, context.now - started_at, works, typical)
     }
 }
--- a/crates/dispatch/src/policy/timeout.rs
+++ b/crates/dispatch/src/policy/timeout.rs
@@ -52,11 +52,7 @@
         let enough = histogram.ended() >= MIN_OUTCOMES && cancel;
         let timeout = best.filter(|(load, _)| enough && *load < max_load).map(|(_, timeout)| timeout);
         let before = std::mem::replace(&mut history.timeout, timeout);
-        let class = class.0;
-        (before.is_some() != timeout.is_some()).then(|| match timeout {
-            Some(timeout) => format!("class {class}: timeout at {timeout:.2} times the estimate"),
-            None => format!("class {class}: no timeout"),
-        })
+        (before.is_some() != timeout.is_some()).then(|| history.timeout_line(class))
     }
 
     /// The runs of a class. Until enough of its own have ended, those of all classes stand in for it.
--- a/crates/dispatch/src/requests.rs
+++ b/crates/dispatch/src/requests.rs
@@ -206,6 +206,16 @@
     pub expected_relaunch: f64,
 }
 
+impl RunHistory {
+    /// The timeout as a line for the log.
+    pub fn timeout_line(&self, class: ClassId) -> String {
+        match self.timeout {
+            Some(timeout) => format!("class {}: timeout at {timeout:.2} times the estimate", class.0),
+            None => format!("class {}: no timeout", class.0),
+        }
+    }
+}
+
 /// What the answers of one class tell of its work.
 #[derive(Debug, Default)]
 pub struct ClassWork {
