--- a/tests/configuration/recovery.rs
+++ b/tests/configuration/recovery.rs
@@ -38,7 +38,8 @@
     }
     control.restart();
     wait_until("the newest comes again", || in_force(&proxy) == 2);
-    assert!(std::fs::read(&current).unwrap().len() > 20);
+    // It is in force before its file replaces the corrupt one.
+    wait_until("the newest is stored", || std::fs::read(&current).unwrap().len() > 20);
 }
 
 #[test]
