--- a/crates/proxy/src/downstream/postgres/frontend.rs
+++ b/crates/proxy/src/downstream/postgres/frontend.rs
@@ -127,3 +127,7 @@
 fn read_u32(bytes: &[u8]) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/frontend.rs"]
+mod tests;
--- a/crates/proxy/src/downstream/postgres/session/state.rs
+++ b/crates/proxy/src/downstream/postgres/session/state.rs
@@ -165,3 +165,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../../../tests/unit/session_state.rs"]
+mod tests;
--- a/crates/proxy/src/downstream/request_fields.rs
+++ b/crates/proxy/src/downstream/request_fields.rs
@@ -128,3 +128,7 @@
         _ => Err(RequestFieldError::InvalidNumber { name: name.to_owned(), value: value.to_owned() }),
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/request_fields.rs"]
+mod tests;
--- a/crates/proxy/src/downstream/table_group.rs
+++ b/crates/proxy/src/downstream/table_group.rs
@@ -131,3 +131,7 @@
 fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/table_group.rs"]
+mod tests;
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -214,3 +214,7 @@
 pub fn request_id(text: &str) -> RequestId {
     RequestId(Arc::from(text))
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/facade.rs"]
+mod tests;
--- a/crates/proxy/src/termination.rs
+++ b/crates/proxy/src/termination.rs
@@ -60,3 +60,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/termination.rs"]
+mod tests;
