--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -1,107 +1,113 @@
-//! What a version of the operators' configuration does to the proxy that runs, and how the proxy looks to the version tracker that
-//! checks versions. What may be taken is decided in `gaugestep-config`; here it is carried out.
+//! Applies the configuration to the running proxy: the platform's file and the operators' document together.
+//!
+//! Whether a document is valid for the proxy is decided in `gaugestep-config`, from the state of the proxy that
+//! [`ProxyHandle::with_state`] gives it; here it is put into force.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 
 use gaugestep_config::Document;
-use gaugestep_config::proxy_state::{self, Engine, EngineState, PlatformLimits, ProxyState};
-use gaugestep_config::schema::logging::Level;
-use gaugestep_control_plane::client::subscriber::ProxyHandle;
+use gaugestep_config::effective_config::effective_config;
+use gaugestep_config::proxy_state::{
+    self, Engine, EngineState, PlatformLimits, ProxyState, RetryBudget, Tenant,
+};
+use gaugestep_config::routing::{self, ResolvedRoute};
+use gaugestep_control_plane::client::{PositionLease, ProxyHandle, RequestTotals};
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{
     EngineId, FleetPosition, Readiness, RetryBudgetSettings, Route, TenantId,
 };
 
 use crate::class_registry::Class;
-use crate::config::Names;
-use crate::discovery::{Listed, Roster};
+use crate::config::{Config, Names};
+use crate::discovery::{Endpoint, EndpointList};
 use crate::lock;
+use crate::logging::{self, SetLog};
 use crate::request_lifecycle::RequestHandler;
+use crate::server::max_open_requests;
 
-/// The span of a ration of further attempts, in milliseconds, where the platform names none.
-const SPAN: f64 = 5_000.0;
+/// The window of the retry budget in milliseconds, where the platform's file has none.
+const DEFAULT_RETRY_WINDOW_MS: f64 = 5_000.0;
 
-/// What the platform's own file says.
-pub struct Told {
+/// What the platform's file says about requests.
+pub struct PlatformConfig {
     /// The proxy's name.
     pub proxy: String,
     /// The names of classes and tenants.
     pub names: Names,
-    /// The module's settings.
+    /// The dispatcher's settings.
     pub settings: Settings,
-    /// Requests that may be open together, as the front counts them.
+    /// How many requests clients may have open together.
     pub max_open: usize,
 }
 
-/// Sets what is logged: the directives, or those of the start if there are none.
-pub type SetLog = Box<dyn Fn(Option<String>) + Send + Sync>;
+impl PlatformConfig {
+    /// What this configuration says, with open requests limited by the descriptors for clients.
+    pub fn new(config: &Config) -> Self {
+        let mut settings = config.settings.clone();
+        settings.max_open = max_open_requests(settings.max_open, &config.limits);
+        PlatformConfig {
+            proxy: config.name.clone(),
+            names: config.names.clone(),
+            settings,
+            max_open: config.limits.max_open,
+        }
+    }
+}
 
-/// The proxy as versions see it.
-pub struct Versioned {
+/// Applies the platform's file and the operators' document to the proxy.
+pub struct ConfigApplier {
     handler: Arc<RequestHandler>,
-    roster: Arc<Roster>,
-    told: Mutex<Told>,
+    endpoint_list: Arc<EndpointList>,
+    platform_config: Mutex<PlatformConfig>,
     document: Mutex<Document>,
     set_log: SetLog,
 }
 
-impl Versioned {
-    /// The proxy under the platform's own file alone. It looks at its routes anew whenever the list changes.
+impl ConfigApplier {
+    /// An applier for a proxy that runs under the platform's file alone. Whenever the list of endpoints changes, the routes of
+    /// the document are resolved again.
     pub fn start(
         handler: Arc<RequestHandler>,
-        roster: Arc<Roster>,
-        told: Told,
+        endpoint_list: Arc<EndpointList>,
+        platform_config: PlatformConfig,
         set_log: SetLog,
     ) -> Arc<Self> {
         let document = Mutex::default();
-        let this = Arc::new(Versioned { handler, roster, told: Mutex::new(told), document, set_log });
-        let looking = Arc::downgrade(&this);
-        this.roster.on_change(Box::new(move || {
-            if let Some(this) = looking.upgrade() {
-                if !lock(&this.document).routes.is_empty() {
-                    this.settle();
-                }
+        let this = Arc::new(ConfigApplier {
+            handler,
+            endpoint_list,
+            platform_config: Mutex::new(platform_config),
+            document,
+            set_log,
+        });
+        let observer = Arc::downgrade(&this);
+        this.endpoint_list.set_change_listener(Box::new(move || {
+            if let Some(this) = observer.upgrade()
+                && this.has_routes()
+            {
+                this.apply_effective();
             }
         }));
         this
     }
 
-    /// The platform's own file has changed. Called with [`RequestHandler::update_lock`] held.
-    pub fn retell(&self, told: Told) {
-        *lock(&self.told) = told;
-        self.settle();
+    fn has_routes(&self) -> bool {
+        !lock(&self.document).routes.is_empty()
     }
 
-    /// Puts the platform's file and the document in force together. Called with [`RequestHandler::update_lock`] held.
-    fn settle(&self) {
-        let (told, document) = (lock(&self.told), lock(&self.document).clone());
-        let counts = proxy_state::effective_config(&document, &platform(&told));
-        let mut settings = told.settings.clone();
-        let mut names = told.names.clone();
-        let served = |name: &String| proxy_state::serves(&document, name);
-        let kept =
-            names.classes.iter().zip(std::mem::take(&mut settings.classes)).filter(|(name, _)| served(name));
-        (names.classes, settings.classes) = kept.map(|(name, class)| (name.clone(), class)).unzip();
-        for (tenant, quota) in settings.tenants.iter_mut().zip(&counts.quotas) {
-            tenant.quota_per_s = *quota;
-        }
-        if let Some(seat) = document.proxies.iter().position(|name| *name == told.proxy) {
-            let place = FleetPosition::ordinal(seat as u32, document.proxies.len() as u32);
-            (settings.place, settings.dispatchers) =
-                (place.unwrap_or(settings.place), document.proxies.len());
-        }
-        settings.max_open = settings.max_open.min(counts.max_open as usize);
-        settings.max_attempts = counts.max_attempts as usize;
-        let span = settings.retry_budget.map_or(SPAN, |budget| budget.window);
-        settings.retry_budget = counts.retries.map(|(ratio, free)| RetryBudgetSettings {
-            min_retries: free,
-            ratio,
-            window: span,
-        });
-        let max_open = told.max_open.min(counts.max_open as usize);
-        drop(told);
+    /// Applies a changed file of the platform. Called with [`RequestHandler::update_lock`] held.
+    pub fn update_platform(&self, platform_config: PlatformConfig) {
+        *lock(&self.platform_config) = platform_config;
+        self.apply_effective();
+    }
+
+    /// Puts the platform's file and the document into force together. Called with [`RequestHandler::update_lock`] held.
+    fn apply_effective(&self) {
+        let (platform_config, document) = (lock(&self.platform_config), lock(&self.document).clone());
+        let EffectiveSettings { settings, names, max_open } = effective_settings(&platform_config, &document);
+        drop(platform_config);
         self.handler.max_open.store(max_open, Ordering::Relaxed);
         let tenants = names.tenants.clone();
         self.handler.classes.update(&names, settings, |mut settings, classes| {
@@ -110,105 +116,134 @@
         });
     }
 
-    /// The document's routes as the module takes them.
+    /// The document's routes, resolved against the endpoints that are listed.
     fn routes(&self, document: &Document, classes: &[Arc<Class>], tenants: &[String]) -> Vec<Route> {
         if document.routes.is_empty() {
             return Vec::new();
         }
-        let listed = self.roster.databases().unwrap_or_default();
-        let numbers: BTreeMap<&String, EngineId> =
-            listed.iter().map(|(name, it)| (name, it.engine)).collect();
-        let engines: Vec<Engine> = listed.iter().map(|(name, listed)| engine(name, listed)).collect();
+        let endpoints = self.endpoint_list.endpoints().unwrap_or_default();
+        let engine_ids: BTreeMap<&String, EngineId> =
+            endpoints.iter().map(|(name, endpoint)| (name, endpoint.engine)).collect();
+        let engines: Vec<Engine> = endpoints.iter().map(|(name, endpoint)| engine(name, endpoint)).collect();
         let class = |name: &String| classes.iter().find(|class| class.name == *name).map(|class| class.id);
         let tenant = |name: &String| tenants.iter().position(|other| other == name).map(TenantId);
-        let route = |route: &proxy_state::ResolvedRoute| Route {
+        let route = |route: &ResolvedRoute| Route {
             classes: (!route.classes.is_empty()).then(|| route.classes.iter().filter_map(class).collect()),
             tenants: (!route.tenants.is_empty()).then(|| route.tenants.iter().filter_map(tenant).collect()),
             engines: route.engines.as_ref().map(|engines| {
-                engines.iter().filter_map(|(name, weight)| Some((*numbers.get(name)?, *weight))).collect()
+                engines
+                    .iter()
+                    .filter_map(|engine| Some((*engine_ids.get(&engine.name)?, engine.weight)))
+                    .collect()
             }),
         };
-        proxy_state::resolve(document, &engines).iter().map(route).collect()
+        routing::resolve(document, &engines).iter().map(route).collect()
     }
 }
 
-/// What the platform's file and the rule allow.
-fn platform(told: &Told) -> PlatformLimits {
+/// The platform's file as a document changes it.
+struct EffectiveSettings {
+    /// The dispatcher's settings, without routes.
+    settings: Settings,
+    names: Names,
+    /// How many requests clients may have open together.
+    max_open: usize,
+}
+
+fn effective_settings(platform: &PlatformConfig, document: &Document) -> EffectiveSettings {
+    let effective = effective_config(document, &platform_limits(platform));
+    let (mut settings, mut names) = (platform.settings.clone(), platform.names.clone());
+    let classes = names.classes.iter().zip(std::mem::take(&mut settings.classes));
+    let served = classes.filter(|(name, _)| routing::serves(document, name));
+    (names.classes, settings.classes) = served.map(|(name, class)| (name.clone(), class)).unzip();
+    for (tenant, quota) in settings.tenants.iter_mut().zip(&effective.quotas) {
+        tenant.quota_per_s = *quota;
+    }
+    let fleet_size = document.proxies.len();
+    if let Some(ordinal) = document.proxies.iter().position(|name| *name == platform.proxy) {
+        let position = FleetPosition::ordinal(ordinal as u32, fleet_size as u32);
+        settings.fleet_position = position.unwrap_or(settings.fleet_position);
+        settings.dispatchers = fleet_size;
+    }
+    settings.max_open = settings.max_open.min(effective.max_open as usize);
+    settings.max_attempts = effective.max_attempts as usize;
+    let window = settings.retry_budget.map_or(DEFAULT_RETRY_WINDOW_MS, |budget| budget.window);
+    settings.retry_budget = effective.retries.map(|budget| RetryBudgetSettings {
+        min_retries: budget.free,
+        ratio: budget.ratio,
+        window,
+    });
+    EffectiveSettings { settings, names, max_open: platform.max_open.min(effective.max_open as usize) }
+}
+
+/// What the platform's file allows a document to set.
+fn platform_limits(platform_config: &PlatformConfig) -> PlatformLimits {
     let quota = |quota: f64| (quota > 0.0).then_some(quota);
-    let tenants = told.names.tenants.iter().zip(&told.settings.tenants);
+    let tenants = platform_config.names.tenants.iter().zip(&platform_config.settings.tenants);
     PlatformLimits {
-        tenants: tenants.map(|(name, tenant)| (name.clone(), quota(tenant.quota_per_s))).collect(),
-        max_open: told.max_open as u64,
-        max_attempts: told.settings.max_attempts as u64,
-        retries: told.settings.retry_budget.map(|budget| (budget.ratio, budget.min_retries)),
+        tenants: tenants
+            .map(|(name, tenant)| Tenant { name: name.clone(), quota_per_s: quota(tenant.quota_per_s) })
+            .collect(),
+        max_open: platform_config.max_open as u64,
+        max_attempts: platform_config.settings.max_attempts as u64,
+        retries: platform_config
+            .settings
+            .retry_budget
+            .map(|budget| RetryBudget { ratio: budget.ratio, free: budget.min_retries }),
     }
 }
 
-fn engine(name: &str, listed: &Listed) -> Engine {
-    let state = if listed.readiness == Readiness::Up { EngineState::Up } else { EngineState::Draining };
+/// An endpoint as documents are checked against it.
+fn engine(name: &str, endpoint: &Endpoint) -> Engine {
+    let is_up = endpoint.readiness == Readiness::Up;
     Engine {
         name: name.into(),
-        kind: listed.kind.clone(),
-        zone: listed.zone.clone(),
-        cell: listed.cell,
-        state,
+        kind: endpoint.kind.clone(),
+        zone: endpoint.zone.clone(),
+        cell: endpoint.cell,
+        state: if is_up { EngineState::Up } else { EngineState::Draining },
     }
 }
 
-/// Logging as the log's filter takes it; none where the document says nothing.
-fn directives(document: &Document) -> Option<String> {
-    let logging = document.logging.as_ref()?;
-    let level = |level: Level| match level {
-        Level::Unset => None,
-        Level::Error => Some("error"),
-        Level::Warn => Some("warn"),
-        Level::Info => Some("info"),
-        Level::Debug => Some("debug"),
-        Level::Trace => Some("trace"),
-    };
-    let base = level(logging.level()).map(|level| format!("gaugestep={level}"));
-    let parts =
-        logging.parts.iter().filter_map(|part| Some(format!("{}={}", part.name, level(part.level())?)));
-    let all: Vec<String> = base.into_iter().chain(parts).collect();
-    (!all.is_empty()).then(|| all.join(","))
-}
-
-impl ProxyHandle for Versioned {
+impl ProxyHandle for ConfigApplier {
     fn with_state(&self, then: &mut dyn FnMut(&ProxyState)) {
-        let _changes = lock(&self.handler.update_lock);
-        let told = lock(&self.told);
+        let _update = lock(&self.handler.update_lock);
+        let platform_config = lock(&self.platform_config);
         let open = self.handler.classes.open_requests();
         let count = |name: &String| open.iter().find(|(other, _)| other == name).map_or(0, |(_, open)| *open);
-        let classes = told
+        let classes = platform_config
             .names
             .classes
             .iter()
             .map(|name| proxy_state::Class { name: name.clone(), open: count(name) });
-        let listed = self.roster.databases();
+        let endpoints = self.endpoint_list.endpoints();
         let state = ProxyState {
-            engines: listed.map(|all| all.iter().map(|(name, listed)| engine(name, listed)).collect()),
+            engines: endpoints
+                .map(|named| named.iter().map(|(name, endpoint)| engine(name, endpoint)).collect()),
             classes: classes.collect(),
             open: self.handler.open.load(Ordering::Relaxed) as u64,
-            platform: platform(&told),
+            platform: platform_limits(&platform_config),
         };
-        drop(told);
+        drop(platform_config);
         then(&state);
     }
 
     fn apply(&self, document: &Document) {
         *lock(&self.document) = document.clone();
-        self.settle();
-        (self.set_log)(directives(document));
+        self.apply_effective();
+        (self.set_log)(logging::directives(document));
     }
 
-    fn assign_ordinal(&self, seat: Option<(FleetPosition, f64)>) {
-        let _changes = lock(&self.handler.update_lock);
-        let (place, left) = seat.unwrap_or((FleetPosition::NameKey(0), 0.0));
-        self.handler.facade.set_fleet_position(place, left);
+    fn assign_position(&self, lease: Option<PositionLease>) {
+        let _update = lock(&self.handler.update_lock);
+        let (position, valid_for_ms) = lease.map_or((FleetPosition::NameKey(0), 0.0), |lease| {
+            (lease.position, lease.valid_for.as_secs_f64() * 1e3)
+        });
+        self.handler.facade.set_fleet_position(position, valid_for_ms);
     }
 
-    fn request_counts(&self) -> (u64, u64, u64) {
+    fn request_totals(&self) -> RequestTotals {
         let totals = self.handler.classes.totals();
-        (totals.succeeded, totals.rejected, totals.failed)
+        RequestTotals { succeeded: totals.succeeded, rejected: totals.rejected, failed: totals.failed }
     }
 }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -9,9 +9,10 @@
 
 use gaugestep_config::rollout::selection_rank;
 use gaugestep_config::schema::{Hello, Plan, Seen, call};
-use gaugestep_testbed::duties::{Breach, judge};
+use gaugestep_control_plane::cli::admin_client::Delivery;
 use gaugestep_testbed::faults::Schedule;
-use gaugestep_testbed::network::{Link, Way};
+use gaugestep_testbed::leadership_audit::{self, Violation, audit};
+use gaugestep_testbed::network::{Link, LinkFault, Partition};
 use group::{Group, Publisher, wait};
 use proxy::Proxy;
 
@@ -40,7 +41,7 @@
 /// Measured before: both stayed connected, the earlier one was never offered anything again and not told so, and `status`
 /// showed one.
 #[test]
-fn two_processes_under_one_name_are_shown_as_two_and_the_earlier_one_is_told() {
+fn two_processes_with_one_name_are_listed_separately_and_the_earlier_one_is_notified() {
     let group = Group::start(1);
     let earlier = group.proxy_in("n0", "earlier", 0);
     group
@@ -67,7 +68,7 @@
 
 /// Measured before: a service on a copy of another's store published a second version 2, and each was told of success.
 #[test]
-fn a_copied_store_does_not_start_and_a_lone_service_that_stood_still_waits_for_a_proxy() {
+fn a_copied_store_is_refused_and_a_lone_service_that_was_suspended_waits_for_a_proxy() {
     let mut group = Group::start(1);
     let proxies = [group.proxy("n0", 0)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -94,7 +95,7 @@
 
     // It stands still; its proxy does not reach it any more, as if it followed another by now.
     group.node_mut(1).stop();
-    group.net.part("n0", "1", false);
+    group.net.partition("n0", "1", Partition::Closed);
     wait("the proxy has left", || {
         proxies[0].figures().pointer("/configuration/connected") == Some(&false.into())
     });
@@ -106,13 +107,13 @@
     let refused = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
     assert!(refused.contains("stood still") && refused.contains("take-over"), "{refused}");
     assert_eq!(group.node(1).versions().len(), 1, "nothing was published");
-    group.net.heal();
+    group.net.heal_all();
     let second = group.published("limits { max_open: 12 }", "b", at_once());
     group.in_force(&proxies, second);
 }
 
 #[test]
-fn an_owner_stopped_in_the_second_step_of_a_rollout_does_no_harm_after_its_successor_finished_it() {
+fn a_leader_suspended_in_the_second_stage_of_a_rollout_changes_nothing_after_its_successor_completed_it() {
     let mut group = Group::start(3);
     // By its lot in version 2 one proxy goes first, two more second, one last. The third and the last know no class
     // `lookup`, and turn down a document that names it.
@@ -153,13 +154,13 @@
     assert_eq!(last, back + 1, "the old owner has published nothing");
     group.in_force(&proxies, last);
     group.settled();
-    let verdict = judge(&group.records(&["n0", "n1", "n2", "n3"]));
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.terms >= 2, "{verdict:?}");
+    let report = audit(&group.records(&["n0", "n1", "n2", "n3"]));
+    assert_eq!(report.violations, []);
+    assert!(report.terms >= 2, "{report:?}");
 }
 
 #[test]
-fn an_owner_stopped_between_storing_and_telling_is_there_whole_or_not_at_all() {
+fn a_version_of_a_leader_suspended_between_storing_and_answering_is_complete_or_absent() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -177,13 +178,13 @@
     wait("both proxies have seen the successor", || proxies.iter().all(|it| self::term(it) >= Some(term)));
     group.settled();
     records.extend(group.records(&["n0", "n1"]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.acknowledged > 1);
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.acknowledged > 1);
 }
 
 #[test]
-fn an_owner_that_cannot_reach_the_others_but_is_reached_by_half_of_the_proxies_steps_back() {
+fn a_leader_cut_off_from_the_group_but_not_from_half_of_the_proxies_steps_down() {
     let group = Group::start(3);
     let proxies: Vec<Proxy> = (0..4).map(|at| group.proxy(&format!("n{at}"), at)).collect();
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -191,14 +192,14 @@
     let (old, _) = group.owner();
     let name = old.to_string();
     for other in group.nodes.iter().filter(|node| node.number != old) {
-        group.net.part(&name, &other.name(), true);
+        group.net.partition(&name, &other.name(), Partition::Silent);
     }
     for proxy in ["n0", "n1"] {
-        group.net.part(proxy, &name, false);
+        group.net.partition(proxy, &name, Partition::Closed);
     }
     let why = |told: Result<(u64, String), String>| told.err();
     let only_old = group.service(&[old]);
-    let status = || only_old.call(&call::What::Status(Default::default()), true);
+    let status = || only_old.call(&call::What::Status(Default::default()), Delivery::AtLeastOnce);
     wait("the old owner says that it cannot act", || status().is_err());
     wait("another one owns the versions", || {
         let others = group.nodes.iter().filter(|node| node.number != old);
@@ -209,15 +210,15 @@
     });
     // Those that reached the old owner leave it, as it names nobody, and find the new one.
     group.in_force(&proxies, first + 1);
-    group.net.heal();
+    group.net.heal_all();
     let third = group.published("limits { max_open: 13 }", "c", at_once());
     group.in_force(&proxies, third);
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1", "n2", "n3"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1", "n2", "n3"])).violations, []);
 }
 
 #[test]
-fn links_cut_one_way_only_leave_one_owner_that_acts() {
+fn one_way_link_failures_leave_one_active_leader() {
     let group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -227,7 +228,7 @@
         // What the owner says is not heard, and then what is said to it; then one of the others alone is deaf to it.
         for other in if round < 2 { &others[..] } else { &others[..1] } {
             let (from, to) = if round == 1 { (*other, owner) } else { (owner, *other) };
-            let deaf = Link { there: Way::Stalled, ..Link::default() };
+            let deaf = Link { forward: LinkFault::Stalled, ..Link::default() };
             group.net.set(&from.to_string(), &to.to_string(), deaf);
         }
         let number = group.published(
@@ -236,14 +237,14 @@
             at_once(),
         );
         group.in_force(&proxies, number);
-        group.net.heal();
+        group.net.heal_all();
     }
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
 #[test]
-fn all_services_killed_at_once_under_load_and_started_in_another_order_lose_nothing() {
+fn a_group_killed_at_once_under_load_and_restarted_in_another_order_loses_nothing() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(10));
@@ -264,13 +265,13 @@
     let newest = group.nodes[0].versions()[0].0;
     group.in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.acknowledged >= 8, "{verdict:?}");
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.acknowledged >= 8, "{report:?}");
 }
 
 #[test]
-fn without_a_majority_commands_say_so_soon_and_proxies_go_on_and_start_under_what_they_have() {
+fn without_a_majority_commands_fail_fast_and_proxies_run_and_start_on_their_last_version() {
     let mut group = Group::start(3);
     let mut proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -301,7 +302,7 @@
 }
 
 #[test]
-fn two_services_that_come_back_with_swapped_addresses_are_each_found_as_who_they_are() {
+fn two_services_that_restart_with_swapped_addresses_are_identified_correctly() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1), group.proxy("n2", 2)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -324,11 +325,11 @@
     let second = group.published("limits { max_open: 12 }", "b", at_once());
     group.in_force(&proxies, second);
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1", "n2"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1", "n2"])).violations, []);
 }
 
 #[test]
-fn a_service_with_yesterdays_store_is_refused_by_its_seal_and_by_the_others() {
+fn a_service_with_an_old_store_is_refused_by_its_generation_file_and_by_its_peers() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
     group.published("limits { max_open: 11 }", "a", at_once());
@@ -371,7 +372,7 @@
 }
 
 #[test]
-fn an_owner_whose_disk_is_full_gives_way_and_comes_back_when_there_is_room() {
+fn a_leader_with_a_full_disk_steps_down_and_returns_when_there_is_space() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -404,11 +405,11 @@
     node.shell.clear();
     node.start();
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
 #[test]
-fn a_proxy_that_has_seen_a_higher_term_than_any_service_follows_none_until_one_takes_over() {
+fn a_proxy_that_has_seen_a_higher_term_than_any_service_follows_none_until_a_takeover() {
     let mut group = Group::start(1);
     let mut proxies = [group.proxy("n0", 0)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -440,7 +441,7 @@
 }
 
 #[test]
-fn a_proxy_that_names_the_last_of_all_terms_neither_stops_the_fleet_nor_uses_terms_up() {
+fn a_proxy_that_reports_the_highest_possible_term_neither_blocks_the_fleet_nor_exhausts_terms() {
     let group = Group::start(1);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 0)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -456,7 +457,7 @@
 }
 
 #[test]
-fn a_command_in_flight_while_the_owner_changes_is_carried_out_once() {
+fn a_command_in_flight_across_a_change_of_leader_is_executed_once() {
     let group = Group::start(3);
     let publisher = Publisher::start(group.service(&group.but(0)), Duration::ZERO);
     let (mut changes, began) = (0, Instant::now());
@@ -467,13 +468,13 @@
     let mut records = publisher.end();
     group.settled();
     records.extend(group.records(&[]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.acknowledged > 0 && verdict.terms > 10, "{verdict:?}");
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.acknowledged > 0 && report.terms > 10, "{report:?}");
 }
 
 #[test]
-fn fifty_changes_of_owner_in_a_row_under_publishes_leave_one_history() {
+fn fifty_consecutive_changes_of_leader_under_publications_leave_one_history() {
     let group = Group::start(3);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let publisher = Publisher::start(group.service(&group.but(0)), Duration::from_millis(100));
@@ -486,16 +487,16 @@
     let newest = group.nodes[0].versions().first().map_or(0, |it| it.0);
     group.in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, []);
-    assert!(verdict.terms >= 50, "{verdict:?}");
+    let report = audit(&records);
+    assert_eq!(report.violations, []);
+    assert!(report.terms >= 50, "{report:?}");
 }
 
 /// With the owner's own checks taken out, an old owner goes on as if its duty were its own for good. The proxies refuse
 /// what it says all the same; with their check taken out too, a version that was overtaken comes in force where it must
 /// not, and the auditor finds it.
 #[test]
-fn an_old_owner_without_its_own_checks_does_no_harm_and_without_the_receivers_check_it_does() {
+fn a_stale_leader_without_its_own_checks_is_fenced_by_receivers_and_by_nothing_else() {
     for out in ["", "receiver"] {
         let mut group = Group::start(3);
         let old = 1;
@@ -529,7 +530,9 @@
             plan: Some(staged),
             ..Default::default()
         };
-        wait("the new owner publishes", || others.call(&call::What::Publish(publish.clone()), true).is_ok());
+        wait("the new owner publishes", || {
+            others.call(&call::What::Publish(publish.clone()), Delivery::AtLeastOnce).is_ok()
+        });
         group.in_force(&proxies[..1], overtaken + 1);
         group.only_away("n1", &[old]);
         wait("the other proxy follows the new owner too", || term(&proxies[1]) == Some(next));
@@ -545,14 +548,16 @@
             }
             _ => group.in_force(&proxies[1..], overtaken),
         }
-        let breaches = judge(&group.records(&["n0", "n1"])).breaches;
-        let harm = breaches.iter().any(|it| matches!(it, Breach::Stale(proxy, ..) if proxy == "n1"));
-        assert_eq!(harm, out == "receiver", "{breaches:?}");
+        let violations = audit(&group.records(&["n0", "n1"])).violations;
+        let harm = violations
+            .iter()
+            .any(|it| matches!(it, Violation::StaleTermApplied { proxy, .. } if proxy == "n1"));
+        assert_eq!(harm, out == "receiver", "{violations:?}");
     }
 }
 
 #[test]
-fn from_one_service_to_three_and_back_and_a_dead_member_is_replaced() {
+fn a_group_grows_to_three_and_shrinks_to_one_and_replaces_a_dead_member() {
     let mut group = Group::start(1);
     let proxies = [group.proxy("n0", 0)];
     let first = group.published("limits { max_open: 11 }", "a", at_once());
@@ -579,19 +584,19 @@
     let last = group.published("limits { max_open: 13 }", "c", at_once());
     group.in_force(&proxies, last);
     assert!(group.nodes[0].call(call::What::RemoveMember(1)).unwrap_err().contains("last member"));
-    assert_eq!(judge(&group.records(&["n0"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0"])).violations, []);
 }
 
 #[test]
-fn a_service_that_is_told_to_end_hands_its_duties_over_first() {
+fn a_service_that_is_terminated_transfers_its_roles_first() {
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
     let (old, term) = group.owner();
-    let ended = group.node_mut(old).process.take().unwrap().end().unwrap();
+    let ended = group.node_mut(old).process.take().unwrap().terminate().unwrap();
     assert!(ended.success());
     let (next, later) = group.owner_beside(old);
     assert_eq!(later, term + 1);
-    let assigned = |log: String| log.lines().any(|line| line.contains("assigns a duty"));
+    let assigned = |log: String| log.lines().any(|line| line.contains("assigning a role"));
     assert!(
         group.but(old).into_iter().all(|it| !assigned(group.node(it).log())),
         "nobody had to wait for a lease"
@@ -602,7 +607,7 @@
 }
 
 #[test]
-fn five_services_go_on_while_two_are_dead_and_a_third_is_cut_off_for_a_while() {
+fn five_services_keep_working_with_two_dead_and_a_third_cut_off_for_a_while() {
     let mut group = Group::start(5);
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 3)];
     group.in_force(&proxies, group.published("limits { max_open: 11 }", "a", at_once()));
@@ -618,18 +623,18 @@
     wait("there is no majority", || group.publish("limits { max_open: 13 }", "c", at_once()).is_err());
     // What was under way at the moment of the cut may have been agreed on still.
     assert!(proxies.iter().all(|proxy| version(proxy) >= Some(second)));
-    group.net.heal();
+    group.net.heal_all();
     let third = group.published("limits { max_open: 13 }", "c", at_once());
     group.in_force(&proxies, third);
     group.node_mut(owner).start();
     group.node_mut(next).start();
     group.settled();
-    assert_eq!(judge(&group.records(&["n0", "n1"])).breaches, []);
+    assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
 
 /// A store as earlier builds left it: versions and a lineage, and nothing that anybody agreed on.
 #[test]
-fn the_store_of_an_earlier_build_is_taken_over_by_a_lone_service() {
+fn a_lone_service_takes_over_the_store_of_an_earlier_build() {
     use gaugestep_config::schema::{Entry, entry::State};
     use prost::Message as _;
     let mut group = Group::start(1);
@@ -665,7 +670,7 @@
 
 /// More is agreed on while a member is away than anybody keeps as a log: it is sent all of it, and every member lets go.
 #[test]
-fn a_member_that_was_away_for_longer_than_the_log_is_kept_is_sent_all_that_is_agreed() {
+fn a_member_that_lags_behind_the_compacted_log_receives_a_snapshot() {
     let mut group = Group::start(3);
     let first = group.published("limits { max_open: 11 }", "a", at_once());
     group.node_mut(3).kill();
@@ -674,7 +679,7 @@
         group.until_done(call::What::Declare("further".into()));
     }
     let second = group.published("limits { max_open: 12 }", "b", at_once());
-    let took = |group: &Group| group.node(3).log().matches("took all that is agreed").count();
+    let took = |group: &Group| group.node(3).log().matches("installed a snapshot of another member").count();
     let before = took(&group);
     group.node_mut(3).start();
     wait("it has been sent all of it", || took(&group) > before);
@@ -694,7 +699,7 @@
 }
 
 #[test]
-fn many_duties_are_spread_evenly_and_few_move_when_a_member_goes_and_comes() {
+fn many_roles_are_balanced_and_few_move_when_a_member_leaves_and_returns() {
     let mut group = Group::start(3);
     for at in 0..8 {
         group.until_done(call::What::Declare(format!("duty-{at}")));
@@ -731,7 +736,7 @@
 }
 
 /// One schedule of faults, drawn from its seed, under publications; what the records say of it.
-fn storm(seed: u64, faults: usize) -> gaugestep_testbed::duties::Verdict {
+fn storm(seed: u64, faults: usize) -> leadership_audit::Report {
     eprintln!("seed {seed}");
     let mut group = Group::start(3);
     let names: Vec<String> = (0..3).map(|at| format!("n{at}")).collect();
@@ -747,19 +752,19 @@
     assert!(group.nodes.iter_mut().all(|node| !node.has_ended()), "no process ends by itself");
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     records.extend(group.records(&names));
-    let verdict = judge(&records);
-    assert_eq!(verdict.breaches, [], "seed {seed}");
-    verdict
+    let report = audit(&records);
+    assert_eq!(report.violations, [], "seed {seed}");
+    report
 }
 
 /// A few schedules; `GAUGESTEP_SEED` names another one to replay.
 #[test]
-fn schedules_of_faults_from_a_seed_leave_one_history() {
+fn seeded_fault_schedules_leave_one_history() {
     let told = std::env::var("GAUGESTEP_SEED").ok().and_then(|seed| seed.parse().ok());
     let seeds = told.map_or(vec![1, 2], |seed| vec![seed]);
     for seed in seeds {
-        let verdict = storm(seed, 10);
-        assert!(verdict.acknowledged > 0, "{verdict:?}");
+        let report = storm(seed, 10);
+        assert!(report.acknowledged > 0, "{report:?}");
     }
 }
 
@@ -775,12 +780,12 @@
             scope.spawn(|| {
                 loop {
                     let Some(seed) = seeds.lock().unwrap().pop() else { return };
-                    let verdict = storm(seed, 14);
+                    let report = storm(seed, 14);
                     let mut sums = sums.lock().unwrap();
                     sums.0 += 1;
-                    sums.1 += verdict.acknowledged;
-                    sums.2 += verdict.terms;
-                    sums.3 += verdict.refused;
+                    sums.1 += report.acknowledged;
+                    sums.2 += report.terms;
+                    sums.3 += report.rejected;
                 }
             });
         }
