--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -16,7 +16,7 @@
 type NoUpstream = ();
 
 fn facade() -> Arc<Facade<NoUpstream>> {
-    let settings = gaugestep_settings::settings(&json!({
+    let settings = gaugestep_settings::decode(&json!({
         "services": [{ "name": "report", "effect": "safe" }],
         "kinds": ["large"],
         "family_info": { "size_cores": [8], "ram_of_kind_mb": [16384] },
