--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -133,14 +133,14 @@
                 command.stdin(socket).env("EDGE_SOCKET_FD", "5").arg(r#"exec "$0" serve 5<&0 </dev/null"#)
             }
         };
-        self.child = Some(command.arg(env!("CARGO_BIN_EXE_gaugestep")).spawn().unwrap());
+        self.child = Some(command.arg(program()).spawn().unwrap());
     }
 
     fn child(&mut self) -> &mut Child {
         self.child.as_mut().unwrap()
     }
 
-    fn id(&self) -> u32 {
+    pub fn id(&self) -> u32 {
         self.child.as_ref().unwrap().id()
     }
 }
@@ -364,3 +364,8 @@
         let _ = std::fs::remove_file(&self.config);
     }
 }
+
+/// The program under test; `GAUGESTEP_PROGRAM` names one of another build, for paired benchmarks and groups of mixed builds.
+fn program() -> String {
+    std::env::var("GAUGESTEP_PROGRAM").unwrap_or_else(|_| env!("CARGO_BIN_EXE_gaugestep").to_owned())
+}
