--- a/tests/leadership/fencing.rs
+++ b/tests/leadership/fencing.rs
@@ -118,7 +118,14 @@
                 assert_eq!(version(&proxies[1]), Some(first));
                 assert!(proxies[1].statistic("/configuration/stale_refused") > Some(0));
             }
-            _ => group.wait_until_in_force(&proxies[1..], overtaken),
+            _ => {
+                group.wait_until_in_force(&proxies[1..], overtaken);
+                // A thread of the proxy writes its log: the line may follow the statistic.
+                let applied = |line: &serde_json::Value| {
+                    line["message"] == "version in force" && line["version"] == overtaken
+                };
+                wait_until("it logs the version", || group.log_lines("n1").iter().any(applied));
+            }
         }
         let violations = audit(&group.records(&["n0", "n1"])).violations;
         let harm = violations
