--- a/crates/dispatch/src/interface/ids.rs
+++ b/crates/dispatch/src/interface/ids.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u32);
 
-/// A class of requests: its position in [`Settings::classes`].
+/// A class of requests: its position in [`Settings::classes`](super::Settings::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// A tenant: its position in [`Settings::tenants`].
+/// A tenant: its position in [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// A kind of machine: its position in [`Settings::machines`].
+/// A kind of machine: its position in [`Settings::machines`](super::Settings::machines).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineId(pub usize);
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,9 @@
 //! The proxy: PostgreSQL clients in front, databases behind, the decision module between.
 //!
-//! - [`downstream`] serves clients, [`upstream`] keeps the connections to databases;
-//! - [`request_lifecycle`] sees each request through, as the [`facade`] of the decision module says;
-//! - [`discovery`] keeps the list of databases, [`config_applier`] puts configurations into force;
-//! - [`server`] starts and stops all of it, [`admin`] answers operators, [`cli`] is the command line.
+//! - `downstream` serves clients, `upstream` keeps the connections to databases;
+//! - `request_lifecycle` sees each request through, as the `facade` of the decision module says;
+//! - `discovery` keeps the list of databases, `config_applier` puts configurations into force;
+//! - `server` starts and stops all of it, `admin` answers operators, `cli` is the command line.
 
 mod admin;
 mod class_registry;
--- a/tests/leadership/fencing.rs
+++ b/tests/leadership/fencing.rs
@@ -1,6 +1,6 @@
 //! Commands of stale terms are rejected, and terms are not used up.
 
-use gaugestep_config::schema::{Hello, Plan, Seen, call};
+use gaugestep_config::schema::{Hello, Plan, Publish, Seen, call};
 use gaugestep_control_plane::cli::admin_client::Delivery;
 use gaugestep_testbed::leadership_audit::{Violation, audit};
 
@@ -96,12 +96,7 @@
         wait_until("the first proxy follows the new owner", || term(&proxies[0]) == Some(next));
         let staged = Plan { first: 1, hold_ms: 3_600_000, ..Plan::default() };
         let others = group.service(&group.all_except(old));
-        let publish = gaugestep_config::schema::Publish {
-            document: Some(gaugestep_config::text::parse("limits { max_open: 13 }").unwrap()),
-            key: "c".into(),
-            plan: Some(staged),
-            ..Default::default()
-        };
+        let publish = publish_once("limits { max_open: 13 }", "c", staged);
         wait_until("the new owner publishes", || {
             others.call(&call::What::Publish(publish.clone()), Delivery::AtLeastOnce).is_ok()
         });
@@ -120,11 +115,7 @@
             }
             _ => {
                 group.wait_until_in_force(&proxies[1..], overtaken);
-                // A thread of the proxy writes its log: the line may follow the statistic.
-                let applied = |line: &serde_json::Value| {
-                    line["message"] == "version in force" && line["version"] == overtaken
-                };
-                wait_until("it logs the version", || group.log_lines("n1").iter().any(applied));
+                wait_until_logged(&group, "n1", overtaken);
             }
         }
         let violations = audit(&group.records(&["n0", "n1"])).violations;
@@ -134,3 +125,16 @@
         assert_eq!(harm, disabled_check == "receiver", "{violations:?}");
     }
 }
+
+/// Waits until a proxy has logged a version: a thread of its own writes the log, so the line may follow the statistic.
+fn wait_until_logged(group: &Group, proxy: &str, version: u64) {
+    let applied =
+        |line: &serde_json::Value| line["message"] == "version in force" && line["version"] == version;
+    wait_until("it logs the version", || group.log_lines(proxy).iter().any(applied));
+}
+
+/// A request to publish a document once under its key.
+fn publish_once(document: &str, key: &str, plan: Plan) -> Publish {
+    let document = gaugestep_config::text::parse(document).unwrap();
+    Publish { document: Some(document), key: key.into(), plan: Some(plan), ..Publish::default() }
+}
