--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -12,9 +12,8 @@
 use rustls::{ClientConnection, StreamOwned};
 use rustls_pki_types::ServerName;
 
-use crate::client::TlsIdentity;
 use crate::transport::framing;
-use crate::transport::tls::{self, ClientTls, TlsError};
+use crate::transport::tls::{self, ClientTls, TlsError, TlsIdentity};
 
 /// How long a call is attempted at all while nobody can carry it out.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/control-plane/src/cli/connection.rs
+++ b/crates/control-plane/src/cli/connection.rs
@@ -9,8 +9,7 @@
 use crate::cli::admin_client::{AdminClient, CallError, Delivery};
 use crate::cli::exit::{CommandResult, ExitStatus};
 use crate::cli::output::Output;
-use crate::client::TlsIdentity;
-use crate::transport::tls::TlsFiles;
+use crate::transport::tls::{TlsFiles, TlsIdentity};
 
 /// How to reach the service.
 #[derive(Args)]
--- a/crates/control-plane/src/client/mod.rs
+++ b/crates/control-plane/src/client/mod.rs
@@ -41,7 +41,7 @@
 mod versions;
 
 pub use proxy_handle::{PositionLease, ProxyHandle, RequestTotals};
-pub use settings::{SubscriberSettings, SubscriberSettingsError, TlsIdentity};
+pub use settings::{SubscriberSettings, SubscriberSettingsError};
 pub use start::StartError;
 pub use status::{OrdinalStatus, RejectionStatus, SubscriberStatus};
 pub use subscriber::ConfigSubscriber;
--- a/crates/control-plane/src/client/settings.rs
+++ b/crates/control-plane/src/client/settings.rs
@@ -5,7 +5,7 @@
 
 use gaugestep_config::schema;
 
-use crate::transport::tls::{self, TlsError, TlsFiles};
+use crate::transport::tls::{self, TlsError, TlsFiles, TlsIdentity};
 
 /// How a proxy follows the control plane.
 #[derive(Clone, Debug)]
@@ -24,15 +24,6 @@
     pub seed: u64,
 }
 
-/// The keys of a proxy, and whom it trusts.
-#[derive(Clone, Debug)]
-pub struct TlsIdentity {
-    /// The files of the keys.
-    pub files: TlsFiles,
-    /// The name that the servers' certificates carry.
-    pub server_name: String,
-}
-
 /// Why an operator's settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SubscriberSettingsError {
--- a/crates/control-plane/src/raft/replica_thread.rs
+++ b/crates/control-plane/src/raft/replica_thread.rs
@@ -17,10 +17,10 @@
 use crate::raft::recovery::{RecoveredState, process_member};
 use crate::raft::replica::{PeerTls, Replica};
 use crate::raft::request::Request;
-use crate::raft::settings::{PeerKeys, ReplicaSettings};
+use crate::raft::settings::ReplicaSettings;
 use crate::raft::state::ReplicaState;
 use crate::raft::transport::outbound;
-use crate::transport::tls::{ClientTls, TlsError};
+use crate::transport::tls::{ClientTls, TlsError, TlsIdentity};
 
 /// A store that has failed is opened again after this time.
 const REOPEN_DELAY: Duration = Duration::from_secs(1);
@@ -51,8 +51,8 @@
     Ok((replica, thread))
 }
 
-fn load_keys(keys: &PeerKeys) -> Result<PeerTls, TlsError> {
-    Ok(PeerTls { keys: ClientTls::load(keys.files.clone())?, service_name: keys.service_name.clone() })
+fn load_keys(keys: &TlsIdentity) -> Result<PeerTls, TlsError> {
+    Ok(PeerTls { keys: ClientTls::load(keys.files.clone())?, service_name: keys.server_name.clone() })
 }
 
 impl ReplicaThread {
--- a/crates/control-plane/src/raft/settings.rs
+++ b/crates/control-plane/src/raft/settings.rs
@@ -4,16 +4,7 @@
 
 use gaugestep_config::schema::Member;
 
-use crate::transport::tls::TlsFiles;
-
-/// Keys with which a member connects to the others.
-#[derive(Clone, Debug)]
-pub struct PeerKeys {
-    /// The files of the keys.
-    pub files: TlsFiles,
-    /// The name that the other members' certificates carry.
-    pub service_name: String,
-}
+use crate::transport::tls::TlsIdentity;
 
 /// How a replica runs.
 #[derive(Clone, Debug)]
@@ -28,7 +19,7 @@
     /// it before is gone for good.
     pub restored: bool,
     /// Keys with which it connects to other members; `None`: without TLS.
-    pub keys: Option<PeerKeys>,
+    pub keys: Option<TlsIdentity>,
     /// For random draws; must differ between processes.
     pub seed: u64,
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -28,9 +28,10 @@
 use std::time::Duration;
 
 use crate::raft::replica_thread;
-use crate::raft::settings::{PeerKeys, ReplicaSettings};
+use crate::raft::settings::ReplicaSettings;
 use crate::server::listener::{Audience, ListenerTls};
 use crate::server::state::ServerContext;
+use crate::transport::tls::TlsIdentity;
 
 pub use crate::server::error::StartError;
 pub use crate::server::settings::Settings;
@@ -73,9 +74,9 @@
         joins: settings.joins,
         store: settings.store.clone(),
         restored: settings.restored,
-        keys: keys.map(|keys| PeerKeys {
+        keys: keys.map(|keys| TlsIdentity {
             files: keys.proxies.clone(),
-            service_name: settings.service_name.clone(),
+            server_name: settings.service_name.clone(),
         }),
         seed,
     }
--- a/crates/control-plane/src/transport/tls/files.rs
+++ b/crates/control-plane/src/transport/tls/files.rs
@@ -81,3 +81,12 @@
     }
     Ok(roots)
 }
+
+/// The keys of one end of a connection, and the name that it expects of the server at the other end.
+#[derive(Clone, Debug)]
+pub struct TlsIdentity {
+    /// The files of the keys.
+    pub files: TlsFiles,
+    /// The name that the servers' certificates carry.
+    pub server_name: String,
+}
--- a/crates/control-plane/src/transport/tls/mod.rs
+++ b/crates/control-plane/src/transport/tls/mod.rs
@@ -11,7 +11,7 @@
 use rustls::server::VerifierBuilderError;
 use rustls_pki_types::{CertificateDer, ServerName, pem};
 
-pub use files::TlsFiles;
+pub use files::{TlsFiles, TlsIdentity};
 pub use reloading::{ClientTls, ReloadingConfig, ServerTls};
 
 /// Why TLS, or the lack of it, cannot be used as configured.
