--- a/crates/proxy/src/facade/mailbox.rs
+++ b/crates/proxy/src/facade/mailbox.rs
@@ -36,7 +36,7 @@
     /// Its priority, where engines use one.
     pub priority: Option<u8>,
     /// How long it may still be sent, where engines recognise repeats for a limited time only.
-    pub left: Option<Duration>,
+    pub sendable_for: Option<Duration>,
 }
 
 /// The rejection of a request, which did not run.
--- a/crates/proxy/src/facade/state.rs
+++ b/crates/proxy/src/facade/state.rs
@@ -260,8 +260,8 @@
         entry.in_flight = Some(InFlightAttempt { attempt, engine, sent_at: now });
         let priority = self.priorities.then_some(entry.priority);
         let sendable_until = self.dispatcher.sendable_until(&id);
-        let left = sendable_until.is_finite().then(|| to_duration(sendable_until - now));
-        entry.send(RequestEvent::Send(AttemptOrder { engine, attempt, priority, left }));
+        let sendable_for = sendable_until.is_finite().then(|| to_duration(sendable_until - now));
+        entry.send(RequestEvent::Send(AttemptOrder { engine, attempt, priority, sendable_for }));
         None
     }
 
--- a/crates/proxy/src/upstream/line_protocol/pool.rs
+++ b/crates/proxy/src/upstream/line_protocol/pool.rs
@@ -104,7 +104,7 @@
             query: query.clone(),
             priority: order.priority,
             deadline: now + left,
-            write_by: order.left.map(|left| now + left),
+            write_by: order.sendable_for.map(|left| now + left),
         };
         let id = query.request.id.clone();
         let attempt = ActiveAttempt::new(order.attempt, queued, events);
