--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -24,7 +24,7 @@
     /// Memory that the process may hold, in bytes.
     pub memory_bytes: usize,
     /// Attempts that one connection to a database carries together.
-    pub multiplex: usize,
+    pub max_attempts_per_connection: usize,
     /// How long it may take to connect to a database, in milliseconds.
     pub dial_timeout_ms: u64,
     /// Idle connections are closed by the databases after this time, in milliseconds.
--- a/crates/proxy/src/upstream/line_protocol/pool.rs
+++ b/crates/proxy/src/upstream/line_protocol/pool.rs
@@ -142,7 +142,7 @@
         let is_full = pool.connections.len() >= max_per_engine || open >= self.budget;
         match pool.least_loaded() {
             Some((connection, 0)) => return Some(connection.clone()),
-            Some((connection, load)) if is_full && load < self.limits.multiplex => {
+            Some((connection, load)) if is_full && load < self.limits.max_attempts_per_connection => {
                 return Some(connection.clone());
             }
             _ if is_full => return None,
--- a/crates/proxy/tests/unit/resource_limits.rs
+++ b/crates/proxy/tests/unit/resource_limits.rs
@@ -7,7 +7,7 @@
     Limits {
         descriptors,
         memory_bytes: memory_mb * 1024 * 1024,
-        multiplex: 100,
+        max_attempts_per_connection: 100,
         dial_timeout_ms: 250,
         idle_ms: 30_000,
         max_open: 1000,
