--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -83,7 +83,7 @@
         memory_bytes: whole_number(process, "memory_mb", 192)?.saturating_mul(BYTES_PER_MB) as usize,
         max_attempts_per_connection: (whole_number(dispatch, "multiplex", 100)? as usize).max(1),
         dial_timeout_ms: whole_number(dispatch, "dial_timeout_ms", 250)?.max(1),
-        idle_ms: whole_number(dispatch, "conn_idle_ms", 30_000)?,
+        engine_idle_timeout_ms: whole_number(dispatch, "conn_idle_ms", 30_000)?,
         max_open: whole_number(dispatch, "max_open", 20_000)? as usize,
     };
     if limits.descriptors < MIN_DESCRIPTORS {
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -28,7 +28,7 @@
     /// How long it may take to connect to a database, in milliseconds.
     pub dial_timeout_ms: u64,
     /// Idle connections are closed by the databases after this time, in milliseconds.
-    pub idle_ms: u64,
+    pub engine_idle_timeout_ms: u64,
     /// Requests that may be open together.
     pub max_open: usize,
     /// The longest deadline of all classes, in milliseconds; infinite if none has one.
--- a/crates/proxy/src/upstream/line_protocol/sweeper.rs
+++ b/crates/proxy/src/upstream/line_protocol/sweeper.rs
@@ -13,7 +13,7 @@
     /// Checks silent connections and closes idle ones; blocks its coroutine and never returns.
     pub fn run_sweeper(&self) {
         // Earlier than the databases, which close idle connections too: an attempt must not be sent as they close.
-        let idle_timeout = Duration::from_millis(self.limits.idle_ms * 2 / 3);
+        let idle_timeout = Duration::from_millis(self.limits.engine_idle_timeout_ms * 2 / 3);
         loop {
             task::sleep(SWEEP_INTERVAL);
             let mut connections = lock(&self.connections);
--- a/crates/proxy/tests/unit/resource_limits.rs
+++ b/crates/proxy/tests/unit/resource_limits.rs
@@ -9,7 +9,7 @@
         memory_bytes: memory_mb * 1024 * 1024,
         max_attempts_per_connection: 100,
         dial_timeout_ms: 250,
-        idle_ms: 30_000,
+        engine_idle_timeout_ms: 30_000,
         max_open: 1000,
         longest_deadline_ms: 4_000.0,
     }
