--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -131,7 +131,7 @@
             machine: MachineId(position(&names.machines, update.kind).unwrap_or(usize::MAX)),
             cell: CellId(update.cell),
             readiness,
-            started_at: update.up_since.map(|at| self.handler.facade.at_unix(at)),
+            started_at: update.up_since.map(|at| self.handler.facade.unix_to_clock(at)),
             key: gaugestep_subsetting::key(name),
         })
     }
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// A Unix time in milliseconds on the facade's clock. It is negative if it lies before the clock's zero.
-    pub fn at_unix(&self, unix_ms: Millis) -> Millis {
+    pub fn unix_to_clock(&self, unix_ms: Millis) -> Millis {
         unix_ms - self.epoch
     }
 
