--- a/crates/proxy/src/facade/mailbox.rs
+++ b/crates/proxy/src/facade/mailbox.rs
@@ -1,112 +1,114 @@
-//! What the facade and a request's coroutine exchange.
+//! The events, steps and reports that the facade and the coroutine of a request exchange.
 
 use std::time::Duration;
 
 use gaugestep_dispatch::interface::{AttemptNo, Cost, EngineId, LoadReport, Millis, Outcome, RejectReason};
 use may::sync::mpsc::{Receiver, Sender, channel};
 
-/// What reaches a request's coroutine. `Upstream` is what the databases' side reports about an attempt.
+/// An event for the coroutine of a request. `Upstream` is the type of the events that the connections to
+/// engines report about an attempt.
 #[derive(Debug)]
 pub enum RequestEvent<Upstream> {
     /// Send the request to an engine.
     Send(AttemptOrder),
-    /// Cancel the attempt.
+    /// Cancel the attempt with this number.
     Cancel(AttemptNo),
-    /// Change the priority of the running attempt.
+    /// Change the priority of the attempt in flight, from 0 to 3.
     Priority(u8),
-    /// Answer that the request is rejected.
+    /// Respond that the request is rejected.
     Reject(Rejection),
-    /// Answer that the request has failed.
+    /// Respond that the request has failed.
     Fail,
     /// The deadline has passed while this attempt was in flight.
     Deadline(AttemptNo),
-    /// The client has left.
+    /// The client has disconnected.
     ClientGone,
-    /// The databases' side reports about an attempt.
+    /// A connection to an engine reports an event of this attempt.
     Upstream(AttemptNo, Upstream),
 }
 
-/// One attempt that the dispatcher has ordered.
+/// The dispatcher's order to send one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptOrder {
-    /// The engine to send it to.
+    /// The engine to send the attempt to.
     pub engine: EngineId,
-    /// Its number.
+    /// The attempt's number within its request, from 0.
     pub attempt: AttemptNo,
-    /// Its priority, where engines use one.
+    /// The attempt's priority, from 0 to 3; `None` if the engines ignore priorities, by the settings.
     pub priority: Option<u8>,
-    /// How long it may still be sent, where engines recognise repeats for a limited time only.
+    /// How long the attempt may still be sent. `None` means without limit; a limit applies where engines
+    /// detect repeated requests for a limited time only.
     pub sendable_for: Option<Duration>,
 }
 
-/// The rejection of a request, which did not run.
+/// The rejection of a request that was not executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// How long the client should wait before it tries again.
+    /// How long the client should wait before it retries.
     pub retry_after: Millis,
     /// Why the request was rejected.
     pub reason: RejectReason,
 }
 
-/// What a request's coroutine has to do next.
+/// The next step of a request's coroutine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextStep {
-    /// Make this attempt, then [`report`](super::Facade::report) its end.
+    /// Send this attempt, then [`report`](super::Facade::report) its end.
     Send(AttemptOrder),
-    /// Answer that the request is rejected.
+    /// Respond that the request is rejected.
     Reject(Rejection),
-    /// Answer that the request has failed.
+    /// Respond that the request has failed.
     Fail,
-    /// Answer that a request with this id is open. This one was not accepted.
+    /// Respond that another request with this id is open. The request was not accepted.
     Duplicate,
-    /// Nothing: the request has ended.
+    /// Nothing to do: the request is finished.
     Finished,
 }
 
-/// The end of an attempt, in the dispatcher's terms.
+/// The end of an attempt as it is reported to the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptReport {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The resources it used, where known.
+    /// The resources that the attempt used; `None` if the engine did not report them.
     pub cost: Option<Cost>,
-    /// The engine's load, where known.
+    /// The engine's load report that came with the response; `None` if there was none.
     pub load: Option<LoadReport>,
 }
 
 impl AttemptReport {
-    /// An attempt that ended like this, of which nothing else is known.
+    /// Creates a report of an outcome without cost and load.
     pub fn outcome(outcome: Outcome) -> Self {
         AttemptReport { outcome, cost: None, load: None }
     }
 }
 
-/// The queue of a request's events, read by its coroutine.
+/// The event queue of a request, read by its coroutine.
 pub struct Mailbox<Upstream> {
     events: Receiver<RequestEvent<Upstream>>,
     sender: Sender<RequestEvent<Upstream>>,
 }
 
 impl<Upstream> Mailbox<Upstream> {
-    /// An empty mailbox.
+    /// Creates an empty mailbox.
     pub fn new() -> Self {
         let (sender, events) = channel();
         Mailbox { events, sender }
     }
 
-    /// A sender to this mailbox.
+    /// Returns a sender to this mailbox.
     pub fn sender(&self) -> Sender<RequestEvent<Upstream>> {
         self.sender.clone()
     }
 
-    /// Blocks the coroutine until an event comes.
+    /// Blocks the coroutine until an event arrives.
     pub fn next(&self) -> RequestEvent<Upstream> {
-        self.events.recv().expect("the mailbox holds a sender of its own, so its channel stays open")
+        self.events.recv().expect("the mailbox owns a sender, so its channel is never closed")
     }
 
-    /// Takes the final answer out of the events that are queued, if it is among them. The dispatcher may have answered
-    /// while the coroutine was still dealing with an earlier event, such as the deadline.
-    pub(super) fn take_final_answer(&self) -> NextStep {
+    /// Searches the queued events for the final response, and discards the events before it. The dispatcher
+    /// may have finished the request while the coroutine was handling an earlier event, such as the deadline.
+    pub(super) fn take_final_response(&self) -> NextStep {
         while let Ok(event) = self.events.try_recv() {
             match event {
                 RequestEvent::Reject(rejection) => return NextStep::Reject(rejection),
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -1,8 +1,8 @@
 //! The decision module in blocking style: [`Facade::pick`], [`Facade::report`] and [`Facade::tick`].
 //!
-//! The facade owns the dispatcher, its clock and its timers, and turns the dispatcher's actions into events for the
-//! coroutines of requests. Each request has one [`Mailbox`]; whatever reaches its coroutine comes through it. Nothing is
-//! decided here: [`state`] applies actions as they come.
+//! The facade owns the dispatcher, its clock and its timers, and turns the dispatcher's actions into events
+//! for the coroutines of requests. Each request has one [`Mailbox`], through which its coroutine receives all
+//! events. The facade makes no decisions: [`state`] applies the dispatcher's actions in order.
 
 mod mailbox;
 mod state;
@@ -26,84 +26,89 @@
 pub use self::mailbox::{AttemptOrder, AttemptReport, Mailbox, NextStep, Rejection, RequestEvent};
 pub use self::timers::to_duration;
 
-/// The dispatcher, its clock and its timers. `Upstream` is what the databases' side reports about an attempt.
+/// The dispatcher with its clock and its timers, shared by the coroutines of all requests.
+///
+/// `Upstream` is the type of the events that the connections to engines report about an attempt.
 pub struct Facade<Upstream> {
     state: Mutex<FacadeState<Upstream>>,
+    /// Zero of the facade's clock.
     started_at: Instant,
-    /// Unix time of the clock's zero.
-    epoch: Millis,
+    /// Zero of the facade's clock, as a Unix time in milliseconds.
+    epoch_unix_ms: Millis,
     ticker: Ticker,
 }
 
 impl<Upstream> Facade<Upstream> {
-    /// A facade of a new dispatcher, whose clock starts now. `seed` is that of the dispatcher's random draws.
+    /// Creates a dispatcher whose clock starts now. `seed` seeds its random number generator.
     ///
     /// # Errors
     ///
     /// If the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let state = Mutex::new(FacadeState::new(settings, seed)?);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Ok(Facade {
             state,
             started_at: Instant::now(),
-            epoch: unix.as_secs_f64() * 1e3,
+            epoch_unix_ms: since_unix_epoch.as_secs_f64() * 1e3,
             ticker: Ticker::new(),
         })
     }
 
-    /// The facade's clock.
+    /// Returns the time on the facade's clock: the milliseconds since the facade was created.
     pub fn now(&self) -> Millis {
         self.started_at.elapsed().as_secs_f64() * 1e3
     }
 
-    /// A Unix time in milliseconds on the facade's clock. It is negative if it lies before the clock's zero.
+    /// Converts a Unix time in milliseconds to the facade's clock. The result is negative for times before
+    /// the facade was created.
     pub fn unix_to_clock(&self, unix_ms: Millis) -> Millis {
-        unix_ms - self.epoch
+        unix_ms - self.epoch_unix_ms
     }
 
-    /// Hands a new request to the dispatcher and blocks until there is something to do for it.
-    pub fn pick(&self, mut new: NewRequest, mailbox: &Mailbox<Upstream>) -> NextStep {
-        let id = new.id.clone();
+    /// Passes a new request to the dispatcher and blocks until the request's first step is decided.
+    pub fn pick(&self, mut request: NewRequest, mailbox: &Mailbox<Upstream>) -> NextStep {
+        let id = request.id.clone();
         let mut state = lock(&self.state);
-        // Otherwise the open request's answer would go to whoever sends its id again.
+        // A second request under the same id would replace the first one's entry and receive its response.
         if state.is_open(&id) {
             return NextStep::Duplicate;
         }
-        state.open(&mut new, mailbox.sender());
-        self.dispatch(state, Some(Event::Request(new)));
+        state.open(&mut request, mailbox.sender());
+        self.dispatch(state, Some(Event::Request(request)));
         self.wait_for_step(&id, mailbox)
     }
 
-    /// Reports the end of an attempt and blocks until there is something further to do.
-    pub fn report(&self, id: &RequestId, end: AttemptReport, mailbox: &Mailbox<Upstream>) -> NextStep {
+    /// Reports the end of the attempt in flight and blocks until the request's next step is decided.
+    pub fn report(&self, id: &RequestId, report: AttemptReport, mailbox: &Mailbox<Upstream>) -> NextStep {
         let now = self.now();
         let mut state = lock(&self.state);
-        let Some(ended) = state.end_attempt(id, end.outcome) else { return NextStep::Finished };
+        let Some(ended) = state.end_attempt(id, report.outcome) else { return NextStep::Finished };
         let event = Event::AttemptEnded(AttemptEnd {
             id: id.clone(),
             attempt: ended.attempt.attempt,
             engine: ended.attempt.engine,
-            outcome: end.outcome,
+            outcome: report.outcome,
             finished: ended.is_finished,
             elapsed: now - ended.attempt.sent_at,
-            cost: end.cost,
-            load: end.load,
+            cost: report.cost,
+            load: report.load,
         });
         self.dispatch(state, Some(event));
         if ended.is_finished || ended.was_finished {
-            mailbox.take_final_answer()
+            mailbox.take_final_response()
         } else {
             self.wait_for_step(id, mailbox)
         }
     }
 
-    /// Passes on what an engine reports of an attempt in flight.
+    /// Passes an engine's progress report about an attempt in flight to the dispatcher.
     pub fn on_progress(&self, id: &RequestId, attempt: AttemptNo, report: ProgressReport) {
         self.dispatch(lock(&self.state), Some(Event::Progress(id.clone(), attempt, report)));
     }
 
-    /// The client of a request has left and gets no answer. An attempt in flight is cancelled by an event.
+    /// Reports that the client of a request has disconnected: the request gets no response. If an attempt is
+    /// in flight, the dispatcher cancels it with a [`RequestEvent::Cancel`].
     pub fn client_gone(&self, id: &RequestId) {
         let mut state = lock(&self.state);
         if state.client_gone(id) {
@@ -111,35 +116,39 @@
         }
     }
 
-    /// Passes on the list of engines if `complete`, else changes to it.
+    /// Passes endpoint entries to the dispatcher. They replace its list of engines if `complete` is true, and
+    /// update single engines otherwise.
     pub fn update_engines(&self, entries: Vec<EngineEntry>, complete: bool) {
         let event = if complete { Event::EngineList(entries) } else { Event::EngineChanges(entries) };
         self.dispatch(lock(&self.state), Some(event));
     }
 
-    /// How many of the listed engines are ejected.
+    /// Returns how many of the listed engines are ejected as outliers.
     pub fn ejected_count(&self) -> usize {
         lock(&self.state).ejected_count(self.now())
     }
 
-    /// Puts new settings into force. Open requests keep the rules that they were opened under.
+    /// Applies new settings. Open requests keep the class rules and the maximum number of attempts under
+    /// which they were opened.
     pub fn update_settings(&self, settings: Settings) {
         let mut state = lock(&self.state);
         state.update_settings(&settings);
         self.dispatch(state, Some(Event::SettingsUpdated(Box::new(settings))));
     }
 
-    /// The dispatcher has this position in the fleet for the time `left`, and that of its settings afterwards.
-    pub fn set_fleet_position(&self, position: FleetPosition, left: Millis) {
-        let until = self.now() + left;
-        self.dispatch(lock(&self.state), Some(Event::PositionAssigned(position, until)));
+    /// Assigns the dispatcher a position in the fleet for the time `valid_for`. Afterwards the position in
+    /// the settings applies again.
+    pub fn set_fleet_position(&self, position: FleetPosition, valid_for: Millis) {
+        let valid_until = self.now() + valid_for;
+        self.dispatch(lock(&self.state), Some(Event::PositionAssigned(position, valid_until)));
     }
 
-    /// The proxy ends: the deadlines of all requests, also of those yet to come, are at `at` or earlier.
-    pub fn close_by(&self, at: Millis) {
+    /// Limits the deadlines of all open and future requests to `latest_deadline`, because the proxy shuts
+    /// down.
+    pub fn limit_deadlines(&self, latest_deadline: Millis) {
         let mut state = lock(&self.state);
-        state.close_by(at);
-        self.dispatch(state, Some(Event::ClosingBy(at)));
+        state.limit_deadlines(latest_deadline);
+        self.dispatch(state, Some(Event::ClosingBy(latest_deadline)));
     }
 
     /// Fires the timers that are due.
@@ -149,22 +158,22 @@
             let mut state = lock(&self.state);
             let Some(timer) = state.pop_due_timer(now) else { return };
             match timer {
-                Timer::Deadline(id) => state.deadline_passed(&id),
+                Timer::Deadline(id) => state.on_deadline(&id),
                 Timer::Dispatcher(timer) => self.dispatch(state, Some(Event::Timer(timer))),
                 Timer::RunPending => {
-                    state.pending_run_due(now);
+                    state.on_pending_run_timer(now);
                     self.dispatch(state, None);
                 }
             }
         }
     }
 
-    /// When the next timer fires.
-    fn next_timer(&self) -> ClockTime {
-        lock(&self.state).next_timer()
+    /// Returns the time at which the next timer fires.
+    fn next_timer_at(&self) -> ClockTime {
+        lock(&self.state).next_timer_at()
     }
 
-    /// Blocks until there is something to do for a request of which no attempt is in flight.
+    /// Blocks until the next step is decided for a request that has no attempt in flight.
     fn wait_for_step(&self, id: &RequestId, mailbox: &Mailbox<Upstream>) -> NextStep {
         loop {
             match mailbox.next() {
@@ -176,7 +185,7 @@
                     self.end_unsent_attempts(id, mailbox);
                     return NextStep::Finished;
                 }
-                // These concern attempts that have ended.
+                // These events are about attempts that have ended.
                 RequestEvent::Cancel(_)
                 | RequestEvent::Priority(_)
                 | RequestEvent::Deadline(_)
@@ -185,7 +194,7 @@
         }
     }
 
-    /// Ends the attempt that the dispatcher may have ordered just before the client left.
+    /// Reports attempts that the dispatcher ordered before it received the client's disconnect as not sent.
     fn end_unsent_attempts(&self, id: &RequestId, mailbox: &Mailbox<Upstream>) {
         while let Some(attempt) = self.attempt_in_flight(id) {
             tracing::debug!(attempt = attempt.0, "attempt cancelled before it was sent");
@@ -197,20 +206,21 @@
         lock(&self.state).attempt_in_flight(id)
     }
 
-    /// Hands an event to the dispatcher and applies its actions. Then releases the lock, and logs.
+    /// Passes an event to the dispatcher, applies the actions and releases the lock. Then wakes the ticker if
+    /// it sleeps too long, and writes the log lines.
     fn dispatch(&self, mut state: MutexGuard<'_, FacadeState<Upstream>>, event: Option<Event>) {
         state.dispatch(self.now(), event);
-        let next_timer = state.next_timer();
+        let next_timer_at = state.next_timer_at();
         let log_lines = state.take_log_lines();
         drop(state);
-        self.ticker.wake_by(next_timer);
-        for text in log_lines {
-            tracing::info!("module: {text}");
+        self.ticker.wake_for(next_timer_at);
+        for line in log_lines {
+            tracing::info!("dispatcher: {line}");
         }
     }
 }
 
-/// The id of a request.
+/// Creates a request id from its text.
 pub fn request_id(text: &str) -> RequestId {
     RequestId(Arc::from(text))
 }
--- a/crates/proxy/src/facade/state.rs
+++ b/crates/proxy/src/facade/state.rs
@@ -1,4 +1,4 @@
-//! What the facade keeps behind its lock: the dispatcher, the open requests and the timers.
+//! State protected by the facade's lock: the dispatcher, the open requests and the timers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,20 +11,21 @@
 use super::mailbox::{AttemptOrder, Rejection, RequestEvent};
 use super::timers::{ClockTime, Timer, TimerQueue, to_duration};
 
-/// How often the dispatcher looks at what is pending while many events come.
+/// Minimum interval between two calls of [`Dispatcher::run_pending`], in milliseconds: events that arrive in
+/// quick succession share one call.
 const RUN_PENDING_INTERVAL: Millis = 1.0;
 
-/// The priority of a request until the dispatcher sets another.
+/// Priority of a request until the dispatcher sets another one.
 const INITIAL_PRIORITY: u8 = 1;
 
-/// An attempt that has been ordered and has not ended.
+/// An attempt that the dispatcher has ordered and that has not ended.
 #[derive(Clone, Copy)]
 pub struct InFlightAttempt {
-    /// Its number.
+    /// The attempt's number within its request, from 0.
     pub attempt: AttemptNo,
-    /// Where it was sent.
+    /// The engine that it is sent to.
     pub engine: EngineId,
-    /// When it was ordered.
+    /// When the dispatcher ordered it, on the facade's clock.
     pub sent_at: Millis,
 }
 
@@ -32,75 +33,82 @@
 struct RequestEntry<Upstream> {
     events: Sender<RequestEvent<Upstream>>,
     deadline: Millis,
-    /// It has been answered, or its client has left.
-    finished: bool,
+    /// True once the final response is decided or the client has disconnected. The entry is kept until the
+    /// attempt in flight ends.
+    is_finished: bool,
     in_flight: Option<InFlightAttempt>,
-    attempts_sent: usize,
+    /// Attempts that the dispatcher has ordered, including those that could not be sent.
+    attempts_ordered: usize,
     max_attempts: usize,
+    /// From 0 to 3.
     priority: u8,
 }
 
 impl<Upstream> RequestEntry<Upstream> {
-    /// Whether another attempt may be made at `now`.
+    /// Returns whether another attempt may be sent at `now`.
     fn is_sendable(&self, now: Millis) -> bool {
-        !self.finished
+        !self.is_finished
             && self.in_flight.is_none()
-            && self.attempts_sent < self.max_attempts
+            && self.attempts_ordered < self.max_attempts
             && now < self.deadline
     }
 
-    /// Leaves an event in the request's mailbox. A coroutine that has dropped it needs no event any more.
+    /// Sends an event to the request's mailbox. Errors are ignored: a coroutine that has dropped its mailbox
+    /// has finished the request.
     fn send(&self, event: RequestEvent<Upstream>) {
         let _ = self.events.send(event);
     }
 }
 
-/// An attempt that has ended, and its request then.
+/// An attempt that has ended, with the state of its request.
 pub struct EndedAttempt {
-    /// The attempt.
+    /// The attempt that has ended.
     pub attempt: InFlightAttempt,
-    /// Whether the request had ended before.
+    /// Whether the request was finished before the attempt ended.
     pub was_finished: bool,
-    /// Whether it has ended by now.
+    /// Whether the request is finished after the attempt.
     pub is_finished: bool,
 }
 
-/// What the facade keeps behind its lock.
+/// The state protected by the facade's lock.
 pub struct FacadeState<Upstream> {
     dispatcher: Dispatcher,
     requests: BTreeMap<RequestId, RequestEntry<Upstream>>,
     timers: TimerQueue,
     log_lines: Vec<String>,
-    /// No deadline is later than this.
-    closing_by: Millis,
-    /// When the dispatcher last looked at what is pending.
-    pending_run_at: Millis,
-    /// Whether a timer is set for it to do so again.
+    /// Upper limit of all deadlines; infinite until the proxy shuts down.
+    latest_deadline: Millis,
+    /// When [`Dispatcher::run_pending`] was last called.
+    last_pending_run_at: Millis,
+    /// Whether a [`Timer::RunPending`] is set.
     pending_run_scheduled: bool,
+    /// Maximum number of attempts of requests that are opened from now on.
     max_attempts: usize,
-    priorities: bool,
+    /// Whether attempts are sent with their priority.
+    priorities_enabled: bool,
 }
 
 impl<Upstream> FacadeState<Upstream> {
-    /// The state of a new dispatcher.
+    /// Creates the state with a new dispatcher. `seed` seeds its random number generator.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let (max_attempts, priorities) = (max_attempts(&settings), settings.priorities);
+        let max_attempts = max_attempts(&settings);
+        let priorities_enabled = settings.priorities;
         Ok(FacadeState {
             dispatcher: Dispatcher::new(settings, seed)?,
             requests: BTreeMap::new(),
             timers: TimerQueue::default(),
             log_lines: Vec::new(),
-            closing_by: f64::INFINITY,
-            pending_run_at: 0.0,
+            latest_deadline: f64::INFINITY,
+            last_pending_run_at: 0.0,
             pending_run_scheduled: false,
             max_attempts,
-            priorities,
+            priorities_enabled,
         })
     }
 
-    /// When the next timer fires.
-    pub fn next_timer(&self) -> ClockTime {
-        self.timers.next()
+    /// Returns the time at which the next timer fires.
+    pub fn next_timer_at(&self) -> ClockTime {
+        self.timers.next_at()
     }
 
     /// Removes and returns the next timer if it is due.
@@ -108,113 +116,116 @@
         self.timers.pop_due(now)
     }
 
-    /// The lines that the dispatcher wants logged.
+    /// Removes and returns the log lines that the dispatcher has emitted.
     pub fn take_log_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.log_lines)
     }
 
-    /// How many engines are ejected.
+    /// Returns how many engines are ejected as outliers.
     pub fn ejected_count(&mut self, now: Millis) -> usize {
         self.dispatcher.ejected_count(now)
     }
 
-    /// Whether a request with this id is open.
+    /// Returns whether a request with this id is open.
     pub fn is_open(&self, id: &RequestId) -> bool {
         self.requests.contains_key(id)
     }
 
-    /// Opens a request whose events go to `events`. Its deadline is moved ahead if all requests have to end before it.
-    pub fn open(&mut self, new: &mut NewRequest, events: Sender<RequestEvent<Upstream>>) {
-        new.deadline = new.deadline.min(self.closing_by);
+    /// Opens a request whose events go to `events`. During a shutdown, its deadline is limited to the latest
+    /// one that is allowed.
+    pub fn open(&mut self, request: &mut NewRequest, events: Sender<RequestEvent<Upstream>>) {
+        request.deadline = request.deadline.min(self.latest_deadline);
         let entry = RequestEntry {
             events,
-            deadline: new.deadline,
-            finished: false,
+            deadline: request.deadline,
+            is_finished: false,
             in_flight: None,
-            attempts_sent: 0,
+            attempts_ordered: 0,
             max_attempts: self.max_attempts,
             priority: INITIAL_PRIORITY,
         };
-        self.timers.set(new.deadline, Timer::Deadline(new.id.clone()));
-        self.requests.insert(new.id.clone(), entry);
+        self.timers.set(request.deadline, Timer::Deadline(request.id.clone()));
+        self.requests.insert(request.id.clone(), entry);
     }
 
-    /// Removes a request and its deadline.
+    /// Removes a request and its deadline timer.
     fn remove(&mut self, id: &RequestId) {
         if let Some(entry) = self.requests.remove(id) {
             self.timers.clear(entry.deadline, Timer::Deadline(id.clone()));
         }
     }
 
-    /// Ends the attempt of a request that is in flight; `None` if there is none.
+    /// Ends the attempt that is in flight for a request. Returns `None` if no attempt is in flight.
     pub fn end_attempt(&mut self, id: &RequestId, outcome: Outcome) -> Option<EndedAttempt> {
         let entry = self.requests.get_mut(id)?;
         let attempt = entry.in_flight.take()?;
-        let was_finished = entry.finished;
-        entry.finished |= outcome == Outcome::Served;
-        let is_finished = entry.finished;
+        let was_finished = entry.is_finished;
+        entry.is_finished |= outcome == Outcome::Served;
+        let is_finished = entry.is_finished;
         if is_finished {
             self.remove(id);
         }
         Some(EndedAttempt { attempt, was_finished, is_finished })
     }
 
-    /// The client of a request has left; false if the request is not open.
+    /// Marks a request as finished because its client has disconnected. Returns false if the request is not
+    /// open.
     pub fn client_gone(&mut self, id: &RequestId) -> bool {
         let Some(entry) = self.requests.get_mut(id) else { return false };
-        entry.finished = true;
+        entry.is_finished = true;
         if entry.in_flight.is_none() {
             self.remove(id);
         }
         true
     }
 
-    /// The number of the attempt of a request that is in flight.
+    /// Returns the number of the attempt that is in flight for a request, or `None`.
     pub fn attempt_in_flight(&self, id: &RequestId) -> Option<AttemptNo> {
         self.requests.get(id)?.in_flight.map(|in_flight| in_flight.attempt)
     }
 
-    /// Takes what of new settings the facade itself needs. Open requests keep what they were opened with.
+    /// Applies the settings that the facade itself uses. Open requests keep their maximum number of attempts.
     pub fn update_settings(&mut self, settings: &Settings) {
         self.max_attempts = max_attempts(settings);
-        self.priorities = settings.priorities;
+        self.priorities_enabled = settings.priorities;
     }
 
-    /// Moves the deadlines of all requests, also of those yet to come, to `at` where they are later.
-    pub fn close_by(&mut self, at: Millis) {
-        self.closing_by = at;
+    /// Moves the deadlines of all open and future requests that are later than `latest_deadline` to it.
+    pub fn limit_deadlines(&mut self, latest_deadline: Millis) {
+        self.latest_deadline = latest_deadline;
         let FacadeState { requests, timers, .. } = self;
-        for (id, entry) in requests.iter_mut().filter(|(_, entry)| entry.deadline > at) {
+        for (id, entry) in requests.iter_mut().filter(|(_, entry)| entry.deadline > latest_deadline) {
             timers.clear(entry.deadline, Timer::Deadline(id.clone()));
-            timers.set(at, Timer::Deadline(id.clone()));
-            entry.deadline = at;
+            timers.set(latest_deadline, Timer::Deadline(id.clone()));
+            entry.deadline = latest_deadline;
         }
     }
 
-    /// The deadline of a request has passed.
-    pub fn deadline_passed(&mut self, id: &RequestId) {
-        let Some(entry) = self.requests.get(id).filter(|entry| !entry.finished) else { return };
+    /// Handles the deadline timer of a request: notifies its coroutine if an attempt is in flight.
+    pub fn on_deadline(&mut self, id: &RequestId) {
+        let Some(entry) = self.requests.get(id).filter(|entry| !entry.is_finished) else { return };
         if let Some(in_flight) = entry.in_flight {
             entry.send(RequestEvent::Deadline(in_flight.attempt));
         }
     }
 
-    /// The timer of [`Timer::RunPending`] has fired.
-    pub fn pending_run_due(&mut self, now: Millis) {
-        self.pending_run_at = now - RUN_PENDING_INTERVAL;
+    /// Handles [`Timer::RunPending`]: the next [`FacadeState::dispatch`] calls [`Dispatcher::run_pending`].
+    pub fn on_pending_run_timer(&mut self, now: Millis) {
+        self.last_pending_run_at = now - RUN_PENDING_INTERVAL;
         self.pending_run_scheduled = false;
     }
 
-    /// Hands an event to the dispatcher and applies its actions. Then has it look at what is pending, or sets a timer for
-    /// that if it has just done so.
+    /// Passes an event to the dispatcher and applies its actions, including the follow-up events of attempts
+    /// that could not be sent. Then calls [`Dispatcher::run_pending`], or sets a timer for it if it was
+    /// called less than [`RUN_PENDING_INTERVAL`] ago.
     pub fn dispatch(&mut self, now: Millis, event: Option<Event>) {
         let mut events = VecDeque::from_iter(event);
         let mut actions = Vec::new();
         loop {
             match events.pop_front() {
                 Some(event) => self.dispatcher.handle(now, event, &mut actions),
-                None if now - self.pending_run_at >= RUN_PENDING_INTERVAL => {
-                    self.pending_run_at = now;
+                None if now - self.last_pending_run_at >= RUN_PENDING_INTERVAL => {
+                    self.last_pending_run_at = now;
                     self.dispatcher.run_pending(now, &mut actions);
                 }
                 None => break,
@@ -223,42 +234,44 @@
                 events.extend(self.apply(now, action));
             }
         }
-        if self.pending_run_at < now && !self.pending_run_scheduled {
+        if self.last_pending_run_at < now && !self.pending_run_scheduled {
             self.pending_run_scheduled = true;
-            self.timers.set(self.pending_run_at + RUN_PENDING_INTERVAL, Timer::RunPending);
+            self.timers.set(self.last_pending_run_at + RUN_PENDING_INTERVAL, Timer::RunPending);
         }
     }
 
-    /// Applies one action. Returns the end of an attempt that could not be sent.
+    /// Applies one action. Returns an event for the dispatcher if the action is an attempt that cannot be
+    /// sent.
     fn apply(&mut self, now: Millis, action: Action) -> Option<Event> {
         match action {
             Action::Send { id, engine } => return self.send_attempt(now, id, engine),
             Action::Cancel { id, attempt } => self.cancel_attempt(&id, attempt),
             Action::Reject { id, retry_after, reason } => {
-                self.answer(&id, RequestEvent::Reject(Rejection { retry_after, reason }));
+                self.finish(&id, RequestEvent::Reject(Rejection { retry_after, reason }));
             }
-            Action::Fail { id } => self.answer(&id, RequestEvent::Fail),
+            Action::Fail { id } => self.finish(&id, RequestEvent::Fail),
             Action::SetTerms { id, priority, .. } => self.set_priority(&id, priority),
             Action::SetTimer { timer, delay } => self.timers.set(now + delay, Timer::Dispatcher(timer)),
-            Action::Log(text) => self.log_lines.push(text),
+            Action::Log(line) => self.log_lines.push(line),
         }
         None
     }
 
-    /// Orders an attempt. Where the request may not be sent any more, returns the end of the attempt.
+    /// Orders an attempt from the request's coroutine. If the request may not be sent any more, returns the
+    /// event that ends the attempt as not sent.
     fn send_attempt(&mut self, now: Millis, id: RequestId, engine: EngineId) -> Option<Event> {
         let Some(entry) = self.requests.get_mut(&id) else {
             return Some(not_sent(id, AttemptNo(0), engine, true));
         };
-        let attempt = AttemptNo(entry.attempts_sent);
+        let attempt = AttemptNo(entry.attempts_ordered);
         let is_sendable = entry.is_sendable(now);
-        entry.attempts_sent += 1;
+        entry.attempts_ordered += 1;
         if !is_sendable {
-            let is_finished = entry.finished;
+            let is_finished = entry.is_finished;
             return Some(not_sent(id, attempt, engine, is_finished));
         }
         entry.in_flight = Some(InFlightAttempt { attempt, engine, sent_at: now });
-        let priority = self.priorities.then_some(entry.priority);
+        let priority = self.priorities_enabled.then_some(entry.priority);
         let sendable_until = self.dispatcher.sendable_until(&id);
         let sendable_for = sendable_until.is_finite().then(|| to_duration(sendable_until - now));
         entry.send(RequestEvent::Send(AttemptOrder { engine, attempt, priority, sendable_for }));
@@ -280,30 +293,30 @@
         entry.priority = priority;
     }
 
-    /// Sends a request its final answer, unless it has ended.
-    fn answer(&mut self, id: &RequestId, answer: RequestEvent<Upstream>) {
-        let Some(entry) = self.requests.get_mut(id).filter(|entry| !entry.finished) else { return };
-        entry.finished = true;
-        entry.send(answer);
+    /// Finishes a request with its final response, unless it is already finished.
+    fn finish(&mut self, id: &RequestId, response: RequestEvent<Upstream>) {
+        let Some(entry) = self.requests.get_mut(id).filter(|entry| !entry.is_finished) else { return };
+        entry.is_finished = true;
+        entry.send(response);
         if entry.in_flight.is_none() {
             self.remove(id);
         }
     }
 }
 
-/// How many attempts a request may have; one at the least.
+/// Returns the maximum number of attempts of a request, at least 1.
 fn max_attempts(settings: &Settings) -> usize {
     settings.max_attempts.max(1)
 }
 
-/// The end of an attempt that was not sent.
-fn not_sent(id: RequestId, attempt: AttemptNo, engine: EngineId, finished: bool) -> Event {
+/// Creates the event that ends an attempt as not sent.
+fn not_sent(id: RequestId, attempt: AttemptNo, engine: EngineId, is_finished: bool) -> Event {
     Event::AttemptEnded(AttemptEnd {
         id,
         attempt,
         engine,
         outcome: Outcome::NotSent,
-        finished,
+        finished: is_finished,
         elapsed: 0.0,
         cost: None,
         load: None,
--- a/crates/proxy/src/facade/timers.rs
+++ b/crates/proxy/src/facade/timers.rs
@@ -1,71 +1,71 @@
-//! The facade's timers, and its clock in whole microseconds.
+//! The facade's timers, with times in whole microseconds.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use gaugestep_dispatch::interface::{Millis, RequestId, TimerId};
 
-/// A reading of the facade's clock, in whole microseconds.
+/// A time on the facade's clock in whole microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClockTime(u64);
 
 impl ClockTime {
-    /// Later than any timer.
+    /// A time after every timer.
     pub const NEVER: Self = ClockTime(u64::MAX);
 
-    /// The reading that corresponds to `at`, rounded up: a timer never fires before its time.
-    pub fn from_millis(at: Millis) -> Self {
-        ClockTime((at.max(0.0) * 1e3).ceil() as u64)
+    /// Converts a time in milliseconds, rounded up so that no timer fires early.
+    pub fn from_millis(time: Millis) -> Self {
+        ClockTime((time.max(0.0) * 1e3).ceil() as u64)
     }
 
-    /// How long after `earlier` this is; zero if it is not.
+    /// Returns the time that has passed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: ClockTime) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// Returns a time in milliseconds as a duration; zero if it is negative.
+/// Converts a time span in milliseconds to a duration; negative values become zero.
 pub fn to_duration(time: Millis) -> Duration {
     Duration::from_secs_f64(time.max(0.0) / 1e3)
 }
 
-/// What happens when a timer fires. Timers that are due at one moment fire in this order.
+/// The action of a timer. Timers with the same time fire in the order of the variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The deadline of a request.
+    /// The deadline of a request expires.
     Deadline(RequestId),
-    /// A timer of the dispatcher.
+    /// A timer that the dispatcher has asked for expires.
     Dispatcher(TimerId),
-    /// The dispatcher looks at what is pending.
+    /// [`Dispatcher::run_pending`](gaugestep_dispatch::Dispatcher::run_pending) is due.
     RunPending,
 }
 
-/// The timers that are set, in the order in which they fire.
+/// All timers that are set, in the order in which they fire.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BTreeSet<(ClockTime, Timer)>,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
-    pub fn set(&mut self, at: Millis, timer: Timer) {
-        self.timers.insert((ClockTime::from_millis(at), timer));
+    /// Sets a timer that fires at `fires_at`.
+    pub fn set(&mut self, fires_at: Millis, timer: Timer) {
+        self.timers.insert((ClockTime::from_millis(fires_at), timer));
     }
 
-    /// Clears a timer that was set for `at`. A client may name a deadline an hour ahead, so the timer must go with its
-    /// request.
-    pub fn clear(&mut self, at: Millis, timer: Timer) {
-        self.timers.remove(&(ClockTime::from_millis(at), timer));
+    /// Clears a timer that was set for `fires_at`. The deadline of a request must be cleared when the request
+    /// ends: clients may set deadlines an hour ahead, and the timers of finished requests would accumulate.
+    pub fn clear(&mut self, fires_at: Millis, timer: Timer) {
+        self.timers.remove(&(ClockTime::from_millis(fires_at), timer));
     }
 
-    /// When the next timer fires.
-    pub fn next(&self) -> ClockTime {
-        self.timers.first().map_or(ClockTime::NEVER, |(at, _)| *at)
+    /// Returns the time at which the next timer fires, or [`ClockTime::NEVER`] if none is set.
+    pub fn next_at(&self) -> ClockTime {
+        self.timers.first().map_or(ClockTime::NEVER, |(fires_at, _)| *fires_at)
     }
 
     /// Removes and returns the next timer if it is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<Timer> {
-        if self.next() > ClockTime::from_millis(now) {
+        if self.next_at() > ClockTime::from_millis(now) {
             return None;
         }
         self.timers.pop_first().map(|(_, timer)| timer)
--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -130,7 +130,7 @@
         self.drain.start_shutdown();
         let started_at = Instant::now();
         let answer_window = to_duration(self.answer_window_ms);
-        self.handler.facade.close_by(self.handler.facade.now() + self.answer_window_ms);
+        self.handler.facade.limit_deadlines(self.handler.facade.now() + self.answer_window_ms);
         if self.has_successor {
             self.acceptor.stop();
             self.session_manager.end_sessions(SessionEnd::AfterAnswer);
--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -1,4 +1,4 @@
-//! The facade with a real dispatcher: picking, reporting, deadlines and clients that leave.
+//! Tests of the facade with a real dispatcher: pick, report, deadlines, disconnecting clients and timers.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use super::timers::{ClockTime, Timer, TimerQueue};
 use super::{Facade, request_id};
 
-/// What the databases' side would report; none does in these tests.
+/// Type of the upstream events; no engine reports any in these tests.
 type NoUpstream = ();
 
 fn facade() -> Arc<Facade<NoUpstream>> {
@@ -52,8 +52,8 @@
 }
 
 fn run_ticker(facade: &Arc<Facade<NoUpstream>>) {
-    let ticking = facade.clone();
-    std::thread::spawn(move || ticking.run_ticker());
+    let facade = facade.clone();
+    std::thread::spawn(move || facade.run_ticker());
 }
 
 #[test]
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_request_that_no_engine_takes_is_rejected() {
+fn a_request_without_engines_is_rejected() {
     let facade = facade();
     run_ticker(&facade);
     let step = facade.pick(request("a", facade.now() + 100.0), &Mailbox::new());
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_attempt_in_flight_at_its_deadline_is_notified() {
+fn the_coroutine_of_an_attempt_in_flight_is_notified_of_the_deadline() {
     let facade = facade();
     facade.update_engines(vec![engine()], true);
     run_ticker(&facade);
@@ -99,18 +99,18 @@
 }
 
 #[test]
-fn closing_moves_later_deadlines_ahead() {
+fn limiting_deadlines_shortens_those_that_are_later() {
     let facade = facade();
     facade.update_engines(vec![engine()], true);
     run_ticker(&facade);
     let mailbox = Mailbox::new();
     assert!(matches!(facade.pick(request("a", 3_600_000.0), &mailbox), NextStep::Send(_)));
-    facade.close_by(facade.now() + 50.0);
+    facade.limit_deadlines(facade.now() + 50.0);
     while !matches!(mailbox.next(), RequestEvent::Deadline(AttemptNo(0))) {}
 }
 
 #[test]
-fn a_client_that_leaves_before_the_step_ends_the_attempt_ordered_for_it() {
+fn a_disconnect_before_the_first_step_closes_the_request() {
     let facade = facade();
     let mailbox = Mailbox::new();
     mailbox.sender().send(RequestEvent::ClientGone).unwrap();
@@ -126,22 +126,22 @@
     timers.set(2.0, Timer::RunPending);
     timers.set(2.0, deadline());
     timers.set(1.0001, Timer::RunPending);
-    assert_eq!(timers.next(), ClockTime::from_millis(1.001));
+    assert_eq!(timers.next_at(), ClockTime::from_millis(1.001));
     assert_eq!(timers.pop_due(1.0), None);
     assert_eq!(timers.pop_due(1.001), Some(Timer::RunPending));
     assert_eq!(timers.pop_due(1.5), None);
     assert_eq!(timers.pop_due(3.0), Some(deadline()));
     timers.clear(2.0, Timer::RunPending);
     assert_eq!(timers.pop_due(3.0), None);
-    assert_eq!(timers.next(), ClockTime::NEVER);
+    assert_eq!(timers.next_at(), ClockTime::NEVER);
 }
 
 #[test]
-fn the_final_answer_is_found_behind_earlier_events() {
+fn the_final_response_is_found_behind_earlier_events() {
     let mailbox: Mailbox<NoUpstream> = Mailbox::new();
     let sender = mailbox.sender();
     sender.send(RequestEvent::Deadline(AttemptNo(0))).unwrap();
     sender.send(RequestEvent::Fail).unwrap();
-    assert_eq!(mailbox.take_final_answer(), NextStep::Fail);
-    assert_eq!(mailbox.take_final_answer(), NextStep::Finished);
+    assert_eq!(mailbox.take_final_response(), NextStep::Fail);
+    assert_eq!(mailbox.take_final_response(), NextStep::Finished);
 }
