--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,4 +1,4 @@
-//! The HTTP API for operators: HTTP/1.1, one request on each connection.
+//! The HTTP API for operators: HTTP/1.1 with one request per connection.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr};
@@ -11,20 +11,21 @@
 use crate::server::Server;
 use crate::task;
 
-/// A request must be complete within this time, so that clients who send nothing, or half a request, do not stay.
+/// Time within which a request must be complete, so that clients that send nothing or part of a request do
+/// not occupy a connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest request, in bytes.
+/// Maximum length of a request, in bytes.
 const MAX_REQUEST_LENGTH: usize = 8 * 1024;
-/// The most headers of a request.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 32;
-/// Connections that may be open together; requests on more are rejected.
+/// Maximum number of open connections; requests on further connections are rejected.
 const MAX_CONNECTIONS: usize = 16;
-/// Between an error and the next attempt to accept.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// How long a client may go on sending behind its request.
+/// Delay between a failed accept and the next one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long a connection is read after the response, so that input after the request does not reset it.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The API cannot be served at its address.
+/// The API's address cannot be bound, or its coroutine cannot be started.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen for operators on {address}")]
 pub struct ListenError {
@@ -32,67 +33,70 @@
     source: io::Error,
 }
 
-/// Serves the API; each connection has a coroutine of its own.
+/// Starts the API in the background, with one coroutine per connection.
 ///
 /// # Errors
 ///
-/// If the address cannot be bound, or no coroutine can be started.
+/// If the address cannot be bound, or the coroutine cannot be started.
 pub fn start(address: SocketAddr, server: Arc<Server>) -> Result<(), ListenError> {
-    let error = |source| ListenError { address, source };
-    let listener = TcpListener::bind(address).map_err(error)?;
-    task::spawn("operators", move || accept(&listener, &server)).map_err(error)
+    let listen_error = |source| ListenError { address, source };
+    let listener = TcpListener::bind(address).map_err(listen_error)?;
+    task::spawn("admin", move || accept_connections(&listener, &server)).map_err(listen_error)
 }
 
-fn accept(listener: &TcpListener, server: &Arc<Server>) {
-    let open = Arc::new(AtomicUsize::new(0));
+/// Accepts connections and starts their coroutines. Never returns.
+fn accept_connections(listener: &TcpListener, server: &Arc<Server>) {
+    let open_connections = Arc::new(AtomicUsize::new(0));
     loop {
         let mut stream = match listener.accept() {
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::warn!("cannot accept an operator's connection: {error}");
-                task::sleep(RETRY_PAUSE);
+                task::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             }
         };
-        let (connection, server) = (OpenConnection::new(&open), server.clone());
-        let spawned = task::spawn("call", move || serve(&mut stream, &server, &connection));
+        let guard = ConnectionGuard::new(&open_connections);
+        let server = server.clone();
+        let spawned = task::spawn("admin request", move || serve(&mut stream, &server, &guard));
         if let Err(error) = spawned {
             tracing::error!("cannot start a coroutine for an operator's connection: {error}");
         }
     }
 }
 
-/// Serves one connection.
-fn serve(stream: &mut TcpStream, server: &Arc<Server>, connection: &OpenConnection) {
+/// Reads the request of a connection and sends the response.
+fn serve(stream: &mut TcpStream, server: &Arc<Server>, guard: &ConnectionGuard) {
     let request =
-        if connection.exceeds_limit() { Err(ApiError::ServiceUnavailable) } else { read_request(stream) };
-    respond(stream, request.and_then(|request| handle(server, &request)));
+        if guard.exceeds_limit() { Err(ApiError::ServiceUnavailable) } else { read_request(stream) };
+    let response = request.and_then(|request| handle(server, &request));
+    respond(stream, response);
 }
 
-/// Counts one open connection.
-struct OpenConnection {
-    count: Arc<AtomicUsize>,
+/// Counts a connection as open until it is dropped.
+struct ConnectionGuard {
+    open_connections: Arc<AtomicUsize>,
 }
 
-impl OpenConnection {
-    fn new(count: &Arc<AtomicUsize>) -> Self {
-        count.fetch_add(1, Ordering::Relaxed);
-        OpenConnection { count: count.clone() }
+impl ConnectionGuard {
+    fn new(open_connections: &Arc<AtomicUsize>) -> Self {
+        open_connections.fetch_add(1, Ordering::Relaxed);
+        ConnectionGuard { open_connections: open_connections.clone() }
     }
 
-    /// Whether more connections are open than may be.
+    /// Returns whether more than [`MAX_CONNECTIONS`] are open.
     fn exceeds_limit(&self) -> bool {
-        self.count.load(Ordering::Relaxed) > MAX_CONNECTIONS
+        self.open_connections.load(Ordering::Relaxed) > MAX_CONNECTIONS
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.count.fetch_sub(1, Ordering::Relaxed);
+        self.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Why a request is not carried out.
+/// The reason why a request is not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ApiError {
     BadRequest,
@@ -105,7 +109,8 @@
 }
 
 impl ApiError {
-    /// The status line's code and reason. Operators' tools read the reason of a superseded proxy.
+    /// Returns the code and the reason phrase of the status line. Operators' tools match the reason phrase of
+    /// a superseded proxy.
     fn status(self) -> (u16, &'static str) {
         match self {
             ApiError::BadRequest => (400, "Bad Request"),
@@ -118,15 +123,15 @@
     }
 }
 
-/// A request of an operator.
+/// A request to the API.
 struct Request {
     method: String,
-    /// Without the query.
+    /// The path of the request target, without the query.
     path: String,
 }
 
 impl Request {
-    /// Parses a request without a body. Returns none while it is incomplete.
+    /// Parses a request without a body. Returns `None` while it is incomplete.
     fn parse(input: &[u8]) -> Result<Option<Self>, ApiError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -159,7 +164,7 @@
     }
 }
 
-/// Carries out a request. Returns the body of the response.
+/// Executes a request and returns the body of the response.
 fn handle(server: &Arc<Server>, request: &Request) -> Result<String, ApiError> {
     match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/ops/readiness") if server.is_ready() => Ok(server.readiness_text()),
@@ -181,8 +186,8 @@
     }
 }
 
-/// Sends the response and closes the connection. What the client still sends is read first: a connection that is closed
-/// with bytes unread is reset, and the response lost.
+/// Sends the response and closes the connection. Before that, remaining input is read: closing a connection
+/// with unread bytes would reset it, and the response would be lost.
 fn respond(stream: &mut TcpStream, response: Result<String, ApiError>) {
     let ((status, reason), body) = match response {
         Ok(body) => ((200, "OK"), body),
@@ -193,7 +198,7 @@
         "HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         body.len()
     );
-    // The response is shorter than a socket's buffer, so this does not wait for the client.
+    // The response fits into the socket's send buffer, so the write does not wait for the client.
     let sent = stream.write_all((head + &body).as_bytes()).and_then(|()| stream.shutdown(Shutdown::Write));
     let _ = stream.set_read_timeout(Some(CLOSE_TIMEOUT));
     if sent.is_ok() {
