--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the program, and what its commands do.
+//! The command line and the commands of the proxy program.
 
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
@@ -18,7 +18,7 @@
 use crate::server::{Server, preallocate_descriptor_table};
 use crate::{admin, process_exit, task};
 
-/// A proxy before query engines: cuts stragglers past a learned timeout and relaunches them once.
+/// A proxy before query engines: cancels stragglers after a learned timeout and relaunches them once.
 #[derive(Parser)]
 #[command(name = "gaugestep", disable_version_flag = true)]
 struct Cli {
@@ -28,11 +28,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs the proxy in the foreground until SIGTERM; SIGHUP has it read the configuration again.
+    /// Runs the proxy in the foreground until SIGTERM; SIGHUP reloads the configuration.
     Serve(ServeOptions),
-    /// Reads a configuration and says whether it can be used.
+    /// Checks whether a configuration file is valid.
     CheckConfig {
-        /// The configuration.
+        /// The configuration file.
         #[arg(env = "EDGE_CONFIG")]
         config: PathBuf,
     },
@@ -42,24 +42,25 @@
 
 #[derive(Args)]
 struct ServeOptions {
-    /// The configuration.
+    /// The configuration file.
     #[arg(long, env = "EDGE_CONFIG")]
     config: PathBuf,
-    /// Where operators call, in place of the configuration's `management`.
+    /// The address of the HTTP API for operators; overrides the configuration's `management`.
     #[arg(long, env = "EDGE_MANAGEMENT")]
     management: Option<SocketAddr>,
-    /// The descriptor of a listening socket that the platform holds, in place of the configuration's `listen`.
+    /// The descriptor of a listening socket inherited from the platform; overrides the configuration's
+    /// `listen`.
     #[arg(long, env = "EDGE_SOCKET_FD")]
     socket_fd: Option<RawFd>,
-    /// What operators set beside it, as protobuf text format; see deploy/operator.textproto.
+    /// The operator's configuration file in protobuf text format; see deploy/operator.textproto.
     #[arg(long, env = "GAUGESTEP_OPERATOR")]
     operator: Option<PathBuf>,
-    /// The log as JSON lines.
+    /// Writes the log as JSON lines.
     #[arg(long, env = "GAUGESTEP_LOG_JSON")]
     log_json: bool,
 }
 
-/// Runs the program. An error is one line on standard error.
+/// Runs the program. Errors are printed as one line on standard error.
 pub fn run() -> ExitCode {
     process_exit::install();
     let cli = Cli::try_parse().unwrap_or_else(|error| {
@@ -86,37 +87,37 @@
 
 fn check_config(path: &Path) -> anyhow::Result<()> {
     let config = Config::load(path)?;
-    println!("{}: can be used; listens on {}", config.name, config.listen);
+    println!("{}: can be used; listens on {}", config.name, config.listen_address);
     Ok(())
 }
 
-/// Runs the proxy until a signal ends it.
+/// Runs the proxy until a signal stops it.
 fn serve(options: ServeOptions) -> anyhow::Result<()> {
-    // First of all: SIGHUP ends a process that does not handle it.
+    // Signals are registered first, because SIGHUP terminates a process that does not handle it.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])
-        .map_err(|error| anyhow::Error::new(error).context("cannot take signals"))?;
+        .map_err(|error| anyhow::Error::new(error).context("cannot register signal handlers"))?;
     let config = Config::load(&options.config)?;
-    let shape = config::read(&options.config)?;
+    let initial_json = config::read_json(&options.config)?;
     preallocate_descriptor_table(config.limits.descriptors);
     let format = if options.log_json { LineFormat::Json } else { LineFormat::Text };
     let log = logging::start(format);
     task::init_scheduler();
     let (name, seed) = (config.name.clone(), config.seed);
-    let management = options.management.or(config.management);
+    let admin_address = options.management.or(config.admin_address);
     let control = options.operator.as_deref().map(control_settings).transpose()?.flatten();
-    let server = Arc::new(Server::start(config, options.socket_fd, log.set_log)?);
+    let server = Arc::new(Server::start(config, options.socket_fd, log.set_directives)?);
     if let Some(control) = control {
         subscribe(&server, &control, &name, seed)?;
     }
-    if let Some(address) = management {
+    if let Some(address) = admin_address {
         admin::start(address, server.clone())?;
     }
     let filter = std::env::var(logging::FILTER_VARIABLE).unwrap_or_default();
     tracing::info!(name, log = filter, "serving");
-    handle_signals(signals, &server, &options.config, &shape)
+    handle_signals(signals, &server, &options.config, &initial_json)
 }
 
-/// Follows a control service from now on; first of all, the last version that was valid is put into force.
+/// Subscribes to the control server. The last valid configuration version is applied first.
 fn subscribe(server: &Server, control: &Control, name: &str, seed: u64) -> anyhow::Result<()> {
     let build = env!("CARGO_PKG_VERSION");
     let settings = SubscriberSettings::from_config(control, name, build, seed)?;
@@ -125,16 +126,17 @@
     Ok(())
 }
 
-/// Reads the configuration again at each SIGHUP, and shuts the proxy down at any other signal; blocks the main thread.
+/// Reloads the configuration on each SIGHUP, and shuts the proxy down on any other signal. Blocks the main
+/// thread.
 fn handle_signals(
     mut signals: Signals,
     server: &Server,
     path: &Path,
-    shape: &serde_json::Value,
+    initial_json: &serde_json::Value,
 ) -> anyhow::Result<()> {
     for signal in signals.forever() {
         if signal == SIGHUP {
-            reload(server, path, shape);
+            reload(server, path, initial_json);
             continue;
         }
         tracing::info!(signal, "shutting down");
@@ -142,24 +144,25 @@
         tracing::info!("shut down");
         return Ok(());
     }
-    Err(anyhow::anyhow!("signals are no longer delivered"))
+    Err(anyhow::anyhow!("the signal iterator ended unexpectedly"))
 }
 
-fn reload(server: &Server, path: &Path, shape: &serde_json::Value) {
-    match Config::reload(path, shape) {
+/// Reloads the configuration file. An invalid file is logged and changes nothing.
+fn reload(server: &Server, path: &Path, initial_json: &serde_json::Value) {
+    match Config::reload(path, initial_json) {
         Ok(config) => {
             server.reconfigure(config);
             server.reload_counts.record_applied();
-            tracing::info!("new configuration in force");
+            tracing::info!("configuration reloaded");
         }
         Err(error) => {
-            tracing::error!("the configuration in force is unchanged: {}", error_line(&error));
+            tracing::error!("cannot reload the configuration, which stays unchanged: {}", error_line(&error));
             server.reload_counts.record_rejected();
         }
     }
 }
 
-/// The control service that an operator's file names, if it names one.
+/// Reads the settings of the control server from an operator's file. Returns `None` if the file has none.
 fn control_settings(path: &Path) -> anyhow::Result<Option<Control>> {
     let operator: Operator = gaugestep_control_plane::read_text_file("Operator", path)?;
     Ok(operator.control)
--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes a configuration from JSON.
+//! Decodes the configuration file from JSON.
 
 use std::net::SocketAddr;
 
@@ -9,16 +9,16 @@
 use super::error::DecodeError;
 use super::{Config, Limits, MIN_DESCRIPTORS, Names};
 
-/// The name of a proxy whose configuration has none.
+/// The proxy's name if the configuration has none.
 const DEFAULT_NAME: &str = "gaugestep";
 
 const BYTES_PER_MB: u64 = 1024 * 1024;
 
-/// Decodes a configuration. Keys that are absent take their defaults.
+/// Decodes a configuration. Optional keys that are missing get their default values.
 ///
 /// # Errors
 ///
-/// If a key that is required is missing, or the value of a key is invalid.
+/// If a required key is missing, or the value of a key is invalid.
 pub fn decode(json: &Value) -> Result<Config, DecodeError> {
     let settings_json = &json["settings"];
     if !settings_json.is_object() {
@@ -28,16 +28,16 @@
     let settings = settings(settings_json, &name)?;
     let seed = seed(&json["seed"])?;
     let limits = limits(&json["limits"], settings_json)?;
-    let known = &json["known"];
-    let known_index = whole_number(known, "index", 0)?;
+    let initial = &json["known"];
+    let initial_event_index = whole_number(initial, "index", 0)?;
     Ok(Config {
         name,
-        listen: address(json, "listen")?.ok_or_else(|| DecodeError::Missing("listen".into()))?,
+        listen_address: address(json, "listen")?.ok_or_else(|| DecodeError::Missing("listen".into()))?,
         seed,
-        management: address(json, "management")?,
-        coordinator: address(json, "coordinator")?,
-        known_index,
-        known: known["updates"].as_array().cloned().unwrap_or_default(),
+        admin_address: address(json, "management")?,
+        coordinator_address: address(json, "coordinator")?,
+        initial_event_index,
+        initial_events: initial["updates"].as_array().cloned().unwrap_or_default(),
         settings,
         names: Names {
             classes: names(settings_json, "services"),
@@ -49,7 +49,8 @@
     })
 }
 
-/// The dispatcher's settings. A proxy without an ordinal takes its position in the fleet from its name.
+/// Decodes the dispatcher's settings. A proxy without an ordinal derives its position in the fleet from its
+/// name.
 fn settings(json: &Value, name: &str) -> Result<Settings, DecodeError> {
     let mut settings = gaugestep_settings::decode(json)?;
     if settings.fleet_position == FleetPosition::NameKey(0) {
@@ -59,6 +60,7 @@
     Ok(settings)
 }
 
+/// Decodes the seed: a number, or hexadecimal digits as text; 0 if it is missing.
 fn seed(value: &Value) -> Result<u64, DecodeError> {
     match value {
         Value::Null => Ok(0),
@@ -70,12 +72,13 @@
     }
 }
 
-/// The limits: those of the process, and those of the settings that concern connections.
+/// Decodes the limits: those of the process from `process`, those of connections and requests from
+/// `settings`.
 fn limits(process: &Value, settings: &Value) -> Result<Limits, DecodeError> {
     let longest_deadline_ms = longest_deadline_ms(&settings["services"])?;
     let dispatch = &settings["limits"];
-    if let Some(attempts) = dispatch.get("max_attempts") {
-        positive("max_attempts", attempts)?;
+    if let Some(max_attempts) = dispatch.get("max_attempts") {
+        positive_number("max_attempts", max_attempts)?;
     }
     let limits = Limits {
         longest_deadline_ms,
@@ -92,20 +95,22 @@
     Ok(limits)
 }
 
-/// The longest deadline of all classes; infinite if none has one.
+/// Returns the longest deadline of all classes, in milliseconds; infinite if no class has a deadline.
 fn longest_deadline_ms(classes: &Value) -> Result<f64, DecodeError> {
     let mut longest: Option<f64> = None;
     for class in classes.as_array().into_iter().flatten() {
         if class["name"].as_str().is_none_or(str::is_empty) {
             return Err(DecodeError::UnnamedClass);
         }
-        if let Some(deadline) = class.get("deadline_ms") {
-            longest = Some(positive("deadline_ms", deadline)?.max(longest.unwrap_or(0.0)));
+        if let Some(deadline_ms) = class.get("deadline_ms") {
+            let deadline_ms = positive_number("deadline_ms", deadline_ms)?;
+            longest = Some(deadline_ms.max(longest.unwrap_or(0.0)));
         }
     }
     Ok(longest.unwrap_or(f64::INFINITY))
 }
 
+/// Decodes an optional socket address.
 fn address(json: &Value, key: &'static str) -> Result<Option<SocketAddr>, DecodeError> {
     match &json[key] {
         Value::Null => Ok(None),
@@ -117,7 +122,7 @@
     }
 }
 
-/// A number of 0 or more, rounded down.
+/// Decodes a number of 0 or more, rounded down.
 fn whole_number(object: &Value, key: &'static str, default: u64) -> Result<u64, DecodeError> {
     match &object[key] {
         Value::Null => Ok(default),
@@ -128,14 +133,15 @@
     }
 }
 
-fn positive(key: &'static str, value: &Value) -> Result<f64, DecodeError> {
+/// Decodes a number above 0.
+fn positive_number(key: &'static str, value: &Value) -> Result<f64, DecodeError> {
     match value.as_f64() {
         Some(number) if number > 0.0 => Ok(number),
         _ => Err(DecodeError::NotPositive { key, value: value.clone() }),
     }
 }
 
-/// The names in a list of names, or of objects that have one.
+/// Returns the names in a list whose entries are names or objects with the key `name`.
 fn names(json: &Value, key: &str) -> Vec<String> {
     let name = |entry: &Value| entry.as_str().or(entry["name"].as_str()).unwrap_or_default().to_owned();
     json[key].as_array().map_or_else(Vec::new, |entries| entries.iter().map(name).collect())
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that the platform gives the proxy, as a JSON file.
+//! The configuration file, a JSON file that the platform writes for the proxy.
 
 mod decode;
 mod error;
@@ -13,85 +13,85 @@
 pub use self::error::{ConfigError, DecodeError};
 use self::shape::missing_key;
 
-/// The fewest descriptors with which the proxy can run.
+/// Minimum number of descriptors that the proxy needs.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// The limits that the proxy observes.
+/// Resource limits and timeouts of the proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Descriptors that the process may hold.
+    /// Maximum number of descriptors that the process may open.
     pub descriptors: usize,
-    /// Memory that the process may hold, in bytes.
+    /// Maximum memory that the process may use, in bytes.
     pub memory_bytes: usize,
-    /// Attempts that one connection to a database carries together.
+    /// Maximum number of concurrent attempts on one connection to an engine.
     pub max_attempts_per_connection: usize,
-    /// How long it may take to connect to a database, in milliseconds.
+    /// Timeout for connecting to an engine, in milliseconds.
     pub dial_timeout_ms: u64,
-    /// Idle connections are closed by the databases after this time, in milliseconds.
+    /// Time after which engines close idle connections, in milliseconds.
     pub engine_idle_timeout_ms: u64,
-    /// Requests that may be open together.
+    /// Maximum number of open requests.
     pub max_open: usize,
-    /// The longest deadline of all classes, in milliseconds; infinite if none has one.
+    /// The longest deadline of all classes, in milliseconds; infinite if no class has a deadline.
     pub longest_deadline_ms: f64,
 }
 
-/// The names that the protocol uses, in the order of the settings.
+/// The names that requests and endpoints use for items of the settings, in the order of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes of requests.
+    /// Names of request classes.
     pub classes: Vec<String>,
-    /// Tenants; may be empty.
+    /// Names of tenants; empty if the settings define none.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Names of machine types.
     pub machines: Vec<String>,
 }
 
-/// The whole configuration.
+/// The decoded configuration file.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The proxy's name.
+    /// The proxy's name in the fleet.
     pub name: String,
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// The seed of the dispatcher's random draws.
+    /// The address on which the proxy listens for clients.
+    pub listen_address: SocketAddr,
+    /// Seed of the dispatcher's random number generator.
     pub seed: u64,
-    /// The address of the HTTP API for operators, if there is one.
-    pub management: Option<SocketAddr>,
-    /// The coordinator's address, if there is one.
-    pub coordinator: Option<SocketAddr>,
-    /// The number of the last event in `known`.
-    pub known_index: u64,
-    /// The coordinator's events so far.
-    pub known: Vec<Value>,
+    /// The address of the HTTP API for operators; `None` disables the API.
+    pub admin_address: Option<SocketAddr>,
+    /// The coordinator's address; `None` if there is no coordinator to follow.
+    pub coordinator_address: Option<SocketAddr>,
+    /// The index of the last event in `initial_events`.
+    pub initial_event_index: u64,
+    /// The coordinator's events up to the time when the file was written.
+    pub initial_events: Vec<Value>,
     /// The dispatcher's settings.
     pub settings: Settings,
-    /// Names of the settings.
+    /// The names of classes, tenants, zones and machine types in the settings.
     pub names: Names,
-    /// Limits.
+    /// Resource limits and timeouts.
     pub limits: Limits,
 }
 
 impl Config {
-    /// Reads a configuration file.
+    /// Loads a configuration file.
     ///
     /// # Errors
     ///
     /// If the file cannot be read, or is not a valid configuration.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let json = read(path)?;
+        let json = read_json(path)?;
         Self::decode(&json, path)
     }
 
-    /// Reads a configuration file again.
+    /// Reloads a configuration file. `initial_json` is its content at the start of the process.
     ///
     /// # Errors
     ///
-    /// As for [`Config::load`], and if the file lacks a key that `shape` has, the file as it was at the start.
-    pub fn reload(path: &Path, shape: &Value) -> Result<Self, ConfigError> {
-        let json = read(path)?;
-        match missing_key(shape, &json) {
+    /// As for [`Config::load`], and if a key of `initial_json` is missing from the file.
+    pub fn reload(path: &Path, initial_json: &Value) -> Result<Self, ConfigError> {
+        let json = read_json(path)?;
+        match missing_key(initial_json, &json) {
             Some(key) => {
                 Err(ConfigError::Invalid { path: path.to_owned(), source: DecodeError::Missing(key) })
             }
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// If the file cannot be read, or is not JSON.
-pub fn read(path: &Path) -> Result<Value, ConfigError> {
+pub fn read_json(path: &Path) -> Result<Value, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
     serde_json::from_str(&text).map_err(|source| ConfigError::NotJson { path: path.to_owned(), source })
--- a/crates/proxy/src/config/shape.rs
+++ b/crates/proxy/src/config/shape.rs
@@ -1,26 +1,28 @@
-//! Compares the keys of two configurations.
+//! Checks that a reloaded configuration has the keys of the initial one.
 
 use serde_json::Value;
 
-/// The coordinator's events, which differ in the keys that they have.
-const EVENTS: &str = "known";
+/// The key of the coordinator's events. Its value is not compared, because events of different types have
+/// different keys.
+const EVENTS_KEY: &str = "known";
 
-/// A key that `shape` has and `json` lacks. Each entry of a list needs what all entries of the shape's list have.
+/// Returns the first key that is present in `shape` and missing from `json`, or `None`. Entries of a list
+/// need the keys that all entries of the corresponding list in `shape` have.
 pub fn missing_key(shape: &Value, json: &Value) -> Option<String> {
     match (shape, json) {
         (Value::Object(shape), Value::Object(json)) => {
-            shape.iter().find_map(|(key, inside)| match json.get(key) {
-                None | Some(Value::Null) if !inside.is_null() => Some(key.clone()),
-                Some(value) if key != EVENTS => missing_key(inside, value),
+            shape.iter().find_map(|(key, shape_value)| match json.get(key) {
+                None | Some(Value::Null) if !shape_value.is_null() => Some(key.clone()),
+                Some(value) if key != EVENTS_KEY => missing_key(shape_value, value),
                 _ => None,
             })
         }
         (Value::Object(shape), _) => shape.keys().next().cloned(),
         (Value::Array(shape), Value::Array(json)) => {
             let first = shape.first()?.as_object()?;
-            let mut common =
+            let mut required_keys =
                 first.keys().filter(|key| shape.iter().all(|entry| !entry[key.as_str()].is_null()));
-            common.find(|key| json.iter().any(|entry| entry[key.as_str()].is_null())).cloned()
+            required_keys.find(|key| json.iter().any(|entry| entry[key.as_str()].is_null())).cloned()
         }
         _ => None,
     }
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -1,7 +1,7 @@
-//! Applies the configuration to the running proxy: the platform's file and the operators' document together.
+//! Applies the configuration to the running proxy: the platform's file combined with the operators' document.
 //!
-//! Whether a document is valid for the proxy is decided in `gaugestep-config`, from the state of the proxy that
-//! [`ProxyHandle::with_state`] gives it; here it is put into force.
+//! `gaugestep-config` validates documents against the state of the proxy, which [`ProxyHandle::with_state`]
+//! provides. This module applies documents that are valid.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -23,32 +23,33 @@
 use crate::config::{Config, Names};
 use crate::discovery::{Endpoint, EndpointList};
 use crate::lock;
-use crate::logging::{self, SetLog};
+use crate::logging::{self, SetLogDirectives};
 use crate::request_lifecycle::RequestHandler;
 use crate::server::max_open_requests;
 
-/// The window of the retry budget in milliseconds, where the platform's file has none.
+/// The window of the retry budget in milliseconds, if the platform's file has no retry budget.
 const DEFAULT_RETRY_WINDOW_MS: f64 = 5_000.0;
 
-/// What the platform's file says about requests.
+/// The parts of the platform's file that a document is combined with.
 pub struct PlatformConfig {
-    /// The proxy's name.
-    pub proxy: String,
-    /// The names of classes and tenants.
+    /// The proxy's name, by which a document may list it.
+    pub proxy_name: String,
+    /// The names of classes and tenants in the settings.
     pub names: Names,
     /// The dispatcher's settings.
     pub settings: Settings,
-    /// How many requests clients may have open together.
+    /// Maximum number of open requests of all clients.
     pub max_open: usize,
 }
 
 impl PlatformConfig {
-    /// What this configuration says, with open requests limited by the descriptors for clients.
+    /// Extracts the parts from a configuration. The dispatcher's limit of open requests is lowered to what
+    /// the descriptors for clients allow.
     pub fn new(config: &Config) -> Self {
         let mut settings = config.settings.clone();
         settings.max_open = max_open_requests(settings.max_open, &config.limits);
         PlatformConfig {
-            proxy: config.name.clone(),
+            proxy_name: config.name.clone(),
             names: config.names.clone(),
             settings,
             max_open: config.limits.max_open,
@@ -56,56 +57,58 @@
     }
 }
 
-/// Applies the platform's file and the operators' document to the proxy.
+/// Applies the platform's file and the operators' document to the proxy, each time that one of them changes.
 pub struct ConfigApplier {
     handler: Arc<RequestHandler>,
     endpoint_list: Arc<EndpointList>,
     platform_config: Mutex<PlatformConfig>,
     document: Mutex<Document>,
-    set_log: SetLog,
+    set_log_directives: SetLogDirectives,
 }
 
 impl ConfigApplier {
-    /// An applier for a proxy that runs under the platform's file alone. Whenever the list of endpoints changes, the routes of
-    /// the document are resolved again.
+    /// Creates an applier for a proxy to which only the platform's file applies so far. From now on, the
+    /// routes of the document are resolved again whenever the list of endpoints changes.
     pub fn start(
         handler: Arc<RequestHandler>,
         endpoint_list: Arc<EndpointList>,
         platform_config: PlatformConfig,
-        set_log: SetLog,
+        set_log_directives: SetLogDirectives,
     ) -> Arc<Self> {
         let document = Mutex::default();
-        let this = Arc::new(ConfigApplier {
+        let applier = Arc::new(ConfigApplier {
             handler,
             endpoint_list,
             platform_config: Mutex::new(platform_config),
             document,
-            set_log,
+            set_log_directives,
         });
-        let observer = Arc::downgrade(&this);
-        this.endpoint_list.set_change_listener(Box::new(move || {
-            if let Some(this) = observer.upgrade()
-                && this.has_routes()
+        let weak_applier = Arc::downgrade(&applier);
+        applier.endpoint_list.set_change_listener(Box::new(move || {
+            if let Some(applier) = weak_applier.upgrade()
+                && applier.has_routes()
             {
-                this.apply_effective();
+                applier.apply_effective();
             }
         }));
-        this
+        applier
     }
 
     fn has_routes(&self) -> bool {
         !lock(&self.document).routes.is_empty()
     }
 
-    /// Applies a changed file of the platform. Called with [`RequestHandler::update_lock`] held.
+    /// Applies a reloaded file of the platform. The caller must hold [`RequestHandler::update_lock`].
     pub fn update_platform(&self, platform_config: PlatformConfig) {
         *lock(&self.platform_config) = platform_config;
         self.apply_effective();
     }
 
-    /// Puts the platform's file and the document into force together. Called with [`RequestHandler::update_lock`] held.
+    /// Applies the platform's file combined with the document. The caller must hold
+    /// [`RequestHandler::update_lock`].
     fn apply_effective(&self) {
-        let (platform_config, document) = (lock(&self.platform_config), lock(&self.document).clone());
+        let platform_config = lock(&self.platform_config);
+        let document = lock(&self.document).clone();
         let EffectiveSettings { settings, names, max_open } = effective_settings(&platform_config, &document);
         drop(platform_config);
         self.handler.max_open.store(max_open, Ordering::Relaxed);
@@ -116,7 +119,7 @@
         });
     }
 
-    /// The document's routes, resolved against the endpoints that are listed.
+    /// Resolves the document's routes against the endpoints that are listed.
     fn routes(&self, document: &Document, classes: &[Arc<Class>], tenants: &[String]) -> Vec<Route> {
         if document.routes.is_empty() {
             return Vec::new();
@@ -126,7 +129,7 @@
             endpoints.iter().map(|(name, endpoint)| (name, endpoint.engine)).collect();
         let engines: Vec<Engine> = endpoints.iter().map(|(name, endpoint)| engine(name, endpoint)).collect();
         let class = |name: &String| classes.iter().find(|class| class.name == *name).map(|class| class.id);
-        let tenant = |name: &String| tenants.iter().position(|other| other == name).map(TenantId);
+        let tenant = |name: &String| tenants.iter().position(|tenant| tenant == name).map(TenantId);
         let route = |route: &ResolvedRoute| Route {
             classes: (!route.classes.is_empty()).then(|| route.classes.iter().filter_map(class).collect()),
             tenants: (!route.tenants.is_empty()).then(|| route.tenants.iter().filter_map(tenant).collect()),
@@ -141,44 +144,46 @@
     }
 }
 
-/// The platform's file as a document changes it.
+/// The platform's file combined with a document.
 struct EffectiveSettings {
     /// The dispatcher's settings, without routes.
     settings: Settings,
+    /// The names in the settings, without classes that the document does not serve.
     names: Names,
-    /// How many requests clients may have open together.
+    /// Maximum number of open requests of all clients.
     max_open: usize,
 }
 
+/// Combines the platform's file with a document.
 fn effective_settings(platform: &PlatformConfig, document: &Document) -> EffectiveSettings {
     let effective = effective_config(document, &platform_limits(platform));
     let (mut settings, mut names) = (platform.settings.clone(), platform.names.clone());
     let classes = names.classes.iter().zip(std::mem::take(&mut settings.classes));
-    let served = classes.filter(|(name, _)| routing::serves(document, name));
-    (names.classes, settings.classes) = served.map(|(name, class)| (name.clone(), class)).unzip();
+    let served_classes = classes.filter(|(name, _)| routing::serves(document, name));
+    (names.classes, settings.classes) = served_classes.map(|(name, class)| (name.clone(), class)).unzip();
     for (tenant, quota) in settings.tenants.iter_mut().zip(&effective.quotas) {
         tenant.quota_per_s = *quota;
     }
     let fleet_size = document.proxies.len();
-    if let Some(ordinal) = document.proxies.iter().position(|name| *name == platform.proxy) {
+    if let Some(ordinal) = document.proxies.iter().position(|name| *name == platform.proxy_name) {
         let position = FleetPosition::ordinal(ordinal as u32, fleet_size as u32);
         settings.fleet_position = position.unwrap_or(settings.fleet_position);
         settings.dispatchers = fleet_size;
     }
     settings.max_open = settings.max_open.min(effective.max_open as usize);
     settings.max_attempts = effective.max_attempts as usize;
-    let window = settings.retry_budget.map_or(DEFAULT_RETRY_WINDOW_MS, |budget| budget.window);
+    let window_ms = settings.retry_budget.map_or(DEFAULT_RETRY_WINDOW_MS, |budget| budget.window);
     settings.retry_budget = effective.retries.map(|budget| RetryBudgetSettings {
         min_retries: budget.free,
         ratio: budget.ratio,
-        window,
+        window: window_ms,
     });
     EffectiveSettings { settings, names, max_open: platform.max_open.min(effective.max_open as usize) }
 }
 
-/// What the platform's file allows a document to set.
+/// Returns the limits of the platform's file, which a document can only tighten.
 fn platform_limits(platform_config: &PlatformConfig) -> PlatformLimits {
-    let quota = |quota: f64| (quota > 0.0).then_some(quota);
+    let quota = |quota_per_s: f64| (quota_per_s > 0.0).then_some(quota_per_s);
     let tenants = platform_config.names.tenants.iter().zip(&platform_config.settings.tenants);
     PlatformLimits {
         tenants: tenants
@@ -193,7 +198,7 @@
     }
 }
 
-/// An endpoint as documents are checked against it.
+/// Converts an endpoint to the form that documents are validated against.
 fn engine(name: &str, endpoint: &Endpoint) -> Engine {
     let is_up = endpoint.readiness == Readiness::Up;
     Engine {
@@ -209,17 +214,19 @@
     fn with_state(&self, then: &mut dyn FnMut(&ProxyState)) {
         let _update = lock(&self.handler.update_lock);
         let platform_config = lock(&self.platform_config);
-        let open = self.handler.classes.open_requests();
-        let count = |name: &String| open.iter().find(|(other, _)| other == name).map_or(0, |(_, open)| *open);
+        let open_by_class = self.handler.classes.open_requests();
+        let open_requests = |name: &String| {
+            open_by_class.iter().find(|(class, _)| class == name).map_or(0, |(_, open)| *open)
+        };
         let classes = platform_config
             .names
             .classes
             .iter()
-            .map(|name| proxy_state::Class { name: name.clone(), open: count(name) });
+            .map(|name| proxy_state::Class { name: name.clone(), open: open_requests(name) });
         let endpoints = self.endpoint_list.endpoints();
         let state = ProxyState {
             engines: endpoints
-                .map(|named| named.iter().map(|(name, endpoint)| engine(name, endpoint)).collect()),
+                .map(|endpoints| endpoints.iter().map(|(name, endpoint)| engine(name, endpoint)).collect()),
             classes: classes.collect(),
             open: self.handler.open.load(Ordering::Relaxed) as u64,
             platform: platform_limits(&platform_config),
@@ -231,11 +238,12 @@
     fn apply(&self, document: &Document) {
         *lock(&self.document) = document.clone();
         self.apply_effective();
-        (self.set_log)(logging::directives(document));
+        (self.set_log_directives)(logging::directives(document));
     }
 
     fn assign_position(&self, lease: Option<PositionLease>) {
         let _update = lock(&self.handler.update_lock);
+        // Without a lease the position expires at once, so that the position of the settings applies.
         let (position, valid_for_ms) = lease.map_or((FleetPosition::NameKey(0), 0.0), |lease| {
             (lease.position, lease.valid_for.as_secs_f64() * 1e3)
         });
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,12 @@
-//! The proxy: PostgreSQL clients in front, databases behind, the decision module between.
+//! The proxy between PostgreSQL clients and query engines, with the decision module (the dispatcher) in the
+//! process.
 //!
-//! - `downstream` serves clients, `upstream` keeps the connections to databases;
-//! - `request_lifecycle` sees each request through, as the `facade` of the decision module says;
-//! - `discovery` keeps the list of databases, `config_applier` puts configurations into force;
-//! - `server` starts and stops all of it, `admin` answers operators, `cli` is the command line.
+//! - `downstream` serves clients, `upstream` manages the connections to engines;
+//! - `request_lifecycle` runs each request as the dispatcher decides, through the `facade` of the decision
+//!   module;
+//! - `discovery` maintains the list of engines, `config_applier` applies configurations;
+//! - `server` starts and stops all components, `admin` is the HTTP API for operators, `cli` is the command
+//!   line.
 
 mod admin;
 mod class_registry;
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: where its lines go, and which lines are written.
+//! Sets up logging to standard error, and changes the log filter at run time.
 
 use gaugestep_config::Document;
 use gaugestep_config::schema::logging::Level;
@@ -7,37 +7,38 @@
 use tracing_subscriber::reload::{self, Handle};
 use tracing_subscriber::{EnvFilter, Registry};
 
-/// The environment variable that holds the filter of the start.
+/// The environment variable with the initial log filter.
 pub const FILTER_VARIABLE: &str = "GAUGESTEP_LOG";
-/// The filter of the start where there is no valid one.
+/// The initial filter if [`FILTER_VARIABLE`] is not set or not valid.
 const DEFAULT_FILTER: &str = "gaugestep=info,gaugestep_control=info";
-/// Lines that may wait to be written; more are dropped.
+/// Maximum number of lines that wait to be written; further lines are dropped.
 const BUFFERED_LINES: usize = 4096;
 
-/// Sets which lines are logged: those that the directives add to the filter of the start, or that filter alone.
-pub type SetLog = Box<dyn Fn(Option<String>) + Send + Sync>;
+/// Sets the log filter: the initial filter with the given directives appended, or the initial filter alone
+/// for `None`.
+pub type SetLogDirectives = Box<dyn Fn(Option<String>) + Send + Sync>;
 
-/// The form of a log line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineFormat {
-    /// Text for people.
+    /// Human-readable text.
     Text,
-    /// A JSON object.
+    /// One JSON object per line.
     Json,
 }
 
-/// The log as it has been started. When it is dropped, the lines that wait are written.
+/// The running log. Dropping it writes the lines that still wait.
 pub struct Log {
-    /// Sets which lines are logged.
-    pub set_log: SetLog,
-    /// Writes the last lines when it is dropped.
+    /// Changes the log filter.
+    pub set_directives: SetLogDirectives,
+    /// Writes the remaining lines when it is dropped.
     _guard: WorkerGuard,
 }
 
-/// Why a filter cannot be put into force.
+/// The reason why a log filter cannot be applied.
 #[derive(Debug, thiserror::Error)]
 enum FilterError {
-    /// Its directives are invalid.
+    /// The directives are invalid.
     #[error(transparent)]
     Parse(#[from] tracing_subscriber::filter::ParseError),
     /// The log has been shut down.
@@ -45,10 +46,10 @@
     Reload(#[from] reload::Error),
 }
 
-/// Starts the log on standard error.
+/// Starts logging to standard error.
 pub fn start(format: LineFormat) -> Log {
     use tracing_subscriber::prelude::*;
-    // A thread of its own writes the lines, so that a slow reader of the log blocks no coroutine.
+    // A separate thread writes the lines, so that a slow reader of standard error does not block coroutines.
     let (writer, guard): (NonBlocking, WorkerGuard) =
         NonBlockingBuilder::default().buffered_lines_limit(BUFFERED_LINES).finish(std::io::stderr());
     let configured = std::env::var(FILTER_VARIABLE).ok();
@@ -61,14 +62,15 @@
         LineFormat::Json => log.with(lines.json().flatten_event(true)).init(),
         LineFormat::Text => log.with(lines).init(),
     }
-    let set_log = move |directives: Option<String>| {
+    let set_directives = move |directives: Option<String>| {
         if let Err(error) = set_filter(&handle, &initial, directives.as_deref()) {
-            tracing::error!("the log filter is unchanged: {error}");
+            tracing::error!("cannot apply the log filter, which stays unchanged: {error}");
         }
     };
-    Log { set_log: Box::new(set_log), _guard: guard }
+    Log { set_directives: Box::new(set_directives), _guard: guard }
 }
 
+/// Replaces the log filter by the initial filter, with the directives appended if there are any.
 fn set_filter(
     handle: &Handle<EnvFilter, Registry>,
     initial: &str,
@@ -81,7 +83,7 @@
     Ok(handle.reload(filter)?)
 }
 
-/// The filter directives of a document; none if it says nothing about logging.
+/// Returns the filter directives of a document, or `None` if it does not configure logging.
 pub fn directives(document: &Document) -> Option<String> {
     let logging = document.logging.as_ref()?;
     let base = level_name(logging.level()).map(|level| format!("gaugestep={level}"));
--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -1,4 +1,4 @@
-//! How the proxy stops serving: a drain that an operator starts and may end, and the shutdown at SIGTERM.
+//! Stops the proxy: the drain, which an operator starts and can stop again, and the shutdown on SIGTERM.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,80 +10,87 @@
 use crate::facade::to_duration;
 use crate::task;
 
-/// After the start of a drain, until those who look at `/ops/readiness` have seen that the proxy is not ready.
+/// Time from the start of a drain until all pollers of `/ops/readiness` have seen that the proxy is not
+/// ready.
 const NOT_READY_PROPAGATION: Duration = Duration::from_millis(400);
-/// How long sessions then close after their next answer, before all that are idle are closed.
-const SESSION_DRAIN: Duration = Duration::from_millis(1_400);
+/// How long sessions are then closed after their next response only, before all idle sessions are closed.
+const SESSION_DRAIN_PERIOD: Duration = Duration::from_millis(1_400);
 
-/// After SIGTERM, how long new connections and requests may still come: by the protocol, and a little more.
+/// How long after SIGTERM connections and requests are still accepted: as long as the platform's protocol may
+/// send them, with a margin.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(850);
-/// SIGKILL follows SIGTERM after the longest deadline, but at most this time, and [`ANSWERS_TO_SIGKILL`] after
-/// [`ANSWER_GRACE_MS`]: at a restart, and where a successor takes over.
-const MAX_RESTART_MS: f64 = 3_000.0;
-/// See [`MAX_RESTART_MS`].
-const MAX_UPGRADE_MS: f64 = 5_000.0;
-/// After the longest deadline, by which all accepted requests have their answers.
-const ANSWER_GRACE_MS: f64 = 400.0;
-/// From the last answers to SIGKILL.
-const ANSWERS_TO_SIGKILL_MS: f64 = 300.0;
-/// Before SIGKILL at an upgrade, when sessions that are idle are closed: clients close their own after 4 s of idleness.
+/// Upper limit of the longest deadline at a restart, in milliseconds. The platform sends SIGKILL after the
+/// longest deadline or this limit, whichever is shorter, plus [`RESPONSE_GRACE_MS`] and
+/// [`RESPONSES_TO_SIGKILL_MS`].
+const MAX_RESTART_DEADLINE_MS: f64 = 3_000.0;
+/// Upper limit of the longest deadline at an upgrade, where a successor takes over. See
+/// [`MAX_RESTART_DEADLINE_MS`].
+const MAX_UPGRADE_DEADLINE_MS: f64 = 5_000.0;
+/// Time after the longest deadline by which all accepted requests have their responses.
+const RESPONSE_GRACE_MS: f64 = 400.0;
+/// Time from the last responses to SIGKILL.
+const RESPONSES_TO_SIGKILL_MS: f64 = 300.0;
+/// How long before SIGKILL idle sessions are closed at an upgrade. Clients close idle sessions themselves
+/// after 4 s.
 const SESSION_GRACE: Duration = Duration::from_millis(500);
-/// After the last answers, for clients that read slowly or are slow to close.
+/// Time after the last responses for clients that read slowly or are slow to close.
 const CLOSE_GRACE: Duration = Duration::from_millis(200);
-/// For the last bytes to be sent.
+/// Time for the kernel to send the last bytes before the process exits.
 const FINAL_FLUSH: Duration = Duration::from_millis(50);
-/// Between two looks at what is still open.
+/// Interval at which a shutdown checks for open requests and sessions.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long after SIGTERM all accepted requests have their answers, in milliseconds.
-pub fn answer_window_ms(limits: &Limits, has_successor: bool) -> f64 {
-    let max_deadline = if has_successor { MAX_UPGRADE_MS } else { MAX_RESTART_MS };
-    limits.longest_deadline_ms.min(max_deadline) + ANSWER_GRACE_MS
+/// Returns the time after SIGTERM by which all accepted requests have their responses, in milliseconds.
+pub fn response_window_ms(limits: &Limits, has_successor: bool) -> f64 {
+    let max_deadline_ms = if has_successor { MAX_UPGRADE_DEADLINE_MS } else { MAX_RESTART_DEADLINE_MS };
+    limits.longest_deadline_ms.min(max_deadline_ms) + RESPONSE_GRACE_MS
 }
 
-/// Which drain of an operator this is.
+/// Identifies one drain: the value of [`DrainState::transitions`] while it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct DrainNumber(u64);
+struct DrainId(u64);
 
-/// Whether the proxy drains or shuts down.
+/// Whether the proxy is draining or shutting down.
 #[derive(Default)]
 pub struct DrainState {
-    /// Counts the starts and ends of drains: odd while one lasts.
-    changes: AtomicU64,
+    /// Number of starts and stops of drains: odd during a drain.
+    transitions: AtomicU64,
     is_shutting_down: AtomicBool,
 }
 
 impl DrainState {
-    /// Whether an operator drains the proxy.
+    /// Returns whether a drain by an operator is in progress.
     pub fn is_draining(&self) -> bool {
-        self.changes.load(Ordering::Relaxed) % 2 == 1
+        self.transitions.load(Ordering::Relaxed) % 2 == 1
     }
 
-    /// Whether the proxy shuts down.
+    /// Returns whether the proxy is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Starts a drain; none if one lasts. Calls of operators are served by one thread, so no other call comes between.
-    fn start(&self) -> Option<DrainNumber> {
+    /// Starts a drain. Returns `None` if one is already in progress. The check and the start need not be
+    /// atomic, as one thread serves all requests of operators.
+    fn start(&self) -> Option<DrainId> {
         if self.is_draining() {
             return None;
         }
-        Some(DrainNumber(self.changes.fetch_add(1, Ordering::Relaxed) + 1))
+        let previous_transitions = self.transitions.fetch_add(1, Ordering::Relaxed);
+        Some(DrainId(previous_transitions + 1))
     }
 
-    /// Ends the drain. Returns false if there is none, or the proxy shuts down.
+    /// Stops the drain. Returns false if no drain is in progress or the proxy is shutting down.
     fn stop(&self) -> bool {
         let can_stop = self.is_draining() && !self.is_shutting_down();
         if can_stop {
-            self.changes.fetch_add(1, Ordering::Relaxed);
+            self.transitions.fetch_add(1, Ordering::Relaxed);
         }
         can_stop
     }
 
-    /// Whether this drain lasts, and the proxy does not shut down.
-    fn is_current(&self, drain: DrainNumber) -> bool {
-        self.changes.load(Ordering::Relaxed) == drain.0 && !self.is_shutting_down()
+    /// Returns whether this drain is still in progress and the proxy is not shutting down.
+    fn is_current(&self, drain: DrainId) -> bool {
+        self.transitions.load(Ordering::Relaxed) == drain.0 && !self.is_shutting_down()
     }
 
     fn start_shutdown(&self) {
@@ -92,8 +99,8 @@
 }
 
 impl Server {
-    /// Starts a drain: the proxy is not ready any more, and a little later its sessions close, each once nothing is open in
-    /// it. The proxy goes on running. Does nothing while a drain lasts.
+    /// Starts a drain: the proxy reports that it is not ready, and after a delay closes each session once it
+    /// has no open request. The process keeps running. Does nothing if a drain is already in progress.
     pub fn start_drain(self: &Arc<Self>) {
         let Some(drain) = self.drain.start() else { return };
         tracing::info!("drain started by an operator");
@@ -104,54 +111,57 @@
         }
     }
 
-    /// Ends the sessions step by step, as long as the drain lasts; blocks its coroutine.
-    fn run_drain(&self, drain: DrainNumber) {
-        let steps = [(NOT_READY_PROPAGATION, SessionEnd::AfterAnswer), (SESSION_DRAIN, SessionEnd::WhenIdle)];
-        for (wait, end) in steps {
-            task::sleep(wait);
+    /// Ends the sessions in two steps while the drain is in progress. Blocks its coroutine.
+    fn run_drain(&self, drain: DrainId) {
+        let steps =
+            [(NOT_READY_PROPAGATION, SessionEnd::AfterAnswer), (SESSION_DRAIN_PERIOD, SessionEnd::WhenIdle)];
+        for (delay, session_end) in steps {
+            task::sleep(delay);
             if !self.drain.is_current(drain) {
                 return;
             }
-            self.session_manager.end_sessions(end);
+            self.session_manager.end_sessions(session_end);
         }
     }
 
-    /// Ends an operator's drain. Does nothing if there is none, or the proxy shuts down.
+    /// Stops an operator's drain. Does nothing if no drain is in progress or the proxy is shutting down.
     pub fn stop_drain(&self) {
         if self.drain.stop() {
-            tracing::info!("drain ended by an operator");
+            tracing::info!("drain stopped by an operator");
             self.session_manager.end_sessions(SessionEnd::Never);
         }
     }
 
-    /// Finishes what is open, and returns. Clients are accepted as long as they may still come; if a successor listens on
-    /// the same socket, they are left to it. Blocks its thread.
+    /// Shuts down gracefully: finishes the open requests, closes the sessions and returns. Blocks its thread.
+    ///
+    /// If a successor listens on the same socket, this process stops accepting at once and leaves new clients
+    /// to it. Otherwise it accepts clients for [`ACCEPT_AFTER_SIGTERM`].
     pub fn shut_down(&self) {
         self.drain.start_shutdown();
         let started_at = Instant::now();
-        let answer_window = to_duration(self.answer_window_ms);
-        self.handler.facade.limit_deadlines(self.handler.facade.now() + self.answer_window_ms);
+        let response_window = to_duration(self.response_window_ms);
+        self.handler.facade.limit_deadlines(self.handler.facade.now() + self.response_window_ms);
         if self.has_successor {
             self.acceptor.stop();
             self.session_manager.end_sessions(SessionEnd::AfterAnswer);
-            let sigkill = to_duration(self.answer_window_ms + ANSWERS_TO_SIGKILL_MS);
-            let deadline = started_at + sigkill.saturating_sub(SESSION_GRACE);
-            wait_until(deadline, || self.session_manager.session_count() == 0);
+            let sigkill_after = to_duration(self.response_window_ms + RESPONSES_TO_SIGKILL_MS);
+            let close_idle_at = started_at + sigkill_after.saturating_sub(SESSION_GRACE);
+            wait_until(close_idle_at, || self.session_manager.session_count() == 0);
         } else {
             std::thread::sleep(ACCEPT_AFTER_SIGTERM);
             self.acceptor.stop();
         }
         self.session_manager.end_sessions(SessionEnd::WhenIdle);
-        // A session is open until its client has closed the connection, or has had the time for it: if it were closed with
-        // bytes unread or unsent, it would be reset.
+        // A session counts as open until its client has closed the connection or the time for that has
+        // expired. Closing a connection with unread or unsent bytes would reset it.
         let is_idle =
             || self.handler.open.load(Ordering::Relaxed) + self.session_manager.session_count() == 0;
-        wait_until(started_at + answer_window + CLOSE_GRACE, is_idle);
+        wait_until(started_at + response_window + CLOSE_GRACE, is_idle);
         std::thread::sleep(FINAL_FLUSH);
     }
 }
 
-/// Blocks the thread until the condition holds, or the deadline has passed.
+/// Blocks the thread until the condition is met or the deadline has passed.
 fn wait_until(deadline: Instant, is_met: impl Fn() -> bool) {
     while !is_met() && Instant::now() < deadline {
         std::thread::sleep(POLL_INTERVAL);
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket, and the coroutine that accepts clients from it.
+//! The listening socket and the coroutine that accepts clients from it.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,24 +12,25 @@
 use crate::downstream::postgres::SessionManager;
 use crate::task;
 
-/// Connections that the kernel holds until they are accepted.
+/// Connections that the kernel queues until they are accepted.
 const BACKLOG: i32 = 1024;
-/// Sessions that may be open beyond their limit, until those that are evicted for them have closed.
-const SESSIONS_BEYOND_LIMIT: usize = 8;
-/// Connections accepted before their sessions run.
-const ACCEPTS_PER_TURN: usize = 16;
-/// How long the sessions run then.
-const TURN_PAUSE: Duration = Duration::from_millis(1);
-/// Between an error and the next attempt to accept.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Between two log lines about connections that cannot be accepted.
+/// Sessions that may be open above the limit while evicted sessions close.
+const MAX_EXCESS_SESSIONS: usize = 8;
+/// Connections that are accepted before the acceptor pauses, so that their sessions run.
+const ACCEPT_BATCH_SIZE: usize = 16;
+/// How long the acceptor pauses after a batch.
+const ACCEPT_BATCH_PAUSE: Duration = Duration::from_millis(1);
+/// Delay between a failed accept and the next one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Minimum interval between two log lines about failed accepts.
 const ERROR_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Opens the listening socket: the one that the platform holds, or else a new one.
+/// Opens the listening socket: the descriptor `inherited` from the platform, or else a new socket on
+/// `address`.
 ///
 /// # Errors
 ///
-/// If the descriptor is no listening socket, or the address cannot be bound.
+/// If the descriptor is not a listening socket, or the address cannot be bound.
 pub fn open(address: SocketAddr, inherited: Option<RawFd>) -> io::Result<TcpListener> {
     match inherited {
         Some(descriptor) => inherit(descriptor),
@@ -38,8 +39,8 @@
 }
 
 fn inherit(descriptor: RawFd) -> io::Result<TcpListener> {
-    // SAFETY: the platform passes this descriptor to the process for its own use, and it is taken over once, at the
-    // start. One that is not open fails in the calls below.
+    // SAFETY: the platform passes this descriptor for the sole use of this process, and ownership is taken
+    // only once, at the start. If the descriptor is not open, the calls below fail.
     #[expect(unsafe_code, reason = "a descriptor that the platform passes is only a number")]
     let owned = unsafe { OwnedFd::from_raw_fd(descriptor) };
     let listener = TcpListener::from(owned);
@@ -48,7 +49,8 @@
     Ok(listener)
 }
 
-/// The address can be bound again at once after a restart, but not by two proxies at a time.
+/// Binds a new socket. `SO_REUSEADDR` allows a restarted proxy to bind the address at once, but not two
+/// proxies at the same time.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -57,13 +59,14 @@
     Ok(socket.into())
 }
 
-/// Accepts clients until it is stopped.
+/// Accepts clients and starts their sessions until it is stopped.
 pub struct Acceptor {
     listener: Arc<CoIo<TcpListener>>,
     session_manager: Arc<SessionManager>,
     max_sessions: usize,
     is_stopped: Arc<AtomicBool>,
-    last_error_logged: Option<Instant>,
+    /// When a failed accept was last logged.
+    error_logged_at: Option<Instant>,
 }
 
 /// Stops an [`Acceptor`].
@@ -73,7 +76,8 @@
 }
 
 impl AcceptorHandle {
-    /// Has the acceptor accept the connections that have come, and close the listening socket.
+    /// Makes the acceptor accept the connections that are already queued, and then close the listening
+    /// socket.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
         self.waker.wakeup();
@@ -81,22 +85,22 @@
 }
 
 impl Acceptor {
-    /// An acceptor that admits at most `max_sessions` clients to `session_manager`.
+    /// Creates an acceptor that admits at most `max_sessions` clients to `session_manager`.
     pub fn new(
         listener: Arc<CoIo<TcpListener>>,
         session_manager: Arc<SessionManager>,
         max_sessions: usize,
     ) -> Self {
         let is_stopped = Arc::new(AtomicBool::new(false));
-        Acceptor { listener, session_manager, max_sessions, is_stopped, last_error_logged: None }
+        Acceptor { listener, session_manager, max_sessions, is_stopped, error_logged_at: None }
     }
 
-    /// The handle that stops this acceptor.
+    /// Returns a handle that stops this acceptor.
     pub fn handle(&self) -> AcceptorHandle {
         AcceptorHandle { is_stopped: self.is_stopped.clone(), waker: self.listener.waker() }
     }
 
-    /// Accepts clients until the acceptor is stopped; blocks its coroutine.
+    /// Accepts clients until the acceptor is stopped. Blocks its coroutine.
     pub fn run(mut self) {
         let mut accepted = 0;
         loop {
@@ -104,11 +108,12 @@
                 Ok((socket, _)) => {
                     self.admit(socket);
                     accepted += 1;
-                    if accepted % ACCEPTS_PER_TURN == 0 {
-                        task::sleep(TURN_PAUSE);
+                    if accepted % ACCEPT_BATCH_SIZE == 0 {
+                        task::sleep(ACCEPT_BATCH_PAUSE);
                     }
                 }
-                // Those who connected before the stop get an error from a session, and are not reset.
+                // The queue is emptied before a stop takes effect: clients in it get an error response from a
+                // session, whereas closing the socket would reset their connections.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     if self.is_stopped() {
                         return;
@@ -118,21 +123,23 @@
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(_) if self.is_stopped() => return,
                 Err(error) => {
-                    self.log(&error);
-                    task::sleep(RETRY_PAUSE);
+                    self.log_error(&error);
+                    task::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// Starts a session on a connection, or rejects it if no session can be evicted for it.
+    /// Starts a session on a connection. If the limit is reached, an idle session is evicted first; if none
+    /// can be evicted, the connection is rejected.
     ///
-    /// An evicted session closes a moment later, so a few sessions more than the limit are open meanwhile, for which there
-    /// are reserved descriptors. No flood of clients takes those for the coordinator and the databases.
+    /// An evicted session closes with a delay, during which a few sessions above the limit are open.
+    /// Descriptors are reserved for these, so that a flood of clients cannot use up the descriptors for the
+    /// coordinator and the engines.
     fn admit(&self, socket: TcpStream) {
-        let sessions = self.session_manager.session_count();
-        let is_full = sessions >= self.max_sessions && !self.session_manager.evict_idle_session()
-            || sessions >= self.max_sessions + SESSIONS_BEYOND_LIMIT;
+        let session_count = self.session_manager.session_count();
+        let is_full = session_count >= self.max_sessions && !self.session_manager.evict_idle_session()
+            || session_count >= self.max_sessions + MAX_EXCESS_SESSIONS;
         if is_full {
             self.session_manager.reject(&socket);
         } else if let Err(error) = self.session_manager.admit(socket) {
@@ -144,11 +151,11 @@
         self.is_stopped.load(Ordering::Relaxed)
     }
 
-    /// Logs an error, unless one was logged shortly before.
-    fn log(&mut self, error: &io::Error) {
-        if self.last_error_logged.is_none_or(|at| at.elapsed() >= ERROR_LOG_INTERVAL) {
-            self.last_error_logged = Some(Instant::now());
-            tracing::warn!("cannot accept: {error}");
+    /// Logs a failed accept, at most once per [`ERROR_LOG_INTERVAL`].
+    fn log_error(&mut self, error: &io::Error) {
+        if self.error_logged_at.is_none_or(|logged_at| logged_at.elapsed() >= ERROR_LOG_INTERVAL) {
+            self.error_logged_at = Some(Instant::now());
+            tracing::warn!("cannot accept a client connection: {error}");
         }
     }
 }
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! The proxy as a whole: starts its parts, and applies new configurations to them.
+//! The server: starts all components of the proxy, and applies reloaded configurations to them.
 //!
-//! [`listener`] accepts clients, [`drain`] stops the proxy, [`status`] is what operators read, and [`resource_limits`] shares
-//! out descriptors and memory.
+//! [`listener`] accepts clients, [`drain`] stops the proxy, [`status`] reports to operators, and
+//! [`resource_limits`] divides the descriptors and the memory.
 
 mod drain;
 mod listener;
@@ -30,12 +30,12 @@
 use crate::discovery::{CoordinatorStream, EndpointList};
 use crate::downstream::postgres::SessionManager;
 use crate::facade::Facade;
-use crate::logging::SetLog;
+use crate::logging::SetLogDirectives;
 use crate::request_lifecycle::RequestHandler;
 use crate::upstream::line_protocol::UpstreamPool;
 use crate::{lock, task};
 
-/// How often sessions check their timeouts.
+/// Interval at which sessions check their timeouts.
 const SESSION_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why the proxy cannot start.
@@ -44,15 +44,15 @@
     /// The listening socket cannot be opened.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What failed.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The dispatcher does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Coroutines cannot wait on the listening socket.
+    /// The listening socket cannot be registered with the coroutine scheduler.
     #[error(transparent)]
     Register(io::Error),
     /// A coroutine cannot be started.
@@ -65,41 +65,48 @@
 
 /// A running proxy.
 pub struct Server {
-    /// How often the configuration file was read again.
+    /// Number of reloads of the configuration file, by result.
     pub reload_counts: ReloadCounts,
     handler: Arc<RequestHandler>,
     session_manager: Arc<SessionManager>,
     endpoint_list: Arc<EndpointList>,
     coordinator: Arc<CoordinatorStream>,
     config_applier: Arc<ConfigApplier>,
-    /// Follows a control service, if an operator has named one.
+    /// Subscription to the control server, if one is configured.
     subscriber: OnceLock<Arc<ConfigSubscriber>>,
     acceptor: AcceptorHandle,
     drain: DrainState,
-    /// Whether the platform holds the listening socket, from which a successor accepts too.
+    /// Whether the listening socket belongs to the platform, so that a successor accepts from it too.
     has_successor: bool,
-    /// How long after SIGTERM all accepted requests have their answers, in milliseconds.
-    answer_window_ms: f64,
+    /// Time after SIGTERM by which all accepted requests have their responses, in milliseconds.
+    response_window_ms: f64,
 }
 
 impl Server {
-    /// Listens for clients, on the socket `inherited` from the platform if there is one, and starts all coroutines.
+    /// Listens for clients and starts all background tasks. `inherited` is the descriptor of the platform's
+    /// listening socket, if there is one.
     ///
     /// # Errors
     ///
     /// If the proxy cannot listen, the settings are invalid, or a coroutine or thread cannot be started.
-    pub fn start(config: Config, inherited: Option<RawFd>, set_log: SetLog) -> Result<Self, StartError> {
+    pub fn start(
+        config: Config,
+        inherited: Option<RawFd>,
+        set_log_directives: SetLogDirectives,
+    ) -> Result<Self, StartError> {
         let has_successor = inherited.is_some();
-        let listener = listener::open(config.listen, inherited)
-            .map_err(|source| StartError::Listen { address: config.listen, source })?;
+        let listener = listener::open(config.listen_address, inherited)
+            .map_err(|source| StartError::Listen { address: config.listen_address, source })?;
         let resources = ResourceLimits::new(&config.limits, has_successor);
         let platform = PlatformConfig::new(&config);
         let stagger_factor = platform.settings.fleet_position.rotation_slot().stagger_factor();
         let handler = request_handler(&config, &platform, resources)?;
         let endpoint_list = Arc::new(EndpointList::new(handler.clone()));
-        endpoint_list.apply_known(config.known_index, &config.known);
-        let coordinator = CoordinatorStream::new(endpoint_list.clone(), config.coordinator, stagger_factor);
-        let config_applier = ConfigApplier::start(handler.clone(), endpoint_list.clone(), platform, set_log);
+        endpoint_list.apply_known(config.initial_event_index, &config.initial_events);
+        let coordinator =
+            CoordinatorStream::new(endpoint_list.clone(), config.coordinator_address, stagger_factor);
+        let config_applier =
+            ConfigApplier::start(handler.clone(), endpoint_list.clone(), platform, set_log_directives);
         let listener = CoIo::new(listener).map_err(|error| StartError::Register(error.into()))?;
         let listener = Arc::new(listener);
         let max_message_length = resources.max_message_length;
@@ -118,16 +125,16 @@
             acceptor: acceptor.handle(),
             drain: DrainState::default(),
             has_successor,
-            answer_window_ms: drain::answer_window_ms(&config.limits, has_successor),
+            response_window_ms: drain::response_window_ms(&config.limits, has_successor),
         };
         server.start_tasks(acceptor)?;
         Ok(server)
     }
 
-    /// Starts all that runs in the background.
+    /// Starts the background thread and the background coroutines.
     fn start_tasks(&self, acceptor: Acceptor) -> Result<(), StartError> {
         let handler = self.handler.clone();
-        // A thread and no coroutine, for the reason that `task::sleep` gives.
+        // The ticker is a thread because coroutines must not use timed waits; see `task::sleep`.
         std::thread::Builder::new()
             .name("ticker".into())
             .spawn(move || handler.facade.run_ticker())
@@ -137,35 +144,37 @@
         let coordinator = self.coordinator.clone();
         task::spawn("coordinator", move || coordinator.run()).map_err(StartError::Coroutine)?;
         let session_manager = self.session_manager.clone();
-        task::spawn("session clocks", move || sweep_sessions(&session_manager))
+        task::spawn("session sweeper", move || sweep_sessions(&session_manager))
             .map_err(StartError::Coroutine)?;
         task::spawn("listener", move || acceptor.run()).map_err(StartError::Coroutine)
     }
 
-    /// Applies a new configuration: its settings, the coordinator's address and events. All else is fixed at the start.
-    /// Sessions and attempts go on, these under the rules that they were started under.
+    /// Applies a reloaded configuration: the settings, the coordinator's address and the initial events.
+    /// Everything else is fixed at the start. Sessions continue, and open requests keep the rules under which
+    /// they were opened.
     pub fn reconfigure(&self, config: Config) {
         let platform = PlatformConfig::new(&config);
         {
             let _update = lock(&self.handler.update_lock);
             self.config_applier.update_platform(platform);
         }
-        self.endpoint_list.apply_known(config.known_index, &config.known);
-        self.coordinator.set_address(config.coordinator);
+        self.endpoint_list.apply_known(config.initial_event_index, &config.initial_events);
+        self.coordinator.set_address(config.coordinator_address);
     }
 
-    /// What applies versions of the operators' configuration to this proxy.
+    /// Returns the component that applies configuration versions from the control server to this proxy.
     pub fn config_applier(&self) -> Arc<ConfigApplier> {
         self.config_applier.clone()
     }
 
-    /// Sets what follows a control service, for the figures that operators read. It can be set once.
+    /// Sets the subscription to the control server, whose status is reported to operators. Only the first
+    /// call has an effect.
     pub fn set_subscriber(&self, subscriber: Arc<ConfigSubscriber>) {
         let _ = self.subscriber.set(subscriber);
     }
 }
 
-/// The handler of requests under the settings of the start.
+/// Creates the request handler with the settings that apply at the start.
 fn request_handler(
     config: &Config,
     platform: &PlatformConfig,
@@ -185,7 +194,8 @@
     }))
 }
 
-/// Has sessions check their timeouts at regular intervals; blocks its coroutine and never returns.
+/// Makes sessions check their timeouts every [`SESSION_SWEEP_INTERVAL`]. Blocks its coroutine and never
+/// returns.
 fn sweep_sessions(session_manager: &SessionManager) {
     loop {
         task::sleep(SESSION_SWEEP_INTERVAL);
--- a/crates/proxy/src/server/status.rs
+++ b/crates/proxy/src/server/status.rs
@@ -1,10 +1,10 @@
-//! What the proxy reports about itself to operators.
+//! Readiness and statistics that the proxy reports to operators.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use super::Server;
 
-/// How often the configuration file was read again since the start.
+/// Number of reloads of the configuration file since the start, by result.
 #[derive(Debug, Default)]
 pub struct ReloadCounts {
     applied: AtomicU64,
@@ -12,31 +12,31 @@
 }
 
 impl ReloadCounts {
-    /// Counts a file that was put into force.
+    /// Counts a reload whose configuration was applied.
     pub fn record_applied(&self) {
         self.applied.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a file that is invalid.
+    /// Counts a reload that was rejected because the file is invalid.
     pub fn record_rejected(&self) {
         self.rejected.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 impl Server {
-    /// Whether new clients may come.
+    /// Returns whether the proxy is ready for new clients.
     pub fn is_ready(&self) -> bool {
         !self.name_is_superseded() && !self.drain.is_draining() && !self.drain.is_shutting_down()
     }
 
-    /// Whether another process has claimed the proxy's name: this one goes on serving, and gets no versions of the
-    /// configuration any more.
+    /// Returns whether another process has claimed the proxy's name. This process then continues to serve its
+    /// clients, but receives no further configuration versions.
     pub fn name_is_superseded(&self) -> bool {
         self.subscriber.get().is_some_and(|subscriber| subscriber.name_is_superseded())
     }
 
-    /// What a ready proxy answers: also which version of the operators' configuration is in force and how old it is, as a
-    /// proxy that cannot reach its control service goes on under the last one.
+    /// Returns the readiness response of a ready proxy. It includes the configuration version in force and
+    /// its age, because a proxy that cannot reach the control server continues with the last version.
     pub fn readiness_text(&self) -> String {
         match self.subscriber.get() {
             None => "ready\n".into(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The figures of `/ops/stats`.
+    /// Returns the statistics of `/ops/stats`.
     pub fn stats_json(&self) -> serde_json::Value {
         let reloads = &self.reload_counts;
         let mut stats = serde_json::json!({
--- a/src/bin/gaugestep-adapter.rs
+++ b/src/bin/gaugestep-adapter.rs
@@ -1,4 +1,4 @@
-//! `gaugestep-adapter`: the decision module on the simulator's wire.
+//! `gaugestep-adapter`: runs the decision module behind the simulator's line protocol.
 
 use std::process::ExitCode;
 
--- a/src/bin/gaugestep-control.rs
+++ b/src/bin/gaugestep-control.rs
@@ -1,4 +1,4 @@
-//! `gaugestep-control`: the control service of versioned configuration, and the operators' commands.
+//! `gaugestep-control`: the control server for versioned configuration, and the operators' commands.
 
 use std::process::ExitCode;
 
--- a/src/bin/gaugestep.rs
+++ b/src/bin/gaugestep.rs
@@ -1,4 +1,4 @@
-//! `gaugestep`: the proxy.
+//! `gaugestep`: the proxy between PostgreSQL clients and query engines.
 
 use std::process::ExitCode;
 
