--- a/crates/proxy/tests/unit/config_shape.rs
+++ b/crates/proxy/tests/unit/config_shape.rs
@@ -1,11 +1,11 @@
-//! Which keys a configuration that is read again must have.
+//! Tests of the keys that a reloaded configuration must have.
 
 use serde_json::json;
 
 use super::missing_key;
 
 #[test]
-fn keys_are_missing_at_any_depth() {
+fn missing_keys_are_found_at_any_depth() {
     let shape = json!({ "a": 1, "b": { "c": 2 }, "absent": null });
     assert_eq!(missing_key(&shape, &shape), None);
     assert_eq!(missing_key(&shape, &json!({ "b": { "c": 2 } })), Some("a".into()));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn entries_of_a_list_need_what_all_entries_of_the_shape_have() {
+fn entries_of_a_list_need_the_keys_that_all_entries_of_the_shape_have() {
     let shape = json!({ "list": [{ "name": "a", "extra": 1 }, { "name": "b" }] });
     assert_eq!(missing_key(&shape, &json!({ "list": [{ "name": "c" }] })), None);
     assert_eq!(missing_key(&shape, &json!({ "list": [] })), None);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn events_of_the_coordinator_may_differ() {
+fn keys_of_the_coordinator_s_events_may_differ() {
     let shape = json!({ "known": { "index": 1, "updates": [{ "index": 1 }] } });
     assert_eq!(missing_key(&shape, &json!({ "known": {} })), None);
     assert_eq!(missing_key(&shape, &json!({})), Some("known".into()));
