--- a/crates/proxy/src/server/status.rs
+++ b/crates/proxy/src/server/status.rs
@@ -49,7 +49,7 @@
         let reloads = &self.reload_counts;
         let mut stats = serde_json::json!({
             "results": self.handler.classes.counts_json(),
-            "forwards": self.handler.upstream_pool.forwards(),
+            "forwards": self.handler.upstream_pool.attempts_sent(),
             "outstanding": self.handler.open.load(Ordering::Relaxed),
             "discovered": self.endpoint_list.len(),
             "ejected": self.handler.facade.ejected_count(),
--- a/crates/proxy/src/upstream/line_protocol/connection.rs
+++ b/crates/proxy/src/upstream/line_protocol/connection.rs
@@ -38,8 +38,8 @@
 
 impl Connection {
     /// A connection that is about to be established.
-    pub fn new(forwards: Arc<AtomicU64>) -> Self {
-        Connection { state: Mutex::new(ConnectionState::new(forwards)), waker: OnceLock::new() }
+    pub fn new(attempts_sent: Arc<AtomicU64>) -> Self {
+        Connection { state: Mutex::new(ConnectionState::new(attempts_sent)), waker: OnceLock::new() }
     }
 
     /// Wakes the coroutine of the connection.
--- a/crates/proxy/src/upstream/line_protocol/connection_state.rs
+++ b/crates/proxy/src/upstream/line_protocol/connection_state.rs
@@ -44,19 +44,19 @@
     /// Whether the database has been removed: the connection closes once nothing is open on it.
     is_retired: bool,
     /// Attempts written so far, on all connections of all databases.
-    forwards: Arc<AtomicU64>,
+    attempts_sent: Arc<AtomicU64>,
 }
 
 impl ConnectionState {
     /// The state of a connection that is about to be established.
-    pub fn new(forwards: Arc<AtomicU64>) -> Self {
+    pub fn new(attempts_sent: Arc<AtomicU64>) -> Self {
         ConnectionState {
             out: WriteBuffer::default(),
             phase: Phase::Dialing,
             attempts: HashMap::new(),
             health: HealthMonitor::new(Instant::now()),
             is_retired: false,
-            forwards,
+            attempts_sent,
         }
     }
 
@@ -145,7 +145,7 @@
         for (id, attempt) in &mut self.attempts {
             let Some(queued) = attempt.queued.take() else { continue };
             attempt.start_offset = self.out.end_offset();
-            self.forwards.fetch_add(1, Ordering::Relaxed);
+            self.attempts_sent.fetch_add(1, Ordering::Relaxed);
             let budget = queued.deadline.saturating_duration_since(now);
             command::serve(self.out.buffer(), id, &queued.query, queued.priority, budget);
         }
--- a/crates/proxy/src/upstream/line_protocol/pool.rs
+++ b/crates/proxy/src/upstream/line_protocol/pool.rs
@@ -26,7 +26,7 @@
     budget: usize,
     pools: Mutex<HashMap<EngineId, EnginePool>>,
     /// Attempts written to databases.
-    forwards: Arc<AtomicU64>,
+    attempts_sent: Arc<AtomicU64>,
 }
 
 /// The connections to one database.
@@ -43,7 +43,7 @@
         UpstreamPool {
             limits,
             budget,
-            forwards: Arc::default(),
+            attempts_sent: Arc::default(),
             pools: Mutex::default(),
             connections: Mutex::default(),
         }
@@ -87,8 +87,8 @@
     }
 
     /// Attempts written to databases so far.
-    pub fn forwards(&self) -> u64 {
-        self.forwards.load(Ordering::Relaxed)
+    pub fn attempts_sent(&self) -> u64 {
+        self.attempts_sent.load(Ordering::Relaxed)
     }
 
     /// Starts an attempt, whose events go to `events`. `left` is how long the client still waits.
@@ -148,7 +148,7 @@
             _ if is_full => return None,
             _ => {}
         }
-        let connection = Arc::new(Connection::new(self.forwards.clone()));
+        let connection = Arc::new(Connection::new(self.attempts_sent.clone()));
         pool.connections.push(connection.clone());
         lock(&self.connections).push(Arc::downgrade(&connection));
         let address = pool.address;
