--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -59,7 +59,7 @@
     }
 
     /// Applies the events of a configuration, whose last one has this number. Those that are known are skipped.
-    pub fn apply_known(&self, last_event: u64, events: &[Value]) {
+    pub fn apply_configured_events(&self, last_event: u64, events: &[Value]) {
         for event in events {
             // The first event may have no number of its own.
             self.apply_event(event["index"].as_u64().or(Some(last_event)), event);
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -97,7 +97,7 @@
         let stagger_factor = platform.settings.fleet_position.rotation_slot().stagger_factor();
         let handler = request_handler(&config, &platform, resources)?;
         let endpoint_list = Arc::new(EndpointList::new(handler.clone()));
-        endpoint_list.apply_known(config.known_index, &config.known);
+        endpoint_list.apply_configured_events(config.known_index, &config.known);
         let coordinator = CoordinatorStream::new(endpoint_list.clone(), config.coordinator, stagger_factor);
         let config_applier = ConfigApplier::start(handler.clone(), endpoint_list.clone(), platform, set_log);
         let listener = CoIo::new(listener).map_err(|error| StartError::Register(error.into()))?;
@@ -150,7 +150,7 @@
             let _update = lock(&self.handler.update_lock);
             self.config_applier.update_platform(platform);
         }
-        self.endpoint_list.apply_known(config.known_index, &config.known);
+        self.endpoint_list.apply_configured_events(config.known_index, &config.known);
         self.coordinator.set_address(config.coordinator);
     }
 
