--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -2,48 +2,48 @@
 
 use gaugestep_dispatch::interface::{AttemptNo, EngineId, RequestId};
 
-/// A field that is missing or cannot be read.
+/// Why a field, or the field list of a line, is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// No `=` in the rest of the line.
+    /// The rest of the line contains no `=`.
     #[error("'{0}' is no name=value pair")]
     NotAPair(String),
-    /// An empty name, or one with a space in it.
+    /// The name of a field is empty or contains a space.
     #[error("'{0}' is no field name")]
     BadName(String),
-    /// A field that the message needs is absent or empty.
+    /// A required field is absent or empty.
     #[error("field '{0}' is missing")]
     Missing(&'static str),
-    /// A natural number is needed.
+    /// The value is not a whole number of 0 or more.
     #[error("field '{name}' is '{value}', not a whole number")]
     NotInteger {
-        /// The field.
+        /// The name of the field.
         name: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// A finite number is needed.
+    /// The value is not a finite number.
     #[error("field '{name}' is '{value}', not a number")]
     NotNumber {
-        /// The field.
+        /// The name of the field.
         name: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// A truth value is needed.
+    /// The value is neither `0` nor `1`.
     #[error("field '{name}' is '{value}', not 0 or 1")]
     NotFlag {
-        /// The field.
+        /// The name of the field.
         name: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// The number is too large for what it names.
+    /// The number exceeds the range of the field.
     #[error("field '{name}' is {value}, out of range")]
     OutOfRange {
-        /// The field.
+        /// The name of the field.
         name: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: u64,
     },
 }
@@ -55,18 +55,19 @@
     value: &'a str,
 }
 
-/// The fields of one line by name; of several with one name the first counts.
+/// The fields of one line, in order. If a name occurs more than once, accessors use the first field.
 ///
-/// Each accessor fails with a [`FieldError`] that names the field.
+/// The error of an accessor names the field.
 pub struct Fields<'a>(Vec<Field<'a>>);
 
 impl<'a> Fields<'a> {
-    /// Splits the rest of a line. A field named `text` takes up all that is left of it, spaces included.
+    /// Splits the part of a line after the message name. The value of the field named `text_field` extends to
+    /// the end of the line and may contain spaces.
     ///
     /// # Errors
     ///
-    /// [`FieldError::NotAPair`] or [`FieldError::BadName`] for the first part that is no field.
-    pub fn parse(mut rest: &'a str, text: Option<&str>) -> Result<Self> {
+    /// [`FieldError::NotAPair`] or [`FieldError::BadName`] for the first part that is not a field.
+    pub fn parse(mut rest: &'a str, text_field: Option<&str>) -> Result<Self> {
         let mut fields = Vec::new();
         while !rest.is_empty() {
             let Some((name, after)) = rest.split_once('=') else {
@@ -75,7 +76,7 @@
             if name.is_empty() || name.contains(' ') {
                 return Err(FieldError::BadName(name.to_owned()));
             }
-            if text == Some(name) {
+            if text_field == Some(name) {
                 fields.push(Field { name, value: after });
                 break;
             }
@@ -86,61 +87,61 @@
         Ok(Fields(fields))
     }
 
-    /// The value of a field that may be absent.
+    /// The value of a field, which may be empty; `None` if the field is absent.
     pub fn optional(&self, name: &str) -> Option<&'a str> {
         self.0.iter().find(|field| field.name == name).map(|field| field.value)
     }
 
-    /// A value that must not be empty.
+    /// The value of a field that must be present and not empty.
     ///
     /// # Errors
     ///
-    /// [`FieldError::Missing`] if it is absent or empty.
+    /// [`FieldError::Missing`] if the field is absent or empty.
     pub fn text(&self, name: &'static str) -> Result<&'a str> {
         self.optional(name).filter(|value| !value.is_empty()).ok_or(FieldError::Missing(name))
     }
 
-    /// A natural number.
+    /// The value of a field that must be a whole number of 0 or more.
     ///
     /// # Errors
     ///
-    /// If it is absent or no natural number.
+    /// If the field is absent, empty or not such a number.
     pub fn integer(&self, name: &'static str) -> Result<u64> {
         integer(name, self.text(name)?)
     }
 
-    /// A natural number, or `default` if the field is absent.
+    /// The value of a field as a whole number of 0 or more; `default` if the field is absent.
     ///
     /// # Errors
     ///
-    /// If it is no natural number.
+    /// If the field is present and not such a number.
     pub fn integer_or(&self, name: &'static str, default: u64) -> Result<u64> {
         self.optional(name).map_or(Ok(default), |value| integer(name, value))
     }
 
-    /// A finite number.
+    /// The value of a field that must be a finite number.
     ///
     /// # Errors
     ///
-    /// If it is absent or no finite number.
+    /// If the field is absent, empty or not a finite number.
     pub fn number(&self, name: &'static str) -> Result<f64> {
         number(name, self.text(name)?)
     }
 
-    /// A finite number, or `default` if the field is absent.
+    /// The value of a field as a finite number; `default` if the field is absent.
     ///
     /// # Errors
     ///
-    /// If it is no finite number.
+    /// If the field is present and not a finite number.
     pub fn number_or(&self, name: &'static str, default: f64) -> Result<f64> {
         self.optional(name).map_or(Ok(default), |value| number(name, value))
     }
 
-    /// A truth value, written `0` or `1`; false if the field is absent.
+    /// The value of a flag, written `0` or `1`; false if the field is absent.
     ///
     /// # Errors
     ///
-    /// If it is anything else.
+    /// [`FieldError::NotFlag`] if the field has any other value.
     pub fn flag(&self, name: &'static str) -> Result<bool> {
         match self.optional(name) {
             None | Some("0") => Ok(false),
@@ -149,29 +150,29 @@
         }
     }
 
-    /// The request that the message is about.
+    /// The id of the request that the message concerns, from the field `req`.
     ///
     /// # Errors
     ///
-    /// If it is absent or empty.
+    /// If the field is absent or empty.
     pub fn request(&self) -> Result<RequestId> {
         Ok(RequestId(self.text("req")?.into()))
     }
 
-    /// The attempt that the message is about.
+    /// The number of the attempt that the message concerns, from the field `send_no`.
     ///
     /// # Errors
     ///
-    /// If it is absent or no natural number.
+    /// If the field is absent or not a whole number of 0 or more.
     pub fn attempt(&self) -> Result<AttemptNo> {
         Ok(AttemptNo(self.integer("send_no")? as usize))
     }
 
-    /// The engine that the message is about.
+    /// The engine that the message concerns, from the field `node`.
     ///
     /// # Errors
     ///
-    /// If it is absent, or no natural number of 32 bits.
+    /// If the field is absent or not an unsigned 32-bit number.
     pub fn engine(&self) -> Result<EngineId> {
         let value = self.integer("node")?;
         u32::try_from(value).map(EngineId).map_err(|_| FieldError::OutOfRange { name: "node", value })
@@ -182,7 +183,7 @@
     value.parse().map_err(|_| FieldError::NotInteger { name, value: value.to_owned() })
 }
 
-/// Parses a finite number; the error carries the name of the field that it stands in.
+/// Parses the value of the field `name` as a finite number. The error carries that name.
 pub(crate) fn number(name: &'static str, value: &str) -> Result<f64> {
     match value.parse::<f64>() {
         Ok(parsed) if parsed.is_finite() => Ok(parsed),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The state of the protocol: batches, lists of engines, and the dispatchers that run.
+//! The state of the protocol: the open batch, the lists of engines and the running dispatchers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,29 +8,31 @@
 use crate::fields::Fields;
 use crate::instance::{EngineLists, Instance};
 use crate::message::{self, MessageKind};
-use crate::reply::{END_OF_REPLY, write_action};
+use crate::reply::{END_OF_RESPONSE, write_action};
 
-/// A list of engines that is being read.
+/// A list of engines whose `item` lines are being read.
 #[derive(Clone, Copy)]
 struct OpenList {
     number: u64,
-    /// Entries that are still to come; above 0.
+    /// Number of `item` lines still expected; above 0.
     remaining: u64,
 }
 
-/// Reads the protocol and hosts the dispatchers.
+/// Handles the lines of the protocol and runs the dispatchers.
 #[derive(Default)]
 pub struct Host {
-    /// Lines read so far.
-    line: usize,
-    /// The time of the batch that is open.
-    now: Option<Millis>,
-    lists: EngineLists,
+    /// Number of lines handled so far.
+    line_count: usize,
+    /// Time of the open batch; `None` outside a batch.
+    batch_time: Option<Millis>,
+    engine_lists: EngineLists,
     open_list: Option<OpenList>,
+    /// Running dispatchers by dispatcher id.
     instances: BTreeMap<u64, Instance>,
-    /// Dispatchers that have taken events in this batch.
-    touched: BTreeSet<u64>,
-    reply: String,
+    /// Ids of the dispatchers that have handled an event in this batch.
+    active_dispatchers: BTreeSet<u64>,
+    /// Response to the open batch, without the line that ends it.
+    response: String,
 }
 
 impl Host {
@@ -39,87 +41,90 @@
         Self::default()
     }
 
-    /// Takes one line; returns the reply when the line closes a batch.
+    /// Handles one line. Returns the response to the batch if the line closes one.
+    ///
+    /// Errors carry the number of the line; after an error the host must not be used any more.
     ///
     /// # Errors
     ///
-    /// A [`WireError`] with the number of the line; the host must not be used after it.
+    /// If the line is malformed or is not allowed at this place.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
-        self.line += 1;
-        self.dispatch_line(line).map_err(|source| WireError { line: self.line, source })
+        self.line_count += 1;
+        self.process_line(line).map_err(|source| WireError { line: self.line_count, source })
     }
 
-    /// Takes the end of the input.
+    /// Handles the end of the input.
     ///
     /// # Errors
     ///
     /// [`LineError::EndInsideBatch`] if a batch is open.
     pub fn finish(&self) -> Result<(), WireError> {
-        match self.now {
+        match self.batch_time {
             None => Ok(()),
-            Some(_) => Err(WireError { line: self.line, source: LineError::EndInsideBatch }),
+            Some(_) => Err(WireError { line: self.line_count, source: LineError::EndInsideBatch }),
         }
     }
 
-    fn dispatch_line(&mut self, line: &str) -> Result<Option<String>, LineError> {
+    fn process_line(&mut self, line: &str) -> Result<Option<String>, LineError> {
         let line = line.trim_end_matches(['\r', '\n']);
         let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
         if name.is_empty() {
-            // The protocol's page shows batches followed by an empty line.
+            // An empty line is valid: the specification of the protocol shows one after each batch.
             return if rest.is_empty() { Ok(None) } else { Err(LineError::NoName) };
         }
-        let text = (name == MessageKind::Provision.name()).then_some("profile_data");
-        let fields = Fields::parse(rest, text)?;
+        let text_field = (name == MessageKind::Provision.name()).then_some("profile_data");
+        let fields = Fields::parse(rest, text_field)?;
         if name != "item" && self.open_list.is_some() {
             return Err(LineError::ItemExpected(name.to_owned()));
         }
-        match (name, self.now) {
-            ("tick", None) => self.now = Some(fields.number("wall_ms")?),
+        match (name, self.batch_time) {
+            ("tick", None) => self.batch_time = Some(fields.number("wall_ms")?),
             (_, None) => return Err(LineError::OutsideBatch(name.to_owned())),
             ("tick", Some(_)) => return Err(LineError::TickInsideBatch),
             ("eob", Some(now)) => return Ok(Some(self.close_batch(now))),
             ("define_list", Some(_)) => self.define_list(&fields)?,
-            ("item", Some(_)) => self.list_item(&fields)?,
-            (_, Some(now)) => self.message(now, MessageKind::parse(name)?, &fields)?,
+            ("item", Some(_)) => self.add_list_item(&fields)?,
+            (_, Some(now)) => self.handle_message(now, MessageKind::parse(name)?, &fields)?,
         }
         Ok(None)
     }
 
-    /// Lets every dispatcher that took events decide what is still pending; returns the reply to the batch.
+    /// Closes the batch: makes the pending decisions of each dispatcher that has handled an event in it.
+    /// Returns the response to the batch.
     fn close_batch(&mut self, now: Millis) -> String {
-        self.now = None;
+        self.batch_time = None;
         let mut actions = Vec::new();
-        for id in std::mem::take(&mut self.touched) {
+        for id in std::mem::take(&mut self.active_dispatchers) {
             let Some(instance) = self.instances.get_mut(&id) else { continue };
             instance.dispatcher.run_pending(now, &mut actions);
             for action in actions.drain(..) {
-                write_action(id, &action, &mut self.reply);
+                write_action(id, &action, &mut self.response);
             }
         }
-        let mut reply = std::mem::take(&mut self.reply);
-        reply.push_str(END_OF_REPLY);
-        reply
+        let mut response = std::mem::take(&mut self.response);
+        response.push_str(END_OF_RESPONSE);
+        response
     }
 
     fn define_list(&mut self, fields: &Fields) -> Result<(), LineError> {
         let number = fields.integer("bank")?;
         let remaining = fields.integer("members_list")?;
-        self.lists.insert(number, Vec::new());
+        self.engine_lists.insert(number, Vec::new());
         self.open_list = (remaining > 0).then_some(OpenList { number, remaining });
         Ok(())
     }
 
-    fn list_item(&mut self, fields: &Fields) -> Result<(), LineError> {
+    fn add_list_item(&mut self, fields: &Fields) -> Result<(), LineError> {
         let Some(OpenList { number, remaining }) = self.open_list else {
             return Err(LineError::ItemOutsideList);
         };
-        self.lists.entry(number).or_default().push(message::engine_entry(fields)?);
+        self.engine_lists.entry(number).or_default().push(message::engine_entry(fields)?);
         self.open_list = (remaining > 1).then_some(OpenList { number, remaining: remaining - 1 });
         Ok(())
     }
 
-    /// Starts or ends a dispatcher, or hands it an event.
-    fn message(&mut self, now: Millis, kind: MessageKind, fields: &Fields) -> Result<(), LineError> {
+    /// Starts a dispatcher, shuts it down, or passes an event to it.
+    fn handle_message(&mut self, now: Millis, kind: MessageKind, fields: &Fields) -> Result<(), LineError> {
         let id = fields.integer("dispatcher_id")?;
         if kind == MessageKind::Provision {
             self.instances.insert(id, Instance::start(fields)?);
@@ -132,13 +137,13 @@
             self.instances.remove(&id);
             return Ok(());
         }
-        let Some(event) = instance.event(kind, fields, &self.lists)? else { return Ok(()) };
+        let Some(event) = instance.decode_event(kind, fields, &self.engine_lists)? else { return Ok(()) };
         let mut actions = Vec::new();
         instance.dispatcher.handle(now, event, &mut actions);
         for action in &actions {
-            write_action(id, action, &mut self.reply);
+            write_action(id, action, &mut self.response);
         }
-        self.touched.insert(id);
+        self.active_dispatchers.insert(id);
         Ok(())
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One dispatcher and what is needed to read its messages.
+//! A running dispatcher and the format of its messages, both as its settings define them.
 
 use std::collections::BTreeMap;
 
@@ -12,58 +12,60 @@
 use crate::fields::Fields;
 use crate::message::{self, MessageFormat, MessageKind};
 
-/// The lists of engines by their number.
+/// Lists of engines by list number.
 pub(crate) type EngineLists = BTreeMap<u64, Vec<EngineEntry>>;
 
-/// What the settings document says about the messages that follow.
+/// The parts of the settings document that define the format of the dispatcher's messages.
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Profile {
-    stats: Section<LoadFigures>,
-    family_info: Section<FamilyInfo>,
+struct FormatSettings {
+    stats: Section<LoadReportSettings>,
+    family_info: Section<EngineFeatures>,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct LoadFigures {
+struct LoadReportSettings {
     fields: List<Lenient<String>>,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct FamilyInfo {
+struct EngineFeatures {
     tells_cost: Lenient<bool>,
 }
 
-/// A running dispatcher.
+/// A running dispatcher with the format of its messages.
 pub(crate) struct Instance {
     pub(crate) dispatcher: Dispatcher,
     format: MessageFormat,
 }
 
 impl Instance {
-    /// Starts the dispatcher of a `provision` message.
+    /// Starts a dispatcher with the settings and the seed of a `provision` message. Unless the settings
+    /// define the dispatcher's position in the fleet, the seed is its key there.
     pub(crate) fn start(fields: &Fields) -> Result<Self, LineError> {
         let seed = fields.integer("salt")?;
-        let profile: Value =
+        let document: Value =
             serde_json::from_str(fields.text("profile_data")?).map_err(LineError::ProfileNotJson)?;
-        let mut settings = gaugestep_settings::decode(&profile)?;
-        let format = message_format(&profile, settings.classes.len());
+        let mut settings = gaugestep_settings::decode(&document)?;
+        let format = message_format(&document, settings.classes.len());
         if settings.fleet_position == FleetPosition::NameKey(0) {
             settings.fleet_position = FleetPosition::NameKey(seed);
         }
-        Ok(Instance { dispatcher: Dispatcher::new(settings, seed)?, format })
+        let dispatcher = Dispatcher::new(settings, seed)?;
+        Ok(Instance { dispatcher, format })
     }
 
-    /// Decodes a message to this dispatcher; `None` if it is of no concern to the decision module.
-    pub(crate) fn event(
+    /// Decodes a message for this dispatcher; `None` if the decision module has no event for it.
+    pub(crate) fn decode_event(
         &self,
         kind: MessageKind,
         fields: &Fields,
-        lists: &EngineLists,
+        engine_lists: &EngineLists,
     ) -> Result<Option<Event>, LineError> {
         match kind {
-            MessageKind::Discovery => discovery(fields, lists),
+            MessageKind::Discovery => discovery(fields, engine_lists),
             MessageKind::NewRequest => self.format.new_request(fields).map(Some),
             MessageKind::Sampled => self.format.probe_result(fields).map(Some),
             MessageKind::Reply => self.format.attempt_end(fields).map(Some),
@@ -71,31 +73,31 @@
             MessageKind::Streaming => message::streaming(fields).map(Some),
             MessageKind::Progress => message::progress(fields),
             MessageKind::ClientGone => message::client_gone(fields).map(Some),
-            // Dispatchers here send each other nothing; the host itself starts and ends them.
+            // Dispatchers exchange no messages with each other; the host handles start and shutdown.
             MessageKind::Whisper | MessageKind::Provision | MessageKind::Shutdown => Ok(None),
         }
     }
 }
 
-fn message_format(profile: &Value, classes: usize) -> MessageFormat {
-    // Every part of the profile takes any value.
-    let Section(profile) = Section::<Profile>::deserialize(profile).unwrap_or_default();
-    let names = profile.stats.0.fields.0.into_iter();
+fn message_format(document: &Value, class_count: usize) -> MessageFormat {
+    // Parts of an unexpected type count as absent.
+    let Section(settings) = Section::<FormatSettings>::deserialize(document).unwrap_or_default();
+    let names = settings.stats.0.fields.0.into_iter();
     MessageFormat {
-        classes,
+        class_count,
         load_fields: names.filter_map(|name| name.0).collect(),
-        tells_cost: profile.family_info.0.tells_cost.0.unwrap_or(false),
+        reports_cost: settings.family_info.0.tells_cost.0.unwrap_or(false),
     }
 }
 
 /// Decodes `discovery`; `None` for a discovery that failed.
-fn discovery(fields: &Fields, lists: &EngineLists) -> Result<Option<Event>, LineError> {
+fn discovery(fields: &Fields, engine_lists: &EngineLists) -> Result<Option<Event>, LineError> {
     let kind = fields.text("kind")?;
     if kind == "failed" {
         return Ok(None);
     }
     let number = fields.integer("bank")?;
-    let list = lists.get(&number).ok_or(LineError::UndefinedList(number))?;
+    let list = engine_lists.get(&number).ok_or(LineError::UndefinedList(number))?;
     match kind {
         "delta" => Ok(Some(Event::EngineChanges(list.clone()))),
         "full" | "cached" => Ok(Some(Event::EngineList(list.clone()))),
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,9 +1,11 @@
 #![forbid(unsafe_code)]
-//! Translation between the simulator's line protocol and the types of the decision module; nothing is decided here.
+//! Translates between the simulator's line protocol and the types of the decision module, which makes all
+//! decisions.
 //!
-//! [`Host`] keeps one independent dispatcher for each dispatcher id, takes the protocol line by line and returns the
-//! reply to a batch when its closing line has come. [`fields`] splits a line, [`message`] decodes it, [`reply`] writes
-//! the actions, and [`command`] is the program round them.
+//! [`Host`] runs one independent dispatcher for each dispatcher id. It handles the protocol line by line, and
+//! the line that closes a batch yields the response to the batch. [`fields`] splits a line into fields,
+//! [`message`] decodes them, [`reply`] encodes the actions, and [`command`] is the program that connects a
+//! host to standard input and output.
 
 pub mod command;
 pub mod error;
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -1,4 +1,4 @@
-//! Decoding of the protocol's messages, one function a message.
+//! Decodes the protocol's messages, with one function for each message.
 
 use gaugestep_dispatch::Event;
 use gaugestep_dispatch::interface::{
@@ -11,30 +11,30 @@
 
 type Result<T> = std::result::Result<T, LineError>;
 
-/// Messages for one dispatcher.
+/// The kind of a message for a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// Starts a dispatcher.
     Provision,
-    /// Ends a dispatcher.
+    /// Shuts a dispatcher down.
     Shutdown,
-    /// The list of engines, or changes to it.
+    /// Announces a list of engines, complete or of changed entries only.
     Discovery,
-    /// A request from a client.
+    /// A client has sent a request.
     NewRequest,
-    /// The result of a probe.
+    /// A probe of an engine has ended.
     Sampled,
-    /// A timer came due.
+    /// A timer has expired.
     Timer,
-    /// The answer of a streamed request has started.
+    /// The response to a streamed request has started.
     Streaming,
-    /// An attempt ended.
+    /// An attempt has ended.
     Reply,
-    /// A message of another dispatcher.
+    /// A message from another dispatcher.
     Whisper,
-    /// A progress report of a running attempt.
+    /// An engine reports the progress of a running attempt.
     Progress,
-    /// The client left.
+    /// The client has left.
     ClientGone,
 }
 
@@ -53,7 +53,7 @@
         MessageKind::ClientGone,
     ];
 
-    /// The name on the wire.
+    /// The name of the message on the wire.
     pub fn name(self) -> &'static str {
         match self {
             MessageKind::Provision => "provision",
@@ -74,27 +74,27 @@
     ///
     /// # Errors
     ///
-    /// [`LineError::UnknownMessage`] if there is none.
+    /// [`LineError::UnknownMessage`] if no kind has this name.
     pub fn parse(name: &str) -> Result<Self> {
-        let known = Self::ALL.into_iter().find(|kind| kind.name() == name);
-        known.ok_or_else(|| LineError::UnknownMessage(name.to_owned()))
+        let kind = Self::ALL.into_iter().find(|kind| kind.name() == name);
+        kind.ok_or_else(|| LineError::UnknownMessage(name.to_owned()))
     }
 }
 
-/// How many MB one step of the memory in the `used_up` field stands for.
-const MEMORY_STEP_MB: f64 = 4.0;
-/// The `used_up` field holds the work times this, plus the steps of memory.
-const MEMORY_STEPS: u64 = 4096;
+/// Unit in which the `used_up` field counts memory.
+const USED_UP_MEMORY_UNIT_MB: f64 = 4.0;
+/// The `used_up` field is the work in milliseconds times this factor, plus the units of memory.
+const USED_UP_WORK_FACTOR: u64 = 4096;
 
-/// What the settings of a dispatcher say about the fields of its messages.
+/// The format of a dispatcher's messages, as its settings define it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MessageFormat {
-    /// How many classes there are.
-    pub classes: usize,
-    /// The names of the figures in a `load` field, in their order.
+    /// Number of classes; the class index of a request must be below it.
+    pub class_count: usize,
+    /// Names of the values in a `load` field, in the order of the values.
     pub load_fields: Vec<String>,
-    /// Whether replies say what a query cost.
-    pub tells_cost: bool,
+    /// Whether engines report the cost of a query in the field `used_up`.
+    pub reports_cost: bool,
 }
 
 impl MessageFormat {
@@ -102,10 +102,10 @@
     ///
     /// # Errors
     ///
-    /// If a field is malformed, or the class does not exist.
+    /// If a field is malformed, or the settings do not have the class.
     pub fn new_request(&self, fields: &Fields) -> Result<Event> {
         let class = fields.integer("category")? as usize;
-        if class >= self.classes {
+        if class >= self.class_count {
             return Err(LineError::UnknownClass(class));
         }
         Ok(Event::Request(NewRequest {
@@ -127,7 +127,7 @@
     /// If a field is malformed.
     pub fn probe_result(&self, fields: &Fields) -> Result<Event> {
         let outcome = outcome(fields)?;
-        Ok(Event::ProbeResult(fields.engine()?, outcome, self.load(fields)?))
+        Ok(Event::ProbeResult(fields.engine()?, outcome, self.load_report(fields)?))
     }
 
     /// Decodes `reply`.
@@ -144,16 +144,17 @@
             finished: fields.flag("no_more")?,
             elapsed: fields.number("time_taken_ms")?,
             cost: self.cost(fields)?,
-            load: self.load(fields)?,
+            load: self.load_report(fields)?,
         }))
     }
 
-    fn load(&self, fields: &Fields) -> Result<Option<LoadReport>> {
-        let Some(figures) = fields.optional("load").filter(|figures| !figures.is_empty()) else {
+    /// The engine's load report; `None` if the field `load` is absent or empty.
+    fn load_report(&self, fields: &Fields) -> Result<Option<LoadReport>> {
+        let Some(values) = fields.optional("load").filter(|values| !values.is_empty()) else {
             return Ok(None);
         };
         let mut report = LoadReport::default();
-        for (name, value) in self.load_fields.iter().zip(figures.split(',')) {
+        for (name, value) in self.load_fields.iter().zip(values.split(',')) {
             let value = Some(number("load", value)?);
             match name.as_str() {
                 "rif" => report.in_flight = value,
@@ -166,13 +167,14 @@
         Ok(Some(report))
     }
 
+    /// The cost of the query; `None` if engines do not report it, or if the field `used_up` is absent or 0.
     fn cost(&self, fields: &Fields) -> Result<Option<Cost>> {
-        let packed = fields.integer_or("used_up", 0)?;
-        if !self.tells_cost || packed == 0 {
+        let used_up = fields.integer_or("used_up", 0)?;
+        if !self.reports_cost || used_up == 0 {
             return Ok(None);
         }
-        let work = (packed / MEMORY_STEPS) as f64;
-        let memory_mb = (packed % MEMORY_STEPS) as f64 * MEMORY_STEP_MB;
+        let work = (used_up / USED_UP_WORK_FACTOR) as f64;
+        let memory_mb = (used_up % USED_UP_WORK_FACTOR) as f64 * USED_UP_MEMORY_UNIT_MB;
         Ok(Some(Cost { work, memory_mb }))
     }
 }
@@ -204,26 +206,26 @@
     Ok(Event::ClientGone(fields.request()?))
 }
 
-/// Decodes `progress`; `None` for a sort of report that the decision module has no use for.
+/// Decodes `progress`; `None` if the decision module does not use reports of this sort.
 ///
 /// # Errors
 ///
 /// If a field is malformed.
 pub fn progress(fields: &Fields) -> Result<Option<Event>> {
-    /// The amount of a report of sort 3 that says that the attempt waits for a load.
-    const WAITS_FOR_LOAD: f64 = 2.0;
+    /// Amount in a report of sort 3 when the attempt waits for a load of data; otherwise it waits for memory.
+    const WAITS_FOR_LOAD_AMOUNT: f64 = 2.0;
     let amount = fields.number_or("amount", 0.0)?;
     let report = match fields.integer("sort")? {
         1 => ProgressReport::Done(amount),
         2 => ProgressReport::Spills(amount),
-        3 if amount == WAITS_FOR_LOAD => ProgressReport::WaitsForLoad,
+        3 if amount == WAITS_FOR_LOAD_AMOUNT => ProgressReport::WaitsForLoad,
         3 => ProgressReport::WaitsForMemory,
         _ => return Ok(None),
     };
     Ok(Some(Event::Progress(fields.request()?, fields.attempt()?, report)))
 }
 
-/// Decodes `item`, one engine of a list.
+/// Decodes `item`, an engine in a list.
 ///
 /// # Errors
 ///
