--- a/crates/proxy/src/termination.rs
+++ b/crates/proxy/src/termination.rs
@@ -1,48 +1,50 @@
-//! How an attempt, or the connection that carried it, can end.
+//! The ways in which an attempt or its connection can end.
 
 use gaugestep_dispatch::interface::Outcome;
 
-/// Every way in which an attempt ends. [`Termination::outcome`] says for each what it proves about the attempt.
+/// How an attempt or its connection ended. The variants are logged under their own names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
-    /// The complete result has come.
+    /// The complete result was received.
     Served,
-    /// The database has no capacity for it.
+    /// The engine had no capacity for the query and did not run it.
     Shed,
-    /// The database found its time over before it ran.
+    /// The engine did not run the query, because its time had passed.
     Late,
-    /// The database sent an error.
+    /// The engine reported that the query failed.
     Fault,
-    /// The connection was refused.
+    /// The engine refused the connection, or connecting failed for a reason that no other variant covers.
     DialRefused,
     /// The connection was not established in time.
     DialTimedOut,
-    /// It was waiting for its connection when its database left the list, or when the connection closed before the first
-    /// byte of it was written.
+    /// No byte of the command was written: no connection was available, the engine stopped accepting
+    /// attempts, or the connection closed first.
     NeverWritten,
-    /// The proxy itself could not dial: it has no descriptor or local address left.
+    /// The proxy could not connect because it lacked file descriptors, memory or local addresses.
     NotDialled,
-    /// Its client had left before the first byte of it was written.
+    /// The client left before any byte of the command was written.
     ClientLeft,
-    /// The last moment at which it might be sent had passed before the first byte of it was written.
+    /// The latest time at which the command might be written passed before any byte of it was written.
     TooLate,
-    /// The connection was reset.
+    /// The connection failed while it was read or written.
     Reset,
-    /// The database closed the connection.
+    /// The engine closed the connection, or the proxy closed it because it was idle or no longer used.
     Closed,
-    /// The connection was established, but a health check on it got no reply.
+    /// The engine did not respond to a health check on the connection, or did not read from it.
     Silent,
-    /// The database sent something that is not a valid answer.
+    /// The engine sent an invalid message, or did not complete a message in time.
     Garbled,
     /// The proxy cancelled the attempt.
     Cancelled,
-    /// The deadline passed.
+    /// The deadline of the request passed.
     Deadline,
 }
 
 impl Termination {
-    /// The outcome that the dispatcher is given. A request that must not run twice is repeated only after an outcome that
-    /// says that it never ran; so only what proves that the database never saw the complete request may map to one.
+    /// The outcome that is reported to the dispatcher. A request that must not run twice is retried only
+    /// after an outcome that proves that the attempt never ran. Only terminations that prove that the engine
+    /// never received the complete request, or that it reported the request as not run, may therefore map to
+    /// such an outcome.
     pub fn outcome(self) -> Outcome {
         match self {
             Termination::Served => Outcome::Served,
--- a/crates/proxy/src/upstream/line_protocol/attempt.rs
+++ b/crates/proxy/src/upstream/line_protocol/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on a connection, from the queue to its end.
+//! An attempt on a connection, from queueing to its end.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,26 +12,26 @@
 use crate::query::{AttemptResult, EventSender, Pages, Query, UpstreamEvent};
 use crate::termination::Termination;
 
-/// The most pages of a result.
+/// Maximum number of pages of a result.
 const MAX_PAGES: usize = 64;
-/// The most bytes of all pages of a result.
-const MAX_RESULT_LENGTH: usize = 48_000;
+/// Maximum total length of the pages of a result.
+const MAX_RESULT_BYTES: usize = 48_000;
 
-/// An attempt that waits for its connection.
+/// The command of an attempt that has not been written to its connection yet.
 pub struct QueuedAttempt {
-    /// The request.
+    /// The request that the attempt sends.
     pub query: Arc<Query>,
-    /// Its priority, where databases use one.
+    /// Priority of the attempt, 0 to 3; `None` if the engines do not use priorities.
     pub priority: Option<u8>,
-    /// When its client stops waiting.
+    /// When the client stops waiting for the response.
     pub deadline: Instant,
-    /// The last moment at which it may be written, if there is one.
+    /// Latest time at which the command may be written; `None` if there is no limit.
     pub write_by: Option<Instant>,
 }
 
 impl QueuedAttempt {
-    /// Why it must not be written any more; none if it may be.
-    pub fn is_obsolete(&self, now: Instant) -> Option<Termination> {
+    /// Why the attempt must not be written any more; `None` if it may still be written.
+    pub fn obsolete_reason(&self, now: Instant) -> Option<Termination> {
         match self.write_by {
             _ if self.query.client.has_left() => Some(Termination::ClientLeft),
             Some(write_by) if now > write_by => Some(Termination::TooLate),
@@ -40,33 +40,34 @@
     }
 }
 
-/// What has come of the reply to an attempt.
-enum Reply {
-    /// Nothing that shows that the query runs.
+/// How much of the response to an attempt has been received.
+enum ResponseState {
+    /// Nothing that proves that the query runs.
     Awaited,
-    /// A progress report that shows that the query runs.
+    /// A progress report that proves that the query runs.
     Running,
-    /// The first page; others are missing.
+    /// The first page of the result, and possibly more, but not all.
     Partial { result: AttemptResult, missing_pages: usize },
 }
 
 /// An attempt that has not ended.
 pub struct ActiveAttempt {
-    /// What is to be written once the connection accepts it; none once it has been written.
+    /// The command, while it waits for the connection; `None` once it has been added to the connection's
+    /// output.
     pub queued: Option<QueuedAttempt>,
-    /// Where its command begins, counted in all bytes written on the connection.
+    /// Offset of the command's first byte in the output of the connection.
     pub start_offset: u64,
-    /// Whether it has been moved from a connection that turned out to be closed.
+    /// Whether the attempt was moved here from a connection that closed before the command was written.
     pub was_moved: bool,
-    /// The connection that it is on, shared with its handle.
+    /// The connection of the attempt, shared with the attempt's handle.
     pub slot: ConnectionSlot,
     number: AttemptNo,
     events: EventSender,
-    reply: Reply,
+    response: ResponseState,
 }
 
 impl ActiveAttempt {
-    /// An attempt that has not been written, whose events go to `events`.
+    /// Creates an attempt that is not yet written and reports its events to `events`.
     pub fn new(number: AttemptNo, queued: QueuedAttempt, events: EventSender) -> Self {
         ActiveAttempt {
             queued: Some(queued),
@@ -75,7 +76,7 @@
             slot: ConnectionSlot::default(),
             number,
             events,
-            reply: Reply::Awaited,
+            response: ResponseState::Awaited,
         }
     }
 
@@ -84,27 +85,28 @@
         self.report(UpstreamEvent::Ended(result.into()));
     }
 
-    /// Whether the first page of its result has come.
+    /// Whether the first page of the result has been received.
     pub fn has_result(&self) -> bool {
-        matches!(self.reply, Reply::Partial { .. })
+        matches!(self.response, ResponseState::Partial { .. })
     }
 
-    /// Passes a progress report on.
+    /// Forwards a progress report to the request.
     pub fn on_progress(&mut self, report: ProgressReport) {
-        let is_running = matches!(report, ProgressReport::Done(share) if share > 0.0);
-        if is_running && matches!(self.reply, Reply::Awaited) {
-            self.reply = Reply::Running;
+        let is_running = matches!(report, ProgressReport::Done(fraction) if fraction > 0.0);
+        if is_running && matches!(self.response, ResponseState::Awaited) {
+            self.response = ResponseState::Running;
         }
         self.report(UpstreamEvent::Progress(report));
     }
 
-    /// Takes the first page, and requests all others by commands appended to `out`. Returns the result if it is complete.
+    /// Stores the first page, and appends commands to `out` that request the remaining pages. Returns the
+    /// result if the page completes it.
     pub fn on_first_page(
         &mut self,
         message: &Message,
         out: &mut Vec<u8>,
     ) -> Result<Option<AttemptResult>, MessageError> {
-        // A second copy of the first page adds nothing.
+        // The engine may send the first page more than once.
         if self.has_result() {
             return Ok(None);
         }
@@ -114,22 +116,22 @@
         }
         let mut pages: Pages = vec![Vec::new(); page_count];
         pages[0] = message.page()?;
-        let (cost, load) = (message.cost(), message.load());
+        let (cost, load) = (message.cost(), message.load_report());
         let result = AttemptResult { termination: Termination::Served, cost, load, pages };
         if page_count == 1 {
             return Ok(Some(result));
         }
-        self.reply = Reply::Partial { result, missing_pages: page_count - 1 };
+        self.response = ResponseState::Partial { result, missing_pages: page_count - 1 };
         for page in 1..page_count {
             command::read_page(out, message.id, page);
         }
         Ok(None)
     }
 
-    /// Takes a further page. Returns the result if it is complete.
+    /// Stores a page after the first one. Returns the result if the page completes it.
     pub fn on_page(&mut self, message: &Message) -> Result<Option<AttemptResult>, MessageError> {
         let index = message.page_index()?;
-        let Reply::Partial { result, missing_pages } = &mut self.reply else {
+        let ResponseState::Partial { result, missing_pages } = &mut self.response else {
             return Err(MessageError::Unexpected);
         };
         let page = result.pages.get_mut(index).filter(|_| index > 0).ok_or(MessageError::Unexpected)?;
@@ -137,11 +139,13 @@
             return Ok(None);
         }
         *page = message.page()?;
-        // A page without rows would count as missing for ever.
+        // An empty entry of `pages` marks a missing page, so a page without rows would never count as
+        // received.
         if page.is_empty() {
             return Err(MessageError::MalformedPage);
         }
-        if result.pages.iter().map(Vec::len).sum::<usize>() > MAX_RESULT_LENGTH {
+        let result_bytes: usize = result.pages.iter().map(Vec::len).sum();
+        if result_bytes > MAX_RESULT_BYTES {
             return Err(MessageError::ResultTooLarge);
         }
         *missing_pages -= 1;
@@ -152,24 +156,28 @@
         Ok(Some(std::mem::replace(result, complete)))
     }
 
-    /// The end of an attempt that the database says it has not run.
+    /// The end of an attempt that the engine reports as not run.
     ///
-    /// A request that must not run twice may be sent again after it. So the message is an error if the query has begun to
-    /// reply, and has therefore run.
-    pub fn on_not_run(&self, reason: Termination, message: &Message) -> Result<AttemptResult, MessageError> {
-        match self.reply {
-            Reply::Awaited => Ok(unserved(reason, message)),
-            Reply::Running | Reply::Partial { .. } => Err(MessageError::Unexpected),
+    /// After it, even a request that must not run twice may be retried. The message is therefore an error if
+    /// an earlier one has proved that the query runs.
+    pub fn on_not_run(
+        &self,
+        termination: Termination,
+        message: &Message,
+    ) -> Result<AttemptResult, MessageError> {
+        match self.response {
+            ResponseState::Awaited => Ok(end_without_result(termination, message)),
+            ResponseState::Running | ResponseState::Partial { .. } => Err(MessageError::Unexpected),
         }
     }
 
     fn report(&self, event: UpstreamEvent) {
-        // The request may have ended, and its mailbox with it.
+        // Sending fails once the request has ended and its mailbox has been dropped.
         let _ = self.events.send(RequestEvent::Upstream(self.number, event));
     }
 }
 
-/// The end of an attempt without a result.
-pub fn unserved(reason: Termination, message: &Message) -> AttemptResult {
-    AttemptResult { load: message.load(), ..reason.into() }
+/// The end of an attempt without a result, with the load report of the engine's last message.
+pub fn end_without_result(termination: Termination, message: &Message) -> AttemptResult {
+    AttemptResult { load: message.load_report(), ..termination.into() }
 }
--- a/crates/proxy/src/upstream/line_protocol/command.rs
+++ b/crates/proxy/src/upstream/line_protocol/command.rs
@@ -1,14 +1,16 @@
-//! The commands that databases are sent. Each is appended to the write buffer of its connection.
+//! Encodes the commands that engines are sent. Each function appends one command to the output of a
+//! connection.
 
 use std::io::Write as _;
 use std::time::Duration;
 
 use crate::query::Query;
 
-/// Starts a query. `budget` is how long its client still waits; it is sent as whole milliseconds, at least one.
-pub fn serve(out: &mut Vec<u8>, id: &str, query: &Query, priority: Option<u8>, budget: Duration) {
-    let budget_ms = budget.as_millis().max(1);
-    // Writing to a vector cannot fail; this holds for all commands.
+/// Starts a query. `remaining_time` is how long the client still waits; the command carries it in whole
+/// milliseconds, at least 1.
+pub fn serve(out: &mut Vec<u8>, id: &str, query: &Query, priority: Option<u8>, remaining_time: Duration) {
+    let budget_ms = remaining_time.as_millis().max(1);
+    // Here and in all other commands: writing to a vector cannot fail.
     let _ = write!(out, "serve {id} queue={},budget={budget_ms}", query.class.name);
     if let Some(priority) = priority {
         let _ = write!(out, ",band={priority}");
@@ -18,12 +20,12 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Cancels a query of which no result has come.
+/// Cancels a query for which no page of a result has been received.
 pub fn cancel(out: &mut Vec<u8>, id: &str) {
     let _ = write!(out, "cancel {id}\r\n");
 }
 
-/// Gives up the pages of a result that have not been read.
+/// Tells the engine to discard the remaining pages of a result.
 pub fn release(out: &mut Vec<u8>, id: &str) {
     let _ = write!(out, "release {id}\r\n");
 }
@@ -33,12 +35,12 @@
     let _ = write!(out, "weigh {id} {priority}\r\n");
 }
 
-/// Requests a further page of a result.
+/// Requests the page of a result with this index.
 pub fn read_page(out: &mut Vec<u8>, id: &str, page: usize) {
     let _ = write!(out, "read {id} {page}\r\n");
 }
 
-/// Requests a reply that shows that the database is alive.
+/// Requests a response that shows that the engine is alive.
 pub fn health_check(out: &mut Vec<u8>) {
     out.extend_from_slice(b"health check\r\n");
 }
--- a/crates/proxy/src/upstream/line_protocol/connection.rs
+++ b/crates/proxy/src/upstream/line_protocol/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a database, and the coroutine that owns its socket.
+//! A connection to an engine, and the coroutine that owns its socket.
 
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -16,40 +16,43 @@
 use crate::termination::Termination;
 use crate::{lock, task};
 
-/// Bytes that may wait for a database that does not read.
+/// Pending output above which the engine counts as silent, because it does not read.
 const MAX_PENDING_BYTES: usize = 1024 * 1024;
-/// How often attempts wait, before they are written, until unread input of clients has been read.
-const MAX_CANCEL_WAITS: u32 = 8;
-/// How long they wait each time. It is a sleep, as a coroutine that only yields runs again on a busy machine before
-/// anything else is read.
-const CANCEL_WAIT: Duration = Duration::from_millis(1);
-/// Reads from one database before other coroutines run: a message may never end.
-const READS_PER_TURN: usize = 4;
-/// How long other coroutines run then.
+/// How many times in a row the writing of queued attempts is deferred while clients have unread input, which
+/// may cancel the attempts.
+const MAX_WRITE_DEFERRALS: u32 = 8;
+/// Duration of one deferral. The coroutine sleeps instead of yielding, because under load a coroutine that
+/// yields runs again before any input is read.
+const WRITE_DEFERRAL: Duration = Duration::from_millis(1);
+/// Maximum number of reads from one engine before other coroutines run. Without it, an engine that never
+/// stops sending would block them.
+const MAX_READS_PER_TURN: usize = 4;
+/// How long the coroutine sleeps after that many reads, so that other coroutines run.
 const TURN_PAUSE: Duration = Duration::from_millis(1);
 
-/// A connection to a database.
+/// A connection to an engine.
 pub struct Connection {
-    /// What its coroutine shares with others.
+    /// The state that the connection's coroutine shares with other coroutines.
     pub state: Mutex<ConnectionState>,
-    /// Wakes the coroutine, once there is a socket that it can wait on.
+    /// Wakes the connection's coroutine; not set until the connection is established.
     waker: OnceLock<Waker>,
 }
 
 impl Connection {
-    /// A connection that is about to be established.
+    /// A connection that is not yet established. `attempts_sent` counts the attempts sent on all connections.
     pub fn new(attempts_sent: Arc<AtomicU64>) -> Self {
         Connection { state: Mutex::new(ConnectionState::new(attempts_sent)), waker: OnceLock::new() }
     }
 
-    /// Wakes the coroutine of the connection.
+    /// Wakes the connection's coroutine, unless the connection is still being established.
     pub fn wake(&self) {
         if let Some(waker) = self.waker.get() {
             waker.wakeup();
         }
     }
 
-    /// Checks whether the connection still works, and has its coroutine act on it.
+    /// Checks the connection for silence, and wakes its coroutine if a health check must be sent or the
+    /// connection closed.
     pub fn check_health(&self, now: Instant, idle_timeout: Duration) {
         let needs_action = lock(&self.state).check_health(now, idle_timeout);
         if needs_action {
@@ -57,7 +60,8 @@
         }
     }
 
-    /// The database has been removed: queued attempts end, and the connection closes once all others have ended.
+    /// Stops using the connection, because its engine was removed or has another address: ends the queued
+    /// attempts, and closes the connection once the attempts in flight have ended.
     pub fn retire(&self) {
         let mut state = lock(&self.state);
         state.reject_queued();
@@ -66,57 +70,55 @@
         self.wake();
     }
 
-    /// Runs the connection from its establishment to its end; blocks its coroutine.
+    /// Establishes the connection and runs it until it ends; blocks its coroutine.
     pub fn run(self: Arc<Self>, pool: &Arc<UpstreamPool>, engine: EngineId, address: SocketAddr) {
         let dial_timeout = Duration::from_millis(pool.limits.dial_timeout_ms);
         let dialed = self.dial(address, dial_timeout);
         let termination = match &dialed {
-            Ok(stream) => Exchange::new(&self, stream).run(),
+            Ok(stream) => ConnectionDriver::new(&self, stream).run(),
             Err(termination) => *termination,
         };
         pool.remove_connection(engine, &self);
-        let left = lock(&self.state).closed();
-        tracing::debug!(engine = engine.0, ?termination, open = left.attempts.len(), "connection closed");
+        let closed = lock(&self.state).on_closed();
+        tracing::debug!(engine = engine.0, ?termination, open = closed.attempts.len(), "connection closed");
         match dialed {
-            Err(_) => left.attempts.into_values().for_each(|attempt| attempt.end(termination)),
+            Err(_) => closed.attempts.into_values().for_each(|attempt| attempt.end(termination)),
             Ok(stream) => {
                 discard_input(stream.socket());
                 drop(stream);
-                end_or_move_attempts(left, termination, pool, engine);
+                end_or_move_attempts(closed, termination, pool, engine);
             }
         }
     }
 
-    /// Establishes the connection.
+    /// Establishes the connection. An error is the termination of the attempts that wait for it.
     fn dial(&self, address: SocketAddr, timeout: Duration) -> Result<TcpStream, Termination> {
-        let stream = TcpStream::connect_timeout(&address, timeout).map_err(|error| match error.kind() {
-            std::io::ErrorKind::TimedOut => Termination::DialTimedOut,
-            _ if is_local_fault(&error) => Termination::NotDialled,
-            _ => Termination::DialRefused,
-        })?;
-        // Without it the connection is slower, but it works.
+        let connected = TcpStream::connect_timeout(&address, timeout);
+        let stream = connected.map_err(|error| dial_termination(&error))?;
+        // If TCP_NODELAY cannot be set, the connection is slower but works.
         let _ = stream.set_nodelay(true);
-        // A connection is established once, so there is no waker before this one.
+        // Setting the waker cannot fail, because a connection is established only once.
         let _ = self.waker.set(stream.waker());
-        lock(&self.state).opened();
+        lock(&self.state).on_established();
         Ok(stream)
     }
 }
 
-/// Ends the attempts of a connection that had been established, or moves them to other connections.
+/// Ends the attempts of an established connection that has closed, or moves them to other connections.
 ///
-/// An attempt of which no byte was written has not run: a request that must not run twice may be sent again. That the
-/// connection was closed while it was idle says nothing about the database, so such an attempt is moved, but only once.
+/// An attempt of which no byte was written has not run, so even a request that must not run twice may be sent
+/// again. The engine may be healthy and have closed the connection as idle, so queued attempts are moved to
+/// another connection, but only once.
 fn end_or_move_attempts(
-    left: ClosedConnection,
+    closed: ClosedConnection,
     termination: Termination,
     pool: &Arc<UpstreamPool>,
     engine: EngineId,
 ) {
-    for (id, mut attempt) in left.attempts {
+    for (id, mut attempt) in closed.attempts {
         let is_queued = attempt.queued.is_some();
-        let has_begun = !is_queued && attempt.start_offset < left.written;
-        if has_begun {
+        let has_written_bytes = !is_queued && attempt.start_offset < closed.written_offset;
+        if has_written_bytes {
             attempt.end(termination);
         } else if is_queued && !attempt.was_moved {
             attempt.was_moved = true;
@@ -127,35 +129,45 @@
     }
 }
 
-/// Whether a connection failed by a lack of resources of the proxy itself, which says nothing about the database.
+/// The termination for an error of connecting.
+fn dial_termination(error: &std::io::Error) -> Termination {
+    match error.kind() {
+        std::io::ErrorKind::TimedOut => Termination::DialTimedOut,
+        _ if is_local_fault(error) => Termination::NotDialled,
+        _ => Termination::DialRefused,
+    }
+}
+
+/// Whether connecting failed because the proxy itself lacks resources, which is no fault of the engine.
 fn is_local_fault(error: &std::io::Error) -> bool {
     const LOCAL_ERRORS: [i32; 6] =
         [libc::EMFILE, libc::ENFILE, libc::ENOMEM, libc::ENOBUFS, libc::ENOSPC, libc::EADDRNOTAVAIL];
     error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&code))
 }
 
-/// What happened to the queued attempts in one turn.
-enum WriteTurn {
-    /// They were written, as far as the socket accepted them.
+/// Whether the queued attempts of a connection were written.
+enum WriteOutcome {
+    /// They were added to the output, which was written as far as the socket accepted it.
     Written,
-    /// They wait until input of clients has been read, as it may cancel them.
+    /// They are deferred until unread input of clients, which may cancel them, has been read.
     Deferred,
 }
 
-/// Reads and writes on an open connection.
-struct Exchange<'a> {
+/// Reads from and writes to an established connection.
+struct ConnectionDriver<'a> {
     connection: &'a Connection,
     stream: &'a TcpStream,
+    /// Received bytes that have not been parsed.
     input: Vec<u8>,
-    /// Whether writing has failed. What has come before is still read.
-    is_broken: bool,
-    /// How often the queued attempts have been deferred.
-    cancel_waits: u32,
+    /// Whether a write has failed. Input that was received before is still read and handled.
+    write_failed: bool,
+    /// How many times in a row the queued attempts have been deferred.
+    write_deferrals: u32,
 }
 
-impl<'a> Exchange<'a> {
+impl<'a> ConnectionDriver<'a> {
     fn new(connection: &'a Connection, stream: &'a TcpStream) -> Self {
-        Exchange { connection, stream, input: Vec::new(), is_broken: false, cancel_waits: 0 }
+        ConnectionDriver { connection, stream, input: Vec::new(), write_failed: false, write_deferrals: 0 }
     }
 
     /// Reads and writes until the connection ends.
@@ -167,31 +179,32 @@
         }
     }
 
-    /// Reads and writes what is possible now, then waits for more.
+    /// Reads and writes what the socket allows now, then waits until it is ready or the coroutine is woken.
     fn turn(&mut self) -> ControlFlow<Termination> {
         let has_more_input = self.read()?;
-        if let WriteTurn::Deferred = self.write()? {
-            task::sleep(CANCEL_WAIT);
+        if let WriteOutcome::Deferred = self.write()? {
+            task::sleep(WRITE_DEFERRAL);
             return ControlFlow::Continue(());
         }
         if self.input.is_empty() {
-            // Hundreds of connections are idle most of the time: their buffers would take memory.
+            // Releases the buffer: hundreds of connections are idle most of the time, and the memory would
+            // add up.
             self.input = Vec::new();
         }
         if has_more_input {
             task::sleep(TURN_PAUSE);
-        } else if !self.is_broken {
+        } else if !self.write_failed {
             self.stream.wait_io();
         }
         ControlFlow::Continue(())
     }
 
-    /// Reads and handles what has come. Returns true if there may be more.
+    /// Reads and handles input. Returns true if more input may be available.
     fn read(&mut self) -> ControlFlow<Termination, bool> {
-        for _ in 0..READS_PER_TURN {
+        for _ in 0..MAX_READS_PER_TURN {
             match read_into(self.stream.socket(), &mut self.input) {
                 Ok(ReadOutcome::Data) => self.handle_input()?,
-                Ok(ReadOutcome::WouldBlock) if self.is_broken => {
+                Ok(ReadOutcome::WouldBlock) if self.write_failed => {
                     return ControlFlow::Break(Termination::Reset);
                 }
                 Ok(ReadOutcome::WouldBlock) => return ControlFlow::Continue(false),
@@ -202,6 +215,7 @@
         ControlFlow::Continue(true)
     }
 
+    /// Handles the complete messages in `input` and removes them from it.
     fn handle_input(&mut self) -> ControlFlow<Termination> {
         let consumed = lock(&self.connection.state).on_input(&self.input);
         match consumed {
@@ -213,27 +227,28 @@
         }
     }
 
-    /// Writes what the socket accepts.
-    fn write(&mut self) -> ControlFlow<Termination, WriteTurn> {
+    /// Adds queued attempts to the output, and writes as much output as the socket accepts.
+    fn write(&mut self) -> ControlFlow<Termination, WriteOutcome> {
         let mut state = lock(&self.connection.state);
         if let Some(reason) = state.close_reason() {
             return ControlFlow::Break(reason);
         }
-        // A complete message may have come just before the connection broke, so a failure does not end it at once.
-        self.is_broken = self.is_broken || state.out.flush(self.stream.socket()).is_err();
-        // Under load, what cancels a request may still be unread as the request is about to be written.
-        if !self.is_broken && self.cancel_waits < MAX_CANCEL_WAITS && state.has_unread_input() {
-            self.cancel_waits += 1;
-            return ControlFlow::Continue(WriteTurn::Deferred);
+        // The engine may have sent a complete message before the write failed, so the connection is still
+        // read.
+        self.write_failed = self.write_failed || state.out.flush(self.stream.socket()).is_err();
+        // Under load, a client's cancellation may still be unread when its attempt is about to be written.
+        if !self.write_failed && self.write_deferrals < MAX_WRITE_DEFERRALS && state.has_unread_input() {
+            self.write_deferrals += 1;
+            return ControlFlow::Continue(WriteOutcome::Deferred);
         }
-        self.cancel_waits = 0;
-        if !self.is_broken {
+        self.write_deferrals = 0;
+        if !self.write_failed {
             state.write_queued();
-            self.is_broken = state.out.flush(self.stream.socket()).is_err();
+            self.write_failed = state.out.flush(self.stream.socket()).is_err();
         }
         if state.out.pending() > MAX_PENDING_BYTES {
             return ControlFlow::Break(Termination::Silent);
         }
-        ControlFlow::Continue(WriteTurn::Written)
+        ControlFlow::Continue(WriteOutcome::Written)
     }
 }
--- a/crates/proxy/src/upstream/line_protocol/connection_state.rs
+++ b/crates/proxy/src/upstream/line_protocol/connection_state.rs
@@ -1,54 +1,56 @@
-//! What others may reach of a connection: its phase, its attempts and what is still to be written.
+//! The shared state of a connection: its phase, its attempts and its pending output.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use super::attempt::{ActiveAttempt, QueuedAttempt, unserved};
+use super::attempt::{ActiveAttempt, QueuedAttempt, end_without_result};
 use super::command;
 use super::health::{HealthAction, HealthMonitor};
 use super::message::{Message, MessageError, MessageKind};
 use crate::stream::WriteBuffer;
 use crate::termination::Termination;
 
-/// The phases in the life of a connection, in their order.
+/// The phases of a connection, in order.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It is being established.
+    /// The connection is being established.
     Dialing,
-    /// It is read from and written to.
+    /// The connection is established.
     Open,
-    /// Its coroutine is about to close it for this reason.
+    /// The coroutine of the connection must close it for this reason.
     Closing(Termination),
-    /// It is closed; its attempts have been taken off it.
+    /// The connection is closed and has no attempts.
     Closed,
 }
 
-/// What is left of a connection that is closed.
+/// The attempts of a closed connection, and how much of its output was written.
 pub struct ClosedConnection {
-    /// How many bytes were written on it.
-    pub written: u64,
-    /// The attempts that were on it, by request id.
+    /// Offset in the connection's output up to which bytes were written.
+    pub written_offset: u64,
+    /// The attempts that had not ended, by request id.
     pub attempts: HashMap<String, ActiveAttempt>,
 }
 
-/// The state of a connection, which its coroutine shares with those who send and cancel attempts.
+/// The state of a connection. The connection's coroutine shares it with the coroutines that send and cancel
+/// attempts.
 pub struct ConnectionState {
-    /// Commands that are still to be written.
+    /// Commands that have not been written yet.
     pub out: WriteBuffer,
     phase: Phase,
-    /// By request id.
+    /// Attempts that have not ended, queued or in flight, by request id.
     attempts: HashMap<String, ActiveAttempt>,
     health: HealthMonitor,
-    /// Whether the database has been removed: the connection closes once nothing is open on it.
+    /// Whether the connection closes once it has no attempts and no pending output, because its engine was
+    /// removed or has another address.
     is_retired: bool,
-    /// Attempts written so far, on all connections of all databases.
+    /// Number of attempts sent so far, on all connections to all engines.
     attempts_sent: Arc<AtomicU64>,
 }
 
 impl ConnectionState {
-    /// The state of a connection that is about to be established.
+    /// The state of a connection that is being established.
     pub fn new(attempts_sent: Arc<AtomicU64>) -> Self {
         ConnectionState {
             out: WriteBuffer::default(),
@@ -60,24 +62,25 @@
         }
     }
 
-    /// The connection has been established.
-    pub fn opened(&mut self) {
+    /// Records that the connection has been established.
+    pub fn on_established(&mut self) {
         self.phase = Phase::Open;
         self.health.reset_silence(Instant::now());
     }
 
-    /// The connection is closed. Returns what is left of it.
-    pub fn closed(&mut self) -> ClosedConnection {
+    /// Records that the connection is closed, and removes its attempts.
+    pub fn on_closed(&mut self) -> ClosedConnection {
         self.phase = Phase::Closed;
-        ClosedConnection { written: self.out.written_offset(), attempts: std::mem::take(&mut self.attempts) }
+        let attempts = std::mem::take(&mut self.attempts);
+        ClosedConnection { written_offset: self.out.written_offset(), attempts }
     }
 
-    /// The database has been removed: the connection closes once nothing is open on it.
+    /// Has the connection closed once it has no attempts and no pending output.
     pub fn retire(&mut self) {
         self.is_retired = true;
     }
 
-    /// Why the connection is to be closed now; none if it is not.
+    /// Why the connection must be closed now; `None` if it may stay open.
     pub fn close_reason(&self) -> Option<Termination> {
         match self.phase {
             Phase::Closing(reason) => Some(reason),
@@ -88,20 +91,21 @@
         }
     }
 
-    /// The number of attempts on the connection; none if it accepts no further one.
-    pub fn load(&self) -> Option<usize> {
+    /// Number of attempts on the connection; `None` if it accepts no more attempts.
+    pub fn attempt_count(&self) -> Option<usize> {
         match self.phase {
             Phase::Dialing | Phase::Open => Some(self.attempts.len()),
             Phase::Closing(_) | Phase::Closed => None,
         }
     }
 
-    /// Queues an attempt.
+    /// Queues an attempt under its request id.
     pub fn enqueue(&mut self, id: String, attempt: ActiveAttempt) {
         self.attempts.insert(id, attempt);
     }
 
-    /// Removes an attempt without an event of its end. Returns false if it is not on the connection.
+    /// Removes an attempt without reporting its end, and cancels its query if the command was sent. Returns
+    /// false if the attempt is not on this connection.
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(attempt) = self.attempts.remove(id) else { return false };
         match attempt.queued {
@@ -112,7 +116,7 @@
         true
     }
 
-    /// Changes the priority of an attempt. Returns false if it is not on the connection.
+    /// Changes the priority of an attempt. Returns false if the attempt is not on this connection.
     pub fn set_priority(&mut self, id: &str, priority: u8) -> bool {
         let Some(attempt) = self.attempts.get_mut(id) else { return false };
         let has_result = attempt.has_result();
@@ -124,40 +128,43 @@
         true
     }
 
-    /// Ends all attempts that have not been written.
+    /// Ends all queued attempts as never written.
     pub fn reject_queued(&mut self) {
         self.end_queued(|_| Some(Termination::NeverWritten));
     }
 
-    /// Writes all queued attempts, once everything before them has been written; those that are obsolete by then end instead.
+    /// Adds the commands of all queued attempts to the output, provided that the socket has accepted all
+    /// earlier output. Obsolete attempts end instead.
     ///
-    /// So no attempt begins after its client has left, or after the last moment at which it may be sent.
+    /// Because commands are added only then, no attempt starts after its client has left or after the latest
+    /// time at which it may be written.
     pub fn write_queued(&mut self) {
         let now = Instant::now();
         if self.out.pending() > 0 || self.attempts.values().all(|attempt| attempt.queued.is_none()) {
             return;
         }
-        self.end_queued(|queued| queued.is_obsolete(now));
+        self.end_queued(|queued| queued.obsolete_reason(now));
         if self.attempts.values().all(|attempt| attempt.queued.is_some()) {
-            // Nothing was expected from the database so far, so its silence means nothing.
+            // No attempt was in flight, so the engine had no reason to send anything until now.
             self.health.reset_silence(now);
         }
         for (id, attempt) in &mut self.attempts {
             let Some(queued) = attempt.queued.take() else { continue };
             attempt.start_offset = self.out.end_offset();
             self.attempts_sent.fetch_add(1, Ordering::Relaxed);
-            let budget = queued.deadline.saturating_duration_since(now);
-            command::serve(self.out.buffer(), id, &queued.query, queued.priority, budget);
+            let remaining_time = queued.deadline.saturating_duration_since(now);
+            command::serve(self.out.buffer(), id, &queued.query, queued.priority, remaining_time);
         }
     }
 
-    /// Whether unread input of clients may cancel one of the queued attempts.
+    /// Whether there is unread input of clients that may cancel one of the queued attempts.
     pub fn has_unread_input(&self) -> bool {
         let mut queued = self.attempts.values().filter_map(|attempt| attempt.queued.as_ref());
         queued.any(|queued| queued.query.client.has_unread_input())
     }
 
-    /// Checks an open connection. Returns true if its coroutine has something to do.
+    /// Checks an open connection. Returns true if the connection's coroutine has to be woken to send a health
+    /// check or close the connection.
     pub fn check_health(&mut self, now: Instant, idle_timeout: Duration) -> bool {
         if self.phase != Phase::Open {
             return false;
@@ -170,11 +177,11 @@
         true
     }
 
-    /// Handles all complete messages at the front of `input`. Returns how many bytes they have.
+    /// Handles all complete messages at the start of `input`. Returns their total length in bytes.
     ///
     /// # Errors
     ///
-    /// If one of them is not valid. Those before it have been handled.
+    /// If a message is invalid. All messages before it have been handled.
     pub fn on_input(&mut self, input: &[u8]) -> Result<usize, MessageError> {
         let mut consumed = 0;
         self.health.on_read(Instant::now());
@@ -186,7 +193,7 @@
         Ok(consumed)
     }
 
-    /// Handles one message. Messages about attempts that are no longer on the connection are ignored.
+    /// Handles one message. Ignores messages for attempts that are no longer on the connection.
     fn on_message(&mut self, message: &Message) -> Result<(), MessageError> {
         if message.kind == MessageKind::Pong {
             return Ok(());
@@ -203,7 +210,7 @@
             MessageKind::Page => attempt.on_page(message)?,
             MessageKind::Shed => Some(attempt.on_not_run(Termination::Shed, message)?),
             MessageKind::Late => Some(attempt.on_not_run(Termination::Late, message)?),
-            MessageKind::Fault => Some(unserved(Termination::Fault, message)),
+            MessageKind::Fault => Some(end_without_result(Termination::Fault, message)),
             MessageKind::Pong | MessageKind::Unknown => return Err(MessageError::Unexpected),
         };
         if let Some(result) = result
@@ -214,14 +221,17 @@
         Ok(())
     }
 
-    /// Ends the queued attempts for which there is a reason.
-    fn end_queued(&mut self, reason: impl Fn(&QueuedAttempt) -> Option<Termination>) {
-        let reason = |attempt: &ActiveAttempt| attempt.queued.as_ref().and_then(&reason);
-        let ended: Vec<(String, Termination)> =
-            self.attempts.iter().filter_map(|(id, attempt)| Some((id.clone(), reason(attempt)?))).collect();
-        for (id, reason) in ended {
+    /// Ends the queued attempts for which `end_reason` returns a termination.
+    fn end_queued(&mut self, end_reason: impl Fn(&QueuedAttempt) -> Option<Termination>) {
+        let termination_of = |attempt: &ActiveAttempt| attempt.queued.as_ref().and_then(&end_reason);
+        let terminations = self.attempts.iter().filter_map(|(id, attempt)| {
+            let termination = termination_of(attempt)?;
+            Some((id.clone(), termination))
+        });
+        let terminations: Vec<(String, Termination)> = terminations.collect();
+        for (id, termination) in terminations {
             if let Some(attempt) = self.attempts.remove(&id) {
-                attempt.end(reason);
+                attempt.end(termination);
             }
         }
     }
--- a/crates/proxy/src/upstream/line_protocol/message.rs
+++ b/crates/proxy/src/upstream/line_protocol/message.rs
@@ -1,49 +1,51 @@
-//! Parses the messages that databases send. A message is a slice of the buffer that it was read into.
+//! Parses the messages that engines send. A parsed message borrows from the buffer that it was read into.
 
 use gaugestep_dispatch::interface::{Cost, LoadReport, ProgressReport};
 
 use crate::termination::Termination;
 
-/// The longest line that a database may send, in bytes.
+/// Maximum length of the first line of a message, in bytes.
 const MAX_LINE_LENGTH: usize = 4 * 1024;
-/// The longest page, in bytes.
+/// Maximum length of a page, in bytes.
 const MAX_PAGE_LENGTH: usize = 6_000;
-/// The columns of each row of a page.
+/// Number of columns in each row of a page.
 const COLUMNS_PER_ROW: usize = 3;
-/// Reported figures above this one are ignored as noise.
-const MAX_FIGURE: f64 = 1e9;
-/// What ends a line, and the body of a message.
+/// Reported numbers above this value are ignored as implausible.
+const MAX_REPORTED_NUMBER: f64 = 1e9;
+/// Byte sequence after the first line and after the body of a message.
 const LINE_END: &[u8] = b"\r\n";
 
-/// Why bytes are no valid message. The connection cannot be used any more, as nobody knows where the next one begins.
+/// Why received bytes are not a valid message. The connection must be closed after such an error, because the
+/// start of the next message is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The first line does not end within its maximum length.
-    #[error("a line is longer than {MAX_LINE_LENGTH} bytes")]
+    /// The first line exceeds its maximum length.
+    #[error("message line is longer than {MAX_LINE_LENGTH} bytes")]
     LineTooLong,
     /// The line or a page is not UTF-8.
-    #[error("text is not UTF-8")]
+    #[error("message is not UTF-8")]
     NotUtf8,
     /// The line does not consist of four words.
-    #[error("a line does not have four words")]
+    #[error("message line does not consist of four words")]
     WordCount,
-    /// The length of the body, or another whole number, is not one.
-    #[error("a whole number is malformed")]
+    /// The length of the body or another field is missing or not a whole number.
+    #[error("field of a message is not a whole number")]
     MalformedNumber,
-    /// The body is longer than a page may be.
-    #[error("a body is longer than {MAX_PAGE_LENGTH} bytes")]
+    /// The body exceeds the maximum length of a page.
+    #[error("message body is longer than {MAX_PAGE_LENGTH} bytes")]
     BodyTooLong,
-    /// The body does not end where its length says.
-    #[error("a body has no line end behind it")]
+    /// No line end follows the body.
+    #[error("message body is not followed by a line end")]
     BodyEnd,
-    /// A page does not consist of complete rows of printable text.
-    #[error("a page is not made of complete rows")]
+    /// A page has an incomplete row, a row with a wrong number of columns, a control character, or no row
+    /// where one is required.
+    #[error("result page does not consist of complete rows of printable text")]
     MalformedPage,
-    /// The message contradicts what was sent before, or is of no known kind.
-    #[error("a message is not expected here")]
+    /// The message contradicts earlier messages, or its kind is unknown.
+    #[error("unexpected message")]
     Unexpected,
-    /// The result has more pages, or more bytes, than a result may have.
-    #[error("a result is too large")]
+    /// The result exceeds the maximum number of pages or bytes.
+    #[error("result is too large")]
     ResultTooLarge,
 }
 
@@ -53,24 +55,24 @@
     }
 }
 
-/// What a message reports.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// The reply to a health check.
+    /// The response to a health check.
     Pong,
     /// Progress of a running query.
     Progress,
-    /// The first page of a result, and the number of its pages.
+    /// The first page of a result, with the number of pages.
     FirstPage,
-    /// A further page.
+    /// A page of a result after the first one.
     Page,
-    /// The database has no capacity for the query.
+    /// The engine has no capacity for the query and has not run it.
     Shed,
-    /// The query's time was over before it ran.
+    /// The query's time had passed before it ran.
     Late,
     /// The query failed.
     Fault,
-    /// None of these.
+    /// Any other kind.
     Unknown,
 }
 
@@ -89,20 +91,21 @@
     }
 }
 
-/// One message, in the buffer that it was read into.
+/// A message, which borrows from the buffer that it was read into.
 pub struct Message<'a> {
-    /// The request that it is about.
+    /// Id of the request that the message concerns.
     pub id: &'a str,
-    /// What it reports.
+    /// The kind of the message.
     pub kind: MessageKind,
-    /// The length of the message in the buffer, in bytes.
+    /// Length of the complete message in the buffer, in bytes.
     pub length: usize,
+    /// Comma-separated `name=value` pairs.
     fields: &'a str,
     body: &'a [u8],
 }
 
 impl<'a> Message<'a> {
-    /// Parses the first message in `input`. Returns none while it is incomplete.
+    /// Parses the message at the start of `input`. Returns `None` while the message is incomplete.
     ///
     /// # Errors
     ///
@@ -114,13 +117,13 @@
         };
         let line = std::str::from_utf8(&input[..line_end]).map_err(|_| MessageError::NotUtf8)?;
         let mut words = line.split(' ');
-        let (Some(id), Some(word), Some(fields), Some(length), None) =
+        let (Some(id), Some(kind), Some(fields), Some(body_length), None) =
             (words.next(), words.next(), words.next(), words.next(), words.next())
         else {
             tracing::warn!(line, "malformed message");
             return Err(MessageError::WordCount);
         };
-        let body_length: usize = length.parse().map_err(|_| MessageError::MalformedNumber)?;
+        let body_length: usize = body_length.parse().map_err(|_| MessageError::MalformedNumber)?;
         if body_length > MAX_PAGE_LENGTH {
             return Err(MessageError::BodyTooLong);
         }
@@ -133,11 +136,12 @@
         if &input[body_end..length] != LINE_END {
             return Err(MessageError::BodyEnd);
         }
-        let kind = MessageKind::parse(word);
-        Ok(Some(Message { id, kind, length, fields, body: &input[body_start..body_end] }))
+        let kind = MessageKind::parse(kind);
+        let body = &input[body_start..body_end];
+        Ok(Some(Message { id, kind, length, fields, body }))
     }
 
-    /// The number of pages of the result; none if the message does not say.
+    /// Number of pages of the result; `None` if the message does not contain it.
     ///
     /// # Errors
     ///
@@ -146,7 +150,7 @@
         self.whole_number("total")
     }
 
-    /// The index of the page, counted from 0.
+    /// Index of the page, counted from 0.
     ///
     /// # Errors
     ///
@@ -155,11 +159,12 @@
         self.whole_number("index")?.ok_or(MessageError::MalformedNumber)
     }
 
-    /// A copy of the page that the message carries.
+    /// A copy of the page in the message.
     ///
     /// # Errors
     ///
-    /// If it does not consist of complete rows of printable text: clients never get noise for a result.
+    /// If the page does not consist of complete rows of printable text. Invalid data must not reach a client
+    /// as a result.
     pub fn page(&self) -> Result<Vec<u8>, MessageError> {
         let text = std::str::from_utf8(self.body).map_err(|_| MessageError::NotUtf8)?;
         let is_printable = text.chars().all(|c| !c.is_control() || c == '\t' || c == '\n');
@@ -170,11 +175,13 @@
         }
     }
 
-    /// The database's load, if the message reports it.
-    pub fn load(&self) -> Option<LoadReport> {
+    /// The engine's load report; `None` if the message has none. Values that are not plausible numbers are
+    /// omitted.
+    pub fn load_report(&self) -> Option<LoadReport> {
         let mut load = LoadReport::default();
-        for (name, value) in self.field("use")?.split(';').filter_map(|pair| pair.split_once(':')) {
-            let value = parse_figure(value);
+        let values = self.field("use")?.split(';').filter_map(|pair| pair.split_once(':'));
+        for (name, value) in values {
+            let value = parse_reported_number(value);
             match name {
                 "rif" | "inflight" => load.in_flight = value,
                 "q" | "queue" => load.queued = value,
@@ -186,21 +193,22 @@
         Some(load)
     }
 
-    /// What the query used, if the message reports it.
+    /// Resources that the query used; `None` if the message does not report the work.
     pub fn cost(&self) -> Option<Cost> {
-        let work = self.figure("elapsed")?;
-        Some(Cost { work, memory_mb: self.figure("rss").unwrap_or(0.0) })
+        let work = self.number("elapsed")?;
+        Some(Cost { work, memory_mb: self.number("rss").unwrap_or(0.0) })
     }
 
-    /// The progress that the message reports; none if it is of no known kind.
+    /// The progress that the message reports; `None` if its kind is unknown.
     pub fn progress_report(&self) -> Option<ProgressReport> {
-        /// The amount by which a waiting query says that it waits for a load of data, not for memory.
-        const WAITS_FOR_LOAD: f64 = 2.0;
-        let amount = self.figure("datum").unwrap_or(0.0);
+        /// Amount reported by a query that waits for a load of data; other amounts mean that it waits for
+        /// memory.
+        const WAITS_FOR_LOAD_AMOUNT: f64 = 2.0;
+        let amount = self.number("datum").unwrap_or(0.0);
         match self.field("detail")? {
             "done" => Some(ProgressReport::Done(amount)),
             "spills" => Some(ProgressReport::Spills(amount)),
-            "waits" if amount == WAITS_FOR_LOAD => Some(ProgressReport::WaitsForLoad),
+            "waits" if amount == WAITS_FOR_LOAD_AMOUNT => Some(ProgressReport::WaitsForLoad),
             "waits" => Some(ProgressReport::WaitsForMemory),
             _ => None,
         }
@@ -211,8 +219,8 @@
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    fn figure(&self, name: &str) -> Option<f64> {
-        parse_figure(self.field(name)?)
+    fn number(&self, name: &str) -> Option<f64> {
+        parse_reported_number(self.field(name)?)
     }
 
     fn whole_number(&self, name: &str) -> Result<Option<usize>, MessageError> {
@@ -220,9 +228,9 @@
     }
 }
 
-/// A reported figure; none if it is out of range or not a number.
-fn parse_figure(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|number| (0.0..=MAX_FIGURE).contains(number))
+/// Parses a reported number; `None` if it is not a number or not between 0 and [`MAX_REPORTED_NUMBER`].
+fn parse_reported_number(text: &str) -> Option<f64> {
+    text.parse().ok().filter(|number| (0.0..=MAX_REPORTED_NUMBER).contains(number))
 }
 
 fn is_complete_row(row: &str) -> bool {
--- a/crates/proxy/src/upstream/line_protocol/mod.rs
+++ b/crates/proxy/src/upstream/line_protocol/mod.rs
@@ -1,13 +1,15 @@
-//! The databases' protocol: commands and messages of one line each, with many attempts on one connection.
+//! The line protocol of the engines: commands and messages of one line each, with many attempts on one
+//! connection.
 //!
-//! Each database has a pool of connections ([`pool`]), and one coroutine owns the socket of each ([`connection`]). An attempt
-//! is queued with a connection, whose coroutine is then woken and writes the command as soon as the socket accepts it. Until
-//! its first byte has been written, an attempt can be cancelled, rejected or moved to another connection, and the database
-//! never learns of it.
+//! Each engine has a pool of connections ([`pool`]), and the socket of each connection is owned by one
+//! coroutine ([`connection`]). An attempt is queued on a connection, whose coroutine is then woken and writes
+//! the command as soon as the socket accepts it. Until its first byte has been written, an attempt can be
+//! cancelled, rejected or moved to another connection, and the engine receives no part of it.
 //!
-//! [`connection_state`] holds what others may reach of a connection, [`attempt`] what is known of each attempt on it.
-//! [`command`] writes commands, [`message`] parses what databases send, [`health`] judges whether a connection still works,
-//! and the [`sweeper`] asks it at regular intervals.
+//! [`connection_state`] is the part of a connection that other coroutines share, [`attempt`] is the state of
+//! an attempt on it, and [`handle`] cancels an attempt or changes its priority. [`command`] encodes commands,
+//! and [`message`] parses what engines send. [`health`] decides when a silent connection is checked or
+//! closed, and the [`sweeper`] runs these checks periodically.
 
 mod attempt;
 mod command;
--- a/crates/proxy/src/upstream/line_protocol/pool.rs
+++ b/crates/proxy/src/upstream/line_protocol/pool.rs
@@ -1,4 +1,4 @@
-//! The pools of connections to databases.
+//! Pools of connections to engines.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,55 +17,57 @@
 use crate::termination::Termination;
 use crate::{lock, task};
 
-/// The connections to all databases.
+/// The connections to all engines.
 pub struct UpstreamPool {
     pub(super) limits: Limits,
-    /// All that are open, also those to databases that were removed.
+    /// All open connections, including those to removed engines.
     pub(super) connections: Mutex<Vec<Weak<Connection>>>,
-    /// Descriptors that connections may use.
-    budget: usize,
-    pools: Mutex<HashMap<EngineId, EnginePool>>,
-    /// Attempts written to databases.
+    /// Maximum number of open connections to all engines, one file descriptor each.
+    max_connections: usize,
+    engine_pools: Mutex<HashMap<EngineId, EnginePool>>,
+    /// Number of attempts sent to engines so far.
     attempts_sent: Arc<AtomicU64>,
 }
 
-/// The connections to one database.
+/// The connections to one engine.
 struct EnginePool {
     address: SocketAddr,
-    /// False while the database drains: no attempt goes to it.
+    /// False while the engine drains and is sent no attempts.
     is_accepting: bool,
     connections: Vec<Arc<Connection>>,
 }
 
 impl UpstreamPool {
-    /// A pool without connections, which may use `budget` descriptors.
-    pub fn new(limits: Limits, budget: usize) -> Self {
+    /// A pool without connections that opens at most `max_connections`, each of which uses one file
+    /// descriptor.
+    pub fn new(limits: Limits, max_connections: usize) -> Self {
         UpstreamPool {
             limits,
-            budget,
+            max_connections,
             attempts_sent: Arc::default(),
-            pools: Mutex::default(),
+            engine_pools: Mutex::default(),
             connections: Mutex::default(),
         }
     }
 
-    /// Updates the address and readiness of a database. Attempts go to it only while it is up: otherwise those that have
-    /// not been written end, and all others go on.
+    /// Updates the address and readiness of an engine. Attempts are sent to an engine only while it is up:
+    /// once it is not, its queued attempts end, and its attempts in flight continue.
     pub fn update_endpoint(&self, engine: EngineId, address: Option<SocketAddr>, readiness: Readiness) {
-        let mut pools = lock(&self.pools);
+        let mut engine_pools = lock(&self.engine_pools);
         if readiness == Readiness::Gone {
-            // A pool that stayed would take memory, and its connections might be used for a successor at the same address.
-            if let Some(pool) = pools.remove(&engine) {
+            // A pool that stayed would use memory, and its connections might be used for a later engine at
+            // the same address.
+            if let Some(pool) = engine_pools.remove(&engine) {
                 pool.retire();
             }
             return;
         }
         let Some(address) = address else { return };
-        let new = || EnginePool { address, is_accepting: true, connections: Vec::new() };
-        let pool = pools.entry(engine).or_insert_with(new);
+        let new_pool = || EnginePool { address, is_accepting: true, connections: Vec::new() };
+        let pool = engine_pools.entry(engine).or_insert_with(new_pool);
         if pool.address != address {
-            // Whoever answers at the old address is another database.
-            std::mem::replace(pool, new()).retire();
+            // Another engine may serve the old address, so its connections are not used any more.
+            std::mem::replace(pool, new_pool()).retire();
         }
         pool.is_accepting = readiness == Readiness::Up;
         if !pool.is_accepting {
@@ -75,9 +77,9 @@
         }
     }
 
-    /// Removes all databases but these.
+    /// Removes all engines except these.
     pub fn retain_only(&self, engines: &[EngineId]) {
-        lock(&self.pools).retain(|engine, pool| {
+        lock(&self.engine_pools).retain(|engine, pool| {
             let is_listed = engines.contains(engine);
             if !is_listed {
                 pool.retire();
@@ -86,25 +88,26 @@
         });
     }
 
-    /// Attempts written to databases so far.
+    /// Number of attempts sent to engines so far.
     pub fn attempts_sent(&self) -> u64 {
         self.attempts_sent.load(Ordering::Relaxed)
     }
 
-    /// Starts an attempt, whose events go to `events`. `left` is how long the client still waits.
+    /// Starts an attempt, whose events are sent to `events`. `remaining_time` is how long the client still
+    /// waits.
     pub fn send(
         self: &Arc<Self>,
         order: AttemptOrder,
         query: &Arc<Query>,
-        left: Duration,
+        remaining_time: Duration,
         events: EventSender,
     ) -> UpstreamHandle {
         let now = Instant::now();
         let queued = QueuedAttempt {
             query: query.clone(),
             priority: order.priority,
-            deadline: now + left,
-            write_by: order.left.map(|left| now + left),
+            deadline: now + remaining_time,
+            write_by: order.left.map(|time_to_write| now + time_to_write),
         };
         let id = query.request.id.clone();
         let attempt = ActiveAttempt::new(order.attempt, queued, events);
@@ -113,13 +116,13 @@
         UpstreamHandle::new(slot, id)
     }
 
-    /// Queues an attempt with a connection, or ends it if there is none.
+    /// Queues an attempt on a connection to the engine. Ends the attempt if no connection is available.
     pub(super) fn enqueue(self: &Arc<Self>, engine: EngineId, id: String, attempt: ActiveAttempt) {
         let Some(connection) = self.acquire(engine) else {
             return attempt.end(Termination::NeverWritten);
         };
         let mut state = lock(&connection.state);
-        if state.load().is_none() {
+        if state.attempt_count().is_none() {
             return attempt.end(Termination::NeverWritten);
         }
         *lock(&attempt.slot) = Some(connection.clone());
@@ -128,21 +131,22 @@
         connection.wake();
     }
 
-    /// The connection for one more attempt, a new one if need be. None if the database accepts no attempts, or all its
-    /// connections are full.
+    /// Returns a connection for another attempt, and opens one if necessary. Returns `None` if the engine
+    /// accepts no attempts, or if its connections are full and no new one can be opened.
     ///
-    /// Each attempt has a connection of its own while descriptors last: an invalid message ends the connection for all
-    /// attempts on it.
+    /// Each attempt has its own connection while there are enough file descriptors, because an invalid
+    /// message ends the connection for all attempts on it.
     fn acquire(self: &Arc<Self>, engine: EngineId) -> Option<Arc<Connection>> {
-        let mut pools = lock(&self.pools);
-        let accepting = pools.values().filter(|pool| pool.is_accepting).count().max(1);
-        let max_per_engine = (self.budget / accepting).max(1);
-        let open = lock(&self.connections).iter().filter(|connection| connection.strong_count() > 0).count();
-        let pool = pools.get_mut(&engine).filter(|pool| pool.is_accepting)?;
-        let is_full = pool.connections.len() >= max_per_engine || open >= self.budget;
+        let mut engine_pools = lock(&self.engine_pools);
+        let accepting_engines = engine_pools.values().filter(|pool| pool.is_accepting).count().max(1);
+        let max_per_engine = (self.max_connections / accepting_engines).max(1);
+        let open_connections =
+            lock(&self.connections).iter().filter(|connection| connection.strong_count() > 0).count();
+        let pool = engine_pools.get_mut(&engine).filter(|pool| pool.is_accepting)?;
+        let is_full = pool.connections.len() >= max_per_engine || open_connections >= self.max_connections;
         match pool.least_loaded() {
             Some((connection, 0)) => return Some(connection.clone()),
-            Some((connection, load)) if is_full && load < self.limits.multiplex => {
+            Some((connection, attempt_count)) if is_full && attempt_count < self.limits.multiplex => {
                 return Some(connection.clone());
             }
             _ if is_full => return None,
@@ -152,19 +156,19 @@
         pool.connections.push(connection.clone());
         lock(&self.connections).push(Arc::downgrade(&connection));
         let address = pool.address;
-        drop(pools);
+        drop(engine_pools);
         self.start_connection(&connection, engine, address).then_some(connection)
     }
 
-    /// Starts the coroutine of a connection. Returns false if that fails.
+    /// Starts the coroutine of a connection. Returns false if the coroutine cannot be started.
     fn start_connection(
         self: &Arc<Self>,
         connection: &Arc<Connection>,
         engine: EngineId,
         address: SocketAddr,
     ) -> bool {
-        let (pool, owned) = (self.clone(), connection.clone());
-        let spawned = task::spawn("database", move || owned.run(&pool, engine, address));
+        let (pool, owned_connection) = (self.clone(), connection.clone());
+        let spawned = task::spawn("database", move || owned_connection.run(&pool, engine, address));
         if let Err(error) = &spawned {
             tracing::error!("cannot start a coroutine for a connection: {error}");
             self.remove_connection(engine, connection);
@@ -172,26 +176,27 @@
         spawned.is_ok()
     }
 
-    /// Removes a connection that is about to close from the pool of its database.
+    /// Removes a connection that is about to close from the pool of its engine.
     pub(super) fn remove_connection(&self, engine: EngineId, connection: &Arc<Connection>) {
-        let mut pools = lock(&self.pools);
-        if let Some(pool) = pools.get_mut(&engine) {
+        let mut engine_pools = lock(&self.engine_pools);
+        if let Some(pool) = engine_pools.get_mut(&engine) {
             pool.connections.retain(|other| !Arc::ptr_eq(other, connection));
         }
     }
 }
 
 impl EnginePool {
-    /// The connection with the fewest attempts of those that accept one, and how many it has.
+    /// The connection with the fewest attempts among those that accept more, and its number of attempts.
     fn least_loaded(&self) -> Option<(&Arc<Connection>, usize)> {
-        let load = |connection: &Arc<Connection>| lock(&connection.state).load();
+        let attempt_count = |connection: &Arc<Connection>| lock(&connection.state).attempt_count();
         let available =
-            self.connections.iter().filter_map(|connection| Some((connection, load(connection)?)));
-        let idle = available.clone().find(|(_, load)| *load == 0);
-        idle.or_else(|| available.min_by_key(|(_, load)| *load))
+            self.connections.iter().filter_map(|connection| Some((connection, attempt_count(connection)?)));
+        let idle = available.clone().find(|(_, count)| *count == 0);
+        idle.or_else(|| available.min_by_key(|(_, count)| *count))
     }
 
-    /// The database has been removed: its connections close, those with open attempts once these have ended.
+    /// Ends the queued attempts of all connections, and closes each connection once its attempts in flight
+    /// have ended.
     fn retire(&self) {
         for connection in &self.connections {
             connection.retire();
--- a/crates/proxy/src/upstream/line_protocol/sweeper.rs
+++ b/crates/proxy/src/upstream/line_protocol/sweeper.rs
@@ -1,4 +1,4 @@
-//! Checks all connections at regular intervals.
+//! Checks all connections periodically.
 
 use std::sync::Weak;
 use std::time::{Duration, Instant};
@@ -6,13 +6,14 @@
 use super::pool::UpstreamPool;
 use crate::{lock, task};
 
-/// Between two sweeps.
+/// Time between two checks of a connection.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 impl UpstreamPool {
-    /// Checks silent connections and closes idle ones; blocks its coroutine and never returns.
+    /// Has silent connections checked and idle ones closed; blocks its coroutine and never returns.
     pub fn run_sweeper(&self) {
-        // Earlier than the databases, which close idle connections too: an attempt must not be sent as they close.
+        // Engines close connections after `idle_ms` without traffic. The proxy closes them earlier, so that
+        // no attempt is sent on a connection that its engine is closing.
         let idle_timeout = Duration::from_millis(self.limits.idle_ms * 2 / 3);
         loop {
             task::sleep(SWEEP_INTERVAL);
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,3 +1,3 @@
-//! The databases' side of the proxy.
+//! The proxy's side towards the engines.
 
 pub mod line_protocol;
--- a/crates/proxy/tests/unit/termination.rs
+++ b/crates/proxy/tests/unit/termination.rs
@@ -1,11 +1,11 @@
-//! What each termination proves about its attempt.
+//! Tests the outcome of each termination.
 
 use gaugestep_dispatch::interface::Outcome;
 
 use super::Termination;
 
 #[test]
-fn only_what_proves_that_nothing_ran_has_an_outcome_that_says_so() {
+fn only_terminations_that_prove_that_nothing_ran_map_to_an_outcome_that_allows_a_retry() {
     let outcomes = [
         (Termination::Served, Outcome::Served),
         (Termination::Shed, Outcome::Rejected),
--- a/crates/proxy/tests/unit/upstream_message.rs
+++ b/crates/proxy/tests/unit/upstream_message.rs
@@ -1,4 +1,4 @@
-//! Parsing of what databases send: incomplete, complete and malformed messages.
+//! Tests the parsing of engine messages: incomplete, complete and malformed ones.
 
 use gaugestep_dispatch::interface::ProgressReport;
 
@@ -30,7 +30,7 @@
     assert_eq!(message.page().unwrap(), b"a\tb\tc\n");
     let cost = message.cost().unwrap();
     assert_eq!((cost.work, cost.memory_mb), (5.0, 0.0));
-    assert!(message.load().is_none());
+    assert!(message.load_report().is_none());
 }
 
 #[test]
@@ -83,20 +83,20 @@
 }
 
 #[test]
-fn whole_numbers_are_checked_and_figures_out_of_range_ignored() {
+fn whole_numbers_are_checked_and_implausible_reported_numbers_are_ignored() {
     assert_eq!(message("1 HIT - 0\r\n\r\n").page_count(), Ok(None));
     assert_eq!(message("1 HIT total=x 0\r\n\r\n").page_count(), Err(MessageError::MalformedNumber));
     assert_eq!(message("1 PART total=1 0\r\n\r\n").page_index(), Err(MessageError::MalformedNumber));
-    for figure in ["-1", "nan", "inf", "1e10", "x", ""] {
-        let input = format!("1 HIT elapsed={figure},use=rif:{figure};q:2;other:3 0\r\n\r\n");
-        assert!(message(&input).cost().is_none(), "{figure}");
-        let load = message(&input).load().unwrap();
-        assert_eq!((load.in_flight, load.queued), (None, Some(2.0)), "{figure}");
+    for number in ["-1", "nan", "inf", "1e10", "x", ""] {
+        let input = format!("1 HIT elapsed={number},use=rif:{number};q:2;other:3 0\r\n\r\n");
+        assert!(message(&input).cost().is_none(), "{number}");
+        let load = message(&input).load_report().unwrap();
+        assert_eq!((load.in_flight, load.queued), (None, Some(2.0)), "{number}");
     }
 }
 
 #[test]
-fn progress_reports_are_told_apart() {
+fn each_kind_of_progress_report_is_parsed() {
     let report = |fields: &str| message(&format!("1 INFO {fields} 0\r\n\r\n")).progress_report();
     assert_eq!(report("detail=done,datum=0.5"), Some(ProgressReport::Done(0.5)));
     assert_eq!(report("detail=spills,datum=3"), Some(ProgressReport::Spills(3.0)));
