--- a/crates/proxy/src/discovery/coordinator_stream.rs
+++ b/crates/proxy/src/discovery/coordinator_stream.rs
@@ -1,4 +1,4 @@
-//! The connection to the coordinator, established again whenever it ends.
+//! The connection to the coordinator, which is established again whenever it ends.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr};
@@ -13,31 +13,31 @@
 use super::http_body::{BodyDecoder, BodyState, ResponseError, ResponseHead};
 use crate::{lock, task};
 
-/// The coordinator sends a comment each second: a connection that is silent for longer is dead.
+/// Silence after which the connection counts as broken. The coordinator sends a comment each second.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long it may take to connect.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two attempts to connect.
+/// Pause between two connection attempts, before staggering.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// Reads before other coroutines run: a stream may never pause.
+/// Number of reads after which other coroutines run. Without it, a stream that never pauses would block them.
 const READS_PER_TURN: u64 = 16;
-/// How long other coroutines run then.
+/// How long the coroutine sleeps after that many reads, so that other coroutines run.
 const TURN_PAUSE: Duration = Duration::from_millis(1);
-/// How much is read at once, in bytes.
+/// Maximum number of bytes per read.
 const READ_LENGTH: usize = 4096;
-/// The most bytes of a response that cannot be decoded yet.
+/// Maximum number of bytes of a response that are buffered until they can be decoded.
 const MAX_UNDECODED_LENGTH: usize = 4 * 1024 * 1024;
 
-/// Why a stream of events broke.
+/// Why a stream of events ended with an error.
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
     /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response is no stream of events.
+    /// The response is not a stream of events.
     #[error(transparent)]
     Response(#[from] ResponseError),
-    /// An event is too long.
+    /// An event, or a part of the response that cannot be decoded yet, is too long.
     #[error(transparent)]
     EventTooLong(#[from] EventTooLong),
     /// An event is not JSON.
@@ -45,14 +45,15 @@
     MalformedEvent(#[from] serde_json::Error),
 }
 
-/// Where the coordinator is, and the connection to it.
+/// The address of the coordinator and the current connection to it.
 struct CoordinatorLink {
+    /// Address of the coordinator; `None` if no coordinator is configured.
     address: Option<SocketAddr>,
-    /// The current connection, so that it can be shut down.
-    open: Option<std::net::TcpStream>,
+    /// The current connection, which another coroutine may shut down; `None` while there is no connection.
+    socket: Option<std::net::TcpStream>,
 }
 
-/// Follows the coordinator, and applies its events to the list of endpoints.
+/// Receives the coordinator's events and applies them to the list of endpoints.
 pub struct CoordinatorStream {
     list: Arc<EndpointList>,
     link: Mutex<CoordinatorLink>,
@@ -60,38 +61,40 @@
 }
 
 impl CoordinatorStream {
-    /// A stream from the coordinator at `address` to `list`.
+    /// A stream from the coordinator at `address`, whose events are applied to `list`.
     ///
-    /// `stagger_factor` stretches the pause before each attempt to connect: all proxies lose the coordinator at one moment.
+    /// The pause between connection attempts is multiplied by `stagger_factor`, which differs between
+    /// proxies: all of them lose the coordinator at the same time and should not reconnect at the same time.
     pub fn new(list: Arc<EndpointList>, address: Option<SocketAddr>, stagger_factor: f64) -> Self {
-        let link = Mutex::new(CoordinatorLink { address, open: None });
+        let link = Mutex::new(CoordinatorLink { address, socket: None });
         CoordinatorStream { list, link, reconnect_pause: RECONNECT_PAUSE.mul_f64(stagger_factor) }
     }
 
-    /// Changes the coordinator's address. The connection to the former one is shut down, which wakes the coroutine that reads
-    /// from it.
+    /// Changes the coordinator's address. The connection to the previous address is shut down, which wakes
+    /// the coroutine that reads from it.
     pub fn set_address(&self, address: Option<SocketAddr>) {
         let mut link = lock(&self.link);
         if link.address != address {
             link.address = address;
-            if let Some(open) = link.open.take() {
-                // It fails if the connection has ended, which comes to the same.
-                let _ = open.shutdown(Shutdown::Both);
+            if let Some(socket) = link.socket.take() {
+                // Shutting down fails if the connection has already ended, which has the same effect.
+                let _ = socket.shutdown(Shutdown::Both);
             }
         }
     }
 
-    /// Follows the coordinator, wherever it moves; blocks its coroutine and never returns.
+    /// Receives events from the coordinator at its current address, and reconnects whenever the connection
+    /// ends. Blocks its coroutine and never returns.
     pub fn run(&self) {
         loop {
             let address = lock(&self.link).address;
             match address.map(|address| self.follow(address)) {
                 None => {}
-                Some(Ok(())) => tracing::debug!("the coordinator's stream ended"),
-                Some(Err(error)) => tracing::info!("the coordinator's stream broke: {error}"),
+                Some(Ok(())) => tracing::debug!("coordinator stream ended"),
+                Some(Err(error)) => tracing::info!("coordinator stream failed: {error}"),
             }
             let mut link = lock(&self.link);
-            link.open = None;
+            link.socket = None;
             let has_moved = link.address != address;
             drop(link);
             if !has_moved {
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Follows one connection to its end.
+    /// Connects to the coordinator and applies events until the connection ends.
     fn follow(&self, address: SocketAddr) -> Result<(), StreamError> {
         let mut socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         socket.set_read_timeout(Some(READ_TIMEOUT))?;
@@ -110,7 +113,7 @@
             if link.address != Some(address) {
                 return Ok(());
             }
-            link.open = Some(socket.inner().try_clone()?);
+            link.socket = Some(socket.inner().try_clone()?);
         }
         let last_event = self.list.last_event();
         let request = format!(
@@ -122,7 +125,7 @@
         self.read_events(&mut socket, BodyDecoder::new(head), input)
     }
 
-    /// Applies events until the body ends. `input` holds what has come behind the head.
+    /// Applies events until the body ends. `input` contains the bytes received after the head.
     fn read_events(
         &self,
         socket: &mut TcpStream,
@@ -148,15 +151,17 @@
         Ok(())
     }
 
-    /// Applies an event of the stream. One that cannot be parsed ends the connection, and the next one brings it again.
+    /// Applies an event of the stream. An event that cannot be parsed ends the connection; the coordinator
+    /// sends it again on the next one.
     fn apply(&self, event: &StreamEvent) -> Result<(), StreamError> {
         let json = serde_json::from_str::<Value>(&event.data)?;
-        self.list.apply_event(event.id.or(json["index"].as_u64()), &json);
+        let number = event.id.or(json["index"].as_u64());
+        self.list.apply_event(number, &json);
         Ok(())
     }
 }
 
-/// Reads the head of the response, and leaves what has come behind it in `input`.
+/// Reads the head of the response. Bytes received after the head stay in `input`.
 fn read_head(socket: &mut TcpStream, input: &mut Vec<u8>) -> Result<ResponseHead, StreamError> {
     loop {
         if let Some(head) = ResponseHead::parse(input)? {
@@ -167,12 +172,12 @@
     }
 }
 
-/// Reads once and appends to `input`; the end of the connection is an error.
+/// Reads once and appends the bytes to `input`. The end of the connection is an error.
 fn read(socket: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<()> {
-    let before = input.len();
-    input.resize(before + READ_LENGTH, 0);
-    let read = socket.read(&mut input[before..]);
-    input.truncate(before + *read.as_ref().unwrap_or(&0));
+    let old_length = input.len();
+    input.resize(old_length + READ_LENGTH, 0);
+    let read = socket.read(&mut input[old_length..]);
+    input.truncate(old_length + *read.as_ref().unwrap_or(&0));
     match read {
         Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
         Ok(_) => Ok(()),
--- a/crates/proxy/src/discovery/endpoint.rs
+++ b/crates/proxy/src/discovery/endpoint.rs
@@ -1,52 +1,52 @@
-//! Endpoints: the databases of the coordinator's list.
+//! Endpoints: the entries of the coordinator's list of engines.
 
 use std::net::SocketAddr;
 
 use gaugestep_dispatch::interface::{EngineId, Millis, Readiness};
 use serde_json::Value;
 
-/// A database that is listed.
+/// An engine on the list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The dispatcher's number of it.
+    /// The engine's id in the dispatcher.
     pub engine: EngineId,
-    /// Its zone, as the list names it.
+    /// Name of the engine's zone; empty if the list has none.
     pub zone: String,
-    /// Its kind of machine, as the list names it.
+    /// Name of the kind of machine that the engine runs on; empty if the list has none.
     pub kind: String,
-    /// Its cell.
+    /// Number of the engine's cell; 0 if the list has none.
     pub cell: u64,
-    /// Whether it accepts work.
+    /// Whether the engine accepts attempts.
     pub readiness: Readiness,
 }
 
-/// Why an endpoint cannot be decoded.
+/// Why an entry of the list cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointError {
-    /// It has no id.
-    #[error("it has no id")]
+    /// The entry has no id.
+    #[error("endpoint has no id")]
     MissingId,
-    /// It has no phase that is known.
-    #[error("it has no known phase")]
+    /// The phase is missing or unknown.
+    #[error("endpoint has no known phase")]
     UnknownPhase,
 }
 
-/// What an event says about one endpoint.
+/// An entry of an event: the current state of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdate<'a> {
-    /// Its name.
+    /// Name of the endpoint, which identifies it on the list.
     pub name: &'a str,
-    /// Its address, if that can be parsed.
+    /// Address of the engine; `None` if it is missing or malformed.
     pub address: Option<SocketAddr>,
-    /// Its zone, if it has one.
+    /// Name of the engine's zone; `None` if it is missing.
     pub zone: Option<&'a str>,
-    /// Its kind of machine, if it has one.
+    /// Name of the kind of machine that the engine runs on; `None` if it is missing.
     pub kind: Option<&'a str>,
-    /// Its cell.
+    /// Number of the engine's cell; 0 if it is missing.
     pub cell: u64,
-    /// Whether it accepts work.
+    /// Whether the engine accepts attempts, or has been removed.
     pub readiness: Readiness,
-    /// The Unix time in milliseconds since which it has been up, if that is known.
+    /// Unix time in milliseconds at which the engine started; `None` if it is missing.
     pub up_since: Option<Millis>,
 }
 
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// If it has no id or no known phase. All else may be missing.
+    /// If the entry has no id or no known phase. All other fields may be missing or malformed.
     pub fn decode(member: &'a Value) -> Result<Self, EndpointError> {
         let name = member["id"].as_str().ok_or(EndpointError::MissingId)?;
         let readiness = match member["phase"].as_str() {
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints, and what its changes mean for the proxy.
+//! The list of endpoints. Its changes are applied to the dispatcher and to the connections to engines.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -13,122 +13,126 @@
 /// Called when the list has changed.
 type ChangeListener = Box<dyn Fn() + Send + Sync>;
 
-/// The databases as the coordinator lists them.
+/// The engines on the coordinator's list.
 pub struct EndpointList {
     handler: Arc<RequestHandler>,
-    known: Mutex<KnownEndpoints>,
+    state: Mutex<ListState>,
     on_change: OnceLock<ChangeListener>,
 }
 
-/// What is known of the list.
+/// The content of the list.
 #[derive(Default)]
-struct KnownEndpoints {
-    /// The number of the last event.
+struct ListState {
+    /// Number of the last event that was applied; 0 before the first one.
     last_event: u64,
-    /// The endpoints that are listed, by name. One that is removed is forgotten, and its engine's number is not used again.
+    /// The listed endpoints by name. A removed endpoint is deleted, and its engine id is not used again.
     endpoints: HashMap<String, Endpoint>,
+    /// Engine id for the next new endpoint.
     next_engine: u32,
 }
 
 impl EndpointList {
-    /// An empty list, whose changes are passed on to the dispatcher and the connections of `handler`.
+    /// An empty list, whose changes are applied to the dispatcher and the connections of `handler`.
     pub fn new(handler: Arc<RequestHandler>) -> Self {
-        EndpointList { handler, known: Mutex::default(), on_change: OnceLock::new() }
+        EndpointList { handler, state: Mutex::default(), on_change: OnceLock::new() }
     }
 
-    /// How many databases are listed.
+    /// Number of listed engines.
     pub fn len(&self) -> usize {
-        lock(&self.known).endpoints.len()
+        lock(&self.state).endpoints.len()
     }
 
-    /// The endpoints by name; none before the first list has come.
+    /// The endpoints with their names; `None` before the first event has been applied.
     pub fn endpoints(&self) -> Option<Vec<(String, Endpoint)>> {
-        let known = lock(&self.known);
-        let named = known.endpoints.iter().map(|(name, endpoint)| (name.clone(), endpoint.clone())).collect();
-        (known.last_event > 0).then_some(named)
+        let state = lock(&self.state);
+        let entries = state.endpoints.iter();
+        let endpoints = entries.map(|(name, endpoint)| (name.clone(), endpoint.clone())).collect();
+        (state.last_event > 0).then_some(endpoints)
     }
 
-    /// Has `listener` called whenever the list has changed, with [`RequestHandler::update_lock`] held. There can be one.
+    /// Sets the function that is called after each change of the list, while [`RequestHandler::update_lock`]
+    /// is locked. Only the first call has an effect.
     pub fn set_change_listener(&self, listener: ChangeListener) {
         let _ = self.on_change.set(listener);
     }
 
-    /// The number of the last event that was applied.
+    /// Number of the last event that was applied; 0 before the first one.
     pub fn last_event(&self) -> u64 {
-        lock(&self.known).last_event
+        lock(&self.state).last_event
     }
 
-    /// Applies the events of a configuration, whose last one has this number. Those that are known are skipped.
+    /// Applies the events of a configuration file, whose last event has the number `last_event`. Events that
+    /// have been applied before are skipped.
     pub fn apply_configured_events(&self, last_event: u64, events: &[Value]) {
         for event in events {
-            // The first event may have no number of its own.
+            // An event without its own number has that of the last event.
             self.apply_event(event["index"].as_u64().or(Some(last_event)), event);
         }
-        let mut known = lock(&self.known);
-        known.last_event = known.last_event.max(last_event);
+        let mut state = lock(&self.state);
+        state.last_event = state.last_event.max(last_event);
     }
 
-    /// Applies an event, unless it or a later one has been applied: the coordinator may send an event twice, and so may a
-    /// new configuration.
+    /// Applies an event, unless this or a later event has been applied: the coordinator may send an event
+    /// twice, and a new configuration file may contain earlier events.
     pub fn apply_event(&self, number: Option<u64>, event: &Value) {
-        let Some(number) = number else { return tracing::warn!("an event without a number is ignored") };
+        let Some(number) = number else { return tracing::warn!("discovery event without a number ignored") };
         {
-            let mut known = lock(&self.known);
-            if number <= known.last_event {
+            let mut state = lock(&self.state);
+            if number <= state.last_event {
                 return;
             }
-            known.last_event = number;
+            state.last_event = number;
         }
         self.apply(event);
     }
 
-    /// Applies an event. What cannot be decoded is logged and skipped.
+    /// Applies an event. Entries that cannot be decoded are logged and skipped.
     fn apply(&self, event: &Value) {
         let _update = lock(&self.handler.update_lock);
         let list = &event["endpoints"];
         let complete = list["complete"].as_bool().unwrap_or(false);
         let Some(members) = list["members"].as_array() else {
-            return tracing::warn!("an event without members is ignored");
+            return tracing::warn!("discovery event without members ignored");
         };
         let mut entries = Vec::with_capacity(members.len());
         for member in members {
             match EndpointUpdate::decode(member) {
                 Ok(update) => entries.extend(self.apply_update(&update)),
-                Err(error) => tracing::warn!("an endpoint is ignored: {error}"),
+                Err(error) => tracing::warn!("endpoint of a discovery event ignored: {error}"),
             }
         }
         if complete {
             self.retain_only(&entries);
         }
-        tracing::info!(complete, members = entries.len(), "databases listed");
+        tracing::info!(complete, members = entries.len(), "endpoint list updated");
         self.handler.facade.update_engines(entries, complete);
         if let Some(on_change) = self.on_change.get() {
             on_change();
         }
     }
 
-    /// Removes all databases but these.
+    /// Removes all engines except those of `entries`.
     fn retain_only(&self, entries: &[EngineEntry]) {
         let engines: Vec<EngineId> = entries.iter().map(|entry| entry.engine).collect();
-        lock(&self.known).endpoints.retain(|_, endpoint| engines.contains(&endpoint.engine));
+        lock(&self.state).endpoints.retain(|_, endpoint| engines.contains(&endpoint.engine));
         self.handler.upstream_pool.retain_only(&engines);
     }
 
-    /// Applies what an event says about one endpoint. Returns the entry for the dispatcher; none if the endpoint is removed
-    /// and was never listed.
+    /// Applies the update of one endpoint. Returns the entry for the dispatcher; `None` if the update removes
+    /// an endpoint that is not listed.
     fn apply_update(&self, update: &EndpointUpdate) -> Option<EngineEntry> {
-        let Some(engine) = self.record(update) else {
-            tracing::warn!(name = update.name, "an endpoint is removed that was not listed");
+        let Some(engine) = self.store_update(update) else {
+            tracing::warn!(name = update.name, "removal of an endpoint that is not listed");
             return None;
         };
         let EndpointUpdate { name, address, readiness, .. } = *update;
         self.handler.upstream_pool.update_endpoint(engine, address, readiness);
-        tracing::info!(name, ?readiness, engine = engine.0, ?address, "database");
+        tracing::info!(name, ?readiness, engine = engine.0, ?address, "endpoint updated");
         let names = &self.handler.names;
         Some(EngineEntry {
             engine,
-            zone: ZoneId(position(&names.zones, update.zone).unwrap_or(0)),
-            machine: MachineId(position(&names.machines, update.kind).unwrap_or(usize::MAX)),
+            zone: ZoneId(name_index(&names.zones, update.zone).unwrap_or(0)),
+            machine: MachineId(name_index(&names.machines, update.kind).unwrap_or(usize::MAX)),
             cell: CellId(update.cell),
             readiness,
             started_at: update.up_since.map(|at| self.handler.facade.at_unix(at)),
@@ -136,18 +140,18 @@
         })
     }
 
-    /// Records an endpoint, or forgets one that is removed. Returns its engine; none if the endpoint is removed and was never
-    /// listed.
-    fn record(&self, update: &EndpointUpdate) -> Option<EngineId> {
-        let mut known = lock(&self.known);
+    /// Adds, changes or deletes an endpoint on the list. Returns its engine; `None` if the update removes an
+    /// endpoint that is not listed.
+    fn store_update(&self, update: &EndpointUpdate) -> Option<EngineId> {
+        let mut state = lock(&self.state);
         if update.readiness == Readiness::Gone {
-            return known.endpoints.remove(update.name).map(|endpoint| endpoint.engine);
+            return state.endpoints.remove(update.name).map(|endpoint| endpoint.engine);
         }
-        let engine = match known.endpoints.get(update.name) {
+        let engine = match state.endpoints.get(update.name) {
             Some(endpoint) => endpoint.engine,
             None => {
-                known.next_engine += 1;
-                EngineId(known.next_engine - 1)
+                state.next_engine += 1;
+                EngineId(state.next_engine - 1)
             }
         };
         let endpoint = Endpoint {
@@ -157,11 +161,12 @@
             cell: update.cell,
             readiness: update.readiness,
         };
-        known.endpoints.insert(update.name.to_owned(), endpoint);
+        state.endpoints.insert(update.name.to_owned(), endpoint);
         Some(engine)
     }
 }
 
-fn position(names: &[String], name: Option<&str>) -> Option<usize> {
+/// Index of `name` in `names`; `None` if it is absent.
+fn name_index(names: &[String], name: Option<&str>) -> Option<usize> {
     names.iter().position(|other| Some(other.as_str()) == name)
 }
--- a/crates/proxy/src/discovery/event_parser.rs
+++ b/crates/proxy/src/discovery/event_parser.rs
@@ -1,35 +1,36 @@
-//! Parses server-sent events from the text of a stream.
+//! Parses the text of a stream into server-sent events.
 
-/// The longest event, in bytes.
+/// Maximum length of an event, in bytes.
 const MAX_EVENT_LENGTH: usize = 4 * 1024 * 1024;
 
-/// An event that has come in full.
+/// A complete server-sent event.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id, if it has one that is a number.
+    /// Value of the field `id`; `None` if it is missing or not a number.
     pub id: Option<u64>,
-    /// Its data; lines are separated by line feeds.
+    /// Values of the `data` fields, joined with line feeds.
     pub data: String,
 }
 
-/// An event is longer than [`MAX_EVENT_LENGTH`].
+/// An event exceeds [`MAX_EVENT_LENGTH`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {MAX_EVENT_LENGTH} bytes")]
+#[error("event is longer than {MAX_EVENT_LENGTH} bytes")]
 pub struct EventTooLong;
 
-/// Parses a stream of events as it comes.
+/// Parses a stream of events incrementally.
 #[derive(Default)]
 pub struct EventParser {
-    /// Text that has not been parsed: an incomplete line, once [`EventParser::next_event`] has returned none.
+    /// Received text. After [`EventParser::next_event`] has returned `None`, it holds only an incomplete
+    /// line.
     text: Vec<u8>,
-    /// Bytes at the front of `text` that have been parsed.
-    parsed: usize,
-    /// Bytes of `text` in which no further line end has to be looked for.
-    searched: usize,
+    /// Number of bytes at the start of `text` that have been parsed.
+    parsed_bytes: usize,
+    /// Number of bytes at the start of `text` that contain no unparsed line end.
+    searched_bytes: usize,
     incomplete: IncompleteEvent,
 }
 
-/// The fields of an event that have come so far.
+/// The fields of an event whose end has not been received.
 #[derive(Default)]
 struct IncompleteEvent {
     id: Option<u64>,
@@ -37,48 +38,50 @@
 }
 
 impl EventParser {
-    /// The buffer that further text is appended to.
+    /// The buffer to which received text is appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.text
     }
 
-    /// The next complete event; none until more text has come.
+    /// Returns the next complete event, or `None` if more text is required.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         loop {
-            let start = self.parsed.max(self.searched);
-            let Some(length) = self.text[start..].iter().position(|byte| *byte == b'\n') else {
+            let start = self.parsed_bytes.max(self.searched_bytes);
+            let Some(offset) = self.text[start..].iter().position(|byte| *byte == b'\n') else {
                 self.discard_parsed();
                 return None;
             };
-            let line = &self.text[self.parsed..start + length];
+            let line_end = start + offset;
+            let line = &self.text[self.parsed_bytes..line_end];
             let line = String::from_utf8_lossy(line.strip_suffix(b"\r").unwrap_or(line));
             let event = self.incomplete.on_line(&line);
-            self.parsed = start + length + 1;
+            self.parsed_bytes = line_end + 1;
             if event.is_some() {
                 return event;
             }
         }
     }
 
-    /// Checks that the incomplete event has not become too long.
+    /// Checks the length of the incomplete event.
     ///
     /// # Errors
     ///
-    /// If it has.
+    /// If it exceeds [`MAX_EVENT_LENGTH`].
     pub fn check_length(&self) -> Result<(), EventTooLong> {
         let length = self.text.len() + self.incomplete.data.len();
         if length > MAX_EVENT_LENGTH { Err(EventTooLong) } else { Ok(()) }
     }
 
     fn discard_parsed(&mut self) {
-        self.text.drain(..self.parsed);
-        self.parsed = 0;
-        self.searched = self.text.len();
+        self.text.drain(..self.parsed_bytes);
+        self.parsed_bytes = 0;
+        self.searched_bytes = self.text.len();
     }
 }
 
 impl IncompleteEvent {
-    /// Handles a line without its end. An empty one completes an event.
+    /// Handles a line, which is given without its line end. An empty line completes the event; an event
+    /// without data is discarded.
     fn on_line(&mut self, line: &str) -> Option<StreamEvent> {
         if line.is_empty() {
             let IncompleteEvent { id, data } = std::mem::take(self);
@@ -94,7 +97,7 @@
                 }
                 self.data.push_str(value);
             }
-            // Comments, and fields that are not used.
+            // Comments and unused fields.
             _ => {}
         }
         None
--- a/crates/proxy/src/discovery/http_body.rs
+++ b/crates/proxy/src/discovery/http_body.rs
@@ -1,48 +1,48 @@
-//! Parses the head of an HTTP response, and the chunks of its body.
+//! Parses the head of an HTTP response and decodes its body.
 
-/// The longest head of a response, in bytes.
+/// Maximum length of the head of a response, in bytes.
 const MAX_HEAD_LENGTH: usize = 16 * 1024;
-/// The longest chunk, in bytes.
+/// Maximum length of a chunk, in bytes.
 const MAX_CHUNK_LENGTH: u64 = 4 * 1024 * 1024;
-/// The most headers of a response.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
-/// The length of the line end behind each chunk.
+/// Length of the line end after each chunk, in bytes.
 const LINE_END_LENGTH: usize = 2;
-/// The status of a response that has the stream for its body.
+/// Status of a response whose body is the stream of events.
 const STATUS_OK: u16 = 200;
 
 /// Why a response cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// Its head is malformed.
+    /// The head is malformed.
     #[error(transparent)]
     MalformedHead(#[from] httparse::Error),
-    /// Its head is longer than [`MAX_HEAD_LENGTH`].
-    #[error("the head of the response is longer than {MAX_HEAD_LENGTH} bytes")]
+    /// The head exceeds [`MAX_HEAD_LENGTH`].
+    #[error("head of the response is longer than {MAX_HEAD_LENGTH} bytes")]
     HeadTooLong,
-    /// It has another status than 200.
-    #[error("status {0}")]
+    /// The status is not 200.
+    #[error("response has status {0}")]
     Status(u16),
-    /// A chunk of its body is malformed or too long.
-    #[error("a malformed chunk")]
+    /// A chunk of the body is malformed or too long.
+    #[error("chunk of the response body is malformed or too long")]
     MalformedChunk,
 }
 
 /// The head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Its length in bytes.
+    /// Length of the head in bytes.
     pub length: usize,
-    /// Whether the body comes in chunks.
+    /// Whether the body has chunked transfer encoding.
     pub is_chunked: bool,
 }
 
 impl ResponseHead {
-    /// Parses the head at the front of `input`. Returns none while it is incomplete.
+    /// Parses the head at the start of `input`. Returns `None` while the head is incomplete.
     ///
     /// # Errors
     ///
-    /// If the head is malformed or too long, or has another status than 200.
+    /// If the head is malformed or too long, or if the status is not 200.
     pub fn parse(input: &[u8]) -> Result<Option<Self>, ResponseError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -65,33 +65,33 @@
     }
 }
 
-/// Whether a body goes on.
+/// Whether more of a body is expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyState {
-    /// More is to come.
+    /// More of the body is expected.
     Open,
-    /// Its end has come.
+    /// The end of the body has been received.
     Ended,
 }
 
-/// Decodes a body as it comes.
+/// Decodes a body incrementally.
 pub enum BodyDecoder {
-    /// A body that goes on until the connection ends.
+    /// A body that extends to the end of the connection.
     Plain,
-    /// A body in chunks.
+    /// A body with chunked transfer encoding.
     Chunked {
-        /// Bytes of the current chunk and its line end that are still to come.
-        left: usize,
+        /// Number of bytes of the current chunk and its line end that have not been decoded.
+        remaining: usize,
     },
 }
 
 impl BodyDecoder {
-    /// The decoder of the body behind this head.
+    /// The decoder for the body after this head.
     pub fn new(head: ResponseHead) -> Self {
-        if head.is_chunked { BodyDecoder::Chunked { left: 0 } } else { BodyDecoder::Plain }
+        if head.is_chunked { BodyDecoder::Chunked { remaining: 0 } } else { BodyDecoder::Plain }
     }
 
-    /// Moves what has come of the body from `input` to `text`.
+    /// Moves the received part of the body from `input` to `text`, without its chunk framing.
     ///
     /// # Errors
     ///
@@ -102,32 +102,32 @@
                 text.append(input);
                 Ok(BodyState::Open)
             }
-            BodyDecoder::Chunked { left } => decode_chunks(left, input, text),
+            BodyDecoder::Chunked { remaining } => decode_chunks(remaining, input, text),
         }
     }
 }
 
 fn decode_chunks(
-    left: &mut usize,
+    remaining: &mut usize,
     input: &mut Vec<u8>,
     text: &mut Vec<u8>,
 ) -> Result<BodyState, ResponseError> {
     loop {
-        if *left > 0 {
-            let available = input.len().min(*left);
-            let data = available.min(left.saturating_sub(LINE_END_LENGTH));
-            text.extend_from_slice(&input[..data]);
+        if *remaining > 0 {
+            let available = input.len().min(*remaining);
+            let data_length = available.min(remaining.saturating_sub(LINE_END_LENGTH));
+            text.extend_from_slice(&input[..data_length]);
             input.drain(..available);
-            *left -= available;
-            if *left > 0 {
+            *remaining -= available;
+            if *remaining > 0 {
                 return Ok(BodyState::Open);
             }
         }
         match httparse::parse_chunk_size(input) {
             Ok(httparse::Status::Complete((_, 0))) => return Ok(BodyState::Ended),
-            Ok(httparse::Status::Complete((head, size))) if size <= MAX_CHUNK_LENGTH => {
-                input.drain(..head);
-                *left = size as usize + LINE_END_LENGTH;
+            Ok(httparse::Status::Complete((head_length, size))) if size <= MAX_CHUNK_LENGTH => {
+                input.drain(..head_length);
+                *remaining = size as usize + LINE_END_LENGTH;
             }
             Ok(httparse::Status::Partial) => return Ok(BodyState::Open),
             _ => return Err(ResponseError::MalformedChunk),
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! Discovery: which databases there are, as the coordinator reports them in a stream of server-sent events.
+//! Discovery of engines: the coordinator reports its list of endpoints in a stream of server-sent events.
 //!
-//! [`coordinator_stream`] keeps a connection to the coordinator, [`http_body`] and [`event_parser`] take events off it,
-//! [`endpoint`] decodes the endpoints in them, and the [`endpoint_list`] applies them to the proxy.
+//! [`coordinator_stream`] maintains the connection to the coordinator, [`http_body`] and [`event_parser`]
+//! parse the events that it receives, [`endpoint`] decodes the endpoints in an event, and [`endpoint_list`]
+//! applies them to the proxy.
 
 mod coordinator_stream;
 mod endpoint;
--- a/crates/proxy/tests/unit/endpoint.rs
+++ b/crates/proxy/tests/unit/endpoint.rs
@@ -1,4 +1,4 @@
-//! Decoding of endpoints: what must be there, and what may be missing.
+//! Tests the decoding of endpoints: required and optional fields.
 
 use gaugestep_dispatch::interface::Readiness;
 use serde_json::json;
@@ -6,7 +6,7 @@
 use super::{EndpointError, EndpointUpdate};
 
 #[test]
-fn an_endpoint_is_decoded_with_all_that_it_has() {
+fn all_fields_of_an_endpoint_are_decoded() {
     let member = json!({
         "id": "s-0", "phase": "DRAINING", "host_port": "127.0.0.1:7", "locality": "dc", "flavor": "k", "cell": 3,
         "up_since_ms": 5.5
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn all_but_id_and_phase_may_be_missing_or_malformed() {
+fn all_fields_but_id_and_phase_may_be_missing_or_malformed() {
     let malformed = json!({
         "id": "s-0", "phase": "SERVING", "host_port": "x", "locality": 1, "cell": -1, "up_since_ms": 0
     });
--- a/crates/proxy/tests/unit/event_parser.rs
+++ b/crates/proxy/tests/unit/event_parser.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, however the stream is cut.
+//! Tests the parsing of server-sent events.
 
 use super::{EventParser, MAX_EVENT_LENGTH, StreamEvent};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn events_are_the_same_wherever_the_stream_is_cut() {
+fn events_are_parsed_wherever_the_stream_is_split() {
     let text = b": comment\nid: 7\r\ndata: {\"a\":\r\ndata:1}\r\n\r\n\nevent: x\nid: x\ndata: b\n\ndata: c";
     let expected = vec![event(Some(7), "{\"a\":\n1}"), event(None, "b")];
     for length in 1..text.len() {
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn an_event_without_data_is_dropped_with_its_id() {
+fn an_event_without_data_is_discarded_with_its_id() {
     let mut parser = EventParser::default();
     assert_eq!(parse(&mut parser, b"id: 3\n\ndata: a\n\n"), vec![event(None, "a")]);
 }
 
 #[test]
-fn an_event_may_not_grow_without_end() {
+fn an_oversized_event_is_an_error() {
     let mut parser = EventParser::default();
     let line = [b"data: ", &vec![b'x'; MAX_EVENT_LENGTH / 2][..], b"\n"].concat();
     assert!(parse(&mut parser, &line).is_empty());
--- a/crates/proxy/tests/unit/http_body.rs
+++ b/crates/proxy/tests/unit/http_body.rs
@@ -1,4 +1,4 @@
-//! Heads of responses, and bodies in chunks.
+//! Tests the parsing of response heads and the decoding of chunked bodies.
 
 use super::{BodyDecoder, BodyState, ResponseError, ResponseHead};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn other_heads_are_errors() {
+fn malformed_and_oversized_heads_and_other_statuses_are_errors() {
     let error = |head: &[u8]| ResponseHead::parse(head).unwrap_err();
     assert!(matches!(error(b"HTTP/1.1 503 Busy\r\n\r\n"), ResponseError::Status(503)));
     assert!(matches!(error(b"SMTP\r\n\r\n"), ResponseError::MalformedHead(_)));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_body_in_chunks_is_the_same_wherever_the_stream_is_cut() {
+fn a_chunked_body_is_decoded_wherever_the_input_is_split() {
     let body = b"5\r\nhello\r\n7;x=y\r\n, world\r\n0\r\n\r\n";
     for length in 1..body.len() {
         let (mut decoder, mut input, mut text) = (BodyDecoder::new(CHUNKED), Vec::new(), Vec::new());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn malformed_and_huge_chunks_are_errors() {
+fn malformed_and_oversized_chunks_are_errors() {
     for chunk in ["x\r\n", "400001\r\n", "fffffffffffffffff\r\n"] {
         let mut decoder = BodyDecoder::new(CHUNKED);
         let result = decoder.decode(&mut chunk.as_bytes().to_vec(), &mut Vec::new());
