--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -102,7 +102,7 @@
         let stagger_factor = platform.settings.fleet_position.rotation_slot().stagger_factor();
         let handler = request_handler(&config, &platform, resources)?;
         let endpoint_list = Arc::new(EndpointList::new(handler.clone()));
-        endpoint_list.apply_known(config.initial_event_index, &config.initial_events);
+        endpoint_list.apply_configured_events(config.initial_event_index, &config.initial_events);
         let coordinator =
             CoordinatorStream::new(endpoint_list.clone(), config.coordinator_address, stagger_factor);
         let config_applier =
@@ -158,7 +158,7 @@
             let _update = lock(&self.handler.update_lock);
             self.config_applier.update_platform(platform);
         }
-        self.endpoint_list.apply_known(config.initial_event_index, &config.initial_events);
+        self.endpoint_list.apply_configured_events(config.initial_event_index, &config.initial_events);
         self.coordinator.set_address(config.coordinator_address);
     }
 
