--- a/crates/proxy/src/downstream/postgres/client_handle.rs
+++ b/crates/proxy/src/downstream/postgres/client_handle.rs
@@ -37,7 +37,7 @@
     /// Asks the operating system too: under load it takes its time until the session has read that the client has left,
     /// and no attempt must be started for it by then. A client that has closed its side of the connection counts as one
     /// that has left, as the proxy cannot tell it from one that has closed both.
-    fn has_left(&self) -> bool {
+    fn is_gone(&self) -> bool {
         self.cancelled.load(Ordering::Relaxed)
             || self.session.cancel_requested()
             || self.session.is_disconnected()
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -15,7 +15,7 @@
 /// The client that waits for a request's answer, as it can be queried at any moment.
 pub trait Client: Debug + Send + Sync {
     /// Whether it has closed its connection or cancelled the request, even if its session has not noticed yet.
-    fn has_left(&self) -> bool;
+    fn is_gone(&self) -> bool;
 
     /// Whether there is input from clients that has not been read: it may cancel the request.
     fn has_unread_input(&self) -> bool;
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -102,7 +102,7 @@
 
     /// Makes one attempt and reports its end, unless the client has left before it.
     fn attempt(&mut self, order: AttemptOrder) -> NextStep {
-        if self.query.client.has_left() {
+        if self.query.client.is_gone() {
             return self.abandon_attempt(order);
         }
         let result = self.run_attempt(order);
--- a/crates/proxy/src/upstream/line_protocol/attempt.rs
+++ b/crates/proxy/src/upstream/line_protocol/attempt.rs
@@ -33,7 +33,7 @@
     /// Why it must not be written any more; none if it may be.
     pub fn is_obsolete(&self, now: Instant) -> Option<Termination> {
         match self.write_by {
-            _ if self.query.client.has_left() => Some(Termination::ClientLeft),
+            _ if self.query.client.is_gone() => Some(Termination::ClientLeft),
             Some(write_by) if now > write_by => Some(Termination::TooLate),
             _ => None,
         }
