--- a/crates/proxy/src/downstream/postgres/session/closing.rs
+++ b/crates/proxy/src/downstream/postgres/session/closing.rs
@@ -103,7 +103,7 @@
         let is_evicted = self.handle.is_evicted() && !self.state.is_busy() && !self.state.is_draining();
         let policy = &self.manager.end_policy;
         let policy_applies =
-            policy.applies(SessionEnd::WhenIdle) || has_answered && policy.applies(SessionEnd::AfterAnswer);
+            policy.applies(SessionEnd::WhenIdle) || has_answered && policy.applies(SessionEnd::AfterResponse);
         let is_idle = self.state.is_between_queries() && self.input.is_empty();
         is_evicted || policy_applies && is_idle
     }
--- a/crates/proxy/src/downstream/postgres/session_end.rs
+++ b/crates/proxy/src/downstream/postgres/session_end.rs
@@ -19,7 +19,7 @@
     /// When their clients end them.
     Never,
     /// After their next answer. A client that reads the answer sees the close, and sends no query that crosses it.
-    AfterAnswer,
+    AfterResponse,
     /// As soon as nothing is open in them. No new query is accepted.
     WhenIdle,
 }
--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -106,7 +106,7 @@
 
     /// Ends the sessions step by step, as long as the drain lasts; blocks its coroutine.
     fn run_drain(&self, drain: DrainNumber) {
-        let steps = [(NOT_READY_PROPAGATION, SessionEnd::AfterAnswer), (SESSION_DRAIN, SessionEnd::WhenIdle)];
+        let steps = [(NOT_READY_PROPAGATION, SessionEnd::AfterResponse), (SESSION_DRAIN, SessionEnd::WhenIdle)];
         for (wait, end) in steps {
             task::sleep(wait);
             if !self.drain.is_current(drain) {
@@ -133,7 +133,7 @@
         self.handler.facade.close_by(self.handler.facade.now() + self.answer_window_ms);
         if self.has_successor {
             self.acceptor.stop();
-            self.session_manager.end_sessions(SessionEnd::AfterAnswer);
+            self.session_manager.end_sessions(SessionEnd::AfterResponse);
             let sigkill = to_duration(self.answer_window_ms + ANSWERS_TO_SIGKILL_MS);
             let deadline = started_at + sigkill.saturating_sub(SESSION_GRACE);
             wait_until(deadline, || self.session_manager.session_count() == 0);
