--- a/crates/proxy/src/downstream/postgres/session_manager.rs
+++ b/crates/proxy/src/downstream/postgres/session_manager.rs
@@ -63,7 +63,7 @@
     }
 
     /// Sets when sessions end from now on.
-    pub fn end_sessions(&self, end: SessionEnd) {
+    pub fn set_session_end(&self, end: SessionEnd) {
         self.end_policy.set(end);
         self.registry.wake_all();
     }
--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -100,7 +100,7 @@
         let server = self.clone();
         let spawned = task::spawn("drain", move || server.run_drain(drain));
         if spawned.is_err() {
-            self.session_manager.end_sessions(SessionEnd::WhenIdle);
+            self.session_manager.set_session_end(SessionEnd::WhenIdle);
         }
     }
 
@@ -112,7 +112,7 @@
             if !self.drain.is_current(drain) {
                 return;
             }
-            self.session_manager.end_sessions(end);
+            self.session_manager.set_session_end(end);
         }
     }
 
@@ -120,7 +120,7 @@
     pub fn stop_drain(&self) {
         if self.drain.stop() {
             tracing::info!("drain ended by an operator");
-            self.session_manager.end_sessions(SessionEnd::Never);
+            self.session_manager.set_session_end(SessionEnd::Never);
         }
     }
 
@@ -133,7 +133,7 @@
         self.handler.facade.close_by(self.handler.facade.now() + self.answer_window_ms);
         if self.has_successor {
             self.acceptor.stop();
-            self.session_manager.end_sessions(SessionEnd::AfterResponse);
+            self.session_manager.set_session_end(SessionEnd::AfterResponse);
             let sigkill = to_duration(self.answer_window_ms + ANSWERS_TO_SIGKILL_MS);
             let deadline = started_at + sigkill.saturating_sub(SESSION_GRACE);
             wait_until(deadline, || self.session_manager.session_count() == 0);
@@ -141,7 +141,7 @@
             std::thread::sleep(ACCEPT_AFTER_SIGTERM);
             self.acceptor.stop();
         }
-        self.session_manager.end_sessions(SessionEnd::WhenIdle);
+        self.session_manager.set_session_end(SessionEnd::WhenIdle);
         // A session is open until its client has closed the connection, or has had the time for it: if it were closed with
         // bytes unread or unsent, it would be reset.
         let is_idle =
