--- a/crates/proxy/src/downstream/postgres/session_manager.rs
+++ b/crates/proxy/src/downstream/postgres/session_manager.rs
@@ -69,7 +69,7 @@
     }
 
     /// Wakes the sessions that have a timeout to check.
-    pub fn wake_expired(&self) {
+    pub fn wake_due_sessions(&self) {
         self.registry.wake_due();
     }
 
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -189,6 +189,6 @@
 fn sweep_sessions(session_manager: &SessionManager) {
     loop {
         task::sleep(SESSION_SWEEP_INTERVAL);
-        session_manager.wake_expired();
+        session_manager.wake_due_sessions();
     }
 }
