--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -221,7 +221,7 @@
             engines: endpoints
                 .map(|named| named.iter().map(|(name, endpoint)| engine(name, endpoint)).collect()),
             classes: classes.collect(),
-            open: self.handler.open.load(Ordering::Relaxed) as u64,
+            open: self.handler.open_requests.load(Ordering::Relaxed) as u64,
             platform: platform_limits(&platform_config),
         };
         drop(platform_config);
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -27,13 +27,13 @@
     /// that it was checked against.
     pub update_lock: Mutex<()>,
     /// Requests that were accepted and whose answers have not been written in full.
-    pub open: AtomicUsize,
+    pub open_requests: AtomicUsize,
 }
 
 impl RequestHandler {
     /// Counts a request as open until the returned guard is dropped.
     pub fn track_open(self: &Arc<Self>, class: &Arc<Class>) -> OpenRequestGuard {
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
         class.request_opened();
         OpenRequestGuard { handler: self.clone(), class: class.clone() }
     }
@@ -47,7 +47,7 @@
 
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.handler.open.fetch_sub(1, Ordering::Relaxed);
+        self.handler.open_requests.fetch_sub(1, Ordering::Relaxed);
         self.class.request_closed();
     }
 }
--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -145,7 +145,7 @@
         // A session is open until its client has closed the connection, or has had the time for it: if it were closed with
         // bytes unread or unsent, it would be reset.
         let is_idle =
-            || self.handler.open.load(Ordering::Relaxed) + self.session_manager.session_count() == 0;
+            || self.handler.open_requests.load(Ordering::Relaxed) + self.session_manager.session_count() == 0;
         wait_until(started_at + answer_window + CLOSE_GRACE, is_idle);
         std::thread::sleep(FINAL_FLUSH);
     }
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -179,7 +179,7 @@
         upstream_pool: Arc::new(UpstreamPool::new(config.limits, resources.upstream_descriptors)),
         names: config.names.clone(),
         classes,
-        open: AtomicUsize::new(0),
+        open_requests: AtomicUsize::new(0),
         max_open: AtomicUsize::new(config.limits.max_open),
         update_lock: Mutex::new(()),
     }))
--- a/crates/proxy/src/server/status.rs
+++ b/crates/proxy/src/server/status.rs
@@ -50,7 +50,7 @@
         let mut stats = serde_json::json!({
             "results": self.handler.classes.counts_json(),
             "forwards": self.handler.upstream_pool.forwards(),
-            "outstanding": self.handler.open.load(Ordering::Relaxed),
+            "outstanding": self.handler.open_requests.load(Ordering::Relaxed),
             "discovered": self.endpoint_list.len(),
             "ejected": self.handler.facade.ejected_count(),
             "sighup_applied": reloads.applied.load(Ordering::Relaxed),
