--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -108,7 +108,7 @@
         let (platform_config, document) = (lock(&self.platform_config), lock(&self.document).clone());
         let EffectiveSettings { settings, names, max_open } = effective_settings(&platform_config, &document);
         drop(platform_config);
-        self.handler.max_open.store(max_open, Ordering::Relaxed);
+        self.handler.max_open_requests.store(max_open, Ordering::Relaxed);
         let tenants = names.tenants.clone();
         self.handler.classes.update(&names, settings, |mut settings, classes| {
             settings.routes = self.routes(&document, classes, &tenants);
--- a/crates/proxy/src/downstream/postgres/request.rs
+++ b/crates/proxy/src/downstream/postgres/request.rs
@@ -33,7 +33,7 @@
         None => 0,
         Some(name) => active.tenant(name).ok_or_else(|| QueryError::UnknownTenant(name.to_owned()))?,
     };
-    if handler.open_requests.load(Ordering::Relaxed) >= handler.max_open.load(Ordering::Relaxed) {
+    if handler.open_requests.load(Ordering::Relaxed) >= handler.max_open_requests.load(Ordering::Relaxed) {
         class.rejected();
         return Err(QueryError::TooManyOpen);
     }
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -22,7 +22,7 @@
     /// The classes and tenants.
     pub classes: ClassRegistry,
     /// How many requests may be open together.
-    pub max_open: AtomicUsize,
+    pub max_open_requests: AtomicUsize,
     /// Held while the list of engines or the settings change, so that a version is put into force in the state of the proxy
     /// that it was checked against.
     pub update_lock: Mutex<()>,
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -180,7 +180,7 @@
         names: config.names.clone(),
         classes,
         open_requests: AtomicUsize::new(0),
-        max_open: AtomicUsize::new(config.limits.max_open),
+        max_open_requests: AtomicUsize::new(config.limits.max_open),
         update_lock: Mutex::new(()),
     }))
 }
