--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,7 +1,8 @@
-//! Downstream: the clients' side of the proxy.
+//! The downstream side of the proxy: client sessions and their requests.
 //!
-//! [`postgres`] speaks the protocol of the clients' connections. What a statement says about itself is independent of that
-//! protocol: `request_fields` reads the fields in the comment ahead of it, `table_group` the group of tables it names.
+//! [`postgres`] implements the wire protocol of client connections. Two modules are independent of that
+//! protocol: `request_fields` parses the fields in the comment before a statement, and `table_group` finds
+//! the group of tables that the statement names.
 
 pub mod postgres;
 mod request_fields;
--- a/crates/proxy/src/downstream/request_fields.rs
+++ b/crates/proxy/src/downstream/request_fields.rs
@@ -1,35 +1,37 @@
-//! The fields of a request, which its client writes in a comment ahead of the statement.
+//! Parses the fields of a request, which the client writes in a comment before the statement.
 
 use gaugestep_dispatch::interface::Millis;
 use thiserror::Error;
 
-/// The longest time that a client may wait, in milliseconds.
-const MAX_BUDGET: Millis = 3_600_000.0;
+/// The longest time budget that a request may have, in milliseconds: one hour.
+const MAX_TIME_BUDGET: Millis = 3_600_000.0;
 
-/// The largest value of a number: the most work in milliseconds, and the most memory in MB, that an estimate may give.
+/// The largest value of any numeric field, among them the estimates of work (milliseconds) and of memory
+/// (MB).
 const MAX_NUMBER: f64 = 1e9;
 
-/// The length of a request's id, in hexadecimal digits.
+/// The length of a request id, in hexadecimal digits.
 const REQUEST_ID_LENGTH: usize = 16;
 
-/// The fields of one request. Texts are slices of the buffer that the query was read into.
+/// The fields of one request, named as in the comment. Strings are slices of the buffer that the query was
+/// read into.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestFields<'a> {
-    /// The name of the class.
+    /// The name of the request's class.
     pub method: &'a str,
-    /// The request's id.
+    /// The request id, chosen by the client.
     pub rid: &'a str,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub budget: Millis,
-    /// The name of the tenant, if given.
+    /// The name of the request's tenant, or `None` if the client gave none.
     pub acct: Option<&'a str>,
-    /// The estimated work, in milliseconds on one core; 0 if not given.
+    /// The estimated work, in milliseconds on one core; 0 if the client gave none.
     pub est: Millis,
-    /// The estimated memory, in MB; 0 if not given.
+    /// The estimated memory, in MB; 0 if the client gave none.
     pub space: f64,
 }
 
-/// Why the fields of a request or its statement cannot be read.
+/// Why a query is not a valid request. The texts are sent to clients.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum RequestFieldError {
     /// The query does not begin with a comment.
@@ -41,24 +43,24 @@
     /// The comment is not UTF-8.
     #[error("the fields are not UTF-8")]
     FieldsNotUtf8,
-    /// A part of the comment is not of the form `name=value`.
+    /// An item of the comment does not have the form `name=value`.
     #[error("'{0}' is no name=value pair")]
     NotAPair(String),
-    /// The value of a numeric field is not a number, or out of range.
+    /// The value of a numeric field is not a number, or is out of range.
     #[error("field '{name}' is '{value}', not a number from 0 to {MAX_NUMBER}")]
     InvalidNumber {
-        /// The field's name.
+        /// The name of the field.
         name: String,
-        /// The value given.
+        /// The value that the client sent.
         value: String,
     },
-    /// The id is missing or malformed.
+    /// The request id is missing or malformed.
     #[error("field 'rid' is '{0}', not {REQUEST_ID_LENGTH} hex digits")]
     InvalidId(String),
-    /// The budget is missing, zero or above the maximum.
+    /// The time budget is missing, zero or above the maximum.
     #[error("field 'budget' must be a time above 0")]
     InvalidBudget,
-    /// Nothing follows the comment.
+    /// No statement follows the comment.
     #[error("the statement is empty")]
     StatementEmpty,
     /// The statement is not UTF-8.
@@ -66,11 +68,12 @@
     StatementNotUtf8,
 }
 
-/// Splits a query into the fields in its leading comment and the statement behind them.
+/// Splits a query into the fields in its leading comment and the statement after the comment. Ignores
+/// unknown fields.
 ///
 /// # Errors
 ///
-/// If the comment, a field or the statement is missing or malformed. Unknown fields are ignored.
+/// Returns an error if the comment, a required field or the statement is missing or malformed.
 pub fn parse(query: &[u8]) -> Result<(RequestFields<'_>, &[u8]), RequestFieldError> {
     let (comment, statement) = split_comment(query)?;
     let comment = std::str::from_utf8(comment).map_err(|_| RequestFieldError::FieldsNotUtf8)?;
@@ -78,14 +81,15 @@
     if statement.is_empty() {
         return Err(RequestFieldError::StatementEmpty);
     }
-    // A database that cannot read a statement closes the connection, and with it all other requests on it.
+    // An engine that receives a malformed statement closes the connection, which ends all other attempts on
+    // it too.
     if std::str::from_utf8(statement).is_err() {
         return Err(RequestFieldError::StatementNotUtf8);
     }
     Ok((fields, statement))
 }
 
-/// Splits a query into the text of its leading comment and the statement behind it.
+/// Splits a query into the text of its leading comment and the statement after the comment.
 fn split_comment(query: &[u8]) -> Result<(&[u8], &[u8]), RequestFieldError> {
     let query = query.trim_ascii_start();
     let comment = query.strip_prefix(b"/*").ok_or(RequestFieldError::CommentMissing)?;
@@ -102,11 +106,11 @@
         match name {
             "method" => fields.method = value,
             "rid" => fields.rid = value,
-            "budget" => fields.budget = parse_number(name, value)?,
+            "budget" => fields.budget = parse_numeric_field(name, value)?,
             "acct" => fields.acct = Some(value),
-            "est" => fields.est = parse_number(name, value)?,
-            "space" => fields.space = parse_number(name, value)?,
-            // Later clients may send fields that this version does not know.
+            "est" => fields.est = parse_numeric_field(name, value)?,
+            "space" => fields.space = parse_numeric_field(name, value)?,
+            // Newer clients may send fields that this version of the proxy does not support.
             _ => {}
         }
     }
@@ -115,14 +119,15 @@
     if !is_id {
         return Err(RequestFieldError::InvalidId(fields.rid.to_owned()));
     }
-    // A budget that was not given is 0.
-    if fields.budget <= 0.0 || fields.budget > MAX_BUDGET {
+    // The default of 0 marks a missing budget.
+    if fields.budget <= 0.0 || fields.budget > MAX_TIME_BUDGET {
         return Err(RequestFieldError::InvalidBudget);
     }
     Ok(fields)
 }
 
-fn parse_number(name: &str, value: &str) -> Result<f64, RequestFieldError> {
+/// Parses the value of the field `name` as a number from 0 to [`MAX_NUMBER`].
+fn parse_numeric_field(name: &str, value: &str) -> Result<f64, RequestFieldError> {
     match value.parse::<f64>() {
         Ok(number) if (0.0..=MAX_NUMBER).contains(&number) => Ok(number),
         _ => Err(RequestFieldError::InvalidNumber { name: name.to_owned(), value: value.to_owned() }),
--- a/crates/proxy/src/downstream/table_group.rs
+++ b/crates/proxy/src/downstream/table_group.rs
@@ -1,33 +1,34 @@
-//! Finds the group of tables that a statement reads or writes.
+//! Finds the group of tables that a statement reads or writes, without parsing the statement in full.
 
-/// Words that are followed by the name of a table.
+/// SQL keywords that precede a table name.
 const TABLE_KEYWORDS: [&[u8]; 5] = [b"from", b"into", b"update", b"join", b"table"];
 
-/// A schema whose number is not that of a group of tables.
+/// The schema name whose number is not a table group.
 const STAGING_SCHEMA: &[u8] = b"staging";
 
-/// Returns the number of the group of tables that a statement reads or writes: the digits behind the last underscore of
-/// the schema's name.
+/// Returns the number of the table group that a statement reads or writes: the digits after the last
+/// underscore of a schema name, as in `sales_12.orders`. Returns `None` if the statement names no group.
 ///
-/// Strings, comments and the schema `staging` do not count. A schema that follows a keyword such as `FROM` takes
-/// precedence over one elsewhere.
+/// String literals, comments and the schema `staging` are ignored. The first schema after a keyword such as
+/// `FROM` takes precedence over schemas elsewhere.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
-    let mut scanner = NameScanner { text: statement, position: 0 };
+    let mut scanner = IdentifierScanner { text: statement, position: 0 };
     let mut first_group = None;
     let mut after_keyword = false;
-    while let Some(name) = scanner.next_name() {
+    while let Some(identifier) = scanner.next_identifier() {
         let is_schema = scanner.text.get(scanner.position) == Some(&b'.');
-        let group = is_schema.then(|| group_of_schema(name)).flatten();
+        let group = is_schema.then(|| schema_group(identifier)).flatten();
         if after_keyword && group.is_some() {
             return group;
         }
         first_group = first_group.or(group);
-        after_keyword = TABLE_KEYWORDS.iter().any(|keyword| name.eq_ignore_ascii_case(keyword));
+        after_keyword = TABLE_KEYWORDS.iter().any(|keyword| identifier.eq_ignore_ascii_case(keyword));
     }
     first_group
 }
 
-fn group_of_schema(schema: &[u8]) -> Option<u64> {
+/// Returns the table group of a schema name such as `sales_12`, or `None` if it has none.
+fn schema_group(schema: &[u8]) -> Option<u64> {
     let underscore = schema.iter().rposition(|byte| *byte == b'_')?;
     let (name, number) = (&schema[..underscore], &schema[underscore + 1..]);
     let is_number = !number.is_empty() && number.iter().all(u8::is_ascii_digit);
@@ -37,15 +38,16 @@
     std::str::from_utf8(number).ok()?.parse().ok()
 }
 
-/// Iterates over the names in a statement, by the lexical rules of PostgreSQL.
-struct NameScanner<'a> {
+/// Iterates over the keywords and identifiers of a statement, by the lexical rules of PostgreSQL.
+struct IdentifierScanner<'a> {
     text: &'a [u8],
     position: usize,
 }
 
-impl<'a> NameScanner<'a> {
-    /// Returns the next name outside strings and comments, and moves `position` to the byte behind it.
-    fn next_name(&mut self) -> Option<&'a [u8]> {
+impl<'a> IdentifierScanner<'a> {
+    /// Returns the next keyword or identifier outside string literals and comments, and moves `position`
+    /// past it.
+    fn next_identifier(&mut self) -> Option<&'a [u8]> {
         loop {
             let rest = &self.text[self.position..];
             match *rest {
@@ -55,9 +57,10 @@
                 [b'\'', ..] => self.skip_past(1, b"'"),
                 [b'e' | b'E', b'\'', ..] => self.skip_escape_string(),
                 [b'$', ..] => self.skip_dollar_quoted_string(),
-                [b'"', ..] => return Some(self.quoted_name()),
-                [first, ..] if is_name_byte(first) => {
-                    let length = rest.iter().position(|byte| !is_name_byte(*byte)).unwrap_or(rest.len());
+                [b'"', ..] => return Some(self.read_quoted_identifier()),
+                [first, ..] if is_identifier_byte(first) => {
+                    let end = rest.iter().position(|byte| !is_identifier_byte(*byte));
+                    let length = end.unwrap_or(rest.len());
                     self.position += length;
                     let is_number = first.is_ascii_digit();
                     if !is_number {
@@ -69,21 +72,23 @@
         }
     }
 
-    fn quoted_name(&mut self) -> &'a [u8] {
+    /// Returns the double-quoted identifier at `position`, without its quotes, and moves `position` past it.
+    fn read_quoted_identifier(&mut self) -> &'a [u8] {
         let name = &self.text[self.position + 1..];
         let length = name.iter().position(|byte| *byte == b'"').unwrap_or(name.len());
         self.position = (self.position + length + 2).min(self.text.len());
         &name[..length]
     }
 
-    /// Skips to the byte behind the next `end` that begins `offset` bytes from here or later.
+    /// Moves `position` past the next occurrence of `end` that starts `offset` bytes from `position` or
+    /// later, or to the end of the text if there is none.
     fn skip_past(&mut self, offset: usize, end: &[u8]) {
         let start = self.position + offset;
         let found = self.text[start..].windows(end.len()).position(|part| part == end);
         self.position = found.map_or(self.text.len(), |at| start + at + end.len());
     }
 
-    /// Skips a block comment; these nest in PostgreSQL.
+    /// Skips a block comment. In PostgreSQL, block comments can be nested.
     fn skip_block_comment(&mut self) {
         let mut depth = 0;
         while self.position < self.text.len() {
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Skips a string in which a backslash escapes the next byte, as in `E'...'`.
+    /// Skips a string literal in which a backslash escapes the next byte, as in `E'...'`.
     fn skip_escape_string(&mut self) {
         self.position += 2;
         while self.position < self.text.len() {
@@ -114,10 +119,10 @@
         self.position = self.text.len();
     }
 
-    /// Skips a string between dollar signs, as in `$tag$...$tag$`.
+    /// Skips a dollar-quoted string literal, as in `$tag$...$tag$`, or a single dollar sign that starts none.
     fn skip_dollar_quoted_string(&mut self) {
         let rest = &self.text[self.position..];
-        let tag_length = rest[1..].iter().position(|byte| !is_name_byte(*byte) || *byte == b'$');
+        let tag_length = rest[1..].iter().position(|byte| !is_identifier_byte(*byte) || *byte == b'$');
         match tag_length {
             Some(length) if rest[length + 1] == b'$' => {
                 let tag = &rest[..length + 2];
@@ -128,7 +133,7 @@
     }
 }
 
-fn is_name_byte(byte: u8) -> bool {
+fn is_identifier_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
 }
 
--- a/crates/proxy/tests/unit/request_fields.rs
+++ b/crates/proxy/tests/unit/request_fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a request, and each way in which they are refused.
+//! Parsing of request fields, and each error by which malformed fields are rejected.
 
 use super::{RequestFieldError, RequestFields, parse};
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_malformed_query_is_refused_with_its_text() {
+fn each_malformed_query_is_rejected_with_its_error_text() {
     let missing_comment = "a comment with the fields must stand ahead of the statement";
     assert_eq!(error_of("SELECT 1"), missing_comment);
     assert_eq!(error_of("/* rid=1"), "the comment with the fields does not end");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn numbers_out_of_range_are_refused() {
+fn numbers_out_of_range_are_rejected() {
     for field in ["budget", "est", "space"] {
         for value in ["x", "-1", "NaN", "inf", "1e10", ""] {
             let error = error_of(&format!("/*rid={ID},budget=1,{field}={value}*/ SELECT 1"));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_not_utf8_is_refused() {
+fn input_that_is_not_utf8_is_rejected() {
     let mut query = format!("/*rid={ID},budget=1,acct=").into_bytes();
     query.extend_from_slice(b"\xff*/ SELECT 1");
     assert_eq!(parse(&query), Err(RequestFieldError::FieldsNotUtf8));
--- a/crates/proxy/tests/unit/table_group.rs
+++ b/crates/proxy/tests/unit/table_group.rs
@@ -1,16 +1,16 @@
-//! Which group of tables a statement is found to name.
+//! Which table group is found in a statement.
 
 use super::table_group;
 
 #[test]
-fn the_number_of_a_schema_behind_a_table_keyword_is_the_group() {
+fn the_number_of_a_schema_after_a_table_keyword_is_the_group() {
     assert_eq!(table_group(b"SELECT a FROM sales_12.orders"), Some(12));
     assert_eq!(table_group(b"insert INTO \"sales_7\".orders values (1)"), Some(7));
     assert_eq!(table_group(b"select 1"), None);
 }
 
 #[test]
-fn a_schema_behind_a_keyword_takes_precedence_over_an_earlier_one() {
+fn a_schema_after_a_keyword_takes_precedence_over_an_earlier_one() {
     assert_eq!(table_group(b"SELECT other_3.total FROM sales_12.orders"), Some(12));
     assert_eq!(table_group(b"SELECT other_3.total, more_4.total"), Some(3));
 }
