--- a/crates/proxy/src/class_registry.rs
+++ b/crates/proxy/src/class_registry.rs
@@ -1,4 +1,4 @@
-//! The classes and tenants by the names of the protocol, with the counts of their requests.
+//! The classes and tenants by the names that requests give, with the request counts of each class.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,8 @@
 use crate::config::Names;
 use crate::lock;
 
-/// The requests of one class: those that are open, and how the others ended since the start.
+/// Request counts of one class name: open requests, and ended requests by outcome since the start of the
+/// proxy.
 #[derive(Debug, Default)]
 pub struct ClassCounts {
     open: AtomicU64,
@@ -20,64 +21,66 @@
 }
 
 impl ClassCounts {
+    /// Returns the counts of ended requests under the key names that operators read.
     fn to_json(&self) -> serde_json::Value {
         serde_json::json!({
-            "succeeded": read(&self.succeeded),
-            "declined": read(&self.rejected),
-            "aborted": read(&self.failed),
+            "succeeded": load(&self.succeeded),
+            "declined": load(&self.rejected),
+            "aborted": load(&self.failed),
         })
     }
 }
 
-/// How requests ended, over all classes.
+/// Ended requests of all classes by outcome, since the start of the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// Requests that were served.
+    /// Number of served requests.
     pub succeeded: u64,
-    /// Requests that were rejected.
+    /// Number of rejected requests.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Number of failed requests.
     pub failed: u64,
 }
 
-/// A class under one set of rules; a request keeps it until it ends.
+/// A class with fixed settings. A request refers to the same `Class` until it ends, also when the settings
+/// change.
 #[derive(Debug)]
 pub struct Class {
-    /// The dispatcher's number of it.
+    /// The dispatcher's index of the class.
     pub id: ClassId,
-    /// Its name in the protocol.
+    /// The name by which requests select the class.
     pub name: String,
     counts: Arc<ClassCounts>,
 }
 
 impl Class {
-    /// Counts a request that is accepted.
-    pub fn request_opened(&self) {
+    /// Counts an accepted request as open.
+    pub fn record_opened(&self) {
         self.counts.open.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that was accepted and has its answer.
-    pub fn request_closed(&self) {
+    /// Ends the count of a request as open, once its response has been written.
+    pub fn record_closed(&self) {
         self.counts.open.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that was served.
-    pub fn succeeded(&self) {
+    /// Counts a served request.
+    pub fn record_succeeded(&self) {
         self.counts.succeeded.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that was rejected.
-    pub fn rejected(&self) {
+    /// Counts a rejected request.
+    pub fn record_rejected(&self) {
         self.counts.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request that failed.
-    pub fn failed(&self) {
+    /// Counts a failed request.
+    pub fn record_failed(&self) {
         self.counts.failed.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// The classes and tenants of the settings in force.
+/// The classes and tenants of the current settings.
 #[derive(Debug, Default)]
 pub struct ActiveClasses {
     classes: Vec<Arc<Class>>,
@@ -85,91 +88,94 @@
 }
 
 impl ActiveClasses {
-    /// The class of this name.
+    /// Returns the class of this name, or `None` if the current settings have no such class.
     pub fn class(&self, name: &str) -> Option<&Arc<Class>> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// The position of the tenant of this name in the settings.
+    /// Returns the index of the tenant of this name, or `None` if the current settings have no such tenant.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        self.tenants.iter().position(|other| other == name)
+        self.tenants.iter().position(|tenant| tenant == name)
     }
 }
 
-/// One of the dispatcher's classes.
-struct Slot {
-    rules: ClassSettings,
-    /// Gone once the class is not in force and no request of it is open.
+/// An entry of the dispatcher's list of classes.
+struct ClassSlot {
+    settings: ClassSettings,
+    /// Dangling once the class has been removed from the settings and its last request has ended: the slot
+    /// is then free.
     class: Weak<Class>,
 }
 
 #[derive(Default)]
-struct State {
+struct RegistryState {
     active: Arc<ActiveClasses>,
-    /// By the dispatcher's numbers.
-    slots: Vec<Slot>,
-    /// By name. Never removed: operators read the counts of a class that is no longer in force, and only operators name
-    /// classes.
+    /// Indexed by [`ClassId`].
+    slots: Vec<ClassSlot>,
+    /// Counts by class name. Entries are never removed, because operators also read the counts of removed
+    /// classes. The map stays small, because only operators define class names.
     counts: BTreeMap<String, Arc<ClassCounts>>,
 }
 
-impl State {
-    /// The class of this name under these rules: the one in force, or else a new one.
-    fn class(&mut self, name: &str, rules: ClassSettings) -> Arc<Class> {
+impl RegistryState {
+    /// Returns the active class of this name if its settings are the same. Otherwise creates a class, in
+    /// the first free slot or in a new one.
+    fn get_or_create_class(&mut self, name: &str, settings: ClassSettings) -> Arc<Class> {
         let slots = &self.slots;
-        let is_same = |class: &&Arc<Class>| class.name == name && slots[class.id.0].rules == rules;
-        if let Some(class) = self.active.classes.iter().find(is_same) {
+        let is_unchanged = |class: &&Arc<Class>| class.name == name && slots[class.id.0].settings == settings;
+        if let Some(class) = self.active.classes.iter().find(is_unchanged) {
             return class.clone();
         }
-        let free = slots.iter().position(|slot| slot.class.strong_count() == 0);
-        let id = ClassId(free.unwrap_or(slots.len()));
+        let free_slot = slots.iter().position(|slot| slot.class.strong_count() == 0);
+        let id = ClassId(free_slot.unwrap_or(slots.len()));
         let counts = self.counts.entry(name.to_owned()).or_default().clone();
         let class = Arc::new(Class { id, name: name.to_owned(), counts });
-        let slot = Slot { rules, class: Arc::downgrade(&class) };
-        match free {
-            Some(at) => self.slots[at] = slot,
+        let slot = ClassSlot { settings, class: Arc::downgrade(&class) };
+        match free_slot {
+            Some(index) => self.slots[index] = slot,
             None => self.slots.push(slot),
         }
         class
     }
 }
 
-/// All classes, also those that are no longer in force and still have requests open.
+/// All classes: those of the current settings, and removed ones that still have open requests.
 #[derive(Default)]
-pub struct ClassRegistry(Mutex<State>);
+pub struct ClassRegistry(Mutex<RegistryState>);
 
 impl ClassRegistry {
-    /// The classes and tenants in force.
+    /// Returns the classes and tenants of the current settings.
     pub fn active(&self) -> Arc<ActiveClasses> {
         lock(&self.0).active.clone()
     }
 
-    /// Puts new settings into force. `apply` is given the settings with their classes in the order of the dispatcher's
-    /// numbers, and the classes in the order of `names`.
+    /// Applies new settings. Calls `apply` with the settings, whose classes are reordered by [`ClassId`],
+    /// and with the classes in the order of `names`. The new classes become active after `apply` returns.
     ///
-    /// A class whose rules change becomes another class: open requests end under the rules that they were opened under. The
-    /// number of a class that is no longer in force is used again once its last request has ended.
+    /// A class whose settings change becomes a new class, so that open requests keep the settings under
+    /// which they were accepted. The id of a removed class is reused once its last request has ended.
     pub fn update(&self, names: &Names, mut settings: Settings, apply: impl FnOnce(Settings, &[Arc<Class>])) {
         let mut state = lock(&self.0);
-        let rules = std::mem::take(&mut settings.classes);
-        let named = names.classes.iter().zip(rules);
-        let classes: Vec<_> = named.map(|(name, rules)| state.class(name, rules)).collect();
-        settings.classes = state.slots.iter().map(|slot| slot.rules.clone()).collect();
+        let class_settings = std::mem::take(&mut settings.classes);
+        let named_settings = names.classes.iter().zip(class_settings);
+        let classes: Vec<_> =
+            named_settings.map(|(name, settings)| state.get_or_create_class(name, settings)).collect();
+        settings.classes = state.slots.iter().map(|slot| slot.settings.clone()).collect();
         apply(settings, &classes);
         state.active = Arc::new(ActiveClasses { classes, tenants: names.tenants.clone() });
     }
 
-    /// The classes by name, with the number of their open requests.
+    /// Returns the number of open requests of each class name, also of removed classes.
     pub fn open_requests(&self) -> Vec<(String, u64)> {
         let state = lock(&self.0);
-        state.counts.iter().map(|(name, counts)| (name.clone(), read(&counts.open))).collect()
+        state.counts.iter().map(|(name, counts)| (name.clone(), load(&counts.open))).collect()
     }
 
-    /// How the requests of all classes ended since the start.
+    /// Returns the numbers of ended requests of all classes by outcome, since the start of the proxy.
     pub fn totals(&self) -> RequestTotals {
         let state = lock(&self.0);
         let sum = |count: fn(&ClassCounts) -> &AtomicU64| {
-            state.counts.values().map(|counts| read(count(counts))).sum()
+            state.counts.values().map(|counts| load(count(counts))).sum()
         };
         RequestTotals {
             succeeded: sum(|counts| &counts.succeeded),
@@ -178,13 +184,13 @@
         }
     }
 
-    /// The counts of each class by name, as operators read them.
+    /// Returns the counts of ended requests of each class name, as the JSON object that operators read.
     pub fn counts_json(&self) -> serde_json::Value {
         let state = lock(&self.0);
         state.counts.iter().map(|(name, counts)| (name.clone(), counts.to_json())).collect()
     }
 }
 
-fn read(count: &AtomicU64) -> u64 {
+fn load(count: &AtomicU64) -> u64 {
     count.load(Ordering::Relaxed)
 }
--- a/crates/proxy/src/downstream/postgres/backend.rs
+++ b/crates/proxy/src/downstream/postgres/backend.rs
@@ -1,4 +1,5 @@
-//! Messages that clients are sent, in version 3.0 of the PostgreSQL protocol. Each function appends to a buffer.
+//! Encodes the messages that clients receive, in version 3.0 of the PostgreSQL protocol. Each function
+//! appends to a buffer.
 
 use std::fmt::Display;
 use std::io::Write as _;
@@ -7,7 +8,7 @@
 use super::frontend::CancelKey;
 use crate::query::Pages;
 
-/// Parameters of the session that clients are informed of as it starts.
+/// Parameters that clients receive at the start of a session.
 const SESSION_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0 (gaugestep)"),
     ("server_encoding", "UTF8"),
@@ -17,19 +18,21 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// The columns of every result.
+/// The column names of every result.
 const COLUMN_NAMES: [&str; 3] = ["column1", "column2", "column3"];
-/// The type `text` in the catalog of PostgreSQL.
+/// The object id of the type `text` in the PostgreSQL catalog.
 const TEXT_TYPE_OID: u32 = 25;
-/// The size of a type of variable length.
-const VARIABLE_LENGTH: i16 = -1;
-/// No modifier of a type.
+/// The type size that marks a variable-length type.
+const VARIABLE_TYPE_SIZE: i16 = -1;
+/// The type modifier that marks a type without modifier.
 const NO_TYPE_MODIFIER: i32 = -1;
 
-/// What an error ends.
+/// The severity of an error message.
 #[derive(Clone, Copy)]
 enum Severity {
+    /// The error ends the session.
     Fatal,
+    /// The error ends the query; the session stays open.
     Error,
 }
 
@@ -42,48 +45,50 @@
     }
 }
 
-/// Appends all that starts a session: authentication, parameters, the key to cancel queries with, ready for a query.
+/// Appends the messages that start a session: AuthenticationOk, ParameterStatus, BackendKeyData and
+/// ReadyForQuery.
 pub fn session_start(out: &mut Vec<u8>, key: CancelKey) {
-    put_message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
+    append_message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
     for (name, value) in SESSION_PARAMETERS {
-        put_message(out, b'S', |out| {
-            put_string(out, name);
-            put_string(out, value);
+        append_message(out, b'S', |out| {
+            append_string(out, name);
+            append_string(out, value);
         });
     }
-    put_message(out, b'K', |out| {
+    append_message(out, b'K', |out| {
         out.extend_from_slice(&key.process.to_be_bytes());
         out.extend_from_slice(&key.secret.to_be_bytes());
     });
     ready_for_query(out);
 }
 
-/// Appends the reply to a request for encryption: there is none.
-pub fn encryption_declined(out: &mut Vec<u8>) {
+/// Appends the response that rejects an encryption request.
+pub fn encryption_rejected(out: &mut Vec<u8>) {
     out.push(b'N');
 }
 
-/// Appends that the session is ready for a query, with no transaction open.
+/// Appends ReadyForQuery, with the status that no transaction is open.
 pub fn ready_for_query(out: &mut Vec<u8>) {
-    put_message(out, b'Z', |out| out.push(b'I'));
+    append_message(out, b'Z', |out| out.push(b'I'));
 }
 
-/// Appends the reply to an empty query.
+/// Appends the response to an empty query.
 pub fn empty_query_response(out: &mut Vec<u8>) {
-    put_message(out, b'I', |_| {});
+    append_message(out, b'I', |_| {});
 }
 
 /// Appends an error that ends the session.
 pub fn fatal_error(out: &mut Vec<u8>, error: FatalError) {
-    put_error(out, Severity::Fatal, error.sql_state(), &error, None);
+    append_error(out, Severity::Fatal, error.sql_state(), &error, None);
 }
 
 /// Appends an error that leaves the session open.
 pub fn query_error(out: &mut Vec<u8>, error: &QueryError) {
-    put_error(out, Severity::Error, error.sql_state(), error, error.hint());
+    append_error(out, Severity::Error, error.sql_state(), error, error.hint());
 }
 
-/// Appends a result: its columns, its rows and the tag that names the command.
+/// Appends a query result: the row description, the rows, and the command tag. `command` is the first word
+/// of the statement.
 pub fn result(out: &mut Vec<u8>, command: &str, pages: &Pages) {
     row_description(out);
     let mut rows = 0;
@@ -94,24 +99,26 @@
     command_complete(out, command, rows);
 }
 
+/// Appends the description of the result's columns, all of which are of type `text`.
 fn row_description(out: &mut Vec<u8>) {
-    put_message(out, b'T', |out| {
+    append_message(out, b'T', |out| {
         out.extend_from_slice(&(COLUMN_NAMES.len() as u16).to_be_bytes());
         for name in COLUMN_NAMES {
-            put_string(out, name);
-            // No table and no number in it.
+            append_string(out, name);
+            // The column belongs to no table: table id and column number are 0.
             out.extend_from_slice(&[0; 6]);
             out.extend_from_slice(&TEXT_TYPE_OID.to_be_bytes());
-            out.extend_from_slice(&VARIABLE_LENGTH.to_be_bytes());
+            out.extend_from_slice(&VARIABLE_TYPE_SIZE.to_be_bytes());
             out.extend_from_slice(&NO_TYPE_MODIFIER.to_be_bytes());
-            // Text format.
+            // Format code 0: text.
             out.extend_from_slice(&[0; 2]);
         }
     });
 }
 
+/// Appends a row, whose columns are separated by tabs.
 fn data_row(out: &mut Vec<u8>, row: &[u8]) {
-    put_message(out, b'D', |out| {
+    append_message(out, b'D', |out| {
         let columns = row.split(|byte| *byte == b'\t');
         out.extend_from_slice(&(columns.clone().count() as u16).to_be_bytes());
         for column in columns {
@@ -121,53 +128,55 @@
     });
 }
 
+/// Appends the command tag, such as `SELECT 3`. Commands other than those listed get the tag of `SELECT`.
 fn command_complete(out: &mut Vec<u8>, command: &str, rows: usize) {
     let word = command.split(|c: char| !c.is_ascii_alphabetic()).next().unwrap_or("").to_ascii_uppercase();
-    put_message(out, b'C', |out| {
+    append_message(out, b'C', |out| {
         let tag = match word.as_str() {
             "INSERT" => format!("INSERT 0 {rows}"),
             "UPDATE" | "DELETE" | "COPY" | "MERGE" => format!("{word} {rows}"),
             _ => format!("SELECT {rows}"),
         };
-        put_string(out, &tag);
+        append_string(out, &tag);
     });
 }
 
-fn put_error(
+/// Appends an ErrorResponse message.
+fn append_error(
     out: &mut Vec<u8>,
     severity: Severity,
     sql_state: SqlState,
     message: &dyn Display,
     hint: Option<&str>,
 ) {
-    put_message(out, b'E', |out| {
+    append_message(out, b'E', |out| {
         for (field, value) in [(b'S', severity.name()), (b'V', severity.name()), (b'C', sql_state.code())] {
             out.push(field);
-            put_string(out, value);
+            append_string(out, value);
         }
         out.push(b'M');
         write!(out, "{message}").expect("a write to a vector cannot fail");
         out.push(0);
         if let Some(hint) = hint {
             out.push(b'H');
-            put_string(out, hint);
+            append_string(out, hint);
         }
         out.push(0);
     });
 }
 
-/// Appends a message of this kind, with the length of what `body` appends ahead of it.
-fn put_message(out: &mut Vec<u8>, kind: u8, body: impl FnOnce(&mut Vec<u8>)) {
+/// Appends a message: its kind, its length field, and the body that `append_body` appends.
+fn append_message(out: &mut Vec<u8>, kind: u8, append_body: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
-    let length_at = out.len();
+    let length_start = out.len();
     out.extend_from_slice(&[0; 4]);
-    body(out);
-    let length = (out.len() - length_at) as u32;
-    out[length_at..length_at + 4].copy_from_slice(&length.to_be_bytes());
+    append_body(out);
+    let length = (out.len() - length_start) as u32;
+    out[length_start..length_start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
 /// Appends a zero-terminated string.
-fn put_string(out: &mut Vec<u8>, text: &str) {
+fn append_string(out: &mut Vec<u8>, text: &str) {
     out.extend_from_slice(text.as_bytes());
     out.push(0);
 }
--- a/crates/proxy/src/downstream/postgres/cancel_registry.rs
+++ b/crates/proxy/src/downstream/postgres/cancel_registry.rs
@@ -1,4 +1,5 @@
-//! The open sessions by their cancel keys: through the registry others cancel a session's query, wake it or evict it.
+//! The open sessions by their cancel keys. Through the registry other coroutines cancel a session's query,
+//! wake the session or evict it.
 
 use std::collections::HashMap;
 use std::net::TcpStream;
@@ -12,44 +13,45 @@
 use crate::lock;
 use crate::stream::{Stream as _, Waker, peer_closed, readable};
 
-/// What a session is doing, in the order in which sessions are evicted.
+/// The phase of a session. Eviction prefers lower phases and never evicts a busy session.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has not been started by its client, or is being closed.
-    Silent,
-    /// It is waiting for a query.
+    /// The startup message has not been accepted yet, or the session is being closed.
+    StartingOrClosing,
+    /// The session is waiting for a query.
     Idle,
-    /// Its query is running.
+    /// A query of the session is running.
     Busy,
 }
 
-/// What a session shows of itself to others.
+/// The status that a session publishes in its handle.
 #[derive(Clone, Copy)]
 pub struct SessionStatus {
-    /// What it is doing.
+    /// The phase of the session.
     pub phase: Phase,
-    /// Since when.
-    pub since: Instant,
-    /// When it has to be woken to check its timeouts.
-    pub due: Option<Instant>,
+    /// Since when the session has made no progress: since its incomplete message began or, without one,
+    /// since output was last written or was last not pending.
+    pub phase_since: Instant,
+    /// When the session must be woken to check its timeouts. `None` if no timeout is running.
+    pub wake_at: Option<Instant>,
 }
 
-/// How others reach a session.
+/// Lets other coroutines cancel the query of a session, wake the session or evict it.
 pub struct SessionHandle {
-    secret: u32,
+    secret_key: u32,
     cancel_requested: AtomicBool,
     evicted: AtomicBool,
     status: Mutex<SessionStatus>,
-    /// Gone once the session has ended.
+    /// Dangling once the session has ended.
     stream: Weak<CoIo<TcpStream>>,
     waker: Waker,
 }
 
 impl SessionHandle {
-    /// The handle of a session with this secret on `stream`.
-    pub fn new(secret: u32, stream: &Arc<CoIo<TcpStream>>, status: SessionStatus) -> Self {
+    /// Creates the handle of a session on `stream`, whose query is cancelled with `secret_key`.
+    pub fn new(secret_key: u32, stream: &Arc<CoIo<TcpStream>>, status: SessionStatus) -> Self {
         SessionHandle {
-            secret,
+            secret_key,
             cancel_requested: AtomicBool::new(false),
             evicted: AtomicBool::new(false),
             status: Mutex::new(status),
@@ -58,71 +60,73 @@
         }
     }
 
-    /// Sets what the session shows of itself.
+    /// Publishes the status of the session.
     pub fn set_status(&self, status: SessionStatus) {
         *lock(&self.status) = status;
     }
 
-    /// Whether the session has been asked to close, to make room for another.
+    /// Whether the session must close to free its place for another.
     pub fn is_evicted(&self) -> bool {
         self.evicted.load(Ordering::Relaxed)
     }
 
-    /// Whether a cancel request has come that the session has not yet dealt with.
+    /// Whether a cancel request has arrived that the session has not processed yet.
     pub fn cancel_requested(&self) -> bool {
         self.cancel_requested.load(Ordering::Relaxed)
     }
 
-    /// Takes the cancel request that has come, if any; the session deals with it now.
+    /// Clears the pending cancel request. Returns whether there was one, which the session must then process.
     pub fn take_cancel_request(&self) -> bool {
         self.cancel_requested.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether the client has closed its side of the connection, or the session has ended. Asks the operating system.
+    /// Whether the client has closed its side of the connection, or the session has ended. Polls the socket.
     pub fn is_disconnected(&self) -> bool {
         self.stream.upgrade().is_none_or(|stream| peer_closed(stream.socket()))
     }
 
-    /// Whether a query is running or has come, in full or in part.
+    /// Whether a query is running, or has arrived in full or in part. A session that is starting or closing
+    /// counts too.
     fn has_query(&self) -> bool {
-        let SessionStatus { phase, due, .. } = *lock(&self.status);
+        let SessionStatus { phase, wake_at, .. } = *lock(&self.status);
         let has_input = || self.stream.upgrade().is_some_and(|stream| readable(stream.socket()));
-        phase != Phase::Idle || due.is_some() || has_input()
+        phase != Phase::Idle || wake_at.is_some() || has_input()
     }
 
-    fn is_due(&self, now: Instant) -> bool {
-        lock(&self.status).due.is_some_and(|due| due <= now)
+    /// Whether the session must be woken at `now` to check its timeouts.
+    fn is_wake_due(&self, now: Instant) -> bool {
+        lock(&self.status).wake_at.is_some_and(|wake_at| wake_at <= now)
     }
 }
 
-/// All open sessions.
+/// All open sessions, by process id.
 #[derive(Default)]
 pub struct CancelRegistry {
-    /// By number, the first half of a cancel key.
+    /// Indexed by process id, the first half of a cancel key.
     sessions: Mutex<HashMap<u32, Arc<SessionHandle>>>,
 }
 
 impl CancelRegistry {
     /// Adds a session.
-    pub fn register(&self, process: u32, handle: Arc<SessionHandle>) {
-        lock(&self.sessions).insert(process, handle);
+    pub fn register(&self, process_id: u32, handle: Arc<SessionHandle>) {
+        lock(&self.sessions).insert(process_id, handle);
     }
 
     /// Removes a session.
-    pub fn unregister(&self, process: u32) {
-        lock(&self.sessions).remove(&process);
+    pub fn unregister(&self, process_id: u32) {
+        lock(&self.sessions).remove(&process_id);
     }
 
-    /// How many sessions are open.
+    /// Returns the number of open sessions.
     pub fn len(&self) -> usize {
         lock(&self.sessions).len()
     }
 
-    /// Cancels the query of the session with this key. Without effect if there is no such session, or no query in it: a
-    /// cancel request does not apply to queries that come later.
+    /// Cancels the query of the session with this key. Does nothing if there is no such session or it has
+    /// no query, because a cancel request does not apply to queries that arrive later.
     pub fn cancel(&self, key: CancelKey) {
-        let handle =
-            lock(&self.sessions).get(&key.process).filter(|handle| handle.secret == key.secret).cloned();
+        let has_key = |handle: &&Arc<SessionHandle>| handle.secret_key == key.secret_key;
+        let handle = lock(&self.sessions).get(&key.process_id).filter(has_key).cloned();
         if let Some(handle) = handle.filter(|handle| handle.has_query()) {
             handle.cancel_requested.store(true, Ordering::Relaxed);
             handle.waker.wakeup();
@@ -131,23 +135,24 @@
 
     /// Wakes all sessions.
     pub fn wake_all(&self) {
-        self.wake(|_| true);
+        self.wake_where(|_| true);
     }
 
     /// Wakes the sessions that have a timeout to check.
     pub fn wake_due(&self) {
         let now = Instant::now();
-        self.wake(|handle| handle.is_due(now));
+        self.wake_where(|handle| handle.is_wake_due(now));
     }
 
-    fn wake(&self, which: impl Fn(&SessionHandle) -> bool) {
-        for handle in lock(&self.sessions).values().filter(|handle| which(handle)) {
+    /// Wakes the sessions for which `condition` holds.
+    fn wake_where(&self, condition: impl Fn(&SessionHandle) -> bool) {
+        for handle in lock(&self.sessions).values().filter(|handle| condition(handle)) {
             handle.waker.wakeup();
         }
     }
 
-    /// Evicts the session that has been silent for longest, or if there is none, idle for longest. Returns false if
-    /// queries are running in all.
+    /// Evicts the session that has been starting or closing for longest or, if there is none, the one that
+    /// has been idle for longest. Returns false if all sessions are busy or already evicted.
     pub fn evict_idle_session(&self) -> bool {
         let sessions = lock(&self.sessions);
         let candidates = sessions
@@ -155,7 +160,7 @@
             .filter(|handle| !handle.is_evicted())
             .map(|handle| (*lock(&handle.status), handle))
             .filter(|(status, _)| status.phase != Phase::Busy);
-        let Some((_, handle)) = candidates.min_by_key(|(status, _)| (status.phase, status.since)) else {
+        let Some((_, handle)) = candidates.min_by_key(|(status, _)| (status.phase, status.phase_since)) else {
             return false;
         };
         handle.evicted.store(true, Ordering::Relaxed);
--- a/crates/proxy/src/downstream/postgres/client_handle.rs
+++ b/crates/proxy/src/downstream/postgres/client_handle.rs
@@ -1,4 +1,4 @@
-//! The client of one request, as the rest of the proxy can query it at any moment.
+//! Lets the rest of the proxy check at any moment whether the client of a request is still waiting.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,7 +8,8 @@
 use super::session_manager::SessionManager;
 use crate::query::Client;
 
-/// The client of one request.
+/// The client of one request. Each request has a handle of its own; those of a session share its
+/// [`SessionHandle`].
 pub struct ClientHandle {
     manager: Arc<SessionManager>,
     session: Arc<SessionHandle>,
@@ -16,7 +17,7 @@
 }
 
 impl ClientHandle {
-    /// The client of a request that comes from this session.
+    /// Creates the handle of the client of a request that arrived in `session`.
     pub fn new(manager: Arc<SessionManager>, session: Arc<SessionHandle>) -> Self {
         ClientHandle { manager, session, cancelled: AtomicBool::new(false) }
     }
@@ -34,9 +35,10 @@
 }
 
 impl Client for ClientHandle {
-    /// Asks the operating system too: under load it takes its time until the session has read that the client has left,
-    /// and no attempt must be started for it by then. A client that has closed its side of the connection counts as one
-    /// that has left, as the proxy cannot tell it from one that has closed both.
+    /// Also polls the socket: under load the session may read late that its client has disconnected, and no
+    /// attempt may be started for a client that is gone. A half-closed connection counts as closed, because
+    /// the proxy cannot distinguish a client that has shut down its sending side from one that has closed
+    /// the connection.
     fn is_gone(&self) -> bool {
         self.cancelled.load(Ordering::Relaxed)
             || self.session.cancel_requested()
--- a/crates/proxy/src/downstream/postgres/error.rs
+++ b/crates/proxy/src/downstream/postgres/error.rs
@@ -1,11 +1,11 @@
-//! The errors that clients are sent, each with its SQLSTATE.
+//! The errors that clients receive, each with its SQLSTATE.
 
 use gaugestep_dispatch::interface::{Millis, RejectReason};
 use thiserror::Error;
 
 use crate::downstream::request_fields::RequestFieldError;
 
-/// An error code of PostgreSQL.
+/// A PostgreSQL error code (SQLSTATE).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SqlState(&'static str);
 
@@ -23,7 +23,7 @@
     const CANNOT_CONNECT_NOW: Self = SqlState("57P03");
     const SYSTEM_ERROR: Self = SqlState("58000");
 
-    /// The five characters of the code.
+    /// Returns the five characters of the code.
     pub fn code(self) -> &'static str {
         self.0
     }
@@ -34,32 +34,32 @@
 pub enum FatalError {
     /// The length of the startup message is out of range.
     #[error("invalid length of startup packet")]
-    StartupLength,
+    InvalidStartupLength,
     /// The startup message does not end with a zero byte.
     #[error("invalid startup packet layout: expected terminator as last byte")]
-    StartupLayout,
-    /// The startup message asks for another version of the protocol.
+    MalformedStartup,
+    /// The startup message requests an unsupported protocol version.
     #[error("unsupported frontend protocol: this server supports 3.0")]
     UnsupportedProtocol,
-    /// A cancel request lacks its key.
+    /// A cancel request contains no complete cancel key.
     #[error("invalid cancel request")]
-    CancelRequestLayout,
-    /// Encryption was requested again after it had been declined.
+    MalformedCancelRequest,
+    /// The client requested encryption again after the proxy had rejected each kind of it.
     #[error("encryption was asked for more than once")]
     RepeatedEncryptionRequest,
-    /// The length of a message is less than that of the length itself.
+    /// The length of a message is less than the size of its length field.
     #[error("invalid message length")]
-    MessageLength,
+    InvalidMessageLength,
     /// A message is longer than the proxy accepts.
     #[error("message too long")]
     MessageTooLong,
-    /// A message of a kind that is unknown, or not valid here.
+    /// The message kind is unknown, or not valid in this state of the session.
     #[error("invalid frontend message type")]
-    MessageKind,
+    InvalidMessageKind,
     /// The text of a query is not one zero-terminated string.
     #[error("invalid string in message")]
-    QueryString,
-    /// The rest of a message did not come in time.
+    MalformedQueryString,
+    /// The client did not send the rest of a message in time.
     #[error("canceling: the client's message did not come in time")]
     MessageTimeout,
     /// The client closed its side of the connection while its query was running.
@@ -68,28 +68,28 @@
     /// The client sent Terminate while its query was running.
     #[error("canceling: the client has taken its leave")]
     ClientTerminated,
-    /// The client sent more ahead of an answer than is buffered.
+    /// The client sent more input ahead of a response than the proxy buffers.
     #[error("too much was sent ahead of an answer")]
     TooMuchReadAhead,
-    /// There are too many sessions.
+    /// The maximum number of sessions is open.
     #[error("sorry, too many clients already")]
     TooManyClients,
-    /// The proxy accepts no queries any more.
+    /// The proxy is shutting down or draining and accepts no more queries.
     #[error("the proxy is shutting down")]
     ShuttingDown,
 }
 
 impl FatalError {
-    /// The SQLSTATE that clients are sent.
+    /// Returns the SQLSTATE that the client receives.
     pub fn sql_state(self) -> SqlState {
         match self {
-            FatalError::StartupLength
-            | FatalError::StartupLayout
-            | FatalError::CancelRequestLayout
+            FatalError::InvalidStartupLength
+            | FatalError::MalformedStartup
+            | FatalError::MalformedCancelRequest
             | FatalError::RepeatedEncryptionRequest
-            | FatalError::MessageLength
-            | FatalError::MessageKind
-            | FatalError::QueryString => SqlState::PROTOCOL_VIOLATION,
+            | FatalError::InvalidMessageLength
+            | FatalError::InvalidMessageKind
+            | FatalError::MalformedQueryString => SqlState::PROTOCOL_VIOLATION,
             FatalError::UnsupportedProtocol => SqlState::FEATURE_NOT_SUPPORTED,
             FatalError::MessageTooLong | FatalError::TooMuchReadAhead => SqlState::PROGRAM_LIMIT_EXCEEDED,
             FatalError::MessageTimeout | FatalError::ClientClosed | FatalError::ClientTerminated => {
@@ -104,54 +104,54 @@
 /// An error that ends a query and leaves the session open (severity `ERROR`).
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum QueryError {
-    /// A message of the extended query protocol.
+    /// The client sent a message of the extended query protocol.
     #[error("only simple queries are supported")]
     ExtendedQuery,
-    /// A function call.
+    /// The client sent a function call.
     #[error("function calls are not supported")]
     FunctionCall,
-    /// The fields in the comment or the statement are malformed.
+    /// The comment with the request fields or the statement is malformed.
     #[error(transparent)]
     Fields(#[from] RequestFieldError),
-    /// The class is not one of the settings in force.
+    /// The current settings have no class of this name.
     #[error("field 'method' is '{0}', which is no class")]
     UnknownClass(String),
-    /// The tenant is not one of the settings in force.
+    /// The current settings have no tenant of this name.
     #[error("field 'acct' is '{0}', which is no tenant")]
     UnknownTenant(String),
-    /// As many requests are open as the proxy accepts.
+    /// The maximum number of requests is open.
     #[error("too many requests are open")]
-    TooManyOpen,
-    /// No coroutine could be started for the request.
+    TooManyOpenRequests,
+    /// The coroutine of the request could not be started.
     #[error("out of memory")]
     OutOfMemory,
     /// The client cancelled the query.
     #[error("canceling statement due to user request")]
     Cancelled,
-    /// The request was rejected; it did not run.
+    /// The dispatcher rejected the request, which did not run.
     #[error("refused, nothing was done: backoff={:.0}", retry_after.max(0.0))]
     Rejected {
-        /// How long the client should wait before it tries again, in milliseconds.
+        /// How long the client should wait before it retries, in milliseconds.
         retry_after: Millis,
-        /// Why.
+        /// Why the request was rejected.
         reason: RejectReason,
     },
-    /// A request with this id is open.
+    /// A request with the same id is open.
     #[error("a request with this 'rid' is open")]
     Duplicate,
-    /// The request failed.
+    /// The request failed; its statement may have run.
     #[error("failed: the statement may have run")]
     Failed,
 }
 
 impl QueryError {
-    /// The SQLSTATE that clients are sent.
+    /// Returns the SQLSTATE that the client receives.
     pub fn sql_state(&self) -> SqlState {
         match self {
             QueryError::ExtendedQuery | QueryError::FunctionCall => SqlState::FEATURE_NOT_SUPPORTED,
             QueryError::Fields(_) => SqlState::SYNTAX_ERROR,
             QueryError::UnknownClass(_) | QueryError::UnknownTenant(_) => SqlState::INVALID_PARAMETER_VALUE,
-            QueryError::TooManyOpen => SqlState::TOO_MANY_CONNECTIONS,
+            QueryError::TooManyOpenRequests => SqlState::TOO_MANY_CONNECTIONS,
             QueryError::OutOfMemory => SqlState::OUT_OF_MEMORY,
             QueryError::Cancelled => SqlState::QUERY_CANCELED,
             QueryError::Rejected { .. } => SqlState::INSUFFICIENT_RESOURCES,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// More about the cause, for the people who use the client.
+    /// Returns the hint that the client receives with the error, or `None` if there is none.
     pub fn hint(&self) -> Option<&'static str> {
         match self {
             QueryError::Rejected { reason, .. } => Some(reason.description()),
--- a/crates/proxy/src/downstream/postgres/mod.rs
+++ b/crates/proxy/src/downstream/postgres/mod.rs
@@ -1,11 +1,13 @@
-//! The clients' protocol: sessions of simple queries in version 3.0 of the PostgreSQL protocol.
+//! Client sessions: the simple query protocol of PostgreSQL, version 3.0.
 //!
-//! One coroutine owns the socket of each session ([`session`]). A query runs in a coroutine of its own, which leaves the
-//! answer with the session and wakes it, so that the session notices at any time that its client has left.
+//! One coroutine owns the socket of each session ([`session`]). Each query runs in a coroutine of its own,
+//! which stores the response for the session and wakes it. So the session coroutine is never blocked by a
+//! query, and notices at any time that its client has disconnected or cancelled.
 //!
-//! [`frontend`] parses what clients send, [`backend`] writes what they are sent, [`error`] holds the errors among that, and
-//! [`request`] makes a request of a query. [`session_manager`] admits, evicts and ends sessions; others reach a session
-//! through its handle in the [`cancel_registry`].
+//! [`frontend`] parses the messages of clients, [`backend`] encodes the messages to clients, [`error`]
+//! defines the errors that clients receive, and [`request`] builds a request from the text of a query.
+//! [`session_manager`] admits, evicts and ends sessions. Other coroutines reach a session through its
+//! handle in the [`cancel_registry`].
 
 mod backend;
 mod cancel_registry;
--- a/crates/proxy/src/downstream/postgres/request.rs
+++ b/crates/proxy/src/downstream/postgres/request.rs
@@ -1,4 +1,4 @@
-//! Makes a request of the text of a query.
+//! Builds a request from the text of a query.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,14 +11,17 @@
 use crate::query::{Client, Query};
 use crate::request_lifecycle::RequestHandler;
 
-/// The part of a client's time that is kept back for the answer to reach it, in milliseconds; half of the time at most.
-const ANSWER_RESERVE: Millis = 5.0;
+/// Time between a request's deadline and the end of its time budget, in which the response reaches the
+/// client, in milliseconds. It is at most half of the budget.
+const RESPONSE_RESERVE: Millis = 5.0;
 
-/// Returns the request that the text of a query describes. `read_at` is when it was read, on the facade's clock.
+/// Builds the request that the text of a query describes. `read_at` is when the query was read, on the
+/// facade's clock.
 ///
 /// # Errors
 ///
-/// If its fields are malformed, its class or tenant is unknown, or as many requests are open as are accepted.
+/// Returns an error if the query is malformed, its class or tenant is unknown, or the maximum number of
+/// requests is open.
 pub fn build_query(
     handler: &RequestHandler,
     text: &[u8],
@@ -34,14 +37,15 @@
         Some(name) => active.tenant(name).ok_or_else(|| QueryError::UnknownTenant(name.to_owned()))?,
     };
     if handler.open_requests.load(Ordering::Relaxed) >= handler.max_open_requests.load(Ordering::Relaxed) {
-        class.rejected();
-        return Err(QueryError::TooManyOpen);
+        class.record_rejected();
+        return Err(QueryError::TooManyOpenRequests);
     }
+    let response_reserve = RESPONSE_RESERVE.min(fields.budget / 2.0);
     let request = NewRequest {
         id: request_id(fields.rid),
         class: class.id,
         tenant: TenantId(tenant),
-        deadline: read_at + fields.budget - ANSWER_RESERVE.min(fields.budget / 2.0),
+        deadline: read_at + fields.budget - response_reserve,
         estimate: fields.est,
         memory_mb: fields.space,
         tables: TablesId(table_group(statement).unwrap_or(0)),
--- a/crates/proxy/src/downstream/postgres/session/closing.rs
+++ b/crates/proxy/src/downstream/postgres/session/closing.rs
@@ -1,9 +1,10 @@
-//! How a session ends: by its client, by a timeout, or by the proxy.
+//! Ends a session: when its client disconnects, when a timeout expires, or when the proxy evicts it or
+//! drains.
 
 use std::time::{Duration, Instant};
 
 use super::state::State;
-use super::{Disconnected, MAX_READ_AHEAD, Session};
+use super::{Disconnected, MAX_READ_AHEAD_BYTES, Session};
 use crate::downstream::postgres::backend;
 use crate::downstream::postgres::cancel_registry::{Phase, SessionStatus};
 use crate::downstream::postgres::error::FatalError;
@@ -12,22 +13,25 @@
 use crate::facade::RequestEvent;
 use crate::stream::Stream as _;
 
-/// How long a client may take to send its startup message, or the rest of a message that it has begun.
+/// Time in which a client must send its startup message, or the rest of a message whose first bytes have
+/// arrived.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client may read nothing of what was written for it.
+/// Time without progress in writing output after which the connection is closed, because the client does
+/// not read.
 const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// When a session has to be woken.
+/// When a session must be woken to enforce a timeout.
 enum Deadline {
-    /// The client has to have sent the rest of its message. The session then ends with an error.
+    /// The client must have sent the rest of its message; otherwise the session ends with an error.
     Message(Instant),
-    /// The connection is closed without further ado.
+    /// The connection is closed without an error message.
     Connection(Instant),
 }
 
-/// The status of a session that started at `started_at` and has read nothing.
+/// Returns the status of a session that started at `started_at` and has read no input yet.
 pub fn initial_status(started_at: Instant) -> SessionStatus {
-    SessionStatus { phase: Phase::Silent, since: started_at, due: Some(started_at + MESSAGE_TIMEOUT) }
+    let wake_at = Some(started_at + MESSAGE_TIMEOUT);
+    SessionStatus { phase: Phase::StartingOrClosing, phase_since: started_at, wake_at }
 }
 
 impl Session<'_> {
@@ -37,25 +41,27 @@
         self.state.close();
     }
 
-    /// Gives up the request that is running; false if there is none.
+    /// Abandons the running request and notifies its coroutine that the client is gone. Returns false if
+    /// there is none.
     pub(super) fn abandon_request(&mut self) -> bool {
         let Some(query) = self.state.abandon_query() else { return false };
         query.client.cancel();
-        // The request may have ended by now.
+        // Sending fails if the request has ended in the meantime, which needs no handling.
         let _ = query.events.send(RequestEvent::ClientGone);
         true
     }
 
-    /// Checks whether the client has left: closed its side of the connection, sent Terminate while its query is running, or
-    /// sent so much ahead of the answer that the session could not notice that it leaves. Its query is then given up, and
-    /// no other that it has sent is started.
-    pub(super) fn check_client_left(&mut self) {
+    /// Checks whether the client is gone: it has closed its side of the connection, or sent Terminate while
+    /// its query is running. A client that reaches the read-ahead limit while its query is running is
+    /// treated as gone too, because the session could no longer notice a disconnect. The running query is
+    /// then abandoned, and buffered ones are discarded.
+    pub(super) fn check_client_gone(&mut self) {
         let is_busy = self.state.is_busy();
         let error = if self.client_closed {
             FatalError::ClientClosed
         } else if is_busy && self.input.first() == Some(&kind::TERMINATE) {
             FatalError::ClientTerminated
-        } else if is_busy && self.input.len() >= MAX_READ_AHEAD {
+        } else if is_busy && self.input.len() >= MAX_READ_AHEAD_BYTES {
             FatalError::TooMuchReadAhead
         } else {
             return;
@@ -67,8 +73,8 @@
         self.state.close();
     }
 
-    /// Ends the session if the client has not sent the rest of a message in time, or if the session has been evicted before it
-    /// was started.
+    /// Ends the session if the client has not sent the rest of a message in time, or if the session was
+    /// evicted before its startup message arrived.
     pub(super) fn check_message_timeout(&mut self) {
         let is_startup = self.state.is_startup();
         if is_startup && self.handle.is_evicted() {
@@ -76,56 +82,63 @@
         }
         let is_incomplete = is_startup
             || !self.input.is_empty() && self.state.accepts_messages() && !self.has_complete_message();
-        self.message_started_at =
-            if is_incomplete { self.message_started_at.or_else(|| Some(Instant::now())) } else { None };
-        let is_late =
+        if is_incomplete {
+            self.message_started_at.get_or_insert_with(Instant::now);
+        } else {
+            self.message_started_at = None;
+        }
+        let is_timed_out =
             self.message_started_at.is_some_and(|started_at| started_at.elapsed() >= MESSAGE_TIMEOUT);
-        if is_late && self.state.accepts_messages() {
+        if is_timed_out && self.state.accepts_messages() {
             self.fail(FatalError::MessageTimeout);
         }
     }
 
-    /// All output has been written: shuts the connection down if the session ends here.
-    pub(super) fn output_written(&mut self) -> Result<(), Disconnected> {
-        let has_answered = self.unwritten.take().is_some();
+    /// Handles the state in which all output has been written: shuts down the sending side if the session
+    /// must end.
+    pub(super) fn on_output_written(&mut self) -> Result<(), Disconnected> {
+        let response_written = self.unsent_response_guard.take().is_some();
         if self.client_closed {
             return Err(Disconnected);
         }
-        if self.state.is_closing() || self.must_end(has_answered) {
+        if self.state.is_closing() || self.must_close(response_written) {
             shut_down_output(self.stream.socket());
-            self.state.output_shut_down(Instant::now());
+            self.state.on_output_shut_down(Instant::now());
         }
         Ok(())
     }
 
-    /// Whether the proxy ends the session now that all output has been written.
-    fn must_end(&self, has_answered: bool) -> bool {
-        let is_evicted = self.handle.is_evicted() && !self.state.is_busy() && !self.state.is_draining();
+    /// Whether the proxy must end the session now that all output has been written. `response_written` is
+    /// whether the output completed a response.
+    fn must_close(&self, response_written: bool) -> bool {
+        let is_evicted = self.handle.is_evicted() && !self.state.is_busy() && !self.state.is_half_closed();
         let policy = &self.manager.end_policy;
-        let policy_applies =
-            policy.applies(SessionEnd::WhenIdle) || has_answered && policy.applies(SessionEnd::AfterResponse);
+        let policy_ends_session = policy.includes(SessionEnd::WhenIdle)
+            || response_written && policy.includes(SessionEnd::AfterResponse);
         let is_idle = self.state.is_between_queries() && self.input.is_empty();
-        is_evicted || policy_applies && is_idle
+        is_evicted || policy_ends_session && is_idle
     }
 
-    /// Publishes the status of the session. Fails if the connection must be closed, because a deadline has passed.
+    /// Publishes the status of the session. Fails if the connection must be closed because a deadline has
+    /// passed or the session was evicted while half-closed.
     pub(super) fn publish_status(&mut self) -> Result<(), Disconnected> {
         let deadline = self.next_deadline()?;
-        let due = match deadline {
+        let wake_at = match deadline {
             Some(Deadline::Connection(at)) if at <= Instant::now() => return Err(Disconnected),
             Some(Deadline::Connection(at) | Deadline::Message(at)) => Some(at),
             None => None,
         };
-        let (phase, since) = self.phase();
-        self.handle.set_status(SessionStatus { phase, since, due });
+        let (phase, phase_since) = self.current_phase();
+        self.handle.set_status(SessionStatus { phase, phase_since, wake_at });
         Ok(())
     }
 
-    /// The deadline that the session waits for. Fails if the connection must be closed at once, to make room for another.
+    /// Returns the next deadline of the session, or `None` if no timeout is running. Fails if the
+    /// connection must be closed at once, because the session was evicted while half-closed.
     fn next_deadline(&self) -> Result<Option<Deadline>, Disconnected> {
         match self.state.get() {
-            State::Draining(_) if self.handle.is_evicted() => Err(Disconnected),
-            State::Draining(deadlines) => Ok(Some(Deadline::Connection(deadlines.next()))),
+            State::HalfClosed(_) if self.handle.is_evicted() => Err(Disconnected),
+            State::HalfClosed(deadlines) => Ok(Some(Deadline::Connection(deadlines.next()))),
             _ if self.out.pending() > 0 => {
                 Ok(Some(Deadline::Connection(self.last_progress + CLIENT_READ_TIMEOUT)))
             }
@@ -136,12 +149,12 @@
         }
     }
 
-    /// What the session is doing, and since when.
-    fn phase(&self) -> (Phase, Instant) {
+    /// Returns the phase of the session and since when it has made no progress.
+    fn current_phase(&self) -> (Phase, Instant) {
         match self.state.get() {
             State::Busy(_) => (Phase::Busy, self.last_progress),
-            State::Startup | State::Closing | State::Draining(_) => {
-                (Phase::Silent, self.message_started_at.unwrap_or(self.last_progress))
+            State::Startup | State::Closing | State::HalfClosed(_) => {
+                (Phase::StartingOrClosing, self.message_started_at.unwrap_or(self.last_progress))
             }
             State::Ready | State::SkipUntilSync => (Phase::Idle, self.last_progress),
         }
--- a/crates/proxy/src/downstream/postgres/session/messages.rs
+++ b/crates/proxy/src/downstream/postgres/session/messages.rs
@@ -1,11 +1,11 @@
-//! Processes the messages of a session: starts queries, and writes their answers.
+//! Processes the messages of a session: starts queries and writes their responses.
 
 use std::sync::{Arc, Mutex};
 
 use may::io::WaitIo as _;
 
 use super::state::RunningQuery;
-use super::{MAX_READ_AHEAD, MESSAGES_PER_TURN, Session};
+use super::{MAX_READ_AHEAD_BYTES, MESSAGES_PER_ITERATION, Session};
 use crate::downstream::postgres::backend;
 use crate::downstream::postgres::client_handle::ClientHandle;
 use crate::downstream::postgres::error::{FatalError, QueryError};
@@ -13,22 +13,24 @@
 use crate::downstream::postgres::request::build_query;
 use crate::downstream::postgres::session_end::SessionEnd;
 use crate::facade::{Mailbox, Rejection};
-use crate::query::{Answer, Query};
+use crate::query::{Query, Response};
 use crate::request_lifecycle::handle_request;
 use crate::{lock, task};
 
-/// Requests for encryption that are answered: there are two kinds, and each may be tried once.
+/// Maximum number of encryption requests in a session: a client may try TLS and GSSAPI once each.
 const MAX_ENCRYPTION_REQUESTS: u32 = 2;
-/// Letters of a statement's first word that are kept.
+/// Maximum number of letters that are kept of the first word of a statement. All words that command tags
+/// use are shorter.
 const MAX_COMMAND_LENGTH: usize = 16;
 
 impl Session<'_> {
-    /// Processes the complete messages that were read, up to the next query.
+    /// Processes the complete messages of the input, until one starts a query or the limits of an iteration are
+    /// reached.
     pub(super) fn process_messages(&mut self) {
         let mut input = std::mem::take(&mut self.input);
         let mut consumed = 0;
-        for _ in 0..MESSAGES_PER_TURN {
-            if !self.state.accepts_messages() || self.out.pending() >= MAX_READ_AHEAD {
+        for _ in 0..MESSAGES_PER_ITERATION {
+            if !self.state.accepts_messages() || self.out.pending() >= MAX_READ_AHEAD_BYTES {
                 break;
             }
             match self.process_message(&input[consumed..]) {
@@ -41,11 +43,11 @@
             consumed = input.len();
         }
         input.drain(..consumed);
-        // An idle session keeps no buffer.
+        // An idle session keeps no input buffer, to save memory.
         self.input = if input.is_empty() { Vec::new() } else { input };
     }
 
-    /// Processes the message at the front of `input`, and returns its length; 0 if it is incomplete.
+    /// Processes the message at the front of `input`. Returns its length in bytes, or 0 if it is incomplete.
     fn process_message(&mut self, input: &[u8]) -> Result<usize, FatalError> {
         if self.state.is_startup() {
             return self.process_startup(input);
@@ -56,22 +58,24 @@
         Ok(length)
     }
 
+    /// Processes the startup message at the front of `input`. Returns its length in bytes, or 0 if it is
+    /// incomplete.
     fn process_startup(&mut self, input: &[u8]) -> Result<usize, FatalError> {
         let Some((message, length)) = frontend::parse_startup(input)? else { return Ok(0) };
         match message {
-            StartupMessage::Session if self.manager.end_policy.applies(SessionEnd::WhenIdle) => {
+            StartupMessage::Session if self.manager.end_policy.includes(SessionEnd::WhenIdle) => {
                 return Err(FatalError::ShuttingDown);
             }
             StartupMessage::Session => {
                 backend::session_start(self.out.buffer(), self.key);
-                self.state.started();
+                self.state.on_startup_accepted();
             }
             StartupMessage::Encryption if self.encryption_requests >= MAX_ENCRYPTION_REQUESTS => {
                 return Err(FatalError::RepeatedEncryptionRequest);
             }
             StartupMessage::Encryption => {
                 self.encryption_requests += 1;
-                backend::encryption_declined(self.out.buffer());
+                backend::encryption_rejected(self.out.buffer());
             }
             StartupMessage::Cancel(key) => {
                 self.manager.registry.cancel(key);
@@ -81,12 +85,13 @@
         Ok(length)
     }
 
+    /// Processes a message of an open session.
     fn process_session_message(&mut self, message: &Message) -> Result<(), FatalError> {
         match message.kind {
             kind::TERMINATE => self.state.close(),
             kind::SYNC => {
                 backend::ready_for_query(self.out.buffer());
-                self.state.synced();
+                self.state.on_sync();
             }
             _ if self.state.is_skipping() => {}
             kind::QUERY => self.process_query(message.body)?,
@@ -95,24 +100,28 @@
                 self.state.skip_until_sync();
             }
             kind::FUNCTION_CALL => self.fail_query(&QueryError::FunctionCall),
-            // Copy data too: the proxy never starts a copy, and discarding it might never end.
-            _ => return Err(FatalError::MessageKind),
+            // CopyData is an error too. PostgreSQL discards it outside a copy, but the proxy never starts a
+            // copy, and discarding it might never end.
+            _ => return Err(FatalError::InvalidMessageKind),
         }
         Ok(())
     }
 
+    /// Starts the simple query in a message body, or writes the response to one that cannot be started.
     fn process_query(&mut self, body: &[u8]) -> Result<(), FatalError> {
-        let text = body.strip_suffix(&[0]).filter(|text| !text.contains(&0));
-        let text = text.ok_or(FatalError::QueryString)?;
-        if self.manager.end_policy.applies(SessionEnd::WhenIdle) {
+        let without_terminator = body.strip_suffix(&[0]);
+        let text = without_terminator.filter(|text| !text.contains(&0));
+        let text = text.ok_or(FatalError::MalformedQueryString)?;
+        if self.manager.end_policy.includes(SessionEnd::WhenIdle) {
             return Err(FatalError::ShuttingDown);
         }
-        if text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';') {
+        let is_empty = text.iter().all(|byte| byte.is_ascii_whitespace() || *byte == b';');
+        if is_empty {
             backend::empty_query_response(self.out.buffer());
             backend::ready_for_query(self.out.buffer());
             return Ok(());
         }
-        if std::mem::take(&mut self.next_query_cancelled) {
+        if std::mem::take(&mut self.cancel_next_query) {
             self.fail_query(&QueryError::Cancelled);
             return Ok(());
         }
@@ -124,27 +133,28 @@
         Ok(())
     }
 
-    /// Starts a coroutine that handles the request and leaves its answer with this session.
+    /// Starts a coroutine that runs the request, stores the response for this session and wakes the session.
     fn start_query(&mut self, query: Query, client: Arc<ClientHandle>) {
         let handler = self.manager.handler.clone();
         let mailbox = Mailbox::new();
         let running = RunningQuery {
             events: mailbox.sender(),
-            answer: Arc::new(Mutex::new(None)),
+            response: Arc::new(Mutex::new(None)),
             command: command_word(&query.statement),
-            open: handler.track_open(&query.class),
+            open_guard: handler.track_open(&query.class),
             client,
         };
-        let answer_slot = running.answer.clone();
+        let response_slot = running.response.clone();
         let waker = self.stream.waker();
         let spawned = task::spawn("request", move || {
-            handle_request(&handler, query, &mailbox, |answer| {
-                *lock(&answer_slot) = Some(answer);
+            let send_response = |response| {
+                *lock(&response_slot) = Some(response);
                 waker.wakeup();
-            });
+            };
+            handle_request(&handler, query, &mailbox, send_response);
         });
         match spawned {
-            Ok(()) => self.state.query_started(running),
+            Ok(()) => self.state.on_query_started(running),
             Err(_) => self.fail_query(&QueryError::OutOfMemory),
         }
     }
@@ -155,33 +165,35 @@
         backend::ready_for_query(self.out.buffer());
     }
 
-    /// Writes the answer of the running query if it has come. The request counts as open until the client has it all.
-    pub(super) fn write_answer(&mut self) {
-        let Some((answer, query)) = self.state.take_answer() else { return };
+    /// Appends the response of the running query to the output, if it has been stored. The request counts
+    /// as open until the response has been written in full.
+    pub(super) fn write_response(&mut self) {
+        let Some((response, query)) = self.state.take_response() else { return };
         let out = self.out.buffer();
-        match answer {
-            Answer::Served(pages) => backend::result(out, &query.command, &pages),
-            Answer::Rejected(Rejection { retry_after, reason }) => {
+        match response {
+            Response::Served(pages) => backend::result(out, &query.command, &pages),
+            Response::Rejected(Rejection { retry_after, reason }) => {
                 backend::query_error(out, &QueryError::Rejected { retry_after, reason });
             }
-            Answer::Duplicate => backend::query_error(out, &QueryError::Duplicate),
-            Answer::Failed => backend::query_error(out, &QueryError::Failed),
+            Response::Duplicate => backend::query_error(out, &QueryError::Duplicate),
+            Response::Failed => backend::query_error(out, &QueryError::Failed),
         }
         backend::ready_for_query(out);
-        self.unwritten = Some(query.open);
+        self.unsent_response_guard = Some(query.open_guard);
     }
 
-    /// Cancels the running query, or the one that has come and was not processed yet.
+    /// Handles a cancel request: cancels the running query, or else the next query if it is buffered in
+    /// full or in part.
     pub(super) fn cancel_query(&mut self) {
         if self.abandon_request() {
             self.fail_query(&QueryError::Cancelled);
         } else if self.state.accepts_messages() {
-            self.next_query_cancelled = !self.input.is_empty();
+            self.cancel_next_query = !self.input.is_empty();
         }
     }
 }
 
-/// The first word of a statement.
+/// Returns the first word of a statement, of which at most [`MAX_COMMAND_LENGTH`] letters are kept.
 fn command_word(statement: &[u8]) -> String {
     let letters = statement.iter().take_while(|byte| byte.is_ascii_alphabetic());
     letters.take(MAX_COMMAND_LENGTH).map(|byte| char::from(*byte)).collect()
--- a/crates/proxy/src/downstream/postgres/session/mod.rs
+++ b/crates/proxy/src/downstream/postgres/session/mod.rs
@@ -1,7 +1,8 @@
-//! One session: the coroutine that owns a client's socket.
+//! A client session: the coroutine that owns the client's socket.
 //!
-//! It reads and writes here, and waits for the socket or for others to wake it. What it does in between: [`messages`]
-//! processes what the client sends, [`closing`] checks timeouts and ends the session, [`state`] is its state machine.
+//! This module contains the event loop of the session: it reads, writes, and waits for the socket or for
+//! another coroutine to wake it. [`messages`] processes the messages of the client, [`closing`] checks
+//! timeouts and ends the session, and [`state`] is the state machine of the session.
 
 mod closing;
 mod messages;
@@ -24,57 +25,60 @@
 
 pub use self::closing::initial_status;
 
-/// Bytes read ahead of what is being answered.
-const MAX_READ_AHEAD: usize = 64 * 1024;
-/// Reads and messages in one turn of a session.
-const READS_PER_TURN: usize = 16;
-/// See [`READS_PER_TURN`].
-const MESSAGES_PER_TURN: usize = 16;
-/// Turns without a wait after which a session pauses, so that others get theirs.
-const TURNS_BEFORE_PAUSE: usize = 8;
-/// The length of that pause. A coroutine that merely yielded would run again before any other socket is read.
-const TURN_PAUSE: Duration = Duration::from_millis(1);
-
-/// A session, owned by its coroutine.
+/// Limit of the input that is buffered ahead of the running query, apart from one longer message, and of
+/// the unwritten output beyond which no further message is processed.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+/// Maximum number of reads in one iteration of the event loop.
+const READS_PER_ITERATION: usize = 16;
+/// Maximum number of messages that are processed in one iteration of the event loop.
+const MESSAGES_PER_ITERATION: usize = 16;
+/// Number of iterations without a wait after which a session pauses, so that other sessions can run.
+const ITERATIONS_BEFORE_PAUSE: usize = 8;
+/// How long a session pauses then. It sleeps, because a coroutine that yields runs again before any other
+/// socket is read.
+const LOOP_PAUSE: Duration = Duration::from_millis(1);
+
+/// A session. Only its own coroutine accesses it; other coroutines use its [`SessionHandle`].
 pub struct Session<'a> {
     manager: &'a Arc<SessionManager>,
     stream: Arc<CoIo<TcpStream>>,
     handle: Arc<SessionHandle>,
     key: CancelKey,
     state: SessionState,
-    /// What was read and not yet processed.
+    /// Input that was read and not processed yet.
     input: Vec<u8>,
     out: WriteBuffer,
-    /// When bytes were last read, on the facade's clock.
+    /// When input was last read, on the facade's clock.
     read_at: Millis,
-    /// When the first bytes of the message came that is still incomplete. The first message counts from the session's start.
+    /// When the first bytes of the incomplete message arrived, or when the session started if it waits for
+    /// the startup message. `None` if no message is incomplete.
     message_started_at: Option<Instant>,
-    /// When the client last took some output, or when there was last none to take.
+    /// When output was last written to the socket, or when there was last no output to write.
     last_progress: Instant,
-    /// How often encryption was requested.
+    /// How often the client has requested encryption.
     encryption_requests: u32,
-    /// The client has closed its side of the connection.
+    /// Whether the client has closed its side of the connection.
     client_closed: bool,
-    /// The query that has come in part is cancelled already.
-    next_query_cancelled: bool,
-    /// The request whose answer is still being written.
-    unwritten: Option<OpenRequestGuard>,
+    /// Whether a cancel request has arrived for the next query, which is buffered in full or in part.
+    cancel_next_query: bool,
+    /// Counts the request whose response is still being written as open.
+    unsent_response_guard: Option<OpenRequestGuard>,
 }
 
-/// What a turn of reading has left in the socket.
+/// Whether the socket may have more input after a read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SocketInput {
-    /// Nothing: the socket will report what comes next.
+    /// All input has been read, and new input wakes the session.
     Drained,
-    /// Perhaps more.
+    /// The socket may have unread input, which does not wake the session.
     MayHaveMore,
 }
 
-/// The connection is broken.
+/// The session must end at once, because the connection is broken or must be closed.
 struct Disconnected;
 
 impl<'a> Session<'a> {
-    /// A session that has not read anything.
+    /// Creates a session that has read no input yet.
     pub fn new(
         manager: &'a Arc<SessionManager>,
         stream: Arc<CoIo<TcpStream>>,
@@ -95,63 +99,65 @@
             last_progress: started_at,
             encryption_requests: 0,
             client_closed: false,
-            next_query_cancelled: false,
-            unwritten: None,
+            cancel_next_query: false,
+            unsent_response_guard: None,
         }
     }
 
-    /// Runs the session until its connection can be closed.
+    /// Runs the event loop until the connection can be closed; blocks the coroutine.
     pub fn run(&mut self) {
         let first_read = self.read();
-        self.manager.first_read_done();
+        self.manager.on_first_read();
         let mut read = first_read;
-        let mut turns = 0;
+        let mut iterations = 0;
         while let Ok(socket_input) = read {
-            if self.take_turn().is_err() {
+            if self.process_events().is_err() {
                 return;
             }
-            // The socket reports input once: the session waits only once it has read all, or need not read the rest.
-            let may_wait = socket_input == SocketInput::Drained || !self.wants_input();
+            // The socket is edge-triggered: it reports input only once. So the session waits only when it
+            // has read all input or must not read more now.
+            let may_wait = socket_input == SocketInput::Drained || !self.should_read();
             if may_wait && !self.has_message_to_process() {
-                turns = 0;
+                iterations = 0;
                 self.stream.wait_io();
             } else {
-                turns += 1;
-                if turns % TURNS_BEFORE_PAUSE == 0 {
-                    task::sleep(TURN_PAUSE);
+                iterations += 1;
+                if iterations % ITERATIONS_BEFORE_PAUSE == 0 {
+                    task::sleep(LOOP_PAUSE);
                 }
             }
             read = self.read();
         }
     }
 
-    /// Gives up all that is open in the session, before its connection is closed.
-    pub fn release(&mut self) {
-        self.unwritten = None;
+    /// Abandons the running request and discards unread input, before the connection is closed.
+    pub fn clean_up(&mut self) {
+        self.unsent_response_guard = None;
         self.abandon_request();
         discard_input(self.stream.socket());
     }
 
-    /// Processes what was read and what others have left for the session, and writes what the client takes.
-    fn take_turn(&mut self) -> Result<(), Disconnected> {
-        self.write_answer();
+    /// Handles the response of the running query, a cancel request, the input and the timeouts, and writes
+    /// the output that the socket accepts.
+    fn process_events(&mut self) -> Result<(), Disconnected> {
+        self.write_response();
         if self.handle.take_cancel_request() {
             self.cancel_query();
         }
-        self.check_client_left();
+        self.check_client_gone();
         self.process_messages();
         self.check_message_timeout();
         self.flush()?;
         if self.out.pending() == 0 {
-            self.output_written()?;
+            self.on_output_written()?;
         }
         self.publish_status()
     }
 
-    /// Reads what has come, up to a complete message.
+    /// Reads the available input, up to a complete message that can be processed.
     fn read(&mut self) -> Result<SocketInput, Disconnected> {
-        for _ in 0..READS_PER_TURN {
-            if !self.wants_input() {
+        for _ in 0..READS_PER_ITERATION {
+            if !self.should_read() {
                 break;
             }
             match read_into(self.stream.socket(), &mut self.input) {
@@ -163,7 +169,7 @@
                 }
                 Err(_) => return Err(Disconnected),
             }
-            if self.state.input_received() {
+            if self.state.on_input() {
                 self.input.clear();
             }
             if self.state.accepts_messages() && self.has_complete_message() {
@@ -173,7 +179,7 @@
         Ok(SocketInput::MayHaveMore)
     }
 
-    /// Writes what the socket takes.
+    /// Writes as much output as the socket accepts.
     fn flush(&mut self) -> Result<(), Disconnected> {
         let progressed = self.out.flush(self.stream.socket()).map_err(|_| Disconnected)?;
         if progressed || self.out.pending() == 0 {
@@ -182,20 +188,21 @@
         Ok(())
     }
 
-    /// Whether to read more. A client that does not read its answers, or sends faster than it is answered, has to
-    /// wait: only so much is read ahead, or the rest of one long message. Within that limit input is also read while a query
-    /// runs, so that the session notices that its client leaves.
-    fn wants_input(&self) -> bool {
+    /// Whether to read more input. A client that does not read its responses, or sends queries faster than
+    /// they run, has to wait: the session buffers at most [`MAX_READ_AHEAD_BYTES`] or one longer message.
+    /// Within that limit it also reads while a query runs, so that it notices when the client disconnects.
+    fn should_read(&self) -> bool {
         let is_message_incomplete =
             || self.state.accepts_messages() && self.out.pending() == 0 && !self.has_complete_message();
-        !self.client_closed && (self.input.len() < MAX_READ_AHEAD || is_message_incomplete())
+        !self.client_closed && (self.input.len() < MAX_READ_AHEAD_BYTES || is_message_incomplete())
     }
 
+    /// Whether a message can be processed now, without waiting for the socket.
     fn has_message_to_process(&self) -> bool {
         self.out.pending() == 0 && self.state.accepts_messages() && self.has_complete_message()
     }
 
-    /// Whether the input begins with a complete message, or with a malformed one.
+    /// Whether the input begins with a complete or malformed message.
     fn has_complete_message(&self) -> bool {
         if self.state.is_startup() {
             !matches!(frontend::parse_startup(&self.input), Ok(None))
--- a/crates/proxy/src/downstream/postgres/session/state.rs
+++ b/crates/proxy/src/downstream/postgres/session/state.rs
@@ -6,11 +6,11 @@
 //!    │         v │
 //!    │     SkipUntilSync
 //!    │         │
-//!    └────> Closing ──> Draining
+//!    └────> Closing ──> HalfClosed
 //! ```
 //!
-//! A session whose output has been written in full may also go from any state but `Busy` to `Draining` directly. Every
-//! transition is a method of [`SessionState`].
+//! A session whose output has been written in full may also go directly from any state but `Busy` to
+//! `HalfClosed`. Each transition is a method of [`SessionState`].
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -18,65 +18,65 @@
 use crate::downstream::postgres::client_handle::ClientHandle;
 use crate::downstream::postgres::session_end::CloseDeadlines;
 use crate::lock;
-use crate::query::{Answer, EventSender};
+use crate::query::{EventSender, Response};
 use crate::request_lifecycle::OpenRequestGuard;
 
-/// Where the coroutine of a request leaves the answer for its session.
-pub type AnswerSlot = Arc<Mutex<Option<Answer>>>;
+/// Where the coroutine of a request stores the response for its session.
+pub type ResponseSlot = Arc<Mutex<Option<Response>>>;
 
 /// A query that is running.
 pub struct RunningQuery {
-    /// Reaches the request's coroutine.
+    /// Sends events to the request's coroutine.
     pub events: EventSender,
-    /// Where its answer will be.
-    pub answer: AnswerSlot,
-    /// The first word of the statement, for the tag of its result.
+    /// The response; `None` until the request's coroutine has stored it.
+    pub response: ResponseSlot,
+    /// The first word of the statement, for the command tag of the result.
     pub command: String,
-    /// Counts it as open.
-    pub open: OpenRequestGuard,
-    /// Its client.
+    /// Counts the request as open.
+    pub open_guard: OpenRequestGuard,
+    /// The client that waits for the response.
     pub client: Arc<ClientHandle>,
 }
 
-/// A state of a session.
+/// The states of a session.
 pub enum State {
-    /// Waiting for the startup message.
+    /// The session is waiting for the startup message.
     Startup,
-    /// Waiting for a query.
+    /// The session is waiting for a query.
     Ready,
-    /// After an error in the extended query protocol: messages are discarded up to Sync.
+    /// A message of the extended query protocol was rejected, and further messages are discarded until Sync.
     SkipUntilSync,
     /// A query is running.
     Busy(RunningQuery),
-    /// No message is accepted any more; the output is being written.
+    /// No more messages are accepted, and the remaining output is being written.
     Closing,
-    /// The output has been written and its side of the connection shut down; input is discarded until the client closes
-    /// the other side, or a deadline passes.
-    Draining(CloseDeadlines),
+    /// All output has been written and the sending side of the connection is shut down. Input is discarded
+    /// until the client closes its side or a deadline passes.
+    HalfClosed(CloseDeadlines),
 }
 
-/// The state of a session, which changes by its methods only.
+/// The state of a session. It changes only through its methods.
 pub struct SessionState {
     state: State,
 }
 
 impl SessionState {
-    /// The state of a new session.
+    /// Creates the state of a new session.
     pub fn new() -> Self {
         SessionState { state: State::Startup }
     }
 
-    /// The current state.
+    /// Returns the current state.
     pub fn get(&self) -> &State {
         &self.state
     }
 
-    /// Whether the startup message has not come yet.
+    /// Whether the session is waiting for the startup message.
     pub fn is_startup(&self) -> bool {
         matches!(self.state, State::Startup)
     }
 
-    /// Whether messages are discarded up to Sync.
+    /// Whether messages are discarded until Sync.
     pub fn is_skipping(&self) -> bool {
         matches!(self.state, State::SkipUntilSync)
     }
@@ -86,17 +86,17 @@
         matches!(self.state, State::Busy(_))
     }
 
-    /// Whether no message is accepted any more and the output is being written.
+    /// Whether no more messages are accepted and the remaining output is being written.
     pub fn is_closing(&self) -> bool {
         matches!(self.state, State::Closing)
     }
 
-    /// Whether the output has been shut down.
-    pub fn is_draining(&self) -> bool {
-        matches!(self.state, State::Draining(_))
+    /// Whether the sending side of the connection has been shut down.
+    pub fn is_half_closed(&self) -> bool {
+        matches!(self.state, State::HalfClosed(_))
     }
 
-    /// Whether the session waits between queries.
+    /// Whether the session has been started and no query is running.
     pub fn is_between_queries(&self) -> bool {
         matches!(self.state, State::Ready | State::SkipUntilSync)
     }
@@ -106,34 +106,34 @@
         matches!(self.state, State::Startup | State::Ready | State::SkipUntilSync)
     }
 
-    /// The startup message has been accepted.
-    pub fn started(&mut self) {
+    /// Handles an accepted startup message.
+    pub fn on_startup_accepted(&mut self) {
         self.state = State::Ready;
     }
 
-    /// A message of the extended query protocol has been rejected.
+    /// Discards messages until Sync, after a message of the extended query protocol was rejected.
     pub fn skip_until_sync(&mut self) {
         self.state = State::SkipUntilSync;
     }
 
-    /// Sync has come.
-    pub fn synced(&mut self) {
+    /// Handles a Sync message.
+    pub fn on_sync(&mut self) {
         self.state = State::Ready;
     }
 
-    /// A query has been started.
-    pub fn query_started(&mut self, query: RunningQuery) {
+    /// Handles the start of a query.
+    pub fn on_query_started(&mut self, query: RunningQuery) {
         self.state = State::Busy(query);
     }
 
-    /// Ends the running query if its answer has come, and returns both.
-    pub fn take_answer(&mut self) -> Option<(Answer, RunningQuery)> {
+    /// Ends the running query if its response has been stored, and returns both.
+    pub fn take_response(&mut self) -> Option<(Response, RunningQuery)> {
         let State::Busy(query) = &self.state else { return None };
-        let answer = lock(&query.answer).take()?;
-        Some((answer, self.abandon_query()?))
+        let response = lock(&query.response).take()?;
+        Some((response, self.abandon_query()?))
     }
 
-    /// Ends the running query, if any, without its answer.
+    /// Ends the running query without a response, and returns it. Returns `None` if no query is running.
     pub fn abandon_query(&mut self) -> Option<RunningQuery> {
         match std::mem::replace(&mut self.state, State::Ready) {
             State::Busy(query) => Some(query),
@@ -144,21 +144,23 @@
         }
     }
 
-    /// The session ends once its output has been written. No query may be running.
+    /// Accepts no more messages; the session ends once its output has been written. No query may be running.
     pub fn close(&mut self) {
         self.state = State::Closing;
     }
 
-    /// The output has been written and shut down. No query may be running.
-    pub fn output_shut_down(&mut self, now: Instant) {
-        self.state = State::Draining(CloseDeadlines::new(now));
+    /// Handles the shutdown of the sending side at `now`, after all output was written. No query may be
+    /// running.
+    pub fn on_output_shut_down(&mut self, now: Instant) {
+        self.state = State::HalfClosed(CloseDeadlines::new(now));
     }
 
-    /// Input has come. Returns true if it must be discarded, because the output has been shut down.
-    pub fn input_received(&mut self) -> bool {
+    /// Handles input from the client. Returns true if it must be discarded, because the sending side is
+    /// shut down.
+    pub fn on_input(&mut self) -> bool {
         match &mut self.state {
-            State::Draining(deadlines) => {
-                deadlines.extend(Instant::now());
+            State::HalfClosed(deadlines) => {
+                deadlines.extend_idle(Instant::now());
                 true
             }
             _ => false,
--- a/crates/proxy/src/downstream/postgres/session_manager.rs
+++ b/crates/proxy/src/downstream/postgres/session_manager.rs
@@ -1,4 +1,4 @@
-//! Admits, evicts and ends sessions.
+//! Admits, evicts and ends client sessions.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -18,30 +18,30 @@
 use crate::stream::{WriteBuffer, discard_input, readable};
 use crate::task;
 
-/// What all sessions share.
+/// State shared by all client sessions.
 pub struct SessionManager {
-    /// Handles their requests.
+    /// Runs the requests of the sessions.
     pub(super) handler: Arc<RequestHandler>,
-    /// Reaches each of them.
+    /// The handles of the open sessions.
     pub(super) registry: CancelRegistry,
-    /// When they end.
+    /// When the proxy ends the sessions.
     pub(super) end_policy: SessionEndPolicy,
     /// The longest message that a client may send, in bytes.
     pub(super) max_message_length: usize,
-    next_process: AtomicU32,
-    seed: u64,
-    /// Where clients connect, while it is open.
+    next_process_id: AtomicU32,
+    cancel_key_seed: u64,
+    /// The listening socket; dangling once it is closed.
     listener: Weak<CoIo<TcpListener>>,
-    /// Connections that were admitted and not yet read from.
+    /// Number of admitted connections that have not been read from yet.
     unread_connections: AtomicUsize,
 }
 
 impl SessionManager {
-    /// A manager without sessions, whose requests go to `handler`. `seed` makes cancel keys hard to guess; a client may
-    /// send messages of `max_message_length` bytes.
+    /// Creates a manager without sessions, whose requests run in `handler`. `cancel_key_seed` makes cancel
+    /// keys hard to guess. `max_message_length` is the longest message that a client may send, in bytes.
     pub fn new(
         handler: Arc<RequestHandler>,
-        seed: u64,
+        cancel_key_seed: u64,
         max_message_length: usize,
         listener: &Arc<CoIo<TcpListener>>,
     ) -> Self {
@@ -50,19 +50,19 @@
             registry: CancelRegistry::default(),
             end_policy: SessionEndPolicy::new(),
             max_message_length,
-            next_process: AtomicU32::new(1),
-            seed,
+            next_process_id: AtomicU32::new(1),
+            cancel_key_seed,
             listener: Arc::downgrade(listener),
             unread_connections: AtomicUsize::new(0),
         }
     }
 
-    /// How many sessions are open.
+    /// Returns the number of open sessions.
     pub fn session_count(&self) -> usize {
         self.registry.len()
     }
 
-    /// Sets when sessions end from now on.
+    /// Sets when the proxy ends its sessions from now on.
     pub fn set_session_end(&self, end: SessionEnd) {
         self.end_policy.set(end);
         self.registry.wake_all();
@@ -73,15 +73,17 @@
         self.registry.wake_due();
     }
 
-    /// Evicts the session that has been silent for longest, or if there is none, idle for longest. Returns false if
-    /// queries are running in all.
+    /// Evicts the session that has been starting or closing for longest or, if there is none, the one that
+    /// has been idle for longest. Returns false if all sessions are busy or already evicted.
     ///
-    /// Clients that connect and send nothing, or query once and stay, then do not keep others from connecting.
+    /// So clients that connect and send nothing, or that stay connected without queries, cannot keep other
+    /// clients out.
     pub fn evict_idle_session(&self) -> bool {
         self.registry.evict_idle_session()
     }
 
-    /// Closes a connection for which there is no room, with an error that says so.
+    /// Rejects a connection because the maximum number of sessions is open: sends the error and closes the
+    /// connection.
     pub fn reject(&self, socket: &TcpStream) {
         let mut out = WriteBuffer::default();
         backend::fatal_error(out.buffer(), FatalError::TooManyClients);
@@ -89,7 +91,7 @@
         let _ = socket.set_nodelay(true);
         let _ = out.flush(socket);
         shut_down_output(socket);
-        // A connection that is closed with bytes unread is reset, and the error lost.
+        // Closing a connection with unread input resets it, and the client would lose the error.
         discard_input(socket);
     }
 
@@ -97,43 +99,45 @@
     ///
     /// # Errors
     ///
-    /// If the socket cannot be set up, or no coroutine can be started.
+    /// Returns an error if the socket cannot be configured or the coroutine cannot be started.
     pub fn admit(self: &Arc<Self>, socket: TcpStream) -> io::Result<()> {
         socket.set_nodelay(true)?;
         let stream = Arc::new(CoIo::new(socket).map_err(io::Error::from)?);
         let key = self.next_cancel_key();
         let started_at = Instant::now();
-        let handle = Arc::new(SessionHandle::new(key.secret, &stream, initial_status(started_at)));
-        self.registry.register(key.process, handle.clone());
+        let handle = Arc::new(SessionHandle::new(key.secret_key, &stream, initial_status(started_at)));
+        self.registry.register(key.process_id, handle.clone());
         self.unread_connections.fetch_add(1, Ordering::Relaxed);
         let manager = self.clone();
         let spawned = task::spawn("session", move || {
             let mut session = Session::new(&manager, stream, handle, key, started_at);
             session.run();
-            session.release();
-            manager.registry.unregister(key.process);
+            session.clean_up();
+            manager.registry.unregister(key.process_id);
         });
         if spawned.is_err() {
-            self.first_read_done();
-            self.registry.unregister(key.process);
+            self.on_first_read();
+            self.registry.unregister(key.process_id);
         }
         spawned
     }
 
-    /// A connection that was admitted has been read from for the first time.
-    pub(super) fn first_read_done(&self) {
+    /// Records that an admitted connection has been read from for the first time.
+    pub(super) fn on_first_read(&self) {
         self.unread_connections.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Whether a connection has come that has not been read from: it may carry a request to cancel a query.
+    /// Whether a connection has arrived that has not been read from: it may carry a cancel request.
     pub(super) fn has_unread_input(&self) -> bool {
-        let is_pending = self.listener.upgrade().is_some_and(|listener| readable(listener.inner()));
-        is_pending || self.unread_connections.load(Ordering::Relaxed) > 0
+        let has_pending_accept = self.listener.upgrade().is_some_and(|listener| readable(listener.inner()));
+        has_pending_accept || self.unread_connections.load(Ordering::Relaxed) > 0
     }
 
+    /// Returns the cancel key of a new session: the next process id and a pseudorandom secret key.
     fn next_cancel_key(&self) -> CancelKey {
-        let process = self.next_process.fetch_add(1, Ordering::Relaxed);
-        let secret = oorandom::Rand32::new(self.seed ^ (u64::from(process) << 32)).rand_u32();
-        CancelKey { process, secret }
+        let process_id = self.next_process_id.fetch_add(1, Ordering::Relaxed);
+        let session_seed = self.cancel_key_seed ^ (u64::from(process_id) << 32);
+        let secret_key = oorandom::Rand32::new(session_seed).rand_u32();
+        CancelKey { process_id, secret_key }
     }
 }
--- a/crates/proxy/src/query.rs
+++ b/crates/proxy/src/query.rs
@@ -1,7 +1,8 @@
-//! A request on its way through the proxy.
+//! The types that the downstream and upstream sides of the proxy exchange about a request.
 //!
-//! The client's side makes a [`Query`] and takes an [`Answer`]; the databases' side takes a [`Query`] and reports
-//! [`UpstreamEvent`]s. Neither knows the other: [`crate::request_lifecycle`] connects them, as the facade decides.
+//! The downstream side builds a [`Query`] and receives a [`Response`]. The upstream side receives a
+//! [`Query`] and emits [`UpstreamEvent`]s. The two sides are independent of each other:
+//! [`crate::request_lifecycle`] connects them, as the facade decides.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -12,63 +13,66 @@
 use crate::facade::{Rejection, RequestEvent};
 use crate::termination::Termination;
 
-/// The client that waits for a request's answer, as it can be queried at any moment.
+/// The client that waits for the response to a request. It can be checked at any moment.
 pub trait Client: Debug + Send + Sync {
-    /// Whether it has closed its connection or cancelled the request, even if its session has not noticed yet.
+    /// Whether the client has closed its connection or cancelled the request, even if its session has not
+    /// noticed yet.
     fn is_gone(&self) -> bool;
 
-    /// Whether there is input from clients that has not been read: it may cancel the request.
+    /// Whether a client connection has input that the proxy has not read: it may be a cancel request for
+    /// this request.
     fn has_unread_input(&self) -> bool;
 }
 
-/// A client's request, independent of the protocol that it came by.
+/// A client's request, independent of the protocol by which it arrived.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// The request as the dispatcher sees it.
+    /// The request as the dispatcher receives it.
     pub request: NewRequest,
-    /// Its class.
+    /// The class of the request.
     pub class: Arc<Class>,
-    /// The statement, byte for byte.
+    /// The SQL statement, byte for byte as the client sent it.
     pub statement: Vec<u8>,
-    /// Its client.
+    /// The client that waits for the response.
     pub client: Arc<dyn Client>,
 }
 
-/// A complete result: pages of rows, in order. A tab separates the columns of a row, a line feed ends it.
+/// A complete query result: pages of rows, in order. A tab separates the columns of a row, and a line feed
+/// ends the row.
 pub type Pages = Vec<Vec<u8>>;
 
-/// The one final answer to a request.
+/// The one final response to a request.
 #[derive(Debug)]
-pub enum Answer {
-    /// Its result.
+pub enum Response {
+    /// The request was served, with this result.
     Served(Pages),
-    /// It did not run, or may be repeated.
+    /// The request was rejected: it did not run, or it is safe to run it again.
     Rejected(Rejection),
-    /// It failed, and may have run.
+    /// The request failed; its statement may have run.
     Failed,
-    /// It was not accepted, as a request with its id is open.
+    /// The request was not accepted, because a request with the same id is open.
     Duplicate,
 }
 
-/// What the databases' side reports about an attempt.
+/// An event of an attempt on the upstream side.
 #[derive(Debug)]
 pub enum UpstreamEvent {
-    /// Progress while it runs.
+    /// The engine reported progress of the attempt.
     Progress(ProgressReport),
-    /// Its end.
+    /// The attempt has ended.
     Ended(AttemptResult),
 }
 
-/// The end of an attempt.
+/// How an attempt ended, with what the engine reported about it.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub termination: Termination,
-    /// The resources it used, if reported.
+    /// The resources that the attempt used. `None` if the engine did not report them.
     pub cost: Option<Cost>,
-    /// The database's load, if reported.
+    /// The load of the engine. `None` if the engine did not report it.
     pub load: Option<LoadReport>,
-    /// The result, if it was served.
+    /// The query result; empty unless the attempt was served.
     pub pages: Pages,
 }
 
@@ -78,7 +82,7 @@
     }
 }
 
-/// What reaches a request's coroutine.
+/// An event in the mailbox of a request's coroutine.
 pub type LifecycleEvent = RequestEvent<UpstreamEvent>;
-/// Reaches the mailbox of a request's coroutine.
+/// Sends events to the mailbox of a request's coroutine.
 pub type EventSender = may::sync::mpsc::Sender<LifecycleEvent>;
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -1,4 +1,8 @@
-//! The way of one request from a client to the databases and back, step by step as the facade says.
+//! The lifecycle of a request: its attempts on engines and its one final response.
+//!
+//! Each request runs [`handle_request`] in a coroutine of its own. The facade of the dispatcher decides
+//! each step: send an attempt, reject the request, fail it, or finish. Events that concern an attempt in
+//! flight arrive in the request's mailbox.
 
 use std::ops::ControlFlow;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,39 +11,39 @@
 use crate::class_registry::{Class, ClassRegistry};
 use crate::config::Names;
 use crate::facade::{AttemptOrder, AttemptReport, Facade, Mailbox, NextStep, RequestEvent, to_duration};
-use crate::query::{Answer, AttemptResult, LifecycleEvent, Query, UpstreamEvent};
+use crate::query::{AttemptResult, LifecycleEvent, Query, Response, UpstreamEvent};
 use crate::termination::Termination;
 use crate::upstream::line_protocol::{UpstreamHandle, UpstreamPool};
 
-/// What all requests share.
+/// State shared by all requests of the proxy.
 pub struct RequestHandler {
-    /// The dispatcher.
+    /// The dispatcher, which decides the steps of each request.
     pub facade: Facade<UpstreamEvent>,
-    /// The connections to databases.
+    /// The connections to engines.
     pub upstream_pool: Arc<UpstreamPool>,
-    /// The names of zones and machines.
+    /// The names of zones and of machine kinds in the configuration, as of the start of the proxy.
     pub names: Names,
-    /// The classes and tenants.
+    /// The classes and tenants of the current settings.
     pub classes: ClassRegistry,
-    /// How many requests may be open together.
+    /// Maximum number of open requests; further ones are rejected.
     pub max_open_requests: AtomicUsize,
-    /// Held while the list of engines or the settings change, so that a version is put into force in the state of the proxy
-    /// that it was checked against.
+    /// Serializes updates of the engine list and of the settings, so that a configuration version is
+    /// applied to the same state of the proxy that it was checked against.
     pub update_lock: Mutex<()>,
-    /// Requests that were accepted and whose answers have not been written in full.
+    /// Number of accepted requests whose responses have not been written to their clients in full.
     pub open_requests: AtomicUsize,
 }
 
 impl RequestHandler {
-    /// Counts a request as open until the returned guard is dropped.
+    /// Counts a request as open, in total and in its class, until the returned guard is dropped.
     pub fn track_open(self: &Arc<Self>, class: &Arc<Class>) -> OpenRequestGuard {
         self.open_requests.fetch_add(1, Ordering::Relaxed);
-        class.request_opened();
+        class.record_opened();
         OpenRequestGuard { handler: self.clone(), class: class.clone() }
     }
 }
 
-/// Counts one request as open.
+/// Counts one request as open until it is dropped.
 pub struct OpenRequestGuard {
     handler: Arc<RequestHandler>,
     class: Arc<Class>,
@@ -48,64 +52,70 @@
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.handler.open_requests.fetch_sub(1, Ordering::Relaxed);
-        self.class.request_closed();
+        self.class.record_closed();
     }
 }
 
-/// Handles a request to its end; blocks its coroutine. `respond` takes the one final answer, unless the client leaves first.
+/// Runs a request until it has ended; blocks its coroutine. Calls `send_response` once with the final
+/// response, or never if the client is gone first.
 pub fn handle_request(
     handler: &RequestHandler,
     query: Query,
     mailbox: &Mailbox<UpstreamEvent>,
-    respond: impl FnOnce(Answer),
+    send_response: impl FnOnce(Response),
 ) {
     let query = Arc::new(query);
-    let mut request = RequestInProgress { handler, query: &query, mailbox, respond: Some(respond) };
+    let mut request = ActiveRequest { handler, query: &query, mailbox, send_response: Some(send_response) };
     let mut next_step = handler.facade.pick(query.request.clone(), mailbox);
     loop {
         next_step = match next_step {
-            NextStep::Send(order) => request.attempt(order),
-            NextStep::Reject(rejection) => return request.answer(Answer::Rejected(rejection)),
-            NextStep::Fail => return request.answer(Answer::Failed),
-            NextStep::Duplicate => return request.answer(Answer::Duplicate),
+            NextStep::Send(order) => request.run_attempt(order),
+            NextStep::Reject(rejection) => return request.respond(Response::Rejected(rejection)),
+            NextStep::Fail => return request.respond(Response::Failed),
+            NextStep::Duplicate => return request.respond(Response::Duplicate),
             NextStep::Finished => return,
         }
     }
 }
 
-struct RequestInProgress<'a, F> {
+/// A request that its coroutine is running.
+struct ActiveRequest<'a, F> {
     handler: &'a RequestHandler,
     query: &'a Arc<Query>,
     mailbox: &'a Mailbox<UpstreamEvent>,
-    /// Takes the answer; none once it has been given, or the client has left.
-    respond: Option<F>,
+    /// Sends the final response to the client's session. `None` once the response was sent or the client is
+    /// gone.
+    send_response: Option<F>,
 }
 
-impl<F: FnOnce(Answer)> RequestInProgress<'_, F> {
-    /// Gives the final answer, unless there is nobody to take it any more.
-    fn answer(&mut self, answer: Answer) {
-        let Some(respond) = self.respond.take() else { return };
-        let (id, class) = (&*self.query.request.id.0, self.query.request.class.0);
-        match &answer {
-            Answer::Served(_) => self.query.class.succeeded(),
-            Answer::Rejected(rejection) => {
-                tracing::debug!(id, class, reason = ?rejection.reason, "rejected");
-                self.query.class.rejected();
+impl<F: FnOnce(Response)> ActiveRequest<'_, F> {
+    /// Counts, logs and sends the final response. Does nothing if a response was sent already or the client
+    /// is gone.
+    fn respond(&mut self, response: Response) {
+        let Some(send_response) = self.send_response.take() else { return };
+        let id = &*self.query.request.id.0;
+        let class = self.query.request.class.0;
+        match &response {
+            Response::Served(_) => self.query.class.record_succeeded(),
+            Response::Rejected(rejection) => {
+                tracing::debug!(id, class, reason = ?rejection.reason, "request rejected");
+                self.query.class.record_rejected();
             }
-            Answer::Failed | Answer::Duplicate => {
-                tracing::debug!(id, class, "failed");
-                self.query.class.failed();
+            Response::Failed | Response::Duplicate => {
+                tracing::debug!(id, class, "request failed");
+                self.query.class.record_failed();
             }
         }
-        respond(answer);
+        send_response(response);
     }
 
-    /// Makes one attempt and reports its end, unless the client has left before it.
-    fn attempt(&mut self, order: AttemptOrder) -> NextStep {
+    /// Runs one attempt to its end, responds if it was served, and reports it to the facade. An attempt
+    /// whose client is gone before it was written to the engine is reported as not sent.
+    fn run_attempt(&mut self, order: AttemptOrder) -> NextStep {
         if self.query.client.is_gone() {
-            return self.abandon_attempt(order);
+            return self.report_unsent_attempt(order);
         }
-        let result = self.run_attempt(order);
+        let result = self.send_and_await_end(order);
         tracing::debug!(
             id = &*self.query.request.id.0,
             class = self.query.request.class.0,
@@ -116,17 +126,18 @@
         );
         let AttemptResult { termination, cost, load, pages } = result;
         match termination {
-            Termination::ClientLeft => return self.abandon_attempt(order),
-            Termination::Served => self.answer(Answer::Served(pages)),
+            Termination::ClientLeft => return self.report_unsent_attempt(order),
+            Termination::Served => self.respond(Response::Served(pages)),
             _ => {}
         }
-        self.report(AttemptReport { outcome: termination.outcome(), cost, load })
+        self.report_attempt(AttemptReport { outcome: termination.outcome(), cost, load })
     }
 
-    /// Sends an attempt and follows it to its end.
-    fn run_attempt(&mut self, order: AttemptOrder) -> AttemptResult {
-        let left = to_duration(self.query.request.deadline - self.handler.facade.now());
-        let handle = self.handler.upstream_pool.send(order, self.query, left, self.mailbox.sender());
+    /// Sends an attempt to its engine and handles the request's events until the attempt has ended.
+    fn send_and_await_end(&mut self, order: AttemptOrder) -> AttemptResult {
+        let time_to_deadline = to_duration(self.query.request.deadline - self.handler.facade.now());
+        let events = self.mailbox.sender();
+        let handle = self.handler.upstream_pool.send(order, self.query, time_to_deadline, events);
         loop {
             let event = self.mailbox.next();
             if let ControlFlow::Break(result) = self.on_event(order, &handle, event) {
@@ -135,7 +146,8 @@
         }
     }
 
-    /// Deals with an event that comes while an attempt is in flight. Breaks with the end of the attempt.
+    /// Handles one event while an attempt is in flight. Breaks with the attempt's result when the event
+    /// ends the attempt.
     fn on_event(
         &mut self,
         order: AttemptOrder,
@@ -161,10 +173,11 @@
                 return ControlFlow::Break(Termination::Deadline.into());
             }
             RequestEvent::Priority(priority) => handle.set_priority(priority),
-            RequestEvent::Reject(rejection) => self.answer(Answer::Rejected(rejection)),
-            RequestEvent::Fail => self.answer(Answer::Failed),
-            RequestEvent::ClientGone => self.client_gone(),
-            // These concern earlier attempts: at most one is in flight.
+            // The client gets its response now; the attempt stays in flight until it ends or is cancelled.
+            RequestEvent::Reject(rejection) => self.respond(Response::Rejected(rejection)),
+            RequestEvent::Fail => self.respond(Response::Failed),
+            RequestEvent::ClientGone => self.on_client_gone(),
+            // At most one attempt is in flight, so these concern earlier attempts.
             RequestEvent::Send(_)
             | RequestEvent::Cancel(_)
             | RequestEvent::Deadline(_)
@@ -173,21 +186,23 @@
         ControlFlow::Continue(())
     }
 
-    /// Ends an attempt that was not sent, as its client has left before.
-    fn abandon_attempt(&mut self, order: AttemptOrder) -> NextStep {
+    /// Reports an attempt that was not written to its engine because the client is gone.
+    fn report_unsent_attempt(&mut self, order: AttemptOrder) -> NextStep {
         let id = &*self.query.request.id.0;
-        tracing::debug!(id, attempt = order.attempt.0, "client left before the attempt was sent");
-        self.client_gone();
-        self.report(AttemptReport::outcome(Termination::ClientLeft.outcome()))
+        tracing::debug!(id, attempt = order.attempt.0, "client gone before the attempt was sent");
+        self.on_client_gone();
+        self.report_attempt(AttemptReport::outcome(Termination::ClientLeft.outcome()))
     }
 
-    /// The client has left: nobody waits for the answer.
-    fn client_gone(&mut self) {
-        self.respond = None;
+    /// Drops the response callback and informs the facade that the client has disconnected or cancelled.
+    fn on_client_gone(&mut self) {
+        self.send_response = None;
         self.handler.facade.client_gone(&self.query.request.id);
     }
 
-    fn report(&self, report: AttemptReport) -> NextStep {
+    /// Reports the end of the attempt in flight to the facade, and blocks until the facade has decided the
+    /// next step.
+    fn report_attempt(&self, report: AttemptReport) -> NextStep {
         self.handler.facade.report(&self.query.request.id, report, self.mailbox)
     }
 }
--- a/crates/proxy/tests/unit/frontend.rs
+++ b/crates/proxy/tests/unit/frontend.rs
@@ -1,4 +1,4 @@
-//! Parsing of what clients send: incomplete, complete and malformed messages.
+//! Parsing of incomplete, complete and malformed client messages.
 
 use super::{CancelKey, Message, StartupMessage, parse, parse_startup};
 use crate::downstream::postgres::error::FatalError;
@@ -26,18 +26,18 @@
     for code in [80_877_103, 80_877_104] {
         assert_eq!(parse_startup(&startup(&[code], b"")), Ok(Some((StartupMessage::Encryption, 8))));
     }
-    let key = CancelKey { process: 5, secret: 6 };
+    let key = CancelKey { process_id: 5, secret_key: 6 };
     let cancel = startup(&[80_877_102, 5, 6], b"");
     assert_eq!(parse_startup(&cancel), Ok(Some((StartupMessage::Cancel(key), 16))));
 }
 
 #[test]
-fn malformed_startup_messages_are_refused() {
+fn malformed_startup_messages_are_rejected() {
     let cases: [(Vec<u8>, FatalError, &str); 5] = [
-        (7u32.to_be_bytes().to_vec(), FatalError::StartupLength, "08P01"),
-        (10_001u32.to_be_bytes().to_vec(), FatalError::StartupLength, "08P01"),
-        (startup(&[80_877_102, 5], b""), FatalError::CancelRequestLayout, "08P01"),
-        (startup(&[3 << 16], b"user"), FatalError::StartupLayout, "08P01"),
+        (7u32.to_be_bytes().to_vec(), FatalError::InvalidStartupLength, "08P01"),
+        (10_001u32.to_be_bytes().to_vec(), FatalError::InvalidStartupLength, "08P01"),
+        (startup(&[80_877_102, 5], b""), FatalError::MalformedCancelRequest, "08P01"),
+        (startup(&[3 << 16], b"user"), FatalError::MalformedStartup, "08P01"),
         (startup(&[2 << 16], b"\0"), FatalError::UnsupportedProtocol, "0A000"),
     ];
     for (input, error, code) in cases {
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn a_message_of_invalid_length_is_refused_once_its_length_is_read() {
-    assert_eq!(parse(&message(b'Q', 3, b""), MAX_LENGTH), Err(FatalError::MessageLength));
+fn a_message_of_invalid_length_is_rejected_once_its_length_is_read() {
+    assert_eq!(parse(&message(b'Q', 3, b""), MAX_LENGTH), Err(FatalError::InvalidMessageLength));
     assert_eq!(parse(&message(b'Q', 101, b""), MAX_LENGTH), Err(FatalError::MessageTooLong));
     assert_eq!(parse(&message(b'Q', 100, b""), MAX_LENGTH), Ok(None));
     assert_eq!(FatalError::MessageTooLong.sql_state().code(), "54000");
