--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -106,7 +106,8 @@
 
     /// Ends the sessions step by step, as long as the drain lasts; blocks its coroutine.
     fn run_drain(&self, drain: DrainNumber) {
-        let steps = [(NOT_READY_PROPAGATION, SessionEnd::AfterResponse), (SESSION_DRAIN, SessionEnd::WhenIdle)];
+        let steps =
+            [(NOT_READY_PROPAGATION, SessionEnd::AfterResponse), (SESSION_DRAIN, SessionEnd::WhenIdle)];
         for (wait, end) in steps {
             task::sleep(wait);
             if !self.drain.is_current(drain) {
