--- a/crates/proxy/src/downstream/postgres/backend.rs
+++ b/crates/proxy/src/downstream/postgres/backend.rs
@@ -56,8 +56,8 @@
         });
     }
     append_message(out, b'K', |out| {
-        out.extend_from_slice(&key.process.to_be_bytes());
-        out.extend_from_slice(&key.secret.to_be_bytes());
+        out.extend_from_slice(&key.process_id.to_be_bytes());
+        out.extend_from_slice(&key.secret_key.to_be_bytes());
     });
     ready_for_query(out);
 }
--- a/crates/proxy/src/downstream/postgres/cancel_registry.rs
+++ b/crates/proxy/src/downstream/postgres/cancel_registry.rs
@@ -160,7 +160,8 @@
             .filter(|handle| !handle.is_evicted())
             .map(|handle| (*lock(&handle.status), handle))
             .filter(|(status, _)| status.phase != Phase::Busy);
-        let Some((_, handle)) = candidates.min_by_key(|(status, _)| (status.phase, status.phase_since)) else {
+        let Some((_, handle)) = candidates.min_by_key(|(status, _)| (status.phase, status.phase_since))
+        else {
             return false;
         };
         handle.evicted.store(true, Ordering::Relaxed);
