--- a/crates/proxy/src/downstream/postgres/session/messages.rs
+++ b/crates/proxy/src/downstream/postgres/session/messages.rs
@@ -24,8 +24,8 @@
 const MAX_COMMAND_LENGTH: usize = 16;
 
 impl Session<'_> {
-    /// Processes the complete messages of the input, until one starts a query or the limits of an iteration are
-    /// reached.
+    /// Processes the complete messages of the input, until one starts a query or the limits of an iteration
+    /// are reached.
     pub(super) fn process_messages(&mut self) {
         let mut input = std::mem::take(&mut self.input);
         let mut consumed = 0;
