--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -111,7 +111,7 @@
         let document = lock(&self.document).clone();
         let EffectiveSettings { settings, names, max_open } = effective_settings(&platform_config, &document);
         drop(platform_config);
-        self.handler.max_open.store(max_open, Ordering::Relaxed);
+        self.handler.max_open_requests.store(max_open, Ordering::Relaxed);
         let tenants = names.tenants.clone();
         self.handler.classes.update(&names, settings, |mut settings, classes| {
             settings.routes = self.routes(&document, classes, &tenants);
@@ -228,7 +228,7 @@
             engines: endpoints
                 .map(|endpoints| endpoints.iter().map(|(name, endpoint)| engine(name, endpoint)).collect()),
             classes: classes.collect(),
-            open: self.handler.open.load(Ordering::Relaxed) as u64,
+            open: self.handler.open_requests.load(Ordering::Relaxed) as u64,
             platform: platform_limits(&platform_config),
         };
         drop(platform_config);
--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -107,20 +107,22 @@
         let server = self.clone();
         let spawned = task::spawn("drain", move || server.run_drain(drain));
         if spawned.is_err() {
-            self.session_manager.end_sessions(SessionEnd::WhenIdle);
+            self.session_manager.set_session_end(SessionEnd::WhenIdle);
         }
     }
 
     /// Ends the sessions in two steps while the drain is in progress. Blocks its coroutine.
     fn run_drain(&self, drain: DrainId) {
-        let steps =
-            [(NOT_READY_PROPAGATION, SessionEnd::AfterAnswer), (SESSION_DRAIN_PERIOD, SessionEnd::WhenIdle)];
+        let steps = [
+            (NOT_READY_PROPAGATION, SessionEnd::AfterResponse),
+            (SESSION_DRAIN_PERIOD, SessionEnd::WhenIdle),
+        ];
         for (delay, session_end) in steps {
             task::sleep(delay);
             if !self.drain.is_current(drain) {
                 return;
             }
-            self.session_manager.end_sessions(session_end);
+            self.session_manager.set_session_end(session_end);
         }
     }
 
@@ -128,7 +130,7 @@
     pub fn stop_drain(&self) {
         if self.drain.stop() {
             tracing::info!("drain stopped by an operator");
-            self.session_manager.end_sessions(SessionEnd::Never);
+            self.session_manager.set_session_end(SessionEnd::Never);
         }
     }
 
@@ -143,7 +145,7 @@
         self.handler.facade.limit_deadlines(self.handler.facade.now() + self.response_window_ms);
         if self.has_successor {
             self.acceptor.stop();
-            self.session_manager.end_sessions(SessionEnd::AfterAnswer);
+            self.session_manager.set_session_end(SessionEnd::AfterResponse);
             let sigkill_after = to_duration(self.response_window_ms + RESPONSES_TO_SIGKILL_MS);
             let close_idle_at = started_at + sigkill_after.saturating_sub(SESSION_GRACE);
             wait_until(close_idle_at, || self.session_manager.session_count() == 0);
@@ -151,11 +153,11 @@
             std::thread::sleep(ACCEPT_AFTER_SIGTERM);
             self.acceptor.stop();
         }
-        self.session_manager.end_sessions(SessionEnd::WhenIdle);
+        self.session_manager.set_session_end(SessionEnd::WhenIdle);
         // A session counts as open until its client has closed the connection or the time for that has
         // expired. Closing a connection with unread or unsent bytes would reset it.
         let is_idle =
-            || self.handler.open.load(Ordering::Relaxed) + self.session_manager.session_count() == 0;
+            || self.handler.open_requests.load(Ordering::Relaxed) + self.session_manager.session_count() == 0;
         wait_until(started_at + response_window + CLOSE_GRACE, is_idle);
         std::thread::sleep(FINAL_FLUSH);
     }
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -188,8 +188,8 @@
         upstream_pool: Arc::new(UpstreamPool::new(config.limits, resources.upstream_descriptors)),
         names: config.names.clone(),
         classes,
-        open: AtomicUsize::new(0),
-        max_open: AtomicUsize::new(config.limits.max_open),
+        open_requests: AtomicUsize::new(0),
+        max_open_requests: AtomicUsize::new(config.limits.max_open),
         update_lock: Mutex::new(()),
     }))
 }
@@ -199,6 +199,6 @@
 fn sweep_sessions(session_manager: &SessionManager) {
     loop {
         task::sleep(SESSION_SWEEP_INTERVAL);
-        session_manager.wake_expired();
+        session_manager.wake_due_sessions();
     }
 }
--- a/crates/proxy/src/upstream/line_protocol/attempt.rs
+++ b/crates/proxy/src/upstream/line_protocol/attempt.rs
@@ -33,7 +33,7 @@
     /// Why the attempt must not be written any more; `None` if it may still be written.
     pub fn obsolete_reason(&self, now: Instant) -> Option<Termination> {
         match self.write_by {
-            _ if self.query.client.has_left() => Some(Termination::ClientLeft),
+            _ if self.query.client.is_gone() => Some(Termination::ClientLeft),
             Some(write_by) if now > write_by => Some(Termination::TooLate),
             _ => None,
         }
