--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,24 +1,26 @@
-//! The dispatcher as its embedder sees it: its state, and the entry points, which hand each event to the method of the policy
-//! that answers it. Nothing is decided here.
+//! The dispatcher as its embedder sees it: its state, and the entry points, which pass each event to the
+//! method of the policy that handles it. The decisions are in [`crate::policy`].
 
 use oorandom::Rand64;
 
-use crate::engines::{Fleet, GrantedPosition};
-use crate::interface::*;
-use crate::policy::*;
+use crate::engines::{AssignedPosition, Engine, Fleet};
+use crate::interface::{
+    Action, AttemptNo, ClassSettings, Event, Millis, ProgressReport, RequestId, Settings, SettingsError,
+};
+use crate::policy::{Ranking, RetryBudget, TenantQuotas, TimeoutEstimator, WorkEstimator, may_repeat_until};
 use crate::requests::{OrderedQueues, Requests};
-use crate::stats::Mean;
+use crate::stats::DecayingMean;
 
-/// The time and the settings by which all parts decide.
+/// The time and the settings that every decision uses.
 #[derive(Debug)]
 pub struct Context {
-    /// The time of the event that is handled.
+    /// The time of the event that is being handled.
     pub now: Millis,
     /// The settings in force.
     pub settings: Settings,
 }
 
-/// The decisions of one dispatcher.
+/// Makes the decisions of one dispatcher.
 pub struct Dispatcher {
     pub(crate) context: Context,
     pub(crate) random: Rand64,
@@ -30,21 +32,22 @@
     pub(crate) timeouts: TimeoutEstimator,
     pub(crate) retries: RetryBudget,
     pub(crate) fleet: Fleet,
-    /// When the earliest timer is due.
-    pub(crate) wakes_at: Millis,
+    /// When the earliest timer that was asked for is due; infinite if there is none.
+    pub(crate) timer_due_at: Millis,
+    /// When the last review took place.
     pub(crate) reviewed_at: Millis,
-    /// Answers without service since the last log line.
-    pub(crate) unserved: u32,
-    /// Events were handled since what waits was last looked at.
-    pub(crate) pending: bool,
+    /// Number of requests that were rejected or failed since the last log line about them.
+    pub(crate) unserved_requests: u32,
+    /// True if waiting requests were not placed after the latest event; `run_pending` does that.
+    pub(crate) placement_pending: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing but its settings; `seed` feeds its own random numbers.
+    /// A dispatcher without engines and requests; `seed` initialises its random number generator.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the field of unusable settings.
+    /// [`SettingsError`] names the first invalid field of the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let mut dispatcher = Dispatcher {
@@ -58,17 +61,18 @@
             timeouts: TimeoutEstimator::default(),
             retries: RetryBudget::default(),
             fleet: Fleet::default(),
-            wakes_at: f64::INFINITY,
+            timer_due_at: f64::INFINITY,
             reviewed_at: 0.0,
-            unserved: 0,
-            pending: false,
+            unserved_requests: 0,
+            placement_pending: false,
         };
         dispatcher.update_settings(settings);
         Ok(dispatcher)
     }
 
-    /// Handles one event and adds what is to be done to `out`. While much is open, what waits is not looked at for each
-    /// event, which took more than a core: [`Dispatcher::run_pending`] must follow soon.
+    /// Handles one event and appends the resulting actions to `out`. While many requests are open, the
+    /// waiting ones are not placed after each event, which would use more than one core:
+    /// [`Dispatcher::run_pending`] must be called soon after.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.advance_to(now);
         let position = self.fleet.subset.position(self.context.now, self.context.settings.fleet_position);
@@ -80,7 +84,7 @@
             Event::EngineChanges(entries) => self.fleet.on_engine_list(&self.context, entries, false),
             Event::Request(new) => self.on_request(new),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
-            // The answer is the client's from here on.
+            // The client has received a part of the response, so it can neither be rejected nor retried.
             Event::Streaming(id, _) => {
                 self.requests.entry(id).and_modify(|request| request.finished = true);
             }
@@ -89,68 +93,79 @@
                 self.act_on_due(&id, out);
             }
             Event::ClientGone(id) => self.finish(&id, out),
-            Event::ClosingBy(at) => self.requests.values_mut().for_each(|request| request.bring_forward(at)),
+            Event::ClosingBy(latest) => {
+                self.requests.values_mut().for_each(|request| request.limit_deadline(latest));
+            }
             Event::SettingsUpdated(settings) => self.update_settings(*settings),
             Event::PositionAssigned(position, until) => {
-                self.fleet.subset.granted = Some(GrantedPosition { position, until });
+                self.fleet.subset.assigned = Some(AssignedPosition { position, until });
             }
             Event::ProbeResult(engine, _, load) => self.on_load_report(engine, load),
             Event::Timer(_) => self.on_timer(out),
         }
-        self.run_or_defer(out);
+        self.place_or_defer(out);
     }
 
-    /// Places what waits, if events since the last call left that open.
+    /// Places the waiting requests if [`Dispatcher::handle`] has deferred that, and appends the resulting
+    /// actions to `out`.
     pub fn run_pending(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if std::mem::take(&mut self.pending) {
+        if std::mem::take(&mut self.placement_pending) {
             self.advance_to(now);
-            self.run(out);
+            self.place_and_set_timer(out);
         }
     }
 
-    /// How many engines that take work by the list are ejected at this time.
+    /// The number of engines that accept requests according to the endpoint list and are ejected at this
+    /// time.
     pub fn ejected_count(&mut self, now: Millis) -> usize {
         self.advance_to(now);
-        let ejected = |engine: &&_| !self.fleet.outliers.is_available(engine, self.context.now);
-        self.fleet.engines.values().filter(|engine| engine.is_up()).filter(ejected).count()
+        let is_ejected = |engine: &&Engine| !self.fleet.outliers.is_available(engine, self.context.now);
+        self.fleet.engines.values().filter(|engine| engine.is_up()).filter(is_ejected).count()
     }
 
-    /// Until when the request's newest attempt may be sent.
+    /// Until when the request's latest attempt may be sent to its engine; infinite for an unknown request.
     pub fn sendable_until(&self, id: &RequestId) -> Millis {
         let Some(request) = self.requests.get(id) else { return f64::INFINITY };
-        repeat_until(&self.context, request, request.attempts.len().saturating_sub(1))
+        let earlier_attempts = request.attempts.len().saturating_sub(1);
+        may_repeat_until(&self.context, request, earlier_attempts)
     }
 
-    /// The clock never goes backwards.
+    /// Sets the time of the event, which never goes backwards.
     fn advance_to(&mut self, now: Millis) {
         self.context.now = self.context.now.max(now);
     }
 
+    /// Applies a progress report: stores how much is done, or raises the memory estimate of the class after a
+    /// spill.
     fn on_progress(&mut self, id: &RequestId, attempt: AttemptNo, report: ProgressReport) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(attempt) = request.attempts.get_mut(attempt.0) else { return };
         match report {
-            ProgressReport::Done(share) => attempt.on_progress(share, self.context.now),
+            ProgressReport::Done(done_fraction) => attempt.on_progress(done_fraction, self.context.now),
             ProgressReport::Spills(_) => self.work.on_spill(request.new.class),
             ProgressReport::WaitsForMemory | ProgressReport::WaitsForLoad => {}
         }
     }
 
-    /// Takes new settings; each part takes over what it knows.
+    /// Applies new settings. What was learned about classes and tenants remains, except for classes whose
+    /// settings changed.
     fn update_settings(&mut self, settings: Settings) {
         let old = std::mem::replace(&mut self.context.settings, settings);
         let new = &self.context.settings;
         reset_changed(&mut self.work.0, &old.classes, &new.classes);
         reset_changed(&mut self.timeouts.0, &old.classes, &new.classes);
-        self.quotas.0.resize(new.tenants.len(), Mean::default());
+        self.quotas.0.resize(new.tenants.len(), DecayingMean::default());
         self.fleet.draw_subset(&self.context);
     }
 }
 
-/// Takes over new settings of classes: what is known of a class is forgotten with its rules.
-fn reset_changed<T: Default>(known: &mut Vec<T>, old: &[ClassSettings], new: &[ClassSettings]) {
-    for (_, class) in known.iter_mut().enumerate().filter(|(at, _)| old.get(*at) != new.get(*at)) {
-        *class = T::default();
+/// Adapts what was learned about each class to new settings: it is reset for classes whose settings changed,
+/// dropped for removed classes, and empty for added ones.
+fn reset_changed<T: Default>(learned: &mut Vec<T>, old: &[ClassSettings], new: &[ClassSettings]) {
+    for (number, class) in learned.iter_mut().enumerate() {
+        if old.get(number) != new.get(number) {
+            *class = T::default();
+        }
     }
-    known.resize_with(new.len(), T::default);
+    learned.resize_with(new.len(), T::default);
 }
--- a/crates/dispatch/src/engines.rs
+++ b/crates/dispatch/src/engines.rs
@@ -1,4 +1,4 @@
-//! Plain records of engines; nothing is decided here.
+//! Data structures for engines. The decisions that use them are in [`crate::policy`].
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,7 +7,7 @@
 
 use crate::interface::{EngineEntry, EngineId, FleetPosition, Millis, Readiness};
 use crate::policy::OutlierDetector;
-use crate::stats::{InFlightLoad, Level, Mean};
+use crate::stats::{DecayingMean, InFlightLoad, SmoothedValue};
 
 /// The listed engines by id.
 pub type Engines = BTreeMap<EngineId, Engine>;
@@ -15,112 +15,114 @@
 /// One engine.
 #[derive(Debug, Default)]
 pub struct Engine {
-    /// Its line of the list.
+    /// Its entry in the endpoint list.
     pub entry: EngineEntry,
-    /// Its failures.
+    /// Its recent failures, and its ejection.
     pub health: EngineHealth,
-    /// Its warm-up.
+    /// Its slow start.
     pub warm_up: WarmUp,
-    /// What this dispatcher has in flight there.
-    pub own: InFlightLoad,
-    /// Queries that other dispatchers have in flight there, by its reports.
-    pub reported_others: Mean,
-    /// The mean logarithm of run times over what their classes usually take.
-    pub slowness: Mean,
+    /// The load of this dispatcher's own queries in flight on it.
+    pub own_load: InFlightLoad,
+    /// Queries that other dispatchers have in flight on it, by its load reports.
+    pub reported_queries_of_other_dispatchers: DecayingMean,
+    /// Mean natural logarithm of its run times over the mean run times of their classes.
+    pub log_slowness: DecayingMean,
 }
 
 impl Engine {
-    /// An engine that started at this time, if that was not long ago.
+    /// An engine without history. `started_at` is its start if that was recent, else `None`.
     pub fn new(entry: EngineEntry, started_at: Option<Millis>) -> Self {
         Engine { entry, warm_up: WarmUp::new(started_at), ..Engine::default() }
     }
 
-    /// Whether it takes work by the list.
+    /// Whether the endpoint list says that the engine accepts requests.
     pub fn is_up(&self) -> bool {
         self.entry.readiness == Readiness::Up
     }
 }
 
-/// The failures of one engine.
+/// The failures and the ejection of one engine.
 #[derive(Debug, Default)]
 pub struct EngineHealth {
-    /// The share of its answers that were errors to requests which another engine then served.
-    pub failure_share: Mean,
-    /// Failures since the last answer, by weight.
+    /// The fraction of its responses that were errors to requests which another engine then served.
+    pub failure_fraction: DecayingMean,
+    /// Weighted number of failures since the last served attempt.
     pub consecutive_failures: u32,
-    /// When the last of them was counted.
+    /// When the latest of them was counted.
     pub last_failure_at: Millis,
-    /// It gets no work until then.
+    /// The engine is ejected before this time.
     pub ejected_until: Millis,
 }
 
-/// The warm-up of one engine.
+/// The slow start of one engine.
 #[derive(Debug, Default)]
 pub struct WarmUp {
-    /// When it started; none if that was long ago.
+    /// When the engine started; `None` if it was running long before this dispatcher learned of it.
     pub started_at: Option<Millis>,
-    /// What this dispatcher may send it meanwhile.
+    /// What this dispatcher may send to the engine while it warms up.
     pub budget: SlowStartBudget,
 }
 
 impl WarmUp {
-    /// The warm-up of an engine that started at this time, with its budget untouched.
+    /// The slow start of an engine that started at this time, with nothing sent yet.
     pub fn new(started_at: Option<Millis>) -> Self {
         WarmUp { started_at, budget: SlowStartBudget::default() }
     }
 }
 
-/// All engines, and what compares them.
+/// All engines, and the statistics that compare them.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// The listed engines.
     pub engines: Engines,
-    /// Which of them are ejected.
+    /// Detects the engines that fail more often than the rest.
     pub outliers: OutlierDetector,
-    /// What is in flight on them.
+    /// The load of the queries in flight.
     pub loads: LoadTracker,
-    /// Which of them this dispatcher draws from.
+    /// The engines that this dispatcher sends to.
     pub subset: EngineSubset,
 }
 
-/// What is in flight on the fleet.
+/// The load of the queries in flight on the fleet.
 #[derive(Debug, Default)]
 pub struct LoadTracker {
-    /// The engines that reported last.
+    /// The engines whose load reports came last, the latest one at the back.
     pub reporters: VecDeque<EngineId>,
-    /// Other dispatchers' queries for each core, on the fleet's average.
-    pub crowd: Level,
-    /// What queries in flight take up, weighted by their time there.
-    pub typical: InFlightLoad,
+    /// Mean queries in flight per core over the fleet. Where engines report their load it counts the queries
+    /// of other dispatchers only; where none does it is an estimate for all dispatchers together.
+    pub fleet_queries_per_core: SmoothedValue,
+    /// Exponentially decaying sum of the demands of ended attempts, each multiplied by its milliseconds in
+    /// flight. Threads over queries and memory over queries are the means of the typical query in flight.
+    pub weighted_demands: InFlightLoad,
 }
 
-/// The engines that a dispatcher draws from.
+/// The engines that a dispatcher sends to.
 #[derive(Debug, Default)]
 pub struct EngineSubset {
-    /// The position by a roster, if there was one.
-    pub granted: Option<GrantedPosition>,
-    /// The subset as drawn from the list.
+    /// The position that a roster assigned to this dispatcher last; `None` if there was no roster.
+    pub assigned: Option<AssignedPosition>,
+    /// The subset as drawn from the listed engines.
     pub drawn: Subset,
-    /// The members drawn from for now.
-    pub members: Vec<EngineId>,
-    /// When they are to be chosen again.
+    /// The members of the subset that were available when it was last refreshed.
+    pub available_members: Vec<EngineId>,
+    /// When the available members are to be chosen again.
     pub refresh_at: Millis,
 }
 
-/// A position by a roster.
+/// A position of this dispatcher in the fleet, as assigned by a roster.
 #[derive(Clone, Copy, Debug)]
-pub struct GrantedPosition {
+pub struct AssignedPosition {
     /// The position.
     pub position: FleetPosition,
-    /// It holds before this time.
+    /// The position is valid before this time.
     pub until: Millis,
 }
 
-/// An engine that may take a request.
+/// An engine that a request may be sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// The engine.
     pub engine: EngineId,
-    /// The least is best.
+    /// Its score; the lowest one is preferred.
     pub score: f64,
 }
--- a/crates/dispatch/src/policy/admission.rs
+++ b/crates/dispatch/src/policy/admission.rs
@@ -1,31 +1,38 @@
-//! Admission: the quotas of tenants, and which requests are hopeless.
+//! Admission: the quotas of tenants, and the requests that cannot end in time.
 
-use super::*;
+use crate::dispatcher::Context;
+use crate::interface::{Millis, TenantId};
+use crate::requests::Request;
+use crate::stats::DecayingMean;
 
-/// ms over which a tenant's requests are counted, and standard deviations above its quota left to chance.
+/// Horizon in milliseconds over which the requests of a tenant are counted.
 const QUOTA_HORIZON: Millis = 5_000.0;
+/// Standard deviations by which the count may exceed the quota, as arrivals fluctuate.
 const QUOTA_TOLERANCE: f64 = 2.0;
-/// A request is given up when its run takes this many times the time that its client still waits: estimates
-/// and progress reports are off by less.
+/// A run is hopeless if it takes more than this many times the time until the deadline. Estimates and
+/// progress reports are wrong by less than that.
 const HOPELESS_RATIO: f64 = 2.0;
 
-/// The recent requests of each tenant, as the weight of a mean. Guards others against a flood from one.
+/// The recent requests of each tenant, by tenant number. The weight of each mean is the number of requests.
+/// They protect tenants from a flood of requests from another one.
 #[derive(Default)]
-pub struct TenantQuotas(pub Vec<Mean>);
+pub struct TenantQuotas(pub Vec<DecayingMean>);
 
 impl TenantQuotas {
-    /// Counts a request; the part of its tenant's traffic that is within the quota, as far as this
-    /// dispatcher's part of both tells more than chance.
+    /// Counts a request. Returns the fraction of its tenant's recent traffic that is within this dispatcher's
+    /// part of the quota, from 0 to 1; 1 for a tenant that is unknown or has no quota.
     pub fn on_request(&mut self, context: &Context, tenant: TenantId) -> f64 {
-        let limited = context.settings.tenants.get(tenant.0).filter(|tenant| tenant.quota_per_s > 0.0);
-        let (Some(settings), Some(recent)) = (limited, self.0.get_mut(tenant.0)) else { return 1.0 };
-        recent.add(1.0, context.now, QUOTA_HORIZON);
+        let settings = context.settings.tenants.get(tenant.0);
+        let Some(settings) = settings.filter(|settings| settings.quota_per_s > 0.0) else { return 1.0 };
+        let Some(recent_requests) = self.0.get_mut(tenant.0) else { return 1.0 };
+        recent_requests.add(1.0, context.now, QUOTA_HORIZON);
         let quota = settings.quota_per_s / 1000.0 * QUOTA_HORIZON / context.settings.dispatchers as f64;
-        ((quota + QUOTA_TOLERANCE * quota.sqrt() + 1.0) / recent.weight).min(1.0)
+        let tolerated_requests = quota + QUOTA_TOLERANCE * quota.sqrt() + 1.0;
+        (tolerated_requests / recent_requests.weight).min(1.0)
     }
 }
 
-/// Whether a run that takes this long ends too late by far for the request's client.
-pub fn is_hopeless(context: &Context, request: &Request, run: Millis) -> bool {
-    context.now + run / HOPELESS_RATIO > request.new.deadline
+/// Whether a run that takes this long from now on would end far beyond the request's deadline.
+pub fn is_hopeless(context: &Context, request: &Request, run_time: Millis) -> bool {
+    context.now + run_time / HOPELESS_RATIO > request.new.deadline
 }
--- a/crates/dispatch/src/policy/load.rs
+++ b/crates/dispatch/src/policy/load.rs
@@ -1,62 +1,92 @@
-//! Load: what is in flight on each engine, by this dispatcher's own requests and by the engines' reports.
+//! Load: the queries in flight on each engine, from this dispatcher's own requests and from load reports.
 
-use super::*;
+use super::ENGINE_HORIZON;
+use crate::dispatcher::Context;
+use crate::engines::{Engine, LoadTracker};
+use crate::interface::Millis;
+use crate::stats::{
+    InFlightLoad, OwnQueries, estimate_fleet_queries_per_core, push_bounded, queries_of_other_dispatchers,
+};
 
-/// ms after which a report of an engine's load tells little: about the run of a heavy query.
+/// Horizon in milliseconds over which a load report loses its weight: about the run time of a heavy query.
 const REPORT_HORIZON: Millis = 2_000.0;
-/// The engines that reported last: so many are compared in a placement.
+/// Number of the engines with the latest load reports that are compared in a placement.
 pub const MAX_REPORTERS: usize = 3;
-/// Share of what is known of the typical query that each end replaces: some 50 ends tell the mix.
-const MIX_STEP: f64 = 0.02;
+/// Fraction of the weighted demands that each ended attempt replaces, so that about 50 attempts determine the
+/// typical query.
+const DEMAND_STEP: f64 = 0.02;
+/// Least time in flight, in milliseconds, by which the demand of an ended attempt is weighted.
+const MIN_DEMAND_WEIGHT: Millis = 1.0;
 
 impl LoadTracker {
-    pub fn on_report(&mut self, engine: &mut Engine, others: f64, now: Millis) {
-        engine.reported_others.add(others, now, REPORT_HORIZON);
-        self.reporters.retain(|other| *other != engine.entry.engine);
+    /// Stores a load report, as the number of queries of other dispatchers on the engine, and makes the
+    /// engine the latest reporter.
+    pub fn on_report(&mut self, engine: &mut Engine, queries_of_other_dispatchers: f64, now: Millis) {
+        let reported = &mut engine.reported_queries_of_other_dispatchers;
+        reported.add(queries_of_other_dispatchers, now, REPORT_HORIZON);
+        self.reporters.retain(|reporter| *reporter != engine.entry.engine);
         push_bounded(&mut self.reporters, engine.entry.engine, MAX_REPORTERS);
     }
 
+    /// Adds the demand of an ended attempt to the typical query, weighted by its time in flight.
     pub fn on_attempt_ended(&mut self, demand: InFlightLoad, elapsed: Millis) {
-        self.typical.add(self.typical, -MIX_STEP);
-        self.typical.add(demand, MIX_STEP * elapsed.max(1.0));
+        self.weighted_demands.add_scaled(self.weighted_demands, -DEMAND_STEP);
+        self.weighted_demands.add_scaled(demand, DEMAND_STEP * elapsed.max(MIN_DEMAND_WEIGHT));
     }
 
-    /// Takes the average over the engines that take work.
-    pub fn update<'a>(&mut self, context: &Context, available: impl Iterator<Item = &'a Engine>) {
-        let (mut others, mut cores, mut own) = (0.0, 0.0, Vec::new());
+    /// Recomputes the fleet's mean queries per core from the available engines: from their load reports, or
+    /// from this dispatcher's own queries while no engine has reported.
+    pub fn update_mean<'a>(&mut self, context: &Context, available: impl Iterator<Item = &'a Engine>) {
+        let mut reported_queries = 0.0;
+        let mut reporting_cores = 0.0;
+        let mut own_queries = Vec::new();
         for engine in available {
-            let size = context.settings.machine(&engine.entry).cores;
-            let weight = engine.reported_others.confidence(context.now, REPORT_HORIZON);
-            // As if one engine had just been seen idle: without reports, sends are tried and bring some.
-            cores += size * weight + if cores == 0.0 { size } else { 0.0 };
-            others += engine.reported_others.value.max(0.0) * weight;
+            let cores = context.settings.machine(&engine.entry).cores;
+            let reported = &engine.reported_queries_of_other_dispatchers;
+            let confidence = reported.confidence(context.now, REPORT_HORIZON);
+            // The first engine counts as if it had also just reported that it is idle. Without fresh reports
+            // the mean is then low, requests are sent, and their responses bring reports.
+            reporting_cores += cores * confidence + if reporting_cores == 0.0 { cores } else { 0.0 };
+            reported_queries += reported.value.max(0.0) * confidence;
             if self.reporters.is_empty() {
-                own.push(OwnQueries { queries: engine.own.queries, cores: size });
+                own_queries.push(OwnQueries { queries: engine.own_load.queries, cores });
             }
         }
         if self.reporters.is_empty() {
-            // Other dispatchers are taken to do as this one does.
-            let crowd = estimated_crowd(&mut own, context.settings.dispatchers);
-            self.crowd.follow(crowd, context.now, ENGINE_HORIZON);
+            // Assumes that the other dispatchers send as many queries as this one.
+            let estimate = estimate_fleet_queries_per_core(&mut own_queries, context.settings.dispatchers);
+            self.fleet_queries_per_core.update(estimate, context.now, ENGINE_HORIZON);
         } else {
-            self.crowd.value = if cores > 0.0 { others / cores } else { 0.0 };
+            let mean = if reporting_cores > 0.0 { reported_queries / reporting_cores } else { 0.0 };
+            self.fleet_queries_per_core.value = mean;
         }
     }
 
-    /// Queries of other dispatchers on an engine: its reports, drawn to the fleet's average as they grow old.
-    pub fn others(&self, context: &Context, engine: &Engine) -> f64 {
+    /// Estimated queries of other dispatchers in flight on an engine: the reported count, which decays
+    /// towards the fleet's mean with the age of the report. Without any reports the estimate is made from
+    /// this dispatcher's own queries.
+    pub fn queries_of_other_dispatchers(&self, context: &Context, engine: &Engine) -> f64 {
         let cores = context.settings.machine(&engine.entry).cores;
-        let average = self.crowd.value * cores * engine.warm_up.capacity_share(context);
+        let capacity_fraction = engine.warm_up.capacity_fraction(context);
+        let fleet_mean = self.fleet_queries_per_core.value * cores * capacity_fraction;
         if self.reporters.is_empty() {
-            return estimated_others(engine.own.queries, average, context.settings.dispatchers);
+            let dispatchers = context.settings.dispatchers;
+            return queries_of_other_dispatchers(engine.own_load.queries, fleet_mean, dispatchers);
         }
-        let difference = engine.reported_others.value - average;
-        (average + difference * engine.reported_others.confidence(context.now, REPORT_HORIZON)).max(0.0)
+        let reported = &engine.reported_queries_of_other_dispatchers;
+        let difference = reported.value - fleet_mean;
+        (fleet_mean + difference * reported.confidence(context.now, REPORT_HORIZON)).max(0.0)
     }
 
-    /// What is in flight on an engine with a demand and with queries of others, taken to be like one's own.
-    pub fn total(&self, engine: &Engine, others: f64, demand: InFlightLoad) -> InFlightLoad {
-        let typical = if self.typical.queries > 0.0 { self.typical } else { demand };
-        engine.own.with(others, typical, demand)
+    /// The load of an engine with one further demand: own queries, plus those of other dispatchers, which are
+    /// assumed to be like this dispatcher's typical query.
+    pub fn total_load(
+        &self,
+        engine: &Engine,
+        queries_of_other_dispatchers: f64,
+        demand: InFlightLoad,
+    ) -> InFlightLoad {
+        let typical = if self.weighted_demands.queries > 0.0 { self.weighted_demands } else { demand };
+        engine.own_load.with(queries_of_other_dispatchers, typical, demand)
     }
 }
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -1,14 +1,8 @@
-//! All decisions, one concern a module; `lifecycle` shows the way of a request through them. What decides
-//! stays in this folder, whose files `policy` in `deploy/balancer.toml` names. The records and statistics
-//! beside it decide nothing. Each module takes what all share by `use super::*`.
-
-use std::collections::BTreeMap;
-
-use gaugestep_subsetting::slow_start::SlowStartLimit;
-use gaugestep_subsetting::subset::Subset;
-use oorandom::Rand64;
-
-use crate::{dispatcher::*, engines::*, interface::*, requests::*, stats::*};
+//! All decisions of the dispatcher, one concern per module.
+//!
+//! [`lifecycle`] shows how a request passes through the other modules. Code that decides belongs in this
+//! folder, whose files `policy` in `deploy/balancer.toml` lists. The data structures and statistics outside
+//! it decide nothing.
 
 mod admission;
 mod fleet;
@@ -23,11 +17,19 @@
 mod timeout;
 mod work;
 
-pub use self::{admission::*, fleet::*, load::*, outlier::*, placement::*};
-pub use self::{ranking::*, retry::*, timeout::*, work::*};
+pub use admission::{TenantQuotas, is_hopeless};
+pub use outlier::OutlierDetector;
+pub use placement::lock_holders;
+pub use ranking::{HIGHEST_PRIORITY, Ranking, rank};
+pub use retry::{RetryBudget, may_repeat_until};
+pub use timeout::{TimeoutEstimator, is_timeout_due};
+pub use work::WorkEstimator;
+
+use crate::interface::Millis;
 
-/// ms that a timer or an outcome may come late; half the usual slack for answers.
+/// By how many milliseconds a timer or an outcome may be delayed; half the usual slack for responses.
 const TIMER_SLACK: Millis = 10.0;
-/// ms over which what is known of a class is averaged, and what is known of an engine: steady against quick.
+/// Horizon of the statistics of a class, in milliseconds: long, so that they are steady.
 const CLASS_HORIZON: Millis = 20_000.0;
+/// Horizon of the statistics of an engine, in milliseconds: short, so that they follow changes quickly.
 const ENGINE_HORIZON: Millis = 1_500.0;
--- a/crates/dispatch/src/policy/ordering.rs
+++ b/crates/dispatch/src/policy/ordering.rs
@@ -1,23 +1,29 @@
-//! Ordered queues: the requests of one key run one at a time, in the order of arrival.
+//! Ordered queues: the requests of one order key run one at a time, in the order of arrival.
 
-use super::*;
+use crate::dispatcher::Context;
+use crate::interface::{Millis, NewRequest, Outcome};
+use crate::requests::OrderedQueues;
+
+/// Time in milliseconds that is added to the pause of a key.
+const PAUSE_MARGIN: Millis = 1.0;
 
 impl OrderedQueues {
-    /// Whether the request's key lets it run now.
+    /// Whether the request's order key permits it to be sent now: it is the first of its queue, and the queue
+    /// is not paused. Requests without a queue always may.
     pub fn is_next(&self, context: &Context, new: &NewRequest) -> bool {
         let Some(queue) = self.get(context.settings.order_key(new)) else { return true };
         queue.ids.front() == Some(&new.id) && context.now >= queue.paused_until
     }
 
-    /// How many requests the head of the request's queue works for, with itself.
-    pub fn len(&self, context: &Context, new: &NewRequest) -> usize {
+    /// The number of requests in the request's queue, at least 1; 1 for a request without a queue.
+    pub fn queue_length(&self, context: &Context, new: &NewRequest) -> usize {
         self.get(context.settings.order_key(new)).map_or(1, |queue| queue.ids.len().max(1))
     }
 
-    /// Pauses the request's key after an attempt that might still be running.
+    /// Pauses the request's order key after an attempt that may still be running.
     pub fn on_attempt_ended(&mut self, context: &Context, new: &NewRequest, outcome: Outcome) {
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.pause(new.key.as_ref(), context.now + context.settings.order_pause + 1.0);
+            self.pause(new.key.as_ref(), context.now + context.settings.order_pause + PAUSE_MARGIN);
         }
     }
 }
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -1,22 +1,41 @@
-//! Placement: the engine that a request is sent to.
+//! Placement: the choice of the engine that a request is sent to.
 
-use super::*;
+use oorandom::Rand64;
 
-/// Threads in flight for each core of an engine: about where cores and disks are all busy.
-const THREADS_PER_CORE: f64 = 1.3;
-/// Further threads for each step of priority: urgent queries are short, and run first anyway.
-const URGENT_THREADS: f64 = 0.35;
-/// Share of an engine's memory that is granted at most: where queries wait in line for it, and where they run
-/// with what is left, spill, and do their work several times over.
-const MEMORY_FILL: f64 = 0.95;
-const TRIMMED_FILL: f64 = 0.75;
-/// Random part of a score, against herding of dispatchers that see the same reports.
-const SCATTER: f64 = 0.15;
+use super::fleet::RANDOM_CANDIDATES;
+use super::outlier::MAX_CONSECUTIVE_FAILURES;
+use super::ranking::HIGHEST_PRIORITY;
+use crate::dispatcher::Context;
+use crate::engines::{Candidate, Engine, Fleet};
+use crate::interface::{DedupGroup, Effect, EngineId, NewRequest, Settings};
+use crate::requests::{Attempt, Request, Requests};
+use crate::stats::InFlightLoad;
+
+/// Threads in flight per core up to which an engine has capacity: cores and disks are all busy at about this
+/// load.
+const MAX_THREADS_PER_CORE: f64 = 1.3;
+/// Fraction of that limit that each step of priority adds. Urgent queries are short, and engines run them
+/// first anyway.
+const EXTRA_THREADS_PER_PRIORITY: f64 = 0.35;
+/// Fraction of an engine's memory that may be granted where queries wait for memory.
+const MAX_MEMORY_FRACTION_WITH_QUEUEING: f64 = 0.95;
+/// Fraction of an engine's memory that may be granted where queries run with the memory that remains. They
+/// spill then, and do their work several times over.
+const MAX_MEMORY_FRACTION_WITHOUT_QUEUEING: f64 = 0.75;
+/// Largest random fraction that is added to a score, so that dispatchers with the same load reports do not
+/// all choose the same engine.
+const SCORE_JITTER: f64 = 0.15;
 /// Weight of the price of crossing zones in a score.
 const ZONE_CROSSING_WEIGHT: f64 = 4.0;
+/// An engine with fewer own queries than this counts as idle, if other dispatchers have none there either.
+const MIN_BUSY_OWN_QUERIES: f64 = 1.0;
+/// An engine with fewer queries of other dispatchers than this counts as not used by them. The number is an
+/// estimate.
+const MIN_BUSY_QUERIES_OF_OTHER_DISPATCHERS: f64 = 0.5;
 
 impl Fleet {
-    /// The engines with capacity for the request, those with the least load for their speed first.
+    /// The engines that the request may be sent to and that have capacity for its demand, best first: those
+    /// with the least load for their speed, weight and zone.
     pub fn ranked(
         &self,
         context: &Context,
@@ -28,28 +47,33 @@
         let settings = &context.settings;
         let mut candidates = self.candidates(context, request, random);
         candidates.retain_mut(|candidate| {
-            let engine = self.engines.get(&candidate.engine).filter(|it| self.is_open(context, it, request));
-            let load = engine.and_then(|engine| self.load(context, engine, demand, priority));
-            let (Some(engine), Some(load)) = (engine, load) else { return false };
-            let crosses = engine.entry.zone != settings.zone;
-            let price = if crosses { ZONE_CROSSING_WEIGHT * settings.cross_zone_price } else { 0.0 };
+            let Some(engine) = self.engines.get(&candidate.engine) else { return false };
+            if !self.may_try(context, engine, request) {
+                return false;
+            }
+            let Some(load) = self.load_if_capacity(context, engine, demand, priority) else { return false };
+            let crosses_zones = engine.entry.zone != settings.zone;
+            let price = if crosses_zones { ZONE_CROSSING_WEIGHT * settings.cross_zone_price } else { 0.0 };
             let weight = settings.weight(&request.new, candidate.engine);
-            candidate.score = load * (1.0 + price) * candidate.score / weight;
+            let jitter = candidate.score;
+            candidate.score = load * (1.0 + price) * jitter / weight;
             true
         });
         candidates.sort_by(|a, b| a.score.total_cmp(&b.score));
         candidates
     }
 
-    /// The engines compared, with the random part of their scores: all, where dispatchers are few; else some
-    /// at random and those that reported last, as the least by old reports would draw all dispatchers.
+    /// The engines to compare, each with the random factor of its score. With few dispatchers these are all
+    /// engines. Otherwise they are some members of the subset, drawn at random, and the members that reported
+    /// last: if all dispatchers chose the least loaded engine by old reports, they would overload it.
     fn candidates(&self, context: &Context, request: &Request, random: &mut Rand64) -> Vec<Candidate> {
-        let chosen: Vec<EngineId> = if self.is_wide(context) {
+        let engines: Vec<EngineId> = if self.uses_subset(context) {
             let class = context.settings.class(&request.new);
-            let bound = class.is_bound() || !context.settings.routes.is_empty();
-            let fitting = (bound || !request.attempts.is_empty())
-                .then(|| self.members(|engine| self.takes(context, engine, request)));
-            let members = fitting.as_ref().unwrap_or(&self.subset.members);
+            let is_restricted = class.is_bound() || !context.settings.routes.is_empty();
+            let needs_eligible_members = is_restricted || !request.attempts.is_empty();
+            let eligible_members = needs_eligible_members
+                .then(|| self.subset_members(|engine| self.is_eligible(context, engine, request)));
+            let members = eligible_members.as_ref().unwrap_or(&self.subset.available_members);
             let draws = if members.is_empty() { 0 } else { RANDOM_CANDIDATES };
             let drawn = (0..draws).map(|_| members[random.rand_range(0..members.len() as u64) as usize]);
             let reporters = self.loads.reporters.iter().copied();
@@ -57,55 +81,79 @@
         } else {
             self.engines.keys().copied().collect()
         };
-        let scatter = |engine| Candidate { engine, score: 1.0 + SCATTER * random.rand_float() };
-        chosen.into_iter().map(scatter).collect()
+        let with_jitter = |engine| Candidate { engine, score: 1.0 + SCORE_JITTER * random.rand_float() };
+        engines.into_iter().map(with_jitter).collect()
     }
 
-    /// Whether the engine takes work, and may have this request, which it has not had before.
-    fn is_open(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
-        let tried = request.attempts.iter().any(|attempt| attempt.engine == engine.entry.engine);
-        let on_trial =
-            engine.health.consecutive_failures >= MAX_CONSECUTIVE_FAILURES && engine.own.queries > 0.0;
-        !tried && !on_trial && self.takes(context, engine, request)
+    /// Whether the request may be sent to the engine now: the engine is eligible and has not had the request
+    /// before, and if it is on trial (it was ejected and has not served an attempt since) it has no own query
+    /// in flight.
+    fn may_try(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
+        let was_tried = request.attempts.iter().any(|attempt| attempt.engine == engine.entry.engine);
+        let is_on_trial = engine.health.consecutive_failures >= MAX_CONSECUTIVE_FAILURES;
+        let trial_in_flight = is_on_trial && engine.own_load.queries > 0.0;
+        !was_tried && !trial_in_flight && self.is_eligible(context, engine, request)
     }
 
-    /// Whether the engine takes work, and class, route and effect permit the request there.
-    pub fn takes(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
-        let (class, entry) = (context.settings.class(&request.new), &engine.entry);
-        let drops_repeats = |attempt: &Attempt| match class.effect {
+    /// Whether the engine is available, and the request's class, route and effect permit it there. A keyed
+    /// request whose earlier attempts may have run stays with engines that drop its repeats.
+    pub fn is_eligible(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
+        let class = context.settings.class(&request.new);
+        let entry = &engine.entry;
+        let drops_repeat_of = |attempt: &Attempt| match class.effect {
             Effect::Keyed(DedupGroup::All, _) | Effect::Safe | Effect::Unsafe => true,
             Effect::Keyed(group, _) => {
-                self.engines.get(&attempt.engine).is_some_and(|it| group.has_both(&it.entry, entry))
+                let earlier = self.engines.get(&attempt.engine);
+                earlier.is_some_and(|earlier| group.has_both(&earlier.entry, entry))
             }
         };
         self.outliers.is_available(engine, context.now)
             && class.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
             && class.machines.as_ref().is_none_or(|machines| machines.contains(&entry.machine))
-            && request.attempts.iter().all(|attempt| attempt.never_ran() || drops_repeats(attempt))
+            && request.attempts.iter().all(|attempt| attempt.never_ran() || drops_repeat_of(attempt))
             && context.settings.weight(&request.new, entry.engine) > 0.0
     }
 
-    /// The engine's threads for each core with a further demand, by its warm-up and slowness, if they fit.
-    fn load(&self, context: &Context, engine: &Engine, demand: InFlightLoad, priority: u8) -> Option<f64> {
-        let (settings, machine) = (&context.settings, context.settings.machine(&engine.entry));
-        let others = self.loads.others(context, engine);
-        let total = self.loads.total(engine, others, demand);
-        let cores = machine.cores * engine.warm_up.capacity_share(context);
+    /// The engine's threads per core with the further demand, adjusted for its slow start and slowness;
+    /// `None` if it lacks the threads or the memory for the demand. An idle engine has capacity for any
+    /// request.
+    fn load_if_capacity(
+        &self,
+        context: &Context,
+        engine: &Engine,
+        demand: InFlightLoad,
+        priority: u8,
+    ) -> Option<f64> {
+        let settings = &context.settings;
+        let machine = settings.machine(&engine.entry);
+        let queries_of_other_dispatchers = self.loads.queries_of_other_dispatchers(context, engine);
+        let total = self.loads.total_load(engine, queries_of_other_dispatchers, demand);
+        let cores = machine.cores * engine.warm_up.capacity_fraction(context);
         let load = total.threads / cores * self.slowness(engine.entry.engine, context.now);
-        let max_load = THREADS_PER_CORE * (1.0 + URGENT_THREADS * f64::from(priority));
-        let fill = if settings.memory_queueing { MEMORY_FILL } else { TRIMMED_FILL };
-        let filled = machine.memory_mb > 0.0 && total.memory_mb > machine.memory_mb * fill;
-        // The most urgent are small, and go first where queries wait in line for memory.
-        let passes = priority == HIGHEST_PRIORITY && settings.memory_queueing;
-        let crowded = load > max_load || (filled && !passes);
-        let idle = engine.own.queries < 1.0 && others < 0.5;
-        (idle || !crowded).then_some(load)
+        let max_load = MAX_THREADS_PER_CORE * (1.0 + EXTRA_THREADS_PER_PRIORITY * f64::from(priority));
+        let max_memory_fraction = if settings.memory_queueing {
+            MAX_MEMORY_FRACTION_WITH_QUEUEING
+        } else {
+            MAX_MEMORY_FRACTION_WITHOUT_QUEUEING
+        };
+        let lacks_memory =
+            machine.memory_mb > 0.0 && total.memory_mb > machine.memory_mb * max_memory_fraction;
+        // The most urgent requests need little memory, and are first in an engine's queue for it.
+        let ignores_memory = priority == HIGHEST_PRIORITY && settings.memory_queueing;
+        let is_full = load > max_load || (lacks_memory && !ignores_memory);
+        let is_idle = engine.own_load.queries < MIN_BUSY_OWN_QUERIES
+            && queries_of_other_dispatchers < MIN_BUSY_QUERIES_OF_OTHER_DISPATCHERS;
+        (is_idle || !is_full).then_some(load)
     }
 }
 
-/// Engines that run loads on the request's tables, if it is one: two at a time would stand still there.
+/// The engines with attempts in flight that lock the request's tables, if the request locks them too: two
+/// such queries on one engine would block each other. Empty for other requests.
 pub fn lock_holders(settings: &Settings, requests: &Requests, new: &NewRequest) -> Vec<EngineId> {
-    let locks = |it: &NewRequest| settings.class(it).locks_tables && it.tables == new.tables;
-    let others = locks(new).then(|| requests.values().filter(|other| locks(&other.new)));
-    others.into_iter().flatten().flat_map(Request::live).map(|(_, attempt)| attempt.engine).collect()
+    let locks_tables =
+        |request: &NewRequest| settings.class(request).locks_tables && request.tables == new.tables;
+    let conflicting =
+        locks_tables(new).then(|| requests.values().filter(|request| locks_tables(&request.new)));
+    let attempts = conflicting.into_iter().flatten().flat_map(Request::in_flight);
+    attempts.map(|(_, attempt)| attempt.engine).collect()
 }
--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -1,24 +1,32 @@
-//! Slow start: a freshly started engine gets work as it warms up, within the fleet's budget.
+//! Slow start: an engine that has just started is sent a limited amount of work while it warms up.
 
-use super::*;
+use gaugestep_subsetting::slow_start::SlowStartLimit;
+
+use super::WorkEstimator;
+use crate::dispatcher::Context;
+use crate::engines::{Fleet, WarmUp};
+use crate::interface::{ClassId, EngineId};
 
 impl WarmUp {
-    /// The share of its capacity that the engine has by now, at the least.
-    pub fn capacity_share(&self, context: &Context) -> f64 {
-        self.started_at.map_or(1.0, |at| context.settings.slow_start.capacity_share(context.now - at))
+    /// The fraction of its full capacity that the engine has now at the least, up to 1.
+    pub fn capacity_fraction(&self, context: &Context) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        context.settings.slow_start.capacity_share(context.now - started_at)
     }
 }
 
 impl Fleet {
-    /// Whether an engine can take one more request of the class from this dispatcher.
+    /// Whether the slow start of an engine permits this dispatcher to send it one more request of the class.
+    /// False for an unknown engine.
     pub fn admits(&mut self, context: &Context, work: &WorkEstimator, id: EngineId, class: ClassId) -> bool {
         let Some(engine) = self.engines.get_mut(&id) else { return false };
         let Some(started_at) = engine.warm_up.started_at else { return true };
-        let slot = self.subset.drawn.rotation_slot(id.0);
+        let rotation_slot = self.subset.drawn.rotation_slot(id.0);
         let cores = context.settings.machine(&engine.entry).cores;
         let limit = SlowStartLimit { cores, settings: context.settings.slow_start };
-        let works = (0..work.0.len()).map(|class| work.typical_work(ClassId(class)));
-        let typical = work.typical_work(class);
-        engine.warm_up.budget.available(&limit, slot, context.now - started_at, works, typical)
+        let age = context.now - started_at;
+        let work_of_classes = (0..work.0.len()).map(|class| work.typical_work(ClassId(class)));
+        let work_of_request = work.typical_work(class);
+        engine.warm_up.budget.available(&limit, rotation_slot, age, work_of_classes, work_of_request)
     }
 }
--- a/crates/dispatch/src/policy/timeout.rs
+++ b/crates/dispatch/src/policy/timeout.rs
@@ -1,80 +1,131 @@
-//! The timeout past which a first run is cancelled and relaunched on another engine: tau in "Stability and
-//! Optimization of Speculative Queueing Networks". Times are ratios to the estimate and the slowness of the
-//! engine: crowding and troubles that slow every query of an engine, or of all, are no mark of a straggler.
+//! The timeout of a class, past which a first run is cancelled and relaunched on another engine: tau in
+//! "Stability and Optimization of Speculative Queueing Networks". Run times are ratios to the estimate times
+//! the slowness of the engine, because load or faults that slow down all queries of an engine, or of the
+//! fleet, do not make a query a straggler.
 
-use super::*;
+use crate::interface::{ClassId, Millis};
+use crate::requests::{FirstRun, OngoingRun, RunHistory};
+use crate::stats::{Histogram, SurvivalPoint, bin_of, push_bounded};
 
-/// Ended first runs of a class before any is cancelled: fewer tell nothing of a tail of a few in a hundred.
-const MIN_OUTCOMES: usize = 20;
-/// First runs remembered for each class: a minute or more of its traffic, so that rare stragglers stay known.
+/// Number of served first runs of a class before any is cancelled. With fewer samples a tail of a few percent
+/// cannot be estimated.
+const MIN_SERVED_RUNS: usize = 20;
+/// Number of first runs that are stored for each class: a minute or more of its traffic, so that rare
+/// stragglers are among them.
 const MAX_FIRST_RUNS: usize = 1000;
-/// Share of first runs that are never cancelled, so that the tail stays seen.
-pub const EXEMPT_SHARE: f64 = 0.04;
-/// Load with the timeout over load without must be under this to start cancelling: less gain is noise.
-const MIN_GAIN: f64 = 0.85;
-/// Part of the timeout after which a progress report of this many mean relaunches left brings it forward.
-const EARLY_TIMEOUT: f64 = 0.3;
-const EARLY_TIME_LEFT: f64 = 2.5;
-/// Relaunches that the class's mean counts for: one bad one among the first must not end all timeouts.
+/// Fraction of requests whose first run is never cancelled, so that the tail of run times continues to be
+/// measured.
+pub const EXEMPT_FRACTION: f64 = 0.04;
+/// A class without a timeout gets one only if that reduces the load of its queries below this fraction. A
+/// smaller gain may be noise.
+const MAX_LOAD_FRACTION_TO_START: f64 = 0.85;
+/// Fraction of the timeout after which a progress report can bring the cancel forward.
+const EARLY_TIMEOUT_FRACTION: f64 = 0.3;
+/// The remaining time that brings the cancel forward, in expected run times of a relaunch.
+const EARLY_REMAINING_RELAUNCHES: f64 = 2.5;
+/// Weight of the class's mean run time in the expected run time of a relaunch, in relaunches. It prevents one
+/// slow relaunch among the first few from ending all timeouts.
 const PRIOR_RELAUNCHES: f64 = 10.0;
-/// ms over which relaunches, which are rare, are averaged.
+/// Horizon in milliseconds of the mean run time of relaunches; long, because relaunches are rare.
 const RELAUNCH_HORIZON: Millis = 80_000.0;
 
-/// The run times of each class, and the timeouts chosen by them.
+/// The run times of each class and the timeouts chosen from them, by class number.
 #[derive(Default)]
 pub struct TimeoutEstimator(pub Vec<RunHistory>);
 
 impl TimeoutEstimator {
-    /// Learns the time of a first run or a relaunch. One that did not complete took at least this long;
-    /// relaunches that did not count too: left out, timeouts would look too good.
-    pub fn on_run_ended(&mut self, class: ClassId, ratio: f64, relaunch: bool, served: bool, now: Millis) {
+    /// Stores the run time of a first run or a relaunch that has ended. The time of a run that was not served
+    /// is a lower bound. Relaunches that were not served count too: without them timeouts would seem better
+    /// than they are.
+    pub fn on_run_ended(
+        &mut self,
+        class: ClassId,
+        run_ratio: f64,
+        is_relaunch: bool,
+        served: bool,
+        now: Millis,
+    ) {
         let history = &mut self.0[class.0];
-        if relaunch {
-            return history.relaunches.add(ratio, now, RELAUNCH_HORIZON);
+        if is_relaunch {
+            history.relaunch_ratio.add(run_ratio, now, RELAUNCH_HORIZON);
+        } else {
+            let first_run = FirstRun { bin: bin_of(run_ratio), served };
+            push_bounded(&mut history.first_runs, first_run, MAX_FIRST_RUNS);
         }
-        push_bounded(&mut history.first_runs, FirstRun { bin: bin_of(ratio), served }, MAX_FIRST_RUNS);
     }
 
-    /// Sets the class's timeout to the value that minimises a query's load, ρ(τ) in equation (10) of the
-    /// paper: the area under first runs' survival up to it plus the mean relaunch time times survival at it
-    /// (Theorem 4, section 5), or to none where never cancelling is as good (Theorem 2, section 4). Runs that
-    /// did not end well, or still run, are right-censored. Returns a change as a line for the log.
-    pub fn choose_timeout(&mut self, class: ClassId, ongoing: &[OngoingRun], cancel: bool) -> Option<String> {
+    /// Sets the timeout of a class to the value that minimises the load of a query, ρ(τ) in equation (10) of
+    /// the paper: the area under the survival curve of first runs up to the timeout, plus the mean relaunch
+    /// time multiplied by the survival at the timeout (Theorem 4, section 5). Sets it to `None` where never
+    /// cancelling is as good (Theorem 2, section 4), or if `cancellation_enabled` is false. Runs that were
+    /// not served, or are in flight, are right-censored. Returns a log line if the class gets a timeout or
+    /// loses it.
+    pub fn choose_timeout(
+        &mut self,
+        class: ClassId,
+        ongoing: &[OngoingRun],
+        cancellation_enabled: bool,
+    ) -> Option<String> {
         let histogram = self.histogram(class, ongoing);
-        let (curve, history) = (histogram.survival(), &mut self.0[class.0]);
-        let (relaunch, known) = (history.relaunches.value, history.relaunches.weight);
-        let relaunch = (curve.mean * PRIOR_RELAUNCHES + relaunch * known) / (PRIOR_RELAUNCHES + known);
-        history.expected_relaunch = relaunch;
-        let loads = curve.points.iter().map(|point| (point.area + relaunch * point.survival, point.time));
-        let best = loads.min_by(|a, b| a.0.total_cmp(&b.0));
-        // Once stragglers are cancelled little of the tail is seen: that stops only when it gains nothing.
-        let max_load = curve.mean * if history.timeout.is_some() { 1.0 } else { MIN_GAIN };
-        let enough = histogram.ended() >= MIN_OUTCOMES && cancel;
-        let timeout = best.filter(|(load, _)| enough && *load < max_load).map(|(_, timeout)| timeout);
-        let before = std::mem::replace(&mut history.timeout, timeout);
-        (before.is_some() != timeout.is_some()).then(|| history.timeout_line(class))
+        let curve = histogram.survival();
+        let history = &mut self.0[class.0];
+        let relaunches = history.relaunch_ratio;
+        let weighted_relaunches = curve.mean * PRIOR_RELAUNCHES + relaunches.value * relaunches.weight;
+        let relaunch_ratio = weighted_relaunches / (PRIOR_RELAUNCHES + relaunches.weight);
+        history.expected_relaunch_ratio = relaunch_ratio;
+        let load_at = |point: &SurvivalPoint| point.area + relaunch_ratio * point.survival;
+        let loads = curve.points.iter().map(|point| (load_at(point), point.run_ratio));
+        let least_load = loads.min_by(|(load_a, _), (load_b, _)| load_a.total_cmp(load_b));
+        // While stragglers are cancelled little of the tail is observed, so an existing timeout is kept until
+        // it gains nothing.
+        let max_load_fraction =
+            if history.timeout_ratio.is_some() { 1.0 } else { MAX_LOAD_FRACTION_TO_START };
+        let max_load = curve.mean * max_load_fraction;
+        let may_cancel = histogram.ended() >= MIN_SERVED_RUNS && cancellation_enabled;
+        let gains = |load: f64| may_cancel && load < max_load;
+        let timeout_ratio = least_load.filter(|(load, _)| gains(*load)).map(|(_, run_ratio)| run_ratio);
+        let previous = std::mem::replace(&mut history.timeout_ratio, timeout_ratio);
+        let changed = previous.is_some() != timeout_ratio.is_some();
+        changed.then(|| history.timeout_log_line(class))
     }
 
-    /// The runs of a class. Until enough of its own have ended, those of all classes stand in for it.
+    /// The first runs of a class, ended and ongoing. Until enough of its own have been served, it contains
+    /// those of all classes.
     fn histogram(&self, class: ClassId, ongoing: &[OngoingRun]) -> Histogram {
         let served = self.0[class.0].first_runs.iter().filter(|run| run.served).count();
-        let pooled = |other: usize| other == class.0 || served < MIN_OUTCOMES;
+        let is_included = |number: usize| number == class.0 || served < MIN_SERVED_RUNS;
         let mut histogram = Histogram::default();
-        let classes = self.0.iter().enumerate().filter(|(other, _)| pooled(*other));
-        classes.flat_map(|(_, it)| &it.first_runs).for_each(|run| histogram.add(run.bin, run.served));
-        let ongoing = ongoing.iter().filter(|run| pooled(run.class.0));
-        ongoing.for_each(|run| histogram.add(bin_of(run.ratio), run.end_known));
+        for (_, history) in self.0.iter().enumerate().filter(|(number, _)| is_included(*number)) {
+            for run in &history.first_runs {
+                histogram.add(run.bin, run.served);
+            }
+        }
+        for run in ongoing.iter().filter(|run| is_included(run.class.0)) {
+            histogram.add(bin_of(run.run_ratio), run.end_is_predicted);
+        }
         histogram
     }
 }
 
-/// Whether a first run that has taken `ratio` is to be cancelled now. A progress report weighs the time left
-/// against a relaunch, as Theorem 2 does for the class: what ends sooner goes on, what clearly ends later
-/// need not wait for the timeout. A wrong report costs one relaunch.
-pub fn is_due(timeout: f64, ratio: f64, time_left: Option<Millis>, relaunch: Millis) -> bool {
-    match time_left {
-        Some(left) if ratio >= timeout => left > relaunch,
-        Some(left) => ratio >= timeout * EARLY_TIMEOUT && left > EARLY_TIME_LEFT * relaunch,
-        None => ratio >= timeout,
+/// Whether a first run is to be cancelled now. `timeout_ratio` is the timeout of its class, `run_ratio` its
+/// run time so far, `remaining` its remaining time by a progress report, and `relaunch_time` the expected run
+/// time of a relaunch.
+///
+/// Without a report it is cancelled at the timeout. With one, the remaining time is compared with a relaunch,
+/// as Theorem 2 does for the class: a run that ends sooner than a relaunch continues past the timeout, and
+/// one that clearly ends later is cancelled before it. A wrong report costs one relaunch.
+pub fn is_timeout_due(
+    timeout_ratio: f64,
+    run_ratio: f64,
+    remaining: Option<Millis>,
+    relaunch_time: Millis,
+) -> bool {
+    match remaining {
+        Some(remaining) if run_ratio >= timeout_ratio => remaining > relaunch_time,
+        Some(remaining) => {
+            run_ratio >= timeout_ratio * EARLY_TIMEOUT_FRACTION
+                && remaining > EARLY_REMAINING_RELAUNCHES * relaunch_time
+        }
+        None => run_ratio >= timeout_ratio,
     }
 }
--- a/crates/dispatch/src/policy/work.rs
+++ b/crates/dispatch/src/policy/work.rs
@@ -1,81 +1,110 @@
-//! Estimates of a request's work, run time and memory, corrected by the answers of its class.
+//! Estimates of a request's work, run time and memory, corrected by what served requests of its class needed.
+//!
+//! Work is measured in milliseconds on one thread.
 
-use super::*;
+use super::CLASS_HORIZON;
+use crate::dispatcher::Context;
+use crate::interface::{AttemptEnd, ClassId, Millis, NewRequest};
+use crate::requests::ClassCorrections;
+use crate::stats::InFlightLoad;
 
-/// ms of work taken for a request without an estimate until an answer of its class tells of it.
-const UNKNOWN_WORK: Millis = 1_000.0;
-/// Answers, less what is forgotten, from which a class is known. What is not must not count as hopeless: it
-/// would be rejected for good, as nothing would be learned.
-const KNOWN_ANSWERS: f64 = 0.5;
-/// Share of what is known of a class's memory that each answer replaces: some 20 answers tell it.
+/// Work in milliseconds that is assumed for a request without an estimate until one of its class has been
+/// served.
+const DEFAULT_WORK: Millis = 1_000.0;
+/// Weight of served attempts, decayed by their age, from which the run time of a class is known. A class
+/// whose run time is unknown must not count as hopeless: all its requests would be rejected, and nothing
+/// would be learned about it.
+const MIN_KNOWN_WEIGHT: f64 = 0.5;
+/// Least run time in milliseconds that is compared with the actual work.
+const MIN_RUN_TIME: Millis = 0.1;
+/// Fraction by which each served attempt that reports its memory moves the class's memory bias: about 20
+/// attempts determine it.
 const MEMORY_STEP: f64 = 0.05;
-/// Granted over needed memory on average: needs scatter, and a spill costs more than spare memory.
-const GRANT_MARGIN: f64 = 1.2;
+/// Granted memory over needed memory, on average. Needs vary, and a spill costs more than unused memory.
+const MEMORY_MARGIN: f64 = 1.2;
+/// By how much a served attempt that does not report its cost lowers the logarithm of the class's memory
+/// bias.
+const MEMORY_LOG_DECREASE: f64 = 0.001;
+/// Lower bound of the logarithm of the memory bias where costs are not reported.
+const MIN_MEMORY_LOG: f64 = -0.2;
+/// By how much a spill raises the logarithm of the class's memory bias.
+const SPILL_MEMORY_LOG_INCREASE: f64 = 0.03;
+/// Upper bound of the logarithm of the memory bias after a spill.
+const MAX_MEMORY_LOG: f64 = 1.0;
 
-/// What is known of the work of each class.
+/// The corrections of each class's estimates, by class number.
 #[derive(Default)]
-pub struct WorkEstimator(pub Vec<ClassWork>);
+pub struct WorkEstimator(pub Vec<ClassCorrections>);
 
 impl WorkEstimator {
-    /// The time that a request takes alone, by its estimate, or else by the answers of its class.
-    pub fn nominal_run(&self, context: &Context, new: &NewRequest) -> Millis {
+    /// The run time of a request on an engine without other load, by its own estimate. For a request without
+    /// one it is chosen so that [`Self::unloaded_run_time`] gives the actual run time of such requests.
+    pub fn nominal_run_time(&self, context: &Context, new: &NewRequest) -> Millis {
         let class = &self.0[new.class.0];
-        let unestimated = UNKNOWN_WORK * class.learned.factor / class.estimate_bias.factor;
-        let work = if new.estimate > 0.0 { new.estimate } else { unestimated };
+        let default_work = DEFAULT_WORK * class.default_work_bias.factor / class.work_bias.factor;
+        let work = if new.estimate > 0.0 { new.estimate } else { default_work };
         work / context.settings.class(new).threads
     }
 
-    /// The same, corrected by how far estimates of the class are off.
-    pub fn run_alone(&self, context: &Context, new: &NewRequest) -> Millis {
-        self.nominal_run(context, new) * self.0[new.class.0].estimate_bias.factor
+    /// The run time of a request on an engine without other load, corrected by the bias of its class's
+    /// estimates.
+    pub fn unloaded_run_time(&self, context: &Context, new: &NewRequest) -> Millis {
+        self.nominal_run_time(context, new) * self.0[new.class.0].work_bias.factor
     }
 
-    /// The time that its run takes on the fleet's average; 0 while no answer of late tells it.
-    pub fn expected_run(&self, context: &Context, new: &NewRequest) -> Millis {
-        let stretch = &self.0[new.class.0].stretch;
-        let known = stretch.mean.weight_at(context.now, CLASS_HORIZON) >= KNOWN_ANSWERS;
-        if known { self.run_alone(context, new) * stretch.factor } else { 0.0 }
+    /// The run time to expect at the fleet's present load; 0 if no request of the class was served recently.
+    pub fn expected_run_time(&self, context: &Context, new: &NewRequest) -> Millis {
+        let stretch = &self.0[new.class.0].run_time_stretch;
+        let is_known = stretch.log_mean.weight_at(context.now, CLASS_HORIZON) >= MIN_KNOWN_WEIGHT;
+        if is_known { self.unloaded_run_time(context, new) * stretch.factor } else { 0.0 }
     }
 
-    /// The work of a typical request of the class; only estimates that run low are corrected.
+    /// The mean work of the class's requests, in milliseconds on one thread. Estimates that are too low are
+    /// corrected; those that are too high are not.
     pub fn typical_work(&self, class: ClassId) -> Millis {
-        self.0[class.0].work.value * self.0[class.0].estimate_bias.factor.max(1.0)
+        let class = &self.0[class.0];
+        class.estimated_work.value * class.work_bias.factor.max(1.0)
     }
 
-    /// What one run of the request takes up; memory with its margin.
+    /// The load that one run of the request puts on an engine. The memory includes a margin.
     pub fn demand(&self, context: &Context, new: &NewRequest) -> InFlightLoad {
-        let memory_mb = new.memory_mb * self.0[new.class.0].memory.factor * GRANT_MARGIN;
+        let memory_mb = new.memory_mb * self.0[new.class.0].memory_bias.factor * MEMORY_MARGIN;
         InFlightLoad { queries: 1.0, threads: context.settings.class(new).threads, memory_mb }
     }
 
+    /// Adds the estimated work of a request that arrives to the mean of its class.
     pub fn on_request(&mut self, context: &Context, new: &NewRequest) {
-        let work = self.nominal_run(context, new) * context.settings.class(new).threads;
-        self.0[new.class.0].work.add(work, context.now, CLASS_HORIZON);
+        let work = self.nominal_run_time(context, new) * context.settings.class(new).threads;
+        self.0[new.class.0].estimated_work.add(work, context.now, CLASS_HORIZON);
     }
 
-    /// Learns from a served attempt. Returns the logarithm of its time over the class's mean, if known.
+    /// Learns from a served attempt. Returns the natural logarithm of its stretch over the class's mean
+    /// stretch, or `None` if this is the class's first served attempt.
     pub fn on_served(&mut self, context: &Context, new: &NewRequest, end: &AttemptEnd) -> Option<f64> {
-        let (nominal, threads) = (self.nominal_run(context, new), context.settings.class(new).threads);
+        let nominal = self.nominal_run_time(context, new);
+        let threads = context.settings.class(new).threads;
         let class = &mut self.0[new.class.0];
-        let mut true_run = nominal;
+        let mut actual = nominal;
         if let Some(cost) = end.cost.filter(|cost| cost.work > 0.0) {
-            true_run = cost.work / threads;
-            class.estimate_bias.add((true_run / nominal).ln(), context.now, CLASS_HORIZON);
+            actual = cost.work / threads;
+            class.work_bias.add_log((actual / nominal).ln(), context.now, CLASS_HORIZON);
             if new.memory_mb > 0.0 && cost.memory_mb > 0.0 {
-                class.memory.step((cost.memory_mb / new.memory_mb).ln(), MEMORY_STEP);
+                class.memory_bias.step_towards((cost.memory_mb / new.memory_mb).ln(), MEMORY_STEP);
             }
         } else {
-            class.memory.set((class.memory.log - 0.001).max(-0.2));
+            class.memory_bias.set_log((class.memory_bias.log - MEMORY_LOG_DECREASE).max(MIN_MEMORY_LOG));
         }
-        let stretch = (end.elapsed.max(0.1) / true_run).ln();
-        let usual = Some(class.stretch.mean).filter(|usual| usual.weight > 0.0);
-        class.stretch.add(stretch, context.now, CLASS_HORIZON);
-        class.learned.add((true_run * threads / UNKNOWN_WORK).ln(), context.now, CLASS_HORIZON);
-        usual.map(|usual| stretch - usual.value)
+        let log_stretch = (end.elapsed.max(MIN_RUN_TIME) / actual).ln();
+        let previous = class.run_time_stretch.log_mean;
+        class.run_time_stretch.add_log(log_stretch, context.now, CLASS_HORIZON);
+        let log_default_work_bias = (actual * threads / DEFAULT_WORK).ln();
+        class.default_work_bias.add_log(log_default_work_bias, context.now, CLASS_HORIZON);
+        (previous.weight > 0.0).then_some(log_stretch - previous.value)
     }
 
+    /// Raises the memory bias of a class after one of its queries spilled for lack of memory.
     pub fn on_spill(&mut self, class: ClassId) {
-        let memory = &mut self.0[class.0].memory;
-        memory.set((memory.log + 0.03).min(1.0));
+        let memory_bias = &mut self.0[class.0].memory_bias;
+        memory_bias.set_log((memory_bias.log + SPILL_MEMORY_LOG_INCREASE).min(MAX_MEMORY_LOG));
     }
 }
--- a/crates/dispatch/src/requests.rs
+++ b/crates/dispatch/src/requests.rs
@@ -1,24 +1,28 @@
-//! Plain records of requests, their attempts and what is remembered of classes; nothing is decided here.
+//! Data structures for requests, their attempts and the history of classes. The decisions that use them are
+//! in [`crate::policy`].
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{
     AttemptNo, ClassId, Effect, EngineId, Millis, NewRequest, OrderKey, Outcome, RequestId,
 };
-use crate::stats::{LogFactor, LogMean, Mean};
+use crate::stats::{DecayingMean, GeometricMean, LogFactor};
 
-/// The requests that are open, or have attempts without outcome, by id.
+/// Requests that are not finished, or have attempts in flight, by id.
 pub type Requests = BTreeMap<RequestId, Request>;
 
-/// The share of its work that an attempt had done at a time.
+/// The latest progress report of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
-    /// The share, from 0 to 1.
-    pub done: f64,
+    /// The fraction of its work that was done, from 0 to 1.
+    pub done_fraction: f64,
     /// When it was reported.
-    pub at: Millis,
+    pub reported_at: Millis,
 }
 
+/// Smallest fraction of work from which the remaining time is extrapolated.
+const MIN_DONE_FRACTION: f64 = 1e-3;
+
 /// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
@@ -26,50 +30,54 @@
     pub engine: EngineId,
     /// When it was sent.
     pub sent_at: Millis,
-    /// How it ended, if it has.
+    /// How it ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
-    /// True if it was cancelled because it ran past its class's timeout.
+    /// True if it was cancelled because it ran past the timeout of its class.
     pub timeout_cancelled: bool,
-    /// Its latest progress report.
+    /// Its latest progress report, if there was one.
     pub progress: Option<Progress>,
 }
 
 impl Attempt {
-    /// An attempt that starts at this time.
+    /// An attempt that is sent at this time.
     pub fn new(engine: EngineId, sent_at: Millis) -> Self {
         Attempt { engine, sent_at, outcome: None, timeout_cancelled: false, progress: None }
     }
 
-    /// Takes a progress report.
-    pub fn on_progress(&mut self, share: f64, now: Millis) {
-        self.progress = Some(Progress { done: share.clamp(0.0, 1.0), at: now });
+    /// Stores a progress report.
+    pub fn on_progress(&mut self, done_fraction: f64, now: Millis) {
+        self.progress = Some(Progress { done_fraction: done_fraction.clamp(0.0, 1.0), reported_at: now });
     }
 
-    /// The time left, extrapolated from the latest progress report.
-    pub fn time_left(&self) -> Option<Millis> {
-        self.progress.map(|it| (it.at - self.sent_at) / it.done.max(1e-3) * (1.0 - it.done))
+    /// How much longer it runs from its latest progress report on, extrapolated from that report; `None`
+    /// without one.
+    pub fn remaining_time(&self) -> Option<Millis> {
+        self.progress.map(|progress| {
+            let elapsed = progress.reported_at - self.sent_at;
+            elapsed / progress.done_fraction.max(MIN_DONE_FRACTION) * (1.0 - progress.done_fraction)
+        })
     }
 
-    /// Whether it ended without having run.
+    /// Whether its outcome proves that it never ran.
     pub fn never_ran(&self) -> bool {
         self.outcome.is_some_and(Outcome::never_ran)
     }
 }
 
-/// A request that is not finished, or has attempts without outcome.
+/// A request that is not finished, or has attempts in flight.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The request as its client made it.
+    /// The request as its client sent it.
     pub new: NewRequest,
     /// When it arrived.
     pub arrived_at: Millis,
-    /// The part of it that is taken to be within its tenant's quota, from 0 to 1.
-    pub in_quota: f64,
+    /// The fraction of its tenant's recent traffic that was within the quota when it arrived, from 0 to 1.
+    pub in_quota_fraction: f64,
     /// True if its first run is never cancelled at the timeout.
     pub exempt_from_timeout: bool,
-    /// True if it has its final answer, or needs none.
+    /// True if its final response was sent, or none is needed.
     pub finished: bool,
-    /// Attempts that it may have at most, by the settings in force when it arrived.
+    /// The most attempts that it may have, by the settings in force when it arrived.
     pub max_attempts: usize,
     /// Its attempts in the order of sending.
     pub attempts: Vec<Attempt>,
@@ -78,184 +86,186 @@
 impl Request {
     /// A request without attempts, within quota and subject to the timeout.
     pub fn new(new: NewRequest, arrived_at: Millis, max_attempts: usize) -> Self {
-        let (in_quota, exempt_from_timeout, finished) = (1.0, false, false);
         Request {
             new,
             arrived_at,
-            in_quota,
-            exempt_from_timeout,
-            finished,
+            in_quota_fraction: 1.0,
+            exempt_from_timeout: false,
+            finished: false,
             max_attempts,
             attempts: Vec::new(),
         }
     }
 
-    /// Brings its deadline forward to this time, if it is later.
-    pub fn bring_forward(&mut self, at: Millis) {
-        self.new.deadline = self.new.deadline.min(at);
+    /// Moves the deadline to `latest` if it is later than that.
+    pub fn limit_deadline(&mut self, latest: Millis) {
+        self.new.deadline = self.new.deadline.min(latest);
     }
 
-    /// The attempts without outcome, with their numbers.
-    pub fn live(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+    /// The attempts in flight, with their numbers, including those that were cancelled at the timeout and
+    /// have not ended yet.
+    pub fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none())
     }
 
-    /// The attempts without outcome that were not cancelled at the timeout, with their numbers.
+    /// The attempts in flight that were not cancelled at the timeout, with their numbers.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Attempt)> {
-        self.live().filter(|(_, attempt)| !attempt.timeout_cancelled)
+        self.in_flight().filter(|(_, attempt)| !attempt.timeout_cancelled)
     }
 
-    /// Whether nothing is to be waited for before its next attempt.
+    /// Whether the request waits to be sent: it is not finished, and no attempt is running.
     pub fn is_waiting(&self) -> bool {
         !self.finished && self.running().next().is_none()
     }
 
-    /// Whether no attempt is without outcome.
-    pub fn is_idle(&self) -> bool {
-        self.live().next().is_none()
+    /// Whether any attempt is in flight.
+    pub fn is_in_flight(&self) -> bool {
+        self.in_flight().next().is_some()
     }
 
-    /// Whether an attempt may have run.
+    /// Whether an attempt may have run on an engine.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.never_ran())
     }
 
-    /// Until when one more attempt may follow the first `count`: engines that drop repeats do so for a while only, from
-    /// the first attempt on that may have run.
-    pub fn repeat_until(&self, effect: Effect, count: usize) -> Millis {
-        let lasts = match effect {
+    /// Until when one more attempt may follow the first `count` ones without the risk of a repeated effect.
+    /// For keyed requests that is one window after the earliest attempt that may have run, because engines
+    /// drop repeats for that time only.
+    pub fn repeatable_until(&self, effect: Effect, count: usize) -> Millis {
+        let window = match effect {
             Effect::Safe => f64::INFINITY,
             Effect::Keyed(_, window) => window,
             Effect::Unsafe => f64::NEG_INFINITY,
         };
         let may_have_run = self.attempts.iter().take(count).filter(|attempt| !attempt.never_ran());
-        may_have_run.map(|attempt| attempt.sent_at + lasts).fold(f64::INFINITY, f64::min)
+        may_have_run.map(|attempt| attempt.sent_at + window).fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether an attempt before this one was cancelled at the timeout, which makes this one the relaunch.
+    /// Whether the attempt with this number is the relaunch: an earlier one was cancelled at the timeout.
     pub fn is_relaunch(&self, attempt: usize) -> bool {
-        self.attempts.iter().take(attempt).any(|attempt| attempt.timeout_cancelled)
+        self.attempts.iter().take(attempt).any(|earlier| earlier.timeout_cancelled)
     }
 }
 
 /// The requests of one order key.
 #[derive(Debug, Default)]
 pub struct OrderedQueue {
-    /// Their ids, in the order of arrival.
+    /// The ids of its requests, in the order of arrival.
     pub ids: VecDeque<RequestId>,
-    /// Until when the next one must wait.
+    /// The next request waits until this time.
     pub paused_until: Millis,
 }
 
-/// The queues of all keys of ordered classes. A request without a key is in none.
+/// The queues of all order keys. Requests without a key are not in any queue.
 #[derive(Debug, Default)]
 pub struct OrderedQueues(BTreeMap<OrderKey, OrderedQueue>);
 
 impl OrderedQueues {
-    /// The queue of a key.
+    /// The queue of a key; `None` without a key, or if it has no queue.
     pub fn get(&self, key: Option<&OrderKey>) -> Option<&OrderedQueue> {
         self.0.get(key?)
     }
 
-    /// Puts a request at the end of its key's queue.
+    /// Appends a request to the queue of its key.
     pub fn push(&mut self, key: Option<&OrderKey>, id: &RequestId) {
         if let Some(key) = key {
             self.0.entry(key.clone()).or_default().ids.push_back(id.clone());
         }
     }
 
-    /// Lets a key's next request wait until then.
+    /// Makes the next request of a key wait until this time.
     pub fn pause(&mut self, key: Option<&OrderKey>, until: Millis) {
         if let Some(queue) = key.and_then(|key| self.0.get_mut(key)) {
             queue.paused_until = until;
         }
     }
 
-    /// Takes a request out of its key's queue.
+    /// Removes a request from the queue of its key.
     pub fn remove(&mut self, key: Option<&OrderKey>, id: &RequestId) {
         if let Some(queue) = key.and_then(|key| self.0.get_mut(key)) {
-            queue.ids.retain(|other| other != id);
+            queue.ids.retain(|queued| queued != id);
         }
     }
 
-    /// Drops the queues that are empty and not paused.
-    pub fn prune(&mut self, now: Millis) {
+    /// Discards the queues that are empty and not paused.
+    pub fn discard_empty(&mut self, now: Millis) {
         self.0.retain(|_, queue| !queue.ids.is_empty() || queue.paused_until > now);
     }
 }
 
-/// The end of a first run.
+/// A first run that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstRun {
-    /// The histogram bin of its time.
+    /// The histogram bin of its run time.
     pub bin: usize,
     /// Whether it was served; if not, its time is a lower bound.
     pub served: bool,
 }
 
-/// The run times of one class.
+/// The run times of one class. They are ratios to the estimated run time multiplied by the slowness of the
+/// engine, which is the unit of the histogram.
 #[derive(Debug, Default)]
 pub struct RunHistory {
-    /// Recent first runs.
+    /// The most recent first runs, oldest first.
     pub first_runs: VecDeque<FirstRun>,
-    /// Times of relaunches, in the histogram's unit.
-    pub relaunches: Mean,
-    /// Past this a first run is cancelled, in the histogram's unit; none where no run is.
-    pub timeout: Option<f64>,
-    /// The expected time of a relaunch, in the histogram's unit.
-    pub expected_relaunch: f64,
+    /// The run time ratios of relaunches.
+    pub relaunch_ratio: DecayingMean,
+    /// The timeout: first runs whose ratio exceeds it are cancelled. `None` if no run is cancelled.
+    pub timeout_ratio: Option<f64>,
+    /// The expected run time ratio of a relaunch.
+    pub expected_relaunch_ratio: f64,
 }
 
 impl RunHistory {
-    /// The timeout as a line for the log.
-    pub fn timeout_line(&self, class: ClassId) -> String {
-        match self.timeout {
+    /// The log line for the timeout of a class.
+    pub fn timeout_log_line(&self, class: ClassId) -> String {
+        match self.timeout_ratio {
             Some(timeout) => format!("class {}: timeout at {timeout:.2} times the estimate", class.0),
             None => format!("class {}: no timeout", class.0),
         }
     }
 }
 
-/// What the answers of one class tell of its work.
+/// Corrections of one class's estimates, learned from its served attempts.
 #[derive(Debug, Default)]
-pub struct ClassWork {
-    /// True over estimated work.
-    pub estimate_bias: LogMean,
-    /// True work over the work that is assumed where nothing is known.
-    pub learned: LogMean,
-    /// Run time over true work per thread.
-    pub stretch: LogMean,
-    /// Needed over estimated memory.
-    pub memory: LogFactor,
-    /// The work of its requests, as estimated.
-    pub work: Mean,
+pub struct ClassCorrections {
+    /// Actual work over estimated work.
+    pub work_bias: GeometricMean,
+    /// Actual work over the default work of a request without an estimate.
+    pub default_work_bias: GeometricMean,
+    /// Run time over actual work per thread.
+    pub run_time_stretch: GeometricMean,
+    /// Needed memory over estimated memory.
+    pub memory_bias: LogFactor,
+    /// Estimated work of its requests, in milliseconds on one thread.
+    pub estimated_work: DecayingMean,
 }
 
-/// A first run that goes on.
+/// A first run that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct OngoingRun {
-    /// Its class.
+    /// The class of its request.
     pub class: ClassId,
-    /// Its time so far, or at its end where a progress report tells that, in the histogram's unit.
-    pub ratio: f64,
-    /// Whether that is its end.
-    pub end_known: bool,
+    /// Its run time ratio: at its end if a progress report predicts that, else so far.
+    pub run_ratio: f64,
+    /// Whether a progress report predicts its end.
+    pub end_is_predicted: bool,
 }
 
 /// A request that waits to be sent.
 #[derive(Clone, Debug)]
-pub struct Waiting {
-    /// Its rank; the highest goes first.
+pub struct WaitingRequest {
+    /// Its rank; the request with the highest rank is sent first.
     pub rank: f64,
     /// Its id.
     pub id: RequestId,
 }
 
-/// What is due for a request.
+/// What is to be done for a request now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Due {
-    /// Its final answer: a rejection or a failure.
-    Answer,
-    /// The cancellation of an attempt at the timeout.
+pub enum DueAction {
+    /// Send the final response: a rejection or a failure.
+    Respond,
+    /// Cancel an attempt at the timeout.
     Cancel(AttemptNo),
 }
--- a/crates/dispatch/src/stats.rs
+++ b/crates/dispatch/src/stats.rs
@@ -1,50 +1,55 @@
-//! Statistics of the decision module; nothing is decided or tuned here.
+//! Statistics of the decision module: decaying means, histograms of run times and estimates of load.
 
 use std::collections::VecDeque;
 
 use crate::interface::Millis;
 
-/// A mean that forgets over a horizon of time.
+/// A mean whose samples lose weight exponentially with their age.
+///
+/// Each method takes the horizon: the age in milliseconds at which a sample's weight has fallen to 1/e.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mean {
-    /// The mean.
+pub struct DecayingMean {
+    /// The mean of the samples; 0 before the first one.
     pub value: f64,
-    /// Samples behind it, less what is forgotten.
+    /// The sum of the samples' weights at the time of the latest sample.
     pub weight: f64,
-    at: Millis,
+    /// When the latest sample was added.
+    updated_at: Millis,
 }
 
-impl Mean {
-    /// Adds a sample.
+impl DecayingMean {
+    /// Adds a sample with weight 1, after the weight of the earlier ones has decayed.
     pub fn add(&mut self, sample: f64, now: Millis, horizon: Millis) {
         self.weight = self.weight_at(now, horizon) + 1.0;
         self.value += (sample - self.value) / self.weight;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// The samples behind it by now.
+    /// The sum of the samples' weights, decayed to this time.
     pub fn weight_at(&self, now: Millis, horizon: Millis) -> f64 {
-        self.weight * (-(now - self.at).max(0.0) / horizon).exp()
+        let age = (now - self.updated_at).max(0.0);
+        self.weight * (-age / horizon).exp()
     }
 
-    /// How much it still tells, from 0 to 1: all while it has the weight of a sample.
+    /// Confidence in the mean, from 0 to 1: 1 while its weight is at least that of one fresh sample.
     pub fn confidence(&self, now: Millis, horizon: Millis) -> f64 {
         self.weight_at(now, horizon).min(1.0)
     }
 
-    /// The mean, drawn towards 0 as if one sample of 0 were always there.
-    pub fn shrunk(&self, now: Millis, horizon: Millis) -> f64 {
+    /// The mean together with one further sample of 0 that never decays, so that the value is close to 0 if
+    /// the samples are few or old.
+    pub fn shrunk_to_zero(&self, now: Millis, horizon: Millis) -> f64 {
         let weight = self.weight_at(now, horizon);
         self.value * weight / (weight + 1.0)
     }
 }
 
-/// A factor that is kept as its logarithm.
+/// A positive factor that is adjusted by its natural logarithm.
 #[derive(Clone, Copy, Debug)]
 pub struct LogFactor {
-    /// The logarithm.
+    /// The natural logarithm of the factor.
     pub log: f64,
-    /// Its exponential.
+    /// The factor: the exponential of `log`.
     pub factor: f64,
 }
 
@@ -55,119 +60,127 @@
 }
 
 impl LogFactor {
-    /// Sets the logarithm.
-    pub fn set(&mut self, log: f64) {
+    /// Sets the logarithm, and with it the factor.
+    pub fn set_log(&mut self, log: f64) {
         *self = LogFactor { log, factor: log.exp() };
     }
 
-    /// Moves the logarithm by this share of the way to a sample.
-    pub fn step(&mut self, sample: f64, share: f64) {
-        self.set(self.log + (sample - self.log) * share);
+    /// Moves the logarithm towards `sample_log` by this fraction of their difference.
+    pub fn step_towards(&mut self, sample_log: f64, fraction: f64) {
+        self.set_log(self.log + (sample_log - self.log) * fraction);
     }
 }
 
-/// A factor that is the exponential of a mean of logarithms.
+/// A decaying geometric mean.
 #[derive(Clone, Copy, Debug)]
-pub struct LogMean {
-    /// The mean of the logarithms.
-    pub mean: Mean,
-    /// Its exponential.
+pub struct GeometricMean {
+    /// The mean of the samples' natural logarithms.
+    pub log_mean: DecayingMean,
+    /// The geometric mean: the exponential of the mean logarithm; 1 before the first sample.
     pub factor: f64,
 }
 
-impl Default for LogMean {
+impl Default for GeometricMean {
     fn default() -> Self {
-        LogMean { mean: Mean::default(), factor: 1.0 }
+        GeometricMean { log_mean: DecayingMean::default(), factor: 1.0 }
     }
 }
 
-impl LogMean {
-    /// Adds the logarithm of a sample.
-    pub fn add(&mut self, log: f64, now: Millis, horizon: Millis) {
-        self.mean.add(log, now, horizon);
-        self.factor = self.mean.value.exp();
+impl GeometricMean {
+    /// Adds a sample, given by its natural logarithm.
+    pub fn add_log(&mut self, sample_log: f64, now: Millis, horizon: Millis) {
+        self.log_mean.add(sample_log, now, horizon);
+        self.factor = self.log_mean.value.exp();
     }
 }
 
-/// Bins of the histogram of run times. With the first edge and the ratio between edges they reach from 0.02 to about 700
-/// times the estimate.
-pub const BINS: usize = 96;
-const BIN_RATIO: f64 = 1.115;
-const FIRST_BIN: f64 = 0.02;
-
-/// The bin of a run time over its estimate.
-pub fn bin_of(ratio: f64) -> usize {
-    let bin = (ratio.max(FIRST_BIN) / FIRST_BIN).ln() / BIN_RATIO.ln();
-    (bin as usize).min(BINS - 1)
+/// Number of bins in a histogram of run times. The bins have logarithmic widths and cover run times from 0.02
+/// to about 700 times the estimate.
+pub const HISTOGRAM_BINS: usize = 96;
+/// Upper edge of a bin over its lower edge.
+const BIN_EDGE_RATIO: f64 = 1.115;
+/// Lower edge of the first bin, as a multiple of the estimated run time.
+const FIRST_BIN_LOWER_EDGE: f64 = 0.02;
+
+/// The histogram bin of a run time, given as a multiple of its estimate. Run times below or above the range
+/// are in the first or last bin.
+pub fn bin_of(run_ratio: f64) -> usize {
+    let bin = (run_ratio.max(FIRST_BIN_LOWER_EDGE) / FIRST_BIN_LOWER_EDGE).ln() / BIN_EDGE_RATIO.ln();
+    (bin as usize).min(HISTOGRAM_BINS - 1)
 }
 
-/// Run times by bin: what was last observed there, and what of it ended there; the rest is right-censored.
+/// A histogram of run times, some of which are right-censored: such a run is in flight, or ended without
+/// being served, after the time that is counted for it.
 #[derive(Clone, Copy, Debug)]
 pub struct Histogram {
-    observed: [u32; BINS],
-    ended: [u32; BINS],
+    /// Runs by the bin of their time, censored or not.
+    observed: [u32; HISTOGRAM_BINS],
+    /// The runs among them that ended there and are not censored.
+    ended: [u32; HISTOGRAM_BINS],
 }
 
 impl Default for Histogram {
     fn default() -> Self {
-        Histogram { observed: [0; BINS], ended: [0; BINS] }
+        Histogram { observed: [0; HISTOGRAM_BINS], ended: [0; HISTOGRAM_BINS] }
     }
 }
 
 impl Histogram {
-    /// Counts a run that was last observed in this bin.
+    /// Counts a run whose time is in this bin. If `ended` is false, its time is a lower bound.
     pub fn add(&mut self, bin: usize, ended: bool) {
         self.observed[bin] += 1;
         self.ended[bin] += u32::from(ended);
     }
 
-    /// How many runs ended.
+    /// The number of runs that ended and are not censored.
     pub fn ended(&self) -> usize {
         self.ended.iter().sum::<u32>() as usize
     }
 
-    /// Survival by the product-limit (Kaplan-Meier) estimate.
+    /// The survival curve of run times, by the product-limit (Kaplan-Meier) estimate.
     pub fn survival(&self) -> SurvivalCurve {
         let mut at_risk: u32 = self.observed.iter().sum();
-        let (mut survival, mut area, mut from) = (1.0, 0.0, 0.0);
+        let mut survival = 1.0;
+        let mut area = 0.0;
+        let mut lower_edge = 0.0;
         let mut points = Vec::new();
-        for (bin, (ended, left)) in self.ended.iter().zip(&self.observed).enumerate() {
+        for (bin, (ended, observed)) in self.ended.iter().zip(&self.observed).enumerate() {
             if at_risk == 0 {
                 break;
             }
-            let edge = FIRST_BIN * BIN_RATIO.powi(bin as i32 + 1);
-            let after = survival * (1.0 - f64::from(*ended) / f64::from(at_risk));
-            area += (edge - from) * 0.5 * (survival + after);
-            survival = after;
-            at_risk -= left;
-            from = edge;
-            points.push(SurvivalPoint { time: edge, area, survival });
+            let upper_edge = FIRST_BIN_LOWER_EDGE * BIN_EDGE_RATIO.powi(bin as i32 + 1);
+            let survival_after = survival * (1.0 - f64::from(*ended) / f64::from(at_risk));
+            area += (upper_edge - lower_edge) * 0.5 * (survival + survival_after);
+            survival = survival_after;
+            at_risk -= observed;
+            lower_edge = upper_edge;
+            points.push(SurvivalPoint { run_ratio: upper_edge, area, survival });
         }
         SurvivalCurve { points, mean: area }
     }
 }
 
-/// A survival curve at the upper edges of the bins.
+/// A survival curve at the upper edges of the histogram's bins.
 #[derive(Clone, Debug)]
 pub struct SurvivalCurve {
-    /// The points, by time.
+    /// The points, in ascending order of run time.
     pub points: Vec<SurvivalPoint>,
-    /// The area under the curve up to the longest time observed: the mean run time.
+    /// The mean run time, as a multiple of the estimate: the area under the curve up to the longest run.
     pub mean: f64,
 }
 
 /// One point of a survival curve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SurvivalPoint {
-    /// The run time.
-    pub time: f64,
-    /// The area under the curve up to it.
+    /// The run time, as a multiple of the estimate.
+    pub run_ratio: f64,
+    /// The area under the curve up to this run time.
     pub area: f64,
-    /// The share of runs that take longer.
+    /// The fraction of runs that take longer.
     pub survival: f64,
 }
 
-/// Adds to a queue that keeps the latest `capacity` items.
+/// Appends an item and removes the oldest ones until at most `capacity` remain.
 pub fn push_bounded<T>(queue: &mut VecDeque<T>, item: T, capacity: usize) {
     queue.push_back(item);
     while queue.len() > capacity {
@@ -175,49 +188,51 @@
     }
 }
 
-/// The times of recent happenings.
+/// The times of recent events, in ascending order.
 #[derive(Clone, Debug, Default)]
 pub struct RecentTimes(VecDeque<Millis>);
 
 impl RecentTimes {
-    /// Adds a time, not before the last one.
+    /// Adds the time of an event, which must not be before the previous one.
     pub fn push(&mut self, at: Millis) {
         self.0.push_back(at);
     }
 
-    /// Forgets what lies more than `span` before `now`.
-    pub fn forget(&mut self, now: Millis, span: Millis) {
-        while self.0.front().is_some_and(|at| now - at > span) {
+    /// Discards the times that are more than `max_age` before `now`.
+    pub fn discard_older_than(&mut self, max_age: Millis, now: Millis) {
+        while self.0.front().is_some_and(|at| now - at > max_age) {
             self.0.pop_front();
         }
     }
 
-    /// How many lie at or after `from`.
-    pub fn count_since(&self, from: Millis) -> usize {
-        self.0.len() - self.0.partition_point(|at| *at < from)
+    /// The number of events at or after `start`.
+    pub fn count_since(&self, start: Millis) -> usize {
+        self.0.len() - self.0.partition_point(|at| *at < start)
     }
 }
 
-/// What queries in flight take up.
+/// The resources of an engine that a number of queries use. The counts may be fractional, as they are
+/// estimates.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct InFlightLoad {
-    /// Queries.
+    /// Number of queries.
     pub queries: f64,
-    /// Their threads.
+    /// Number of threads that they run on.
     pub threads: f64,
-    /// Their memory in MB.
+    /// Memory that they use, in MB.
     pub memory_mb: f64,
 }
 
 impl InFlightLoad {
-    /// Adds another load, this many times.
-    pub fn add(&mut self, other: InFlightLoad, times: f64) {
-        self.queries += other.queries * times;
-        self.threads += other.threads * times;
-        self.memory_mb += other.memory_mb * times;
+    /// Adds a load multiplied by `factor`.
+    pub fn add_scaled(&mut self, load: InFlightLoad, factor: f64) {
+        self.queries += load.queries * factor;
+        self.threads += load.threads * factor;
+        self.memory_mb += load.memory_mb * factor;
     }
 
-    /// This load with `queries` further ones like the typical ones, and a further demand.
+    /// This load with `queries` further queries, each with the mean threads and memory of the queries in
+    /// `typical`, and with one further `demand`.
     pub fn with(self, queries: f64, typical: InFlightLoad, demand: InFlightLoad) -> InFlightLoad {
         InFlightLoad {
             queries: self.queries + queries + demand.queries,
@@ -227,53 +242,71 @@
     }
 }
 
-/// This many of a dispatcher's own queries at an engine tell as much of it as what is known of all engines together.
+/// Weight of the fleet's mean in the estimate of an engine's queries, as the number of this dispatcher's own
+/// queries on that engine that have the same weight.
 const PRIOR_QUERIES: f64 = 4.0;
 
-/// How many queries other dispatchers have in flight at an engine that does not report, with `dispatchers` in all: from one's
-/// own there and from what all have on average at an engine of its size. The mean of a Gamma prior, drawn to one's own count
-/// as to a Poisson sample of an even part.
-pub fn estimated_others(own: f64, average: f64, dispatchers: usize) -> f64 {
-    if average <= 0.0 || dispatchers <= 1 {
+/// Estimates how many queries other dispatchers have in flight on an engine that does not report its load.
+///
+/// `own_queries` are this dispatcher's queries on the engine, and `mean_queries` are the queries of all
+/// dispatchers on an engine of its size, on average over the fleet. The queries of all dispatchers on the
+/// engine are estimated as the mean of a Gamma distribution around `mean_queries`, updated by `own_queries`
+/// as a Poisson sample of one part in `dispatchers`. The result is that estimate minus `own_queries`.
+pub fn queries_of_other_dispatchers(own_queries: f64, mean_queries: f64, dispatchers: usize) -> f64 {
+    if mean_queries <= 0.0 || dispatchers <= 1 {
         return 0.0;
     }
-    let all = (PRIOR_QUERIES + own) / (PRIOR_QUERIES / average + 1.0 / dispatchers as f64);
-    (all - own).max(0.0)
+    let queries_of_all =
+        (PRIOR_QUERIES + own_queries) / (PRIOR_QUERIES / mean_queries + 1.0 / dispatchers as f64);
+    (queries_of_all - own_queries).max(0.0)
 }
 
-/// One engine's own queries, of this dispatcher, and its cores.
+/// The queries that this dispatcher has in flight on one engine, and the engine's size.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnQueries {
-    /// Queries in flight.
+    /// Number of queries in flight.
     pub queries: f64,
-    /// The engine's cores.
+    /// Number of the engine's cores.
     pub cores: f64,
 }
 
-/// Queries in flight for each core, of all dispatchers together at engines that do not report, from one's own. By the engine in
-/// the middle, as what piles up at some that hang says nothing of the others; less a standard deviation, as few queries tell
-/// little of a fleet.
-pub fn estimated_crowd(own: &mut [OwnQueries], dispatchers: usize) -> f64 {
+/// Estimates the queries in flight per core of all dispatchers together on engines that do not report their
+/// load, from this dispatcher's own queries on each engine, which it sorts.
+///
+/// It scales the median engine to the fleet, because queries that accumulate on a few unresponsive engines
+/// say nothing about the load of other dispatchers. It subtracts one standard deviation, because a small
+/// count is a poor estimate of the fleet's load.
+pub fn estimate_fleet_queries_per_core(own: &mut [OwnQueries], dispatchers: usize) -> f64 {
     own.sort_by(|a, b| (a.queries / a.cores).total_cmp(&(b.queries / b.cores)));
-    let (queries, cores) = own.iter().fold((0.0, 0.0), |sum, it| (sum.0 + it.queries, sum.1 + it.cores));
-    let Some(middle) = own.get(own.len() / 2) else { return 0.0 };
-    // Of small numbers most are 0.
-    let count = if middle.queries > 0.0 { middle.queries / middle.cores * cores } else { queries };
-    (count - count.sqrt()).max(0.0) / cores * dispatchers as f64
+    let mut total_queries = 0.0;
+    let mut total_cores = 0.0;
+    for engine in own.iter() {
+        total_queries += engine.queries;
+        total_cores += engine.cores;
+    }
+    let Some(median) = own.get(own.len() / 2) else { return 0.0 };
+    // With few queries the median engine has none, so the sum is used instead.
+    let own_queries =
+        if median.queries > 0.0 { median.queries / median.cores * total_cores } else { total_queries };
+    let lower_bound = (own_queries - own_queries.sqrt()).max(0.0);
+    lower_bound / total_cores * dispatchers as f64
 }
 
-/// A figure that follows its samples over a horizon of time.
+/// An exponentially smoothed value of a quantity that is sampled at irregular times.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Level {
-    /// The figure.
+pub struct SmoothedValue {
+    /// The smoothed value.
     pub value: f64,
-    at: Millis,
+    /// When the latest sample was applied.
+    updated_at: Millis,
 }
 
-impl Level {
-    /// Follows a sample by the time since the last one.
-    pub fn follow(&mut self, sample: f64, now: Millis, horizon: Millis) {
-        self.value += (sample - self.value) * (1.0 - (-(now - self.at).max(0.0) / horizon).exp());
-        self.at = now;
+impl SmoothedValue {
+    /// Moves the value towards a sample, the further the more time has passed since the previous one: after
+    /// one horizon, by 63% of the difference.
+    pub fn update(&mut self, sample: f64, now: Millis, horizon: Millis) {
+        let elapsed = (now - self.updated_at).max(0.0);
+        self.value += (sample - self.value) * (1.0 - (-elapsed / horizon).exp());
+        self.updated_at = now;
     }
 }
--- a/crates/dispatch/tests/parts/fleet.rs
+++ b/crates/dispatch/tests/parts/fleet.rs
@@ -1,10 +1,10 @@
-//! The list of engines, and the subset of a large fleet.
+//! The endpoint list, and the subset of a large fleet.
 
 use super::common::entry;
 use super::*;
-use crate::engines::{Fleet, GrantedPosition};
+use crate::engines::{AssignedPosition, Fleet};
 use crate::policy::WorkEstimator;
-use crate::requests::{ClassWork, Requests};
+use crate::requests::{ClassCorrections, Requests};
 
 fn listed(context: &Context, engines: u32) -> Fleet {
     let mut fleet = Fleet::default();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn complete_list_drops_what_is_missing_and_changes_do_not() {
+fn complete_list_removes_missing_engines_and_changes_do_not() {
     let context = safe_class(0.0);
     let mut fleet = listed(&context, 3);
     fleet.on_engine_list(&context, vec![entry(5)], false);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn engine_that_turns_up_later_warms_up_and_one_of_the_first_list_does_not() {
+fn engine_added_by_a_change_warms_up_and_one_of_the_first_list_does_not() {
     let context = safe_class(7_000.0);
     let mut fleet = listed(&context, 1);
     fleet.on_engine_list(&context, vec![entry(1)], false);
@@ -38,51 +38,51 @@
 }
 
 #[test]
-fn restarted_engine_is_a_new_one() {
+fn restarted_engine_loses_its_history() {
     let context = safe_class(7_000.0);
     let mut fleet = listed(&context, 1);
-    let health = |fleet: &mut Fleet| {
+    let fail_once = |fleet: &mut Fleet| {
         let health = &mut fleet.engines.get_mut(&EngineId(0)).unwrap().health;
         health.on_failure(Outcome::Rejected, 7_000.0);
         health.consecutive_failures
     };
-    assert_eq!(health(&mut fleet), 3);
+    assert_eq!(fail_once(&mut fleet), 3);
     fleet.on_engine_list(&context, vec![entry(0)], false);
-    assert_eq!(health(&mut fleet), 6, "a change of its line keeps what is known");
+    assert_eq!(fail_once(&mut fleet), 6, "a change of its entry keeps its history");
     let restarted = EngineEntry { started_at: Some(6_000.0), ..entry(0) };
     fleet.on_engine_list(&context, vec![restarted], false);
-    assert_eq!(health(&mut fleet), 3);
+    assert_eq!(fail_once(&mut fleet), 3);
     assert_eq!(fleet.engines[&EngineId(0)].warm_up.started_at, Some(6_000.0));
 }
 
 #[test]
-fn few_dispatchers_or_engines_draw_from_all() {
-    assert!(!listed(&safe_class(0.0), 40).is_wide(&safe_class(0.0)));
-    assert!(!listed(&many_dispatchers(0.0), 5).is_wide(&many_dispatchers(0.0)));
-    assert!(listed(&many_dispatchers(0.0), 6).is_wide(&many_dispatchers(0.0)));
+fn few_dispatchers_or_engines_use_no_subset() {
+    assert!(!listed(&safe_class(0.0), 40).uses_subset(&safe_class(0.0)));
+    assert!(!listed(&many_dispatchers(0.0), 5).uses_subset(&many_dispatchers(0.0)));
+    assert!(listed(&many_dispatchers(0.0), 6).uses_subset(&many_dispatchers(0.0)));
 }
 
 #[test]
-fn ejected_engines_of_the_subset_are_replaced_for_a_while() {
-    let work = WorkEstimator(vec![ClassWork::default()]);
+fn ejected_engines_of_the_subset_are_replaced_until_they_return() {
+    let work = WorkEstimator(vec![ClassCorrections::default()]);
     let context = many_dispatchers(0.0);
     let mut fleet = listed(&context, 40);
-    fleet.update(&context, &Requests::default(), &work);
-    let members = fleet.subset.members.clone();
+    fleet.update_statistics(&context, &Requests::default(), &work);
+    let members = fleet.subset.available_members.clone();
     assert_eq!(members.len(), 8);
     fleet.engines.get_mut(&members[0]).unwrap().health.ejected_until = 1_000.0;
     let later = many_dispatchers(300.0);
-    fleet.update(&later, &Requests::default(), &work);
-    assert_eq!(fleet.subset.members.len(), 8);
-    assert!(!fleet.subset.members.contains(&members[0]));
-    let back = many_dispatchers(1_100.0);
-    fleet.update(&back, &Requests::default(), &work);
-    assert_eq!(fleet.subset.members, members);
+    fleet.update_statistics(&later, &Requests::default(), &work);
+    assert_eq!(fleet.subset.available_members.len(), 8);
+    assert!(!fleet.subset.available_members.contains(&members[0]));
+    let after_ejection = many_dispatchers(1_100.0);
+    fleet.update_statistics(&after_ejection, &Requests::default(), &work);
+    assert_eq!(fleet.subset.available_members, members);
 }
 
 #[test]
 fn requests_in_flight_are_summed_by_engine() {
-    let (context, work) = (safe_class(0.0), WorkEstimator(vec![ClassWork::default()]));
+    let (context, work) = (safe_class(0.0), WorkEstimator(vec![ClassCorrections::default()]));
     let mut fleet = listed(&context, 2);
     let mut cancelled = Attempt::new(EngineId(0), 0.0);
     cancelled.timeout_cancelled = true;
@@ -96,16 +96,16 @@
         let request = Request { attempts: vec![attempt], ..open_request(number) };
         (request.new.id.clone(), request)
     });
-    fleet.update(&context, &requests.collect(), &work);
-    assert_eq!(fleet.engines[&EngineId(0)].own.queries, 2.0);
-    assert_eq!(fleet.engines[&EngineId(1)].own.queries, 0.0);
+    fleet.update_statistics(&context, &requests.collect(), &work);
+    assert_eq!(fleet.engines[&EngineId(0)].own_load.queries, 2.0);
+    assert_eq!(fleet.engines[&EngineId(1)].own_load.queries, 0.0);
 }
 
 #[test]
-fn granted_position_holds_until_its_time() {
+fn assigned_position_is_valid_until_its_time() {
     let mut fleet = Fleet::default();
-    let (granted, own) = (FleetPosition::NameKey(5), FleetPosition::NameKey(1));
-    fleet.subset.granted = Some(GrantedPosition { position: granted, until: 100.0 });
-    assert_eq!(fleet.subset.position(99.0, own), granted);
-    assert_eq!(fleet.subset.position(100.0, own), own);
+    let (assigned, from_settings) = (FleetPosition::NameKey(5), FleetPosition::NameKey(1));
+    fleet.subset.assigned = Some(AssignedPosition { position: assigned, until: 100.0 });
+    assert_eq!(fleet.subset.position(99.0, from_settings), assigned);
+    assert_eq!(fleet.subset.position(100.0, from_settings), from_settings);
 }
--- a/crates/dispatch/tests/parts/mod.rs
+++ b/crates/dispatch/tests/parts/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the parts of the policy, each by itself. The parts are private to the crate: an embedder has no use for them, and
-//! these files are compiled into the crate's own test.
+//! Unit tests of the policy's modules. The modules are private to the crate, so these files are compiled into
+//! its unit test.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -21,7 +21,7 @@
 use crate::interface::*;
 use crate::requests::{Attempt, Request};
 
-/// A context at this time.
+/// A context at this time with these settings.
 fn context(now: Millis, settings: Settings) -> Context {
     Context { now, settings }
 }
@@ -31,7 +31,7 @@
     context(now, common::settings(vec![common::class(Effect::Safe, 1.0)]))
 }
 
-/// A request that has arrived at time 0, with a minute left.
+/// A request that arrived at time 0 and has its deadline a minute later.
 fn open_request(number: u32) -> Request {
     Request::new(common::request(number, 0, 60_000.0), 0.0, 4)
 }
@@ -41,7 +41,7 @@
     Attempt { outcome: Some(outcome), ..Attempt::new(EngineId(engine), sent_at) }
 }
 
-/// The end of the request's first attempt after this long.
+/// The end of the request's first attempt, `elapsed` after it was sent.
 fn attempt_end(number: u32, engine: u32, outcome: Outcome, elapsed: Millis) -> AttemptEnd {
     AttemptEnd {
         id: common::id(number),
--- a/crates/dispatch/tests/parts/ordering.rs
+++ b/crates/dispatch/tests/parts/ordering.rs
@@ -21,23 +21,23 @@
 }
 
 #[test]
-fn requests_of_a_key_are_next_in_the_order_of_arrival() {
+fn requests_of_a_key_are_sent_in_the_order_of_arrival() {
     let (context, all) = (ordered_class(0.0), [keyed(3, 0), keyed(1, 0), keyed(2, 0)]);
     let mut queues = queues_of(&context, &all);
-    for (at, new) in all.iter().enumerate() {
+    for (position, new) in all.iter().enumerate() {
         assert!(queues.is_next(&context, new));
-        assert!(all[at + 1..].iter().all(|later| !queues.is_next(&context, later)));
-        assert_eq!(queues.len(&context, new), all.len() - at);
+        assert!(all[position + 1..].iter().all(|later| !queues.is_next(&context, later)));
+        assert_eq!(queues.queue_length(&context, new), all.len() - position);
         queues.remove(context.settings.order_key(new), &new.id);
     }
 }
 
 #[test]
-fn class_that_is_not_ordered_waits_for_nobody() {
+fn requests_of_a_class_that_is_not_ordered_do_not_wait_for_others() {
     let context = ordered_class(0.0);
     let queues = queues_of(&context, &[keyed(1, 0), keyed(2, 0)]);
     assert!(queues.is_next(&context, &keyed(9, 1)));
-    assert_eq!(queues.len(&context, &keyed(9, 1)), 1);
+    assert_eq!(queues.queue_length(&context, &keyed(9, 1)), 1);
 }
 
 #[test]
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn empty_queue_is_kept_while_it_is_paused() {
+fn empty_queue_is_stored_while_it_is_paused() {
     let (context, new) = (ordered_class(0.0), keyed(1, 0));
     let mut queues = queues_of(&context, std::slice::from_ref(&new));
     queues.on_attempt_ended(&context, &new, Outcome::Reset);
     queues.remove(context.settings.order_key(&new), &new.id);
-    queues.prune(500.0);
+    queues.discard_empty(500.0);
     assert!(queues.get(new.key.as_ref()).is_some());
-    queues.prune(501.0);
+    queues.discard_empty(501.0);
     assert!(queues.get(new.key.as_ref()).is_none());
 }
--- a/crates/dispatch/tests/parts/outlier.rs
+++ b/crates/dispatch/tests/parts/outlier.rs
@@ -1,4 +1,4 @@
-//! Ejection of engines.
+//! Outlier ejection.
 
 use super::common::entry;
 use super::*;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn three_errors_or_resets_eject_if_they_lie_apart() {
+fn three_errors_or_resets_eject_if_they_are_100_ms_apart() {
     for outcome in [Outcome::Failed, Outcome::Reset] {
         assert_eq!(failures(outcome, &[1_000.0, 1_100.0, 1_200.0]), [None, None, Some(250.0)]);
         assert_eq!(failures(outcome, &[1_000.0, 1_050.0, 1_099.0, 1_100.0]), [None; 4]);
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn ends_that_say_nothing_of_the_engine_do_not_eject() {
+fn outcomes_that_are_not_caused_by_the_engine_do_not_eject() {
     for outcome in [Outcome::TimedOut, Outcome::Cancelled, Outcome::NotSent] {
         assert_eq!(failures(outcome, &[1_000.0; 9]), [None; 9], "{outcome:?}");
     }
 }
 
 #[test]
-fn answer_ends_the_row_of_failures_and_the_ejection() {
+fn served_attempt_resets_consecutive_failures_and_ends_the_ejection() {
     let mut fleet = fleet(1);
     let rejected = attempt_end(1, 0, Outcome::Rejected, 1.0);
     let line = fleet.on_failure(&rejected, 1_000.0).unwrap();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn engine_that_cannot_be_connected_to_starts_again_behind_its_ejection() {
+fn engine_that_cannot_be_connected_to_warms_up_after_its_ejection() {
     let mut fleet = fleet(1);
     let failed = attempt_end(1, 0, Outcome::ConnectFailed, 1.0);
     assert_eq!(fleet.on_failure(&failed, 1_000.0), None);
@@ -64,9 +64,10 @@
     assert!(engine.health.ejected_until > 1_000.0);
 }
 
-/// Half of what one engine answers are errors that others put right. If all engines are like that, none is ejected.
+/// Half of the responses of an engine are errors to requests that another engine then serves. It is ejected,
+/// unless all engines fail as often.
 #[test]
-fn engine_is_ejected_by_its_failure_share_if_the_fleet_does_better() {
+fn engine_is_ejected_if_its_failure_fraction_is_far_above_the_fleets() {
     for (failing, ejected) in [(1, true), (4, false)] {
         let mut fleet = fleet(4);
         for engine in fleet.engines.values_mut() {
@@ -80,7 +81,10 @@
         }
         fleet.outliers.update(&fleet.engines, 0.0);
         assert_eq!(!fleet.outliers.is_available(&fleet.engines[&EngineId(0)], 0.0), ejected);
-        assert!(fleet.outliers.is_available(&fleet.engines[&EngineId(0)], 10_000.0), "it is forgotten");
+        assert!(
+            fleet.outliers.is_available(&fleet.engines[&EngineId(0)], 10_000.0),
+            "old failures have decayed"
+        );
     }
 }
 
--- a/crates/dispatch/tests/parts/placement.rs
+++ b/crates/dispatch/tests/parts/placement.rs
@@ -17,7 +17,7 @@
 fn fleet(own: &[f64]) -> Fleet {
     let engines = (0..).zip(own).map(|(id, own)| {
         let load = InFlightLoad { queries: *own, threads: *own, memory_mb: 0.0 };
-        (EngineId(id), Engine { own: load, ..Engine::new(entry(id), None) })
+        (EngineId(id), Engine { own_load: load, ..Engine::new(entry(id), None) })
     });
     Fleet { engines: engines.collect(), ..Fleet::default() }
 }
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn least_loaded_engine_is_first_and_full_ones_are_left_out() {
+fn least_loaded_engine_is_first_and_full_ones_are_excluded() {
     let context = safe_class(0.0);
     // 8 cores with 1.3 threads each are 10 threads.
     assert_eq!(ranked(&context, &fleet(&[5.0, 10.0, 1.0, 9.0]), &open_request(1), 0), [2, 0, 3]);
@@ -42,28 +42,28 @@
 }
 
 #[test]
-fn idle_engine_takes_any_request() {
+fn idle_engine_has_capacity_for_any_request() {
     let heavy = InFlightLoad { queries: 1.0, threads: 100.0, memory_mb: 1e9 };
     let ranked = fleet(&[0.0]).ranked(&safe_class(0.0), &open_request(1), heavy, 0, &mut Rand64::new(1));
     assert_eq!(ranked.len(), 1);
 }
 
 #[test]
-fn full_memory_stops_all_but_the_most_urgent_where_queries_queue_for_it() {
+fn full_memory_excludes_all_but_the_most_urgent_requests_where_queries_queue_for_it() {
     let mut context = safe_class(0.0);
     let mut fleet = fleet(&[1.0]);
-    fleet.engines.get_mut(&EngineId(0)).unwrap().own.memory_mb = 16_300.0;
-    for (queueing, priority, taken) in
+    fleet.engines.get_mut(&EngineId(0)).unwrap().own_load.memory_mb = 16_300.0;
+    for (queueing, priority, has_capacity) in
         [(true, 2, false), (true, HIGHEST_PRIORITY, true), (false, HIGHEST_PRIORITY, false)]
     {
         context.settings.memory_queueing = queueing;
         let engines = ranked(&context, &fleet, &open_request(1), priority);
-        assert_eq!(!engines.is_empty(), taken, "queueing {queueing}, priority {priority}");
+        assert_eq!(!engines.is_empty(), has_capacity, "queueing {queueing}, priority {priority}");
     }
 }
 
 #[test]
-fn engine_of_another_zone_is_worse_by_the_price_of_crossing() {
+fn score_of_an_engine_of_another_zone_includes_the_price_of_crossing() {
     let mut context = safe_class(0.0);
     let mut fleet = fleet(&[1.0, 2.0]);
     fleet.engines.get_mut(&EngineId(0)).unwrap().entry.zone = ZoneId(1);
@@ -79,17 +79,17 @@
 }
 
 #[test]
-fn engine_on_trial_takes_one_request() {
-    for (own, taken) in [(0.0, true), (1.0, false)] {
-        let mut fleet = fleet(&[own]);
+fn engine_on_trial_is_sent_one_request() {
+    for (own_queries, may_be_sent) in [(0.0, true), (1.0, false)] {
+        let mut fleet = fleet(&[own_queries]);
         let health = &mut fleet.engines.get_mut(&EngineId(0)).unwrap().health;
         health.on_failure(Outcome::Rejected, 0.0);
-        assert_eq!(!ranked(&safe_class(0.0), &fleet, &open_request(1), 0).is_empty(), taken);
+        assert_eq!(!ranked(&safe_class(0.0), &fleet, &open_request(1), 0).is_empty(), may_be_sent);
     }
 }
 
 #[test]
-fn keyed_request_that_ran_stays_in_its_group() {
+fn keyed_request_that_may_have_run_stays_in_its_deduplication_group() {
     for (group, expected) in
         [(DedupGroup::All, vec![1, 2, 3]), (DedupGroup::Zone, vec![2]), (DedupGroup::Cell, vec![3])]
     {
@@ -109,15 +109,15 @@
 }
 
 #[test]
-fn loads_hold_the_locks_of_their_tables_while_they_run() {
+fn attempts_in_flight_that_lock_tables_are_lock_holders() {
     let mut load = class(Effect::Unsafe, 1.0);
     load.locks_tables = true;
     let settings = settings(vec![load, class(Effect::Safe, 1.0)]);
     let running = Request { attempts: vec![Attempt::new(EngineId(3), 0.0)], ..open_request(1) };
-    let over = Request { attempts: vec![ended(4, 0.0, Outcome::Failed)], ..open_request(2) };
-    let requests: Requests = [running, over].map(|it| (it.new.id.clone(), it)).into();
+    let ended_request = Request { attempts: vec![ended(4, 0.0, Outcome::Failed)], ..open_request(2) };
+    let requests: Requests = [running, ended_request].map(|request| (request.new.id.clone(), request)).into();
     let holders = |new: NewRequest| lock_holders(&settings, &requests, &new);
     assert_eq!(holders(request(9, 0, 0.0)), [EngineId(3)]);
-    assert_eq!(holders(request(9, 1, 0.0)), [], "it is no load");
+    assert_eq!(holders(request(9, 1, 0.0)), [], "its class locks no tables");
     assert_eq!(holders(NewRequest { tables: TablesId(7), ..request(9, 0, 0.0) }), [], "other tables");
 }
--- a/crates/dispatch/tests/parts/ranking.rs
+++ b/crates/dispatch/tests/parts/ranking.rs
@@ -3,10 +3,10 @@
 use super::common::{class, settings};
 use super::*;
 use crate::policy::{HIGHEST_PRIORITY, Ranking, WorkEstimator, rank};
-use crate::requests::{ClassWork, OrderedQueues};
+use crate::requests::{ClassCorrections, OrderedQueues};
 
 fn estimator(classes: usize) -> WorkEstimator {
-    WorkEstimator((0..classes).map(|_| ClassWork::default()).collect())
+    WorkEstimator((0..classes).map(|_| ClassCorrections::default()).collect())
 }
 
 fn rank_of(context: &Context, request: &Request) -> f64 {
@@ -26,7 +26,7 @@
 #[test]
 fn late_request_keeps_a_fraction_of_its_weight() {
     let request = open_request(1);
-    // 4,000 ms and twice the 1,000 ms of work are the target.
+    // The target latency is 4,000 ms plus twice the 1,000 ms of work.
     assert_eq!(rank_of(&safe_class(6_000.0), &request), 1.0 / 1_000.0);
     assert_eq!(rank_of(&safe_class(6_001.0), &request), 0.5 / 1_000.0);
 }
@@ -34,13 +34,13 @@
 #[test]
 fn request_beyond_its_tenants_quota_keeps_a_fraction_of_its_weight() {
     let mut request = open_request(1);
-    request.in_quota = 0.5;
+    request.in_quota_fraction = 0.5;
     let expected = (0.5 + 0.5 * 0.1) / 1_000.0;
     assert_eq!(rank_of(&safe_class(0.0), &request), expected);
 }
 
 #[test]
-fn priority_follows_the_rank_against_recent_ranks() {
+fn priority_is_given_by_the_ratio_to_recent_ranks() {
     let mut ranking = Ranking::default();
     for number in 0..100 {
         ranking.on_request(0.01, f64::from(number));
--- a/crates/dispatch/tests/parts/records.rs
+++ b/crates/dispatch/tests/parts/records.rs
@@ -1,46 +1,47 @@
-//! Records and statistics.
+//! Data structures of requests, and statistics.
 
 use super::*;
 use crate::requests::Progress;
-use crate::stats::{Histogram, LogFactor, Mean, RecentTimes, bin_of, push_bounded};
+use crate::stats::{DecayingMean, Histogram, LogFactor, RecentTimes, bin_of, push_bounded};
 
 #[test]
-fn mean_forgets_over_its_horizon() {
-    let mut mean = Mean::default();
+fn mean_decays_over_its_horizon() {
+    let mut mean = DecayingMean::default();
     mean.add(10.0, 0.0, 1_000.0);
     assert_eq!((mean.value, mean.weight), (10.0, 1.0));
-    assert_eq!(mean.shrunk(0.0, 1_000.0), 5.0);
-    assert!(mean.shrunk(10_000.0, 1_000.0) < 0.01);
+    assert_eq!(mean.shrunk_to_zero(0.0, 1_000.0), 5.0);
+    assert!(mean.shrunk_to_zero(10_000.0, 1_000.0) < 0.01);
     mean.add(20.0, 10_000.0, 1_000.0);
     assert!(mean.value > 19.9, "{}", mean.value);
 }
 
 #[test]
-fn factor_moves_by_a_share_of_its_logarithm() {
+fn factor_moves_by_a_fraction_of_its_logarithm() {
     let mut factor = LogFactor::default();
-    factor.step(4.0f64.ln(), 0.5);
+    factor.step_towards(4.0f64.ln(), 0.5);
     assert!((factor.factor - 2.0).abs() < 1e-12);
 }
 
 #[test]
-fn recent_times_are_counted_and_forgotten() {
+fn recent_times_are_counted_and_discarded() {
     let mut times = RecentTimes::default();
     [1.0, 2.0, 2.0, 5.0].iter().for_each(|at| times.push(*at));
     assert_eq!([0.0, 2.0, 3.0, 6.0].map(|from| times.count_since(from)), [4, 3, 1, 0]);
-    times.forget(6.0, 4.0);
+    times.discard_older_than(4.0, 6.0);
     assert_eq!(times.count_since(0.0), 3);
 }
 
 #[test]
-fn bounded_queue_keeps_the_latest() {
+fn bounded_queue_contains_the_latest_items() {
     let mut queue = (0..3).collect();
     push_bounded(&mut queue, 3, 2);
     assert_eq!(queue, [2, 3]);
 }
 
-/// Of four runs two end in a bin and one is last seen there: half survive it, and that one says nothing of what is later.
+/// Of four runs two end in a bin and one is censored there: half of the runs survive the bin, and the
+/// censored run does not count in later bins.
 #[test]
-fn survival_takes_runs_without_an_end_as_censored() {
+fn survival_treats_runs_that_have_not_ended_as_censored() {
     let mut histogram = Histogram::default();
     for (ratio, ended) in [(1.0, true), (1.0, true), (1.0, false), (3.0, true)] {
         histogram.add(bin_of(ratio), ended);
@@ -54,22 +55,22 @@
 }
 
 #[test]
-fn time_left_is_extrapolated_from_progress() {
+fn remaining_time_is_extrapolated_from_progress() {
     let mut attempt = Attempt::new(EngineId(0), 100.0);
-    assert_eq!(attempt.time_left(), None);
+    assert_eq!(attempt.remaining_time(), None);
     attempt.on_progress(0.25, 200.0);
-    assert_eq!(attempt.time_left(), Some(300.0));
+    assert_eq!(attempt.remaining_time(), Some(300.0));
     attempt.on_progress(7.0, 200.0);
-    assert_eq!(attempt.progress, Some(Progress { done: 1.0, at: 200.0 }));
+    assert_eq!(attempt.progress, Some(Progress { done_fraction: 1.0, reported_at: 200.0 }));
 }
 
 #[test]
-fn request_knows_its_relaunch_and_what_runs() {
+fn relaunch_and_running_attempts_are_found_after_a_timeout_cancel() {
     let mut first = Attempt::new(EngineId(0), 0.0);
     first.timeout_cancelled = true;
     let request = Request { attempts: vec![first, Attempt::new(EngineId(1), 5.0)], ..open_request(1) };
     assert!(!request.is_relaunch(0) && request.is_relaunch(1));
-    assert_eq!(request.live().count(), 2);
+    assert_eq!(request.in_flight().count(), 2);
     assert_eq!(request.running().map(|(index, _)| index).collect::<Vec<_>>(), [1]);
-    assert!(!request.is_idle() && !request.is_waiting());
+    assert!(request.is_in_flight() && !request.is_waiting());
 }
--- a/crates/dispatch/tests/parts/retry.rs
+++ b/crates/dispatch/tests/parts/retry.rs
@@ -1,15 +1,15 @@
-//! Whether another attempt is allowed.
+//! Whether a request may have another attempt.
 
 use super::common::{class, settings};
 use super::*;
-use crate::policy::{RetryBudget, repeat_until};
+use crate::policy::{RetryBudget, may_repeat_until};
 
 fn with_effect(now: Millis, effect: Effect) -> Context {
     context(now, settings(vec![class(effect, 1.0)]))
 }
 
 fn allows(context: &Context, attempts: Vec<Attempt>) -> bool {
-    RetryBudget::default().allows(context, &Request { attempts, ..open_request(1) }, false)
+    RetryBudget::default().allows_attempt(context, &Request { attempts, ..open_request(1) }, false)
 }
 
 #[test]
@@ -28,13 +28,20 @@
     let effect = Effect::Keyed(DedupGroup::All, 1_000.0);
     let attempts = || vec![ended(0, 0.0, Outcome::ConnectFailed), ended(1, 200.0, Outcome::Reset)];
     assert!(allows(&with_effect(1_189.0, effect), attempts()));
-    assert!(!allows(&with_effect(1_190.0, effect), attempts()), "10 ms are left for delays");
+    assert!(
+        !allows(&with_effect(1_190.0, effect), attempts()),
+        "the last 10 ms of the window are a margin for delays"
+    );
     let request = Request { attempts: attempts(), ..open_request(1) };
-    assert_eq!(repeat_until(&with_effect(0.0, effect), &request, 1), f64::INFINITY, "the first never ran");
+    assert_eq!(
+        may_repeat_until(&with_effect(0.0, effect), &request, 1),
+        f64::INFINITY,
+        "the first never ran"
+    );
 }
 
 #[test]
-fn request_is_given_up_after_two_failures_or_all_its_attempts() {
+fn request_is_not_retried_after_two_failures_or_its_last_attempt() {
     let context = safe_class(0.0);
     let failures = |count| (0..count).map(|engine| ended(engine, 0.0, Outcome::Failed)).collect();
     assert!(allows(&context, failures(1)));
@@ -50,12 +57,15 @@
     let mut attempt = Attempt::new(EngineId(0), 0.0);
     let retries = RetryBudget::default();
     let with = |attempt: &Attempt| Request { attempts: vec![attempt.clone()], ..open_request(1) };
-    assert!(!retries.allows(&context, &with(&attempt), false));
-    assert!(retries.allows(&context, &with(&attempt), true), "it counts as cancelled");
+    assert!(!retries.allows_attempt(&context, &with(&attempt), false));
+    assert!(
+        retries.allows_attempt(&context, &with(&attempt), true),
+        "the attempt in flight counts as cancelled"
+    );
     attempt.timeout_cancelled = true;
-    assert!(!retries.allows(&context, &with(&attempt), false));
+    assert!(!retries.allows_attempt(&context, &with(&attempt), false));
     context.settings.concurrent_attempts = true;
-    assert!(retries.allows(&context, &with(&attempt), false));
+    assert!(retries.allows_attempt(&context, &with(&attempt), false));
 }
 
 #[test]
@@ -69,11 +79,11 @@
         retries.on_request(&context);
     }
     for made in 0..3 {
-        assert!(retries.allows(&context, &failed, false), "{made} of three were made");
+        assert!(retries.allows_attempt(&context, &failed, false), "{made} of three were made");
         retries.on_retry(context.now);
     }
-    assert!(!retries.allows(&context, &failed, false));
+    assert!(!retries.allows_attempt(&context, &failed, false));
     context.now = 1_500.0;
     retries.on_request(&context);
-    assert!(retries.allows(&context, &failed, false), "the window has passed");
+    assert!(retries.allows_attempt(&context, &failed, false), "the window has passed");
 }
--- a/crates/dispatch/tests/parts/timeout.rs
+++ b/crates/dispatch/tests/parts/timeout.rs
@@ -1,10 +1,10 @@
 //! The choice of timeouts.
 
 use super::*;
-use crate::policy::{TimeoutEstimator, is_due};
+use crate::policy::{TimeoutEstimator, is_timeout_due};
 use crate::requests::{OngoingRun, RunHistory};
 
-/// An estimator of two classes that has seen these run times of the first one.
+/// An estimator of two classes with these served first runs of the first one.
 fn trained(runs: impl IntoIterator<Item = f64>) -> TimeoutEstimator {
     let mut timeouts = TimeoutEstimator(vec![RunHistory::default(), RunHistory::default()]);
     for ratio in runs {
@@ -20,22 +20,22 @@
 
 fn choose(timeouts: &mut TimeoutEstimator, class: usize) -> Option<f64> {
     timeouts.choose_timeout(ClassId(class), &[], true);
-    timeouts.0[class].timeout
+    timeouts.0[class].timeout_ratio
 }
 
 #[test]
-fn timeout_is_the_first_bin_edge_past_the_bulk() {
+fn timeout_is_the_first_bin_edge_past_most_runs() {
     let timeout = choose(&mut trained(with_stragglers(60)), 0).unwrap();
     assert!((1.0..1.25).contains(&timeout), "{timeout}");
 }
 
 #[test]
-fn no_timeout_where_all_runs_are_equal_or_few_or_cancelling_is_off() {
+fn no_timeout_if_runs_are_equal_or_few_or_cancellation_is_disabled() {
     assert_eq!(choose(&mut trained([1.0; 60]), 0), None);
     assert_eq!(choose(&mut trained(with_stragglers(19)), 0), None);
     let mut timeouts = trained(with_stragglers(60));
     timeouts.choose_timeout(ClassId(0), &[], false);
-    assert_eq!(timeouts.0[0].timeout, None);
+    assert_eq!(timeouts.0[0].timeout_ratio, None);
 }
 
 #[test]
@@ -48,11 +48,11 @@
 }
 
 #[test]
-fn class_without_runs_uses_those_of_other_classes() {
+fn class_without_runs_uses_the_runs_of_other_classes() {
     assert!(choose(&mut trained(with_stragglers(60)), 1).is_some());
 }
 
-/// Relaunches that straggle too gain nothing; a few bad ones at first do not end the timeout.
+/// The timeout ends if relaunches are as slow as stragglers, but not after a few slow ones at first.
 #[test]
 fn long_relaunches_end_the_timeout() {
     let mut timeouts = trained(with_stragglers(60));
@@ -65,20 +65,21 @@
     assert_eq!(choose(&mut timeouts, 0), None);
 }
 
-/// A straggler that still runs shows the tail, by its time so far or by the end that a progress report tells.
+/// A straggler in flight counts in the tail, by its run time so far or by the end that a progress report
+/// predicts.
 #[test]
 fn ongoing_runs_count() {
-    for end_known in [false, true] {
+    for end_is_predicted in [false, true] {
         let mut timeouts = trained([1.0; 30]);
-        let run = || OngoingRun { class: ClassId(0), ratio: 40.0, end_known };
+        let run = || OngoingRun { class: ClassId(0), run_ratio: 40.0, end_is_predicted };
         timeouts.choose_timeout(ClassId(0), &[run(), run(), run()], true);
-        assert!(timeouts.0[0].timeout.is_some(), "{end_known}");
+        assert!(timeouts.0[0].timeout_ratio.is_some(), "{end_is_predicted}");
     }
 }
 
 #[test]
-fn run_is_cancelled_past_the_timeout_unless_a_progress_report_says_otherwise() {
-    for (ratio, time_left, due) in [
+fn run_is_cancelled_past_the_timeout_unless_a_progress_report_predicts_an_early_end() {
+    for (run_ratio, remaining, due) in [
         (0.99, None, false),
         (1.0, None, true),
         (1.5, Some(99.0), false),
@@ -87,6 +88,6 @@
         (0.5, Some(251.0), true),
         (0.29, Some(1_000.0), false),
     ] {
-        assert_eq!(is_due(1.0, ratio, time_left, 100.0), due, "{ratio} {time_left:?}");
+        assert_eq!(is_timeout_due(1.0, run_ratio, remaining, 100.0), due, "{run_ratio} {remaining:?}");
     }
 }
