--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -84,7 +84,8 @@
             Event::EngineChanges(entries) => self.fleet.on_engine_list(&self.context, entries, false),
             Event::Request(new) => self.on_request(new),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
-            // The client has received a part of the response, so it can neither be rejected nor retried.
+            // The client has received a part of the response, so the request can be neither rejected nor
+            // retried.
             Event::Streaming(id, _) => {
                 self.requests.entry(id).and_modify(|request| request.finished = true);
             }
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Applies new settings. What was learned about classes and tenants remains, except for classes whose
+    /// Applies new settings. Keeps what was learned about tenants and classes, except for classes whose
     /// settings changed.
     fn update_settings(&mut self, settings: Settings) {
         let old = std::mem::replace(&mut self.context.settings, settings);
--- a/crates/dispatch/src/engines.rs
+++ b/crates/dispatch/src/engines.rs
@@ -57,7 +57,7 @@
 /// The slow start of one engine.
 #[derive(Debug, Default)]
 pub struct WarmUp {
-    /// When the engine started; `None` if it was running long before this dispatcher learned of it.
+    /// When the engine started; `None` if that was long ago.
     pub started_at: Option<Millis>,
     /// What this dispatcher may send to the engine while it warms up.
     pub budget: SlowStartBudget,
--- a/crates/dispatch/src/policy/lifecycle.rs
+++ b/crates/dispatch/src/policy/lifecycle.rs
@@ -275,8 +275,8 @@
     }
 
     /// The time at which the final response is sent at the latest. While an attempt is in flight that is the
-    /// deadline, at which the attempt itself should time out; this covers an outcome that comes late. A
-    /// waiting request gets its response earlier, so that a late timer cannot delay it beyond the deadline.
+    /// deadline, at which the attempt itself should time out; this covers a delayed outcome. A waiting
+    /// request gets its response earlier, so that a late timer cannot delay it beyond the deadline.
     fn respond_by(&self, request: &Request) -> Millis {
         let margin = if request.is_in_flight() { 0.0 } else { 2.0 * TIMER_SLACK };
         request.new.deadline - margin
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -15,7 +15,7 @@
 /// load.
 const MAX_THREADS_PER_CORE: f64 = 1.3;
 /// Fraction of that limit that each step of priority adds. Urgent queries are short, and engines run them
-/// first anyway.
+/// first.
 const EXTRA_THREADS_PER_PRIORITY: f64 = 0.35;
 /// Fraction of an engine's memory that may be granted where queries wait for memory.
 const MAX_MEMORY_FRACTION_WITH_QUEUEING: f64 = 0.95;
