--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -56,7 +56,7 @@
     /// A guess of the memory that it needs; 0 if none is given.
     pub memory_mb: f64,
     /// The tables that it reads.
-    pub tables: TablesId,
+    pub tables: TableSetId,
     /// The key under which it takes turns.
     pub key: Option<OrderKey>,
 }
--- a/crates/dispatch/src/interface/ids.rs
+++ b/crates/dispatch/src/interface/ids.rs
@@ -32,7 +32,7 @@
 
 /// A group of tables that a query reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TablesId(pub u64);
+pub struct TableSetId(pub u64);
 
 /// The key under which requests of an ordered class take turns.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -278,7 +278,7 @@
         let hurried = self.chance(0.05);
         let due = self.now + if hurried { patience / 20.0 } else { patience };
         let estimate = if self.chance(0.2) { 0.0 } else { work * self.between(0.6, 1.6) };
-        let tables = TablesId(self.below(3) as u64);
+        let tables = TableSetId(self.below(3) as u64);
         let key = self.chance(0.8).then(|| OrderKey(format!("k{}", self.below(4)).into()));
         let tenant = TenantId(self.below(self.settings.tenants.len() + 1));
         let stated_memory = if self.chance(0.2) { 0.0 } else { memory_mb * 0.8 };
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -75,7 +75,7 @@
         deadline,
         estimate: 1_000.0,
         memory_mb: 100.0,
-        tables: TablesId(0),
+        tables: TableSetId(0),
         key: None,
     }
 }
--- a/crates/dispatch/tests/dispatcher/placement.rs
+++ b/crates/dispatch/tests/dispatcher/placement.rs
@@ -74,7 +74,7 @@
         (0..3).flat_map(|number| sends(&harness.arrive(request(number, 0, 60_000.0)))).collect();
     assert_eq!(sent.len(), 2, "the third waits");
     assert_ne!(sent[0], sent[1]);
-    let other = NewRequest { tables: TablesId(77), ..request(9, 0, 60_000.0) };
+    let other = NewRequest { tables: TableSetId(77), ..request(9, 0, 60_000.0) };
     assert_eq!(sends(&harness.arrive(other)).len(), 1, "other tables are free");
     assert_eq!(sends(&harness.end(0, 0, sent[0], Outcome::Served, 100.0)), [sent[0]]);
 }
--- a/crates/dispatch/tests/parts/placement.rs
+++ b/crates/dispatch/tests/parts/placement.rs
@@ -119,5 +119,5 @@
     let holders = |new: NewRequest| lock_holders(&settings, &requests, &new);
     assert_eq!(holders(request(9, 0, 0.0)), [EngineId(3)]);
     assert_eq!(holders(request(9, 1, 0.0)), [], "it is no load");
-    assert_eq!(holders(NewRequest { tables: TablesId(7), ..request(9, 0, 0.0) }), [], "other tables");
+    assert_eq!(holders(NewRequest { tables: TableSetId(7), ..request(9, 0, 0.0) }), [], "other tables");
 }
--- a/crates/proxy/src/downstream/postgres/request.rs
+++ b/crates/proxy/src/downstream/postgres/request.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use gaugestep_dispatch::interface::{Millis, NewRequest, TablesId, TenantId};
+use gaugestep_dispatch::interface::{Millis, NewRequest, TableSetId, TenantId};
 
 use super::error::QueryError;
 use crate::downstream::{request_fields, table_group::table_group};
@@ -44,7 +44,7 @@
         deadline: read_at + fields.budget - ANSWER_RESERVE.min(fields.budget / 2.0),
         estimate: fields.est,
         memory_mb: fields.space,
-        tables: TablesId(table_group(statement).unwrap_or(0)),
+        tables: TableSetId(table_group(statement).unwrap_or(0)),
         key: None,
     };
     Ok(Query { request, class: class.clone(), statement: statement.to_vec(), client })
--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -4,7 +4,7 @@
 
 use gaugestep_dispatch::interface::{
     AttemptNo, CellId, ClassId, EngineEntry, EngineId, MachineId, Millis, NewRequest, Outcome, Readiness,
-    TablesId, TenantId, ZoneId,
+    TableSetId, TenantId, ZoneId,
 };
 use serde_json::json;
 
@@ -46,7 +46,7 @@
         deadline,
         estimate: 10.0,
         memory_mb: 1.0,
-        tables: TablesId(0),
+        tables: TableSetId(0),
         key: None,
     }
 }
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -3,7 +3,7 @@
 use gaugestep_dispatch::Event;
 use gaugestep_dispatch::interface::{
     AttemptEnd, CellId, ClassId, Cost, EngineEntry, LoadReport, MachineId, NewRequest, OrderKey, Outcome,
-    ProgressReport, Readiness, TablesId, TenantId, TimerId, ZoneId,
+    ProgressReport, Readiness, TableSetId, TenantId, TimerId, ZoneId,
 };
 
 use crate::error::LineError;
@@ -115,7 +115,7 @@
             deadline: fields.number("due_ms")?,
             estimate: fields.number_or("estimate_ms", 0.0)?,
             memory_mb: fields.number_or("ram_mb", 0.0)?,
-            tables: TablesId(fields.number_or("source_set", 0.0)? as u64),
+            tables: TableSetId(fields.number_or("source_set", 0.0)? as u64),
             key: fields.optional("relation").map(|key| OrderKey(key.into())),
         }))
     }
