--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -141,7 +141,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressReport {
     /// The share of its work that is done, roughly.
-    Done(f64),
+    CompletedFraction(f64),
     /// It spills, for lack of this many MB.
     Spills(f64),
     /// It waits for memory.
