--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -89,7 +89,7 @@
                 self.act_on_due(&id, out);
             }
             Event::ClientGone(id) => self.finish(&id, out),
-            Event::ClosingBy(at) => self.requests.values_mut().for_each(|request| request.bring_forward(at)),
+            Event::ShutdownBy(at) => self.requests.values_mut().for_each(|request| request.bring_forward(at)),
             Event::SettingsUpdated(settings) => self.update_settings(*settings),
             Event::PositionAssigned(position, until) => {
                 self.fleet.subset.granted = Some(GrantedPosition { position, until });
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -168,7 +168,7 @@
     /// The client left, or the answer is overdue.
     ClientGone(RequestId),
     /// The dispatcher will end: this is the latest deadline of its requests.
-    ClosingBy(Millis),
+    ShutdownBy(Millis),
     /// The dispatcher has this position by a roster until then, and that of its settings from then on.
     PositionAssigned(FleetPosition, Millis),
     /// New settings. A class keeps its number while a request of it is open; a class with other rules gets a new number.
--- a/crates/dispatch/tests/action_digest/encoding.rs
+++ b/crates/dispatch/tests/action_digest/encoding.rs
@@ -70,7 +70,7 @@
         Event::Streaming(..) => "streaming",
         Event::Progress(..) => "progress",
         Event::ClientGone(_) => "client_gone",
-        Event::ClosingBy(_) => "closing_by",
+        Event::ShutdownBy(_) => "closing_by",
         Event::PositionAssigned(..) => "place_granted",
         Event::SettingsUpdated(_) => "settings_update",
         Event::ProbeResult(..) => "probe_result",
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -163,7 +163,7 @@
             let closing = self.recorder.events as f64 >= CLOSING_AT * self.profile.events as f64;
             if closing && !self.closing_announced {
                 self.closing_announced = true;
-                self.handle_event(Event::ClosingBy(self.now + CLOSING_WITHIN));
+                self.handle_event(Event::ShutdownBy(self.now + CLOSING_WITHIN));
             }
         }
     }
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -139,7 +139,7 @@
     pub fn close_by(&self, at: Millis) {
         let mut state = lock(&self.state);
         state.close_by(at);
-        self.dispatch(state, Some(Event::ClosingBy(at)));
+        self.dispatch(state, Some(Event::ShutdownBy(at)));
     }
 
     /// Fires the timers that are due.
