--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -81,7 +81,7 @@
             Event::Request(new) => self.on_request(new),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
             // The answer is the client's from here on.
-            Event::Streaming(id, _) => {
+            Event::StreamingStarted(id, _) => {
                 self.requests.entry(id).and_modify(|request| request.finished = true);
             }
             Event::Progress(id, attempt, report) => {
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -162,7 +162,7 @@
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The answer of a streamed request has started: attempt and client are on their own.
-    Streaming(RequestId, AttemptNo),
+    StreamingStarted(RequestId, AttemptNo),
     /// A progress report on a running attempt.
     Progress(RequestId, AttemptNo, ProgressReport),
     /// The client left, or the answer is overdue.
--- a/crates/dispatch/tests/action_digest/encoding.rs
+++ b/crates/dispatch/tests/action_digest/encoding.rs
@@ -67,7 +67,7 @@
         Event::EngineChanges(_) => "engine_changes",
         Event::Request(_) => "request",
         Event::AttemptEnded(_) => "attempt_end",
-        Event::Streaming(..) => "streaming",
+        Event::StreamingStarted(..) => "streaming",
         Event::Progress(..) => "progress",
         Event::ClientGone(_) => "client_gone",
         Event::ShutdownBy(_) => "closing_by",
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -439,7 +439,7 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         if !client.over && !client.attempts[attempt.0].ended {
             client.over = true;
-            self.handle_event(Event::Streaming(id, attempt));
+            self.handle_event(Event::StreamingStarted(id, attempt));
         }
     }
 
@@ -605,7 +605,7 @@
         match self.below(13) {
             0 => self.handle_event(Event::AttemptEnded(end)),
             1 => self.handle_event(Event::AttemptEnded(AttemptEnd { id: known, attempt: no_attempt, ..end })),
-            2 => self.handle_event(Event::Streaming(unknown, AttemptNo(0))),
+            2 => self.handle_event(Event::StreamingStarted(unknown, AttemptNo(0))),
             3 => self.handle_event(Event::Progress(known, no_attempt, ProgressReport::CompletedFraction(0.5))),
             4 => self.handle_event(Event::Progress(known, AttemptNo(0), ProgressReport::CompletedFraction(-0.5))),
             5 => self.handle_event(Event::Progress(unknown, AttemptNo(0), ProgressReport::Spills(1.0))),
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -192,7 +192,7 @@
 ///
 /// If a field is malformed.
 pub fn streaming(fields: &Fields) -> Result<Event> {
-    Ok(Event::Streaming(fields.request()?, fields.attempt()?))
+    Ok(Event::StreamingStarted(fields.request()?, fields.attempt()?))
 }
 
 /// Decodes `client_gone`.
