--- a/crates/dispatch/benches/dispatch.rs
+++ b/crates/dispatch/benches/dispatch.rs
@@ -142,7 +142,7 @@
                     self.in_flight.push_back(InFlight { id, engine, sent: self.now });
                 }
                 Action::SetTimer { delay, .. } => self.timer_due = Some(self.now + delay),
-                Action::SetTerms { .. } | Action::Log(_) => {}
+                Action::SetAttemptOptions { .. } | Action::Log(_) => {}
                 Action::Cancel { .. } | Action::Reject { .. } | Action::Fail { .. } => {
                     panic!("a steady load is served without cancels, rejections and failures")
                 }
--- a/crates/dispatch/src/interface/actions.rs
+++ b/crates/dispatch/src/interface/actions.rs
@@ -63,7 +63,7 @@
         id: RequestId,
     },
     /// Memory and priority for the request's further sends.
-    SetTerms {
+    SetAttemptOptions {
         /// The request.
         id: RequestId,
         /// Memory to grant in MB; 0 leaves it to the engine.
--- a/crates/dispatch/src/policy/lifecycle.rs
+++ b/crates/dispatch/src/policy/lifecycle.rs
@@ -304,7 +304,7 @@
         }
         if context.settings.memory_grants || context.settings.priorities {
             let memory_mb = if context.settings.memory_grants { demand.memory_mb } else { 0.0 };
-            out.push(Action::SetTerms { id: id.clone(), memory_mb, priority });
+            out.push(Action::SetAttemptOptions { id: id.clone(), memory_mb, priority });
         }
         out.push(Action::Send { id: id.clone(), engine });
         true
--- a/crates/dispatch/tests/action_digest/encoding.rs
+++ b/crates/dispatch/tests/action_digest/encoding.rs
@@ -44,7 +44,7 @@
         Action::Cancel { .. } => "cancel",
         Action::Reject { .. } => "reject",
         Action::Fail { .. } => "fail",
-        Action::SetTerms { .. } => "set_terms",
+        Action::SetAttemptOptions { .. } => "set_terms",
         Action::SetTimer { .. } => "set_timer",
         Action::Log(_) => "log",
     }
@@ -112,7 +112,7 @@
             writeln!(text, "{kind} {} {} {}", id.0, bits(*retry_after), reject_reason(*reason))
         }
         Action::Fail { id } => writeln!(text, "{kind} {}", id.0),
-        Action::SetTerms { id, memory_mb, priority } => {
+        Action::SetAttemptOptions { id, memory_mb, priority } => {
             writeln!(text, "{kind} {} {} {priority}", id.0, bits(*memory_mb))
         }
         Action::SetTimer { timer, delay } => writeln!(text, "{kind} {} {}", timer.0, bits(*delay)),
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -257,7 +257,7 @@
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
                 Action::Reject { id, .. } | Action::Fail { id } => self.client_is_over(&id),
                 Action::SetTimer { timer, delay } => self.plan(delay.max(0.0), Planned::Timer(timer)),
-                Action::SetTerms { .. } | Action::Log(_) => {}
+                Action::SetAttemptOptions { .. } | Action::Log(_) => {}
             }
         }
     }
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -245,7 +245,7 @@
             Action::Fail { id } => self.check_answer(&id, false),
             Action::SetTimer { delay, .. } => self.timer_at = Some(self.now + delay),
             Action::Cancel { id, attempt } => assert!(attempt.0 < self.requests[&id].sent.len()),
-            Action::SetTerms { priority, memory_mb, .. } => {
+            Action::SetAttemptOptions { priority, memory_mb, .. } => {
                 assert!(priority <= 3 && memory_mb.is_finite() && memory_mb >= 0.0);
             }
             Action::Log(_) => {}
--- a/crates/proxy/src/facade/state.rs
+++ b/crates/proxy/src/facade/state.rs
@@ -238,7 +238,7 @@
                 self.answer(&id, RequestEvent::Reject(Rejection { retry_after, reason }));
             }
             Action::Fail { id } => self.answer(&id, RequestEvent::Fail),
-            Action::SetTerms { id, priority, .. } => self.set_priority(&id, priority),
+            Action::SetAttemptOptions { id, priority, .. } => self.set_priority(&id, priority),
             Action::SetTimer { timer, delay } => self.timers.set(now + delay, Timer::Dispatcher(timer)),
             Action::Log(text) => self.log_lines.push(text),
         }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -27,7 +27,7 @@
         Action::Fail { id: RequestId(req) } => {
             writeln!(reply, "respond_error dispatcher_id={dispatcher} req={req}")
         }
-        Action::SetTerms { id: RequestId(req), memory_mb, priority } => writeln!(
+        Action::SetAttemptOptions { id: RequestId(req), memory_mb, priority } => writeln!(
             reply,
             "set_terms dispatcher_id={dispatcher} req={req} memory_grant={memory_mb:.0} importance={priority}"
         ),
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -103,7 +103,7 @@
         ),
         (Action::Fail { id: id() }, "respond_error dispatcher_id=1 req=r\n"),
         (
-            Action::SetTerms { id: id(), memory_mb: 64.2, priority: 3 },
+            Action::SetAttemptOptions { id: id(), memory_mb: 64.2, priority: 3 },
             "set_terms dispatcher_id=1 req=r memory_grant=64 importance=3\n",
         ),
         (
