--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -30,7 +30,7 @@
 
 impl DedupGroup {
     /// Whether two engines are in one group.
-    pub fn has_both(self, one: &EngineEntry, other: &EngineEntry) -> bool {
+    pub fn contains_both(self, one: &EngineEntry, other: &EngineEntry) -> bool {
         match self {
             DedupGroup::All => true,
             DedupGroup::Zone => one.zone == other.zone,
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -75,7 +75,7 @@
         let drops_repeats = |attempt: &Attempt| match class.effect {
             Effect::Keyed(DedupGroup::All, _) | Effect::Safe | Effect::Unsafe => true,
             Effect::Keyed(group, _) => {
-                self.engines.get(&attempt.engine).is_some_and(|it| group.has_both(&it.entry, entry))
+                self.engines.get(&attempt.engine).is_some_and(|it| group.contains_both(&it.entry, entry))
             }
         };
         self.outliers.is_available(engine, context.now)
