--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -68,7 +68,7 @@
 
 impl ClassSettings {
     /// Whether it may be sent to some zones or machines only.
-    pub fn is_bound(&self) -> bool {
+    pub fn has_placement_constraints(&self) -> bool {
         self.zones.is_some() || self.machines.is_some()
     }
 }
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -46,7 +46,7 @@
     fn candidates(&self, context: &Context, request: &Request, random: &mut Rand64) -> Vec<Candidate> {
         let chosen: Vec<EngineId> = if self.is_wide(context) {
             let class = context.settings.class(&request.new);
-            let bound = class.is_bound() || !context.settings.routes.is_empty();
+            let bound = class.has_placement_constraints() || !context.settings.routes.is_empty();
             let fitting = (bound || !request.attempts.is_empty())
                 .then(|| self.members(|engine| self.takes(context, engine, request)));
             let members = fitting.as_ref().unwrap_or(&self.subset.members);
