--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -160,7 +160,7 @@
 
 impl Settings {
     /// An engine's weight in serving the request, against other engines; 0 if it may not serve it.
-    pub fn weight(&self, new: &NewRequest, engine: EngineId) -> f64 {
+    pub fn route_weight(&self, new: &NewRequest, engine: EngineId) -> f64 {
         let applies = |route: &&Route| {
             route.classes.as_ref().is_none_or(|classes| classes.contains(&new.class))
                 && route.tenants.as_ref().is_none_or(|tenants| tenants.contains(&new.tenant))
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -33,7 +33,7 @@
             let (Some(engine), Some(load)) = (engine, load) else { return false };
             let crosses = engine.entry.zone != settings.zone;
             let price = if crosses { ZONE_CROSSING_WEIGHT * settings.cross_zone_price } else { 0.0 };
-            let weight = settings.weight(&request.new, candidate.engine);
+            let weight = settings.route_weight(&request.new, candidate.engine);
             candidate.score = load * (1.0 + price) * candidate.score / weight;
             true
         });
@@ -82,7 +82,7 @@
             && class.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
             && class.machines.as_ref().is_none_or(|machines| machines.contains(&entry.machine))
             && request.attempts.iter().all(|attempt| attempt.never_ran() || drops_repeats(attempt))
-            && context.settings.weight(&request.new, entry.engine) > 0.0
+            && context.settings.route_weight(&request.new, entry.engine) > 0.0
     }
 
     /// The engine's threads for each core with a further demand, by its warm-up and slowness, if they fit.
