--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -143,7 +143,7 @@
     /// The fraction of the priority weight that a request beyond its tenant's quota keeps.
     pub over_quota_weight: f64,
     /// Points lost for attempts that cross zones, as a share of first tries.
-    pub cross_zone_price: f64,
+    pub cross_zone_penalty: f64,
     /// A final answer this long after the deadline still counts.
     pub answer_slack: Millis,
     /// The warm-up of a freshly started engine, and the work that it can take meanwhile.
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -32,7 +32,7 @@
             let load = engine.and_then(|engine| self.load(context, engine, demand, priority));
             let (Some(engine), Some(load)) = (engine, load) else { return false };
             let crosses = engine.entry.zone != settings.zone;
-            let price = if crosses { ZONE_CROSSING_WEIGHT * settings.cross_zone_price } else { 0.0 };
+            let price = if crosses { ZONE_CROSSING_WEIGHT * settings.cross_zone_penalty } else { 0.0 };
             let weight = settings.route_weight(&request.new, candidate.engine);
             candidate.score = load * (1.0 + price) * candidate.score / weight;
             true
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -126,7 +126,7 @@
         memory_queueing: false,
         priorities: false,
         over_quota_weight: 0.1,
-        cross_zone_price: 0.0,
+        cross_zone_penalty: 0.0,
         answer_slack: 20.0,
         slow_start: SlowStartSettings {
             initial_share: 0.3,
@@ -205,7 +205,7 @@
 }
 
 fn few_dispatchers() -> Profile {
-    let settings = Settings { priorities: true, cross_zone_price: 0.05, ..settings(two_classes()) };
+    let settings = Settings { priorities: true, cross_zone_penalty: 0.05, ..settings(two_classes()) };
     usual("few_dispatchers", settings, 8)
 }
 
@@ -276,7 +276,7 @@
 fn many_dispatchers() -> Profile {
     let settings = Settings {
         dispatchers: 60,
-        cross_zone_price: 0.02,
+        cross_zone_penalty: 0.02,
         priorities: true,
         ..settings(classes_of_all_kinds())
     };
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -36,7 +36,7 @@
         memory_grants: true,
         priorities: true,
         over_quota_weight: 0.1,
-        cross_zone_price: 0.0,
+        cross_zone_penalty: 0.0,
         answer_slack: 20.0,
         slow_start: SlowStartSettings {
             initial_share: 0.3,
--- a/crates/dispatch/tests/parts/placement.rs
+++ b/crates/dispatch/tests/parts/placement.rs
@@ -68,7 +68,7 @@
     let mut fleet = fleet(&[1.0, 2.0]);
     fleet.engines.get_mut(&EngineId(0)).unwrap().entry.zone = ZoneId(1);
     assert_eq!(ranked(&context, &fleet, &open_request(1), 0), [0, 1]);
-    context.settings.cross_zone_price = 1.0;
+    context.settings.cross_zone_penalty = 1.0;
     assert_eq!(ranked(&context, &fleet, &open_request(1), 0), [1, 0]);
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -57,7 +57,7 @@
         memory_grants: flag(&family.takes_grants),
         priorities: flag(&family.lanes_count),
         over_quota_weight: document.over_share_worth.or("over_share_worth", 1.0)?,
-        cross_zone_price: document.prices.0.cross_zone.or("cross_zone", 0.0)?,
+        cross_zone_penalty: document.prices.0.cross_zone.or("cross_zone", 0.0)?,
         answer_slack: rules.answer_slack_ms.or("answer_slack_ms", 0.0)?,
         slow_start: slow_start(rules)?,
         order_pause: rules.order_pause_ms.or("order_pause_ms", 0.0)?,
