--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -141,7 +141,7 @@
     /// True if the engines heed a priority.
     pub priorities: bool,
     /// The fraction of the priority weight that a request beyond its tenant's quota keeps.
-    pub over_quota_weight: f64,
+    pub over_quota_fraction: f64,
     /// Points lost for attempts that cross zones, as a share of first tries.
     pub cross_zone_penalty: f64,
     /// A final answer this long after the deadline still counts.
--- a/crates/dispatch/src/policy/ranking.rs
+++ b/crates/dispatch/src/policy/ranking.rs
@@ -27,7 +27,7 @@
     let target = request.arrived_at + class.target_latency + class.target_stretch * run_alone;
     let late = context.now + work.expected_run(context, &request.new) > target.min(request.new.deadline);
     let late_fraction = if late { class.late_fraction } else { 1.0 };
-    let in_quota = request.in_quota + (1.0 - request.in_quota) * context.settings.over_quota_weight;
+    let in_quota = request.in_quota + (1.0 - request.in_quota) * context.settings.over_quota_fraction;
     let served = queues.len(context, &request.new) as f64;
     class.priority_weight * late_fraction * in_quota * served / (run_alone * class.threads)
 }
