--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -145,7 +145,7 @@
     /// Points lost for attempts that cross zones, as a share of first tries.
     pub cross_zone_penalty: f64,
     /// A final answer this long after the deadline still counts.
-    pub answer_slack: Millis,
+    pub response_slack: Millis,
     /// The warm-up of a freshly started engine, and the work that it can take meanwhile.
     pub slow_start: SlowStartSettings,
     /// How long an order key is paused after an attempt that might still be running.
@@ -208,7 +208,7 @@
             return fail("classes", "must not be empty");
         }
         let times = [
-            ("answer_slack", settings.answer_slack),
+            ("answer_slack", settings.response_slack),
             ("cold.warm_within", settings.slow_start.warm_up),
             ("cold.span", settings.slow_start.window),
             ("order_pause", settings.order_pause),
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -127,7 +127,7 @@
         priorities: false,
         over_quota_fraction: 0.1,
         cross_zone_penalty: 0.0,
-        answer_slack: 20.0,
+        response_slack: 20.0,
         slow_start: SlowStartSettings {
             initial_share: 0.3,
             warm_up: 14_000.0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -58,7 +58,7 @@
         priorities: flag(&family.lanes_count),
         over_quota_fraction: document.over_share_worth.or("over_share_worth", 1.0)?,
         cross_zone_penalty: document.prices.0.cross_zone.or("cross_zone", 0.0)?,
-        answer_slack: rules.answer_slack_ms.or("answer_slack_ms", 0.0)?,
+        response_slack: rules.answer_slack_ms.or("answer_slack_ms", 0.0)?,
         slow_start: slow_start(rules)?,
         order_pause: rules.order_pause_ms.or("order_pause_ms", 0.0)?,
         max_retry_after: max_retry_after(limits)?,
