--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -111,7 +111,7 @@
     /// Queries that wait for memory.
     pub queued: Option<f64>,
     /// How busy its cores are, 0 to 1.
-    pub busy: Option<f64>,
+    pub core_utilization: Option<f64>,
     /// The share of its memory that is granted.
     pub memory: Option<f64>,
 }
--- a/crates/proxy/src/upstream/line_protocol/message.rs
+++ b/crates/proxy/src/upstream/line_protocol/message.rs
@@ -178,7 +178,7 @@
             match name {
                 "rif" | "inflight" => load.in_flight = value,
                 "q" | "queue" => load.queued = value,
-                "busy" | "util" => load.busy = value,
+                "busy" | "util" => load.core_utilization = value,
                 "x0" => load.memory = value,
                 _ => {}
             }
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -158,7 +158,7 @@
             match name.as_str() {
                 "rif" => report.in_flight = value,
                 "q" => report.queued = value,
-                "busy" => report.busy = value,
+                "busy" => report.core_utilization = value,
                 "x0" => report.memory = value,
                 _ => {}
             }
