--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -113,7 +113,7 @@
     /// How busy its cores are, 0 to 1.
     pub core_utilization: Option<f64>,
     /// The share of its memory that is granted.
-    pub memory: Option<f64>,
+    pub memory_utilization: Option<f64>,
 }
 
 /// The end of an attempt.
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -424,7 +424,7 @@
             in_flight: self.chance(0.9).then_some(held),
             queued: self.chance(0.5).then_some((held - 8.0).max(0.0)),
             core_utilization: self.chance(0.5).then_some((held / 8.0).min(1.0)),
-            memory: self.chance(0.5).then_some((held / 16.0).min(1.0)),
+            memory_utilization: self.chance(0.5).then_some((held / 16.0).min(1.0)),
         })
     }
 
--- a/crates/proxy/src/upstream/line_protocol/message.rs
+++ b/crates/proxy/src/upstream/line_protocol/message.rs
@@ -179,7 +179,7 @@
                 "rif" | "inflight" => load.in_flight = value,
                 "q" | "queue" => load.queued = value,
                 "busy" | "util" => load.core_utilization = value,
-                "x0" => load.memory = value,
+                "x0" => load.memory_utilization = value,
                 _ => {}
             }
         }
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -159,7 +159,7 @@
                 "rif" => report.in_flight = value,
                 "q" => report.queued = value,
                 "busy" => report.core_utilization = value,
-                "x0" => report.memory = value,
+                "x0" => report.memory_utilization = value,
                 _ => {}
             }
         }
