--- a/crates/dispatch/src/interface/ids.rs
+++ b/crates/dispatch/src/interface/ids.rs
@@ -24,7 +24,7 @@
 
 /// A kind of machine: its position in [`Settings::machines`](super::Settings::machines).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MachineId(pub usize);
+pub struct MachineTypeId(pub usize);
 
 /// A group of engines that share which keyed requests they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/dispatch/src/interface/mod.rs
+++ b/crates/dispatch/src/interface/mod.rs
@@ -15,7 +15,7 @@
 pub use gaugestep_subsetting::slow_start::SlowStartSettings;
 pub use gaugestep_subsetting::subset::Member;
 pub use ids::{
-    AttemptNo, CellId, ClassId, EngineId, MachineId, OrderKey, RequestId, TableSetId, TenantId, TimerId, ZoneId,
+    AttemptNo, CellId, ClassId, EngineId, MachineTypeId, OrderKey, RequestId, TableSetId, TenantId, TimerId, ZoneId,
 };
 pub use settings::{
     ClassSettings, DedupGroup, Effect, MachineSettings, RetryBudgetSettings, Route, Settings, SettingsError,
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -63,7 +63,7 @@
     /// The only zones it may be sent to, if it is bound.
     pub zones: Option<Vec<ZoneId>>,
     /// The only kinds of machine it may be sent to, if it is bound.
-    pub machines: Option<Vec<MachineId>>,
+    pub machines: Option<Vec<MachineTypeId>>,
 }
 
 impl ClassSettings {
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -83,7 +83,7 @@
     EngineEntry {
         engine: EngineId(engine),
         zone: ZoneId((engine % ZONES) as usize),
-        machine: MachineId((engine / ZONES % MACHINE_KINDS) as usize),
+        machine: MachineTypeId((engine / ZONES % MACHINE_KINDS) as usize),
         cell: CellId(u64::from(engine / ENGINES_PER_CELL)),
         readiness: Readiness::Up,
         started_at: None,
@@ -165,7 +165,7 @@
         ClassSettings { ordered: true, ..class(Effect::Unsafe, 1.0) },
         ClassSettings { ordered: true, ..keyed(DedupGroup::All, 4_000.0) },
         ClassSettings { zones: Some(vec![ZoneId(1)]), ..class(Effect::Safe, 2.0) },
-        ClassSettings { machines: Some(vec![MachineId(1)]), ..class(Effect::Safe, 1.0) },
+        ClassSettings { machines: Some(vec![MachineTypeId(1)]), ..class(Effect::Safe, 1.0) },
     ]
 }
 
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -55,7 +55,7 @@
     EngineEntry {
         engine: EngineId(engine),
         zone: ZoneId(0),
-        machine: MachineId(0),
+        machine: MachineTypeId(0),
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, OnceLock};
 
-use gaugestep_dispatch::interface::{CellId, EngineEntry, EngineId, MachineId, Readiness, ZoneId};
+use gaugestep_dispatch::interface::{CellId, EngineEntry, EngineId, MachineTypeId, Readiness, ZoneId};
 use serde_json::Value;
 
 use super::endpoint::{Endpoint, EndpointUpdate};
@@ -128,7 +128,7 @@
         Some(EngineEntry {
             engine,
             zone: ZoneId(position(&names.zones, update.zone).unwrap_or(0)),
-            machine: MachineId(position(&names.machines, update.kind).unwrap_or(usize::MAX)),
+            machine: MachineTypeId(position(&names.machines, update.kind).unwrap_or(usize::MAX)),
             cell: CellId(update.cell),
             readiness,
             started_at: update.up_since.map(|at| self.handler.facade.at_unix(at)),
--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gaugestep_dispatch::interface::{
-    AttemptNo, CellId, ClassId, EngineEntry, EngineId, MachineId, Millis, NewRequest, Outcome, Readiness,
+    AttemptNo, CellId, ClassId, EngineEntry, EngineId, MachineTypeId, Millis, NewRequest, Outcome, Readiness,
     TableSetId, TenantId, ZoneId,
 };
 use serde_json::json;
@@ -30,7 +30,7 @@
     EngineEntry {
         engine: EngineId(4),
         zone: ZoneId(0),
-        machine: MachineId(0),
+        machine: MachineTypeId(0),
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,7 +10,7 @@
 
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{
-    ClassSettings, DedupGroup, Effect, FleetPosition, MachineId, MachineSettings, RetryBudgetSettings,
+    ClassSettings, DedupGroup, Effect, FleetPosition, MachineTypeId, MachineSettings, RetryBudgetSettings,
     SlowStartSettings, TenantSettings, ZoneId,
 };
 use serde::Deserialize as _;
@@ -87,7 +87,7 @@
         locks_tables: family.writes_tables.get(index).unwrap_or(false),
         waits_for_loads: family.waits_for_loads.get(index).unwrap_or(false),
         zones: numbers(&service.areas_open, ZoneId),
-        machines: numbers(&service.served_on, MachineId),
+        machines: numbers(&service.served_on, MachineTypeId),
     })
 }
 
