--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -75,7 +75,7 @@
 
 /// One kind of machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MachineSettings {
+pub struct MachineTypeSettings {
     /// Cores of one engine.
     pub cores: f64,
     /// Memory of one engine in MB; 0 if unknown.
@@ -117,7 +117,7 @@
     /// The classes of requests.
     pub classes: Vec<ClassSettings>,
     /// The kinds of machine.
-    pub machines: Vec<MachineSettings>,
+    pub machines: Vec<MachineTypeSettings>,
     /// The tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
     /// How many dispatchers there are.
@@ -172,8 +172,8 @@
     }
 
     /// An engine's machine; one of a kind that is not named is taken for the smallest.
-    pub fn machine(&self, entry: &EngineEntry) -> MachineSettings {
-        let smallest = MachineSettings { cores: 1.0, memory_mb: 0.0 };
+    pub fn machine(&self, entry: &EngineEntry) -> MachineTypeSettings {
+        let smallest = MachineTypeSettings { cores: 1.0, memory_mb: 0.0 };
         self.machines.get(entry.machine.0).copied().unwrap_or(smallest)
     }
 
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -111,8 +111,8 @@
     Settings {
         classes,
         machines: vec![
-            MachineSettings { cores: 8.0, memory_mb: 16_384.0 },
-            MachineSettings { cores: 4.0, memory_mb: 8_192.0 },
+            MachineTypeSettings { cores: 8.0, memory_mb: 16_384.0 },
+            MachineTypeSettings { cores: 4.0, memory_mb: 8_192.0 },
         ],
         tenants: vec![],
         dispatchers: 2,
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -23,7 +23,7 @@
 pub fn settings(classes: Vec<ClassSettings>) -> Settings {
     Settings {
         classes,
-        machines: vec![MachineSettings { cores: 8.0, memory_mb: 16_384.0 }],
+        machines: vec![MachineTypeSettings { cores: 8.0, memory_mb: 16_384.0 }],
         tenants: vec![],
         dispatchers: 1,
         fleet_position: FleetPosition::NameKey(1),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,7 +10,7 @@
 
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{
-    ClassSettings, DedupGroup, Effect, FleetPosition, MachineTypeId, MachineSettings, RetryBudgetSettings,
+    ClassSettings, DedupGroup, Effect, FleetPosition, MachineTypeId, MachineTypeSettings, RetryBudgetSettings,
     SlowStartSettings, TenantSettings, ZoneId,
 };
 use serde::Deserialize as _;
@@ -113,8 +113,8 @@
     Some(entries.iter().filter_map(|entry| entry.0).map(|number| id(number as usize)).collect())
 }
 
-fn machine(family: &FamilyInfo, kind: usize) -> MachineSettings {
-    MachineSettings {
+fn machine(family: &FamilyInfo, kind: usize) -> MachineTypeSettings {
+    MachineTypeSettings {
         cores: family.size_cores.get(kind).unwrap_or(1.0),
         memory_mb: family.ram_of_kind_mb.get(kind).unwrap_or(0.0),
     }
