--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -22,7 +22,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind of machine.
-    pub machine: MachineTypeId,
+    pub machine_type: MachineTypeId,
     /// Its cell.
     pub cell: CellId,
     /// Whether it takes work.
--- a/crates/dispatch/src/interface/ids.rs
+++ b/crates/dispatch/src/interface/ids.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// A kind of machine: its position in [`Settings::machines`](super::Settings::machines).
+/// A kind of machine: its position in [`Settings::machine_types`](super::Settings::machine_types).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineTypeId(pub usize);
 
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -63,13 +63,13 @@
     /// The only zones it may be sent to, if it is bound.
     pub zones: Option<Vec<ZoneId>>,
     /// The only kinds of machine it may be sent to, if it is bound.
-    pub machines: Option<Vec<MachineTypeId>>,
+    pub machine_types: Option<Vec<MachineTypeId>>,
 }
 
 impl ClassSettings {
-    /// Whether it may be sent to some zones or machines only.
+    /// Whether it may be sent to some zones or machine_types only.
     pub fn has_placement_constraints(&self) -> bool {
-        self.zones.is_some() || self.machines.is_some()
+        self.zones.is_some() || self.machine_types.is_some()
     }
 }
 
@@ -117,7 +117,7 @@
     /// The classes of requests.
     pub classes: Vec<ClassSettings>,
     /// The kinds of machine.
-    pub machines: Vec<MachineTypeSettings>,
+    pub machine_types: Vec<MachineTypeSettings>,
     /// The tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
     /// How many dispatchers there are.
@@ -172,9 +172,9 @@
     }
 
     /// An engine's machine; one of a kind that is not named is taken for the smallest.
-    pub fn machine(&self, entry: &EngineEntry) -> MachineTypeSettings {
+    pub fn machine_type(&self, entry: &EngineEntry) -> MachineTypeSettings {
         let smallest = MachineTypeSettings { cores: 1.0, memory_mb: 0.0 };
-        self.machines.get(entry.machine.0).copied().unwrap_or(smallest)
+        self.machine_types.get(entry.machine_type.0).copied().unwrap_or(smallest)
     }
 
     /// The key under which a request takes turns, if its class is ordered.
@@ -241,7 +241,7 @@
                 return fail("classes.threads", "must be above 0");
             }
         }
-        for machine in &settings.machines {
+        for machine in &settings.machine_types {
             if !machine.cores.is_finite() || machine.cores <= 0.0 {
                 return fail("machines.cores", "must be above 0");
             }
--- a/crates/dispatch/src/policy/load.rs
+++ b/crates/dispatch/src/policy/load.rs
@@ -25,7 +25,7 @@
     pub fn update<'a>(&mut self, context: &Context, available: impl Iterator<Item = &'a Engine>) {
         let (mut others, mut cores, mut own) = (0.0, 0.0, Vec::new());
         for engine in available {
-            let size = context.settings.machine(&engine.entry).cores;
+            let size = context.settings.machine_type(&engine.entry).cores;
             let weight = engine.reported_others.confidence(context.now, REPORT_HORIZON);
             // As if one engine had just been seen idle: without reports, sends are tried and bring some.
             cores += size * weight + if cores == 0.0 { size } else { 0.0 };
@@ -45,7 +45,7 @@
 
     /// Queries of other dispatchers on an engine: its reports, drawn to the fleet's average as they grow old.
     pub fn others(&self, context: &Context, engine: &Engine) -> f64 {
-        let cores = context.settings.machine(&engine.entry).cores;
+        let cores = context.settings.machine_type(&engine.entry).cores;
         let average = self.crowd.value * cores * engine.warm_up.capacity_share(context);
         if self.reporters.is_empty() {
             return estimated_others(engine.own.queries, average, context.settings.dispatchers);
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -80,14 +80,14 @@
         };
         self.outliers.is_available(engine, context.now)
             && class.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
-            && class.machines.as_ref().is_none_or(|machines| machines.contains(&entry.machine))
+            && class.machine_types.as_ref().is_none_or(|machine_types| machine_types.contains(&entry.machine_type))
             && request.attempts.iter().all(|attempt| attempt.never_ran() || drops_repeats(attempt))
             && context.settings.route_weight(&request.new, entry.engine) > 0.0
     }
 
     /// The engine's threads for each core with a further demand, by its warm-up and slowness, if they fit.
     fn load(&self, context: &Context, engine: &Engine, demand: InFlightLoad, priority: u8) -> Option<f64> {
-        let (settings, machine) = (&context.settings, context.settings.machine(&engine.entry));
+        let (settings, machine) = (&context.settings, context.settings.machine_type(&engine.entry));
         let others = self.loads.others(context, engine);
         let total = self.loads.total(engine, others, demand);
         let cores = machine.cores * engine.warm_up.capacity_share(context);
--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -15,7 +15,7 @@
         let Some(engine) = self.engines.get_mut(&id) else { return false };
         let Some(started_at) = engine.warm_up.started_at else { return true };
         let slot = self.subset.drawn.rotation_slot(id.0);
-        let cores = context.settings.machine(&engine.entry).cores;
+        let cores = context.settings.machine_type(&engine.entry).cores;
         let limit = SlowStartLimit { cores, settings: context.settings.slow_start };
         let works = (0..work.0.len()).map(|class| work.typical_work(ClassId(class)));
         let typical = work.typical_work(class);
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -83,7 +83,7 @@
     EngineEntry {
         engine: EngineId(engine),
         zone: ZoneId((engine % ZONES) as usize),
-        machine: MachineTypeId((engine / ZONES % MACHINE_KINDS) as usize),
+        machine_type: MachineTypeId((engine / ZONES % MACHINE_KINDS) as usize),
         cell: CellId(u64::from(engine / ENGINES_PER_CELL)),
         readiness: Readiness::Up,
         started_at: None,
@@ -103,14 +103,14 @@
         locks_tables: false,
         waits_for_loads: false,
         zones: None,
-        machines: None,
+        machine_types: None,
     }
 }
 
 fn settings(classes: Vec<ClassSettings>) -> Settings {
     Settings {
         classes,
-        machines: vec![
+        machine_types: vec![
             MachineTypeSettings { cores: 8.0, memory_mb: 16_384.0 },
             MachineTypeSettings { cores: 4.0, memory_mb: 8_192.0 },
         ],
@@ -165,7 +165,7 @@
         ClassSettings { ordered: true, ..class(Effect::Unsafe, 1.0) },
         ClassSettings { ordered: true, ..keyed(DedupGroup::All, 4_000.0) },
         ClassSettings { zones: Some(vec![ZoneId(1)]), ..class(Effect::Safe, 2.0) },
-        ClassSettings { machines: Some(vec![MachineTypeId(1)]), ..class(Effect::Safe, 1.0) },
+        ClassSettings { machine_types: Some(vec![MachineTypeId(1)]), ..class(Effect::Safe, 1.0) },
     ]
 }
 
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -16,14 +16,14 @@
         locks_tables: false,
         waits_for_loads: false,
         zones: None,
-        machines: None,
+        machine_types: None,
     }
 }
 
 pub fn settings(classes: Vec<ClassSettings>) -> Settings {
     Settings {
         classes,
-        machines: vec![MachineTypeSettings { cores: 8.0, memory_mb: 16_384.0 }],
+        machine_types: vec![MachineTypeSettings { cores: 8.0, memory_mb: 16_384.0 }],
         tenants: vec![],
         dispatchers: 1,
         fleet_position: FleetPosition::NameKey(1),
@@ -55,7 +55,7 @@
     EngineEntry {
         engine: EngineId(engine),
         zone: ZoneId(0),
-        machine: MachineTypeId(0),
+        machine_type: MachineTypeId(0),
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
--- a/crates/dispatch/tests/dispatcher/placement.rs
+++ b/crates/dispatch/tests/dispatcher/placement.rs
@@ -20,7 +20,7 @@
 fn bound_class_goes_only_where_it_may_even_if_all_of_those_engines_are_gone() {
     let mut bound = class(Effect::Safe, 1.0);
     bound.zones = Some(vec![ZoneId(1)]);
-    bound.machines = Some(vec![MachineTypeId(0)]);
+    bound.machine_types = Some(vec![MachineTypeId(0)]);
     let mut harness = Harness::new(settings(vec![bound]), 0);
     let zoned = |engine| EngineEntry { zone: ZoneId(engine as usize % 2), ..entry(engine) };
     harness.handle(Event::EngineList((0..4).map(zoned).collect()));
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -128,7 +128,7 @@
         Some(EngineEntry {
             engine,
             zone: ZoneId(position(&names.zones, update.zone).unwrap_or(0)),
-            machine: MachineTypeId(position(&names.machines, update.kind).unwrap_or(usize::MAX)),
+            machine_type: MachineTypeId(position(&names.machines, update.kind).unwrap_or(usize::MAX)),
             cell: CellId(update.cell),
             readiness,
             started_at: update.up_since.map(|at| self.handler.facade.at_unix(at)),
--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -30,7 +30,7 @@
     EngineEntry {
         engine: EngineId(4),
         zone: ZoneId(0),
-        machine: MachineTypeId(0),
+        machine_type: MachineTypeId(0),
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -43,7 +43,7 @@
         classes: services
             .map(|(index, service)| class(&service.0, family, index))
             .collect::<Result<_, _>>()?,
-        machines: (0..document.kinds.0.len()).map(|kind| machine(family, kind)).collect(),
+        machine_types: (0..document.kinds.0.len()).map(|kind| machine(family, kind)).collect(),
         tenants: document.orgs.0.iter().map(|tenant| tenant_settings(&tenant.0)).collect::<Result<_, _>>()?,
         retry_budget: retry_budget(rules)?,
         dispatchers: document.balancers.or("balancers", 1.0)? as usize,
@@ -87,7 +87,7 @@
         locks_tables: family.writes_tables.get(index).unwrap_or(false),
         waits_for_loads: family.waits_for_loads.get(index).unwrap_or(false),
         zones: numbers(&service.areas_open, ZoneId),
-        machines: numbers(&service.served_on, MachineTypeId),
+        machine_types: numbers(&service.served_on, MachineTypeId),
     })
 }
 
--- a/crates/settings/tests/decode.rs
+++ b/crates/settings/tests/decode.rs
@@ -23,7 +23,7 @@
     }
     assert_eq!(unsafe_class.effect, Effect::Unsafe);
     let bound = class(json!({"areas_open": [1, -1, "x", 2.5, 2], "served_on": 4}));
-    assert_eq!((bound.zones, bound.machines), (Some(vec![ZoneId(1), ZoneId(2)]), None));
+    assert_eq!((bound.zones, bound.machine_types), (Some(vec![ZoneId(1), ZoneId(2)]), None));
 }
 
 #[test]
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -234,7 +234,7 @@
         engine,
         key: gaugestep_subsetting::key(&engine.0.to_string()),
         zone: ZoneId(fields.integer_or("campus", 0)? as usize),
-        machine: MachineTypeId(fields.integer_or("machine", 0)? as usize),
+        machine_type: MachineTypeId(fields.integer_or("machine", 0)? as usize),
         cell: CellId(fields.integer_or("group", 0)?),
         readiness: readiness(fields.text("readiness")?)?,
         started_at: Some(fields.number_or("online_since_ms", 0.0)?).filter(|at| *at > 0.0),
