--- a/crates/dispatch/benches/dispatch.rs
+++ b/crates/dispatch/benches/dispatch.rs
@@ -106,7 +106,7 @@
 impl SteadyLoad {
     /// Opens the case's requests, evenly over the time of one run.
     fn new(case: &Case) -> Self {
-        let safe = class(Effect::Safe, 1.0);
+        let safe = class(Idempotency::Safe, 1.0);
         let settings =
             Settings { dispatchers: case.dispatchers, memory_grants: false, ..settings(vec![safe]) };
         let mut load = SteadyLoad {
--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -27,7 +27,7 @@
 
 /// One request arrives, is sent and served, at one of 100 dispatchers with 60 engines.
 fn pick() -> f64 {
-    let settings = Settings { dispatchers: 100, ..settings(vec![class(Effect::Safe, 1.0)]) };
+    let settings = Settings { dispatchers: 100, ..settings(vec![class(Idempotency::Safe, 1.0)]) };
     let mut harness =
         Harness { dispatcher: Dispatcher::new(settings, 7).expect("the settings are valid"), now: 0.0 };
     harness.handle(Event::EngineList((0..60).map(entry).collect()));
--- a/crates/dispatch/src/interface/mod.rs
+++ b/crates/dispatch/src/interface/mod.rs
@@ -18,7 +18,7 @@
     AttemptNo, CellId, ClassId, EngineId, MachineTypeId, OrderKey, RequestId, TableSetId, TenantId, TimerId, ZoneId,
 };
 pub use settings::{
-    ClassSettings, DedupGroup, Effect, MachineTypeSettings, RetryBudgetSettings, Route, Settings, SettingsError,
+    ClassSettings, DedupGroup, Idempotency, MachineTypeSettings, RetryBudgetSettings, Route, Settings, SettingsError,
     TenantSettings,
 };
 
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -8,7 +8,7 @@
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// It may be repeated freely.
     Safe,
     /// The engines of this group drop repeats within the window.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
     /// What a repeat would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// What an answer within the target latency counts for, against other requests.
     pub priority_weight: f64,
     /// The fraction of the priority weight that a later answer keeps.
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -73,8 +73,8 @@
     pub fn takes(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
         let (class, entry) = (context.settings.class(&request.new), &engine.entry);
         let drops_repeats = |attempt: &Attempt| match class.effect {
-            Effect::Keyed(DedupGroup::All, _) | Effect::Safe | Effect::Unsafe => true,
-            Effect::Keyed(group, _) => {
+            Idempotency::Keyed(DedupGroup::All, _) | Idempotency::Safe | Idempotency::Unsafe => true,
+            Idempotency::Keyed(group, _) => {
                 self.engines.get(&attempt.engine).is_some_and(|it| group.contains_both(&it.entry, entry))
             }
         };
--- a/crates/dispatch/src/requests.rs
+++ b/crates/dispatch/src/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{
-    AttemptNo, ClassId, Effect, EngineId, Millis, NewRequest, OrderKey, Outcome, RequestId,
+    AttemptNo, ClassId, Idempotency, EngineId, Millis, NewRequest, OrderKey, Outcome, RequestId,
 };
 use crate::stats::{LogFactor, LogMean, Mean};
 
@@ -122,11 +122,11 @@
 
     /// Until when one more attempt may follow the first `count`: engines that drop repeats do so for a while only, from
     /// the first attempt on that may have run.
-    pub fn repeat_until(&self, effect: Effect, count: usize) -> Millis {
+    pub fn repeat_until(&self, effect: Idempotency, count: usize) -> Millis {
         let lasts = match effect {
-            Effect::Safe => f64::INFINITY,
-            Effect::Keyed(_, window) => window,
-            Effect::Unsafe => f64::NEG_INFINITY,
+            Idempotency::Safe => f64::INFINITY,
+            Idempotency::Keyed(_, window) => window,
+            Idempotency::Unsafe => f64::NEG_INFINITY,
         };
         let may_have_run = self.attempts.iter().take(count).filter(|attempt| !attempt.never_ran());
         may_have_run.map(|attempt| attempt.sent_at + lasts).fold(f64::INFINITY, f64::min)
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -91,7 +91,7 @@
     }
 }
 
-fn class(effect: Effect, threads: f64) -> ClassSettings {
+fn class(effect: Idempotency, threads: f64) -> ClassSettings {
     ClassSettings {
         effect,
         priority_weight: 1.0,
@@ -143,38 +143,38 @@
 
 fn two_classes() -> Vec<ClassSettings> {
     vec![
-        class(Effect::Safe, 1.0),
+        class(Idempotency::Safe, 1.0),
         ClassSettings {
             priority_weight: 3.0,
             target_latency: 500.0,
             late_fraction: 0.0,
-            ..class(Effect::Safe, 2.0)
+            ..class(Idempotency::Safe, 2.0)
         },
     ]
 }
 
 /// One class of each effect and of each binding, two of them ordered.
 fn classes_of_all_kinds() -> Vec<ClassSettings> {
-    let keyed = |group, window| class(Effect::Keyed(group, window), 1.0);
+    let keyed = |group, window| class(Idempotency::Keyed(group, window), 1.0);
     vec![
-        class(Effect::Safe, 1.0),
+        class(Idempotency::Safe, 1.0),
         keyed(DedupGroup::All, 3_000.0),
         keyed(DedupGroup::Zone, 1_500.0),
         keyed(DedupGroup::Cell, 2_500.0),
-        class(Effect::Unsafe, 1.0),
-        ClassSettings { ordered: true, ..class(Effect::Unsafe, 1.0) },
+        class(Idempotency::Unsafe, 1.0),
+        ClassSettings { ordered: true, ..class(Idempotency::Unsafe, 1.0) },
         ClassSettings { ordered: true, ..keyed(DedupGroup::All, 4_000.0) },
-        ClassSettings { zones: Some(vec![ZoneId(1)]), ..class(Effect::Safe, 2.0) },
-        ClassSettings { machine_types: Some(vec![MachineTypeId(1)]), ..class(Effect::Safe, 1.0) },
+        ClassSettings { zones: Some(vec![ZoneId(1)]), ..class(Idempotency::Safe, 2.0) },
+        ClassSettings { machine_types: Some(vec![MachineTypeId(1)]), ..class(Idempotency::Safe, 1.0) },
     ]
 }
 
 /// Loads that hold tables, queries that wait for them, and a plain class.
 fn classes_with_loads() -> Vec<ClassSettings> {
     vec![
-        class(Effect::Safe, 1.0),
-        ClassSettings { locks_tables: true, ..class(Effect::Keyed(DedupGroup::All, 10_000.0), 2.0) },
-        ClassSettings { waits_for_loads: true, priority_weight: 2.0, ..class(Effect::Safe, 4.0) },
+        class(Idempotency::Safe, 1.0),
+        ClassSettings { locks_tables: true, ..class(Idempotency::Keyed(DedupGroup::All, 10_000.0), 2.0) },
+        ClassSettings { waits_for_loads: true, priority_weight: 2.0, ..class(Idempotency::Safe, 4.0) },
     ]
 }
 
@@ -325,7 +325,7 @@
 
 /// One class under the same rules for so many requests that its oldest runs are forgotten.
 fn one_class() -> Profile {
-    let settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     let traffic = Traffic { progress: 0.1, probe_gap: 1_000.0, ..USUAL_TRAFFIC };
     Profile { traffic, changes_settings: false, events: 9_000, ..usual("one_class", settings, 6) }
 }
@@ -360,7 +360,7 @@
     match number % 8 {
         0 => next.classes[0].target_latency += 250.0,
         1 => next.dispatchers = if initial.dispatchers > 4 { 2 } else { 9 },
-        2 => next.classes.push(ClassSettings { priority_weight: 0.5, ..class(Effect::Safe, 1.0) }),
+        2 => next.classes.push(ClassSettings { priority_weight: 0.5, ..class(Idempotency::Safe, 1.0) }),
         3 => next.concurrent_attempts = !initial.concurrent_attempts,
         4 => next.max_attempts = 2,
         5 => next.tenants.push(TenantSettings { quota_per_s: 2.0 }),
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use gaugestep_dispatch::interface::*;
 use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
 
-pub fn class(effect: Effect, threads: f64) -> ClassSettings {
+pub fn class(effect: Idempotency, threads: f64) -> ClassSettings {
     ClassSettings {
         effect,
         priority_weight: 1.0,
--- a/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
+++ b/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn requests_of_one_key_run_in_order_and_the_key_is_paused_after_a_reset() {
-    let mut ordered = class(Effect::Unsafe, 1.0);
+    let mut ordered = class(Idempotency::Unsafe, 1.0);
     ordered.ordered = true;
     let mut harness = Harness::new(settings(vec![ordered]), 3);
     let keyed = |number, due| NewRequest { key: Some(OrderKey("k".into())), ..request(number, 0, due) };
@@ -23,9 +23,9 @@
 /// i0db096: a long line behind one key must not wait behind fresh work of the same rank.
 #[test]
 fn head_of_a_long_ordered_queue_goes_before_a_single_request() {
-    let mut ordered = class(Effect::Safe, 24.0);
+    let mut ordered = class(Idempotency::Safe, 24.0);
     ordered.ordered = true;
-    let mut harness = Harness::new(settings(vec![ordered, class(Effect::Safe, 24.0)]), 1);
+    let mut harness = Harness::new(settings(vec![ordered, class(Idempotency::Safe, 24.0)]), 1);
     let full = sends(&harness.arrive(request(1, 1, 60_000.0)))[0];
     assert!(sends(&harness.arrive(request(2, 1, 60_000.0))).is_empty(), "the engine has no room");
     for number in 10..14 {
@@ -39,7 +39,7 @@
 /// icc2289: one tenant asks for many times its share; another's request goes before what it has waiting.
 #[test]
 fn tenant_above_its_quota_waits_behind_others() {
-    let mut settings = settings(vec![class(Effect::Safe, 24.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 24.0)]);
     settings.tenants = vec![TenantSettings { quota_per_s: 1.0 }, TenantSettings { quota_per_s: 1.0 }];
     let mut harness = Harness::new(settings, 1);
     let of = |number, tenant| NewRequest { tenant: TenantId(tenant), ..request(number, 0, 60_000.0) };
--- a/crates/dispatch/tests/dispatcher/outlier_ejection.rs
+++ b/crates/dispatch/tests/dispatcher/outlier_ejection.rs
@@ -7,7 +7,7 @@
 /// i602797: connections broke here and there while every engine still answered.
 #[test]
 fn consecutive_resets_eject_an_engine_and_single_ones_do_not() {
-    let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 1);
+    let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 1);
     for number in 0..6 {
         harness.serve(2 * number, 0, 100.0);
         let sent = sends(&harness.arrive(request(2 * number + 1, 0, harness.now + 60_000.0)));
@@ -27,7 +27,7 @@
 /// An engine that fails at once has little in hand and would draw ever more work: errors in a row count.
 #[test]
 fn engine_that_fails_fast_is_ejected() {
-    let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 1);
+    let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 1);
     for number in 0..3 {
         let sent = sends(&harness.arrive(request(number, 0, harness.now + 60_000.0)));
         assert_eq!(sent.len(), 1);
@@ -41,7 +41,7 @@
 /// Guards against an engine that fails much of its work fast, and so looks idle: answers between do not clear it.
 #[test]
 fn engine_with_a_high_failure_share_is_ejected() {
-    let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 4);
+    let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 4);
     let (bad, mut seen) = (EngineId(0), 0);
     for number in 0..200 {
         let sent = sends(&harness.arrive(request(number, 0, harness.now + 60_000.0)))[0];
@@ -69,7 +69,7 @@
 #[test]
 fn failures_of_one_moment_do_not_eject_an_engine() {
     for outcome in [Outcome::Failed, Outcome::Reset] {
-        let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)]), 1);
+        let mut harness = Harness::new(settings(vec![class(Idempotency::Unsafe, 1.0)]), 1);
         let sent: Vec<EngineId> =
             (0..8).flat_map(|number| sends(&harness.arrive(request(number, 0, 60_000.0)))).collect();
         assert_eq!(sent.len(), 8);
--- a/crates/dispatch/tests/dispatcher/placement.rs
+++ b/crates/dispatch/tests/dispatcher/placement.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn nothing_goes_to_a_draining_or_missing_engine() {
-    let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 2);
+    let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 2);
     harness.handle(Event::EngineChanges(vec![EngineEntry { readiness: Readiness::Draining, ..entry(0) }]));
     for number in 0..4 {
         assert_eq!(sends(&harness.arrive(request(number, 0, 60_000.0))), [EngineId(1)]);
@@ -18,7 +18,7 @@
 
 #[test]
 fn bound_class_goes_only_where_it_may_even_if_all_of_those_engines_are_gone() {
-    let mut bound = class(Effect::Safe, 1.0);
+    let mut bound = class(Idempotency::Safe, 1.0);
     bound.zones = Some(vec![ZoneId(1)]);
     bound.machine_types = Some(vec![MachineTypeId(0)]);
     let mut harness = Harness::new(settings(vec![bound]), 0);
@@ -39,7 +39,7 @@
 /// only a send can bring.
 #[test]
 fn old_load_reports_do_not_block_placement() {
-    let mut settings = settings(vec![class(Effect::Safe, 4.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 4.0)]);
     settings.dispatchers = 250;
     let mut harness = Harness::new(settings, 12);
     for engine in 0..12 {
@@ -54,7 +54,7 @@
 #[test]
 fn memory_is_filled_less_where_grants_are_trimmed() {
     for (memory_line, expected) in [(true, 2), (false, 1)] {
-        let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+        let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
         settings.memory_queueing = memory_line;
         let mut harness = Harness::new(settings, 1);
         // With its margin of a fifth each takes 7,200 of 16,384 MB.
@@ -67,7 +67,7 @@
 /// On one engine the second load would be blocked, with its memory, until the first ends.
 #[test]
 fn loads_on_the_same_tables_go_to_different_engines_or_wait() {
-    let mut load = class(Effect::Unsafe, 1.0);
+    let mut load = class(Idempotency::Unsafe, 1.0);
     load.locks_tables = true;
     let mut harness = Harness::new(settings(vec![load]), 2);
     let sent: Vec<EngineId> =
@@ -83,7 +83,7 @@
 /// and all of them together still use each.
 #[test]
 fn one_of_many_dispatchers_keeps_to_its_subset_and_all_together_use_each_engine() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     settings.dispatchers = 100;
     let mut fleet = [0; 80];
     for seed in 0..100 {
@@ -107,7 +107,7 @@
 /// Engines of its subset that go are replaced by others.
 #[test]
 fn dispatcher_replaces_engines_of_its_subset_that_go() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     settings.dispatchers = 100;
     let mut harness = Harness::new(settings, 40);
     for left in (4..40).rev() {
@@ -122,7 +122,7 @@
 /// is idle beside them.
 #[test]
 fn warming_engine_without_reports_is_not_taken_to_be_as_loaded_as_warm_ones() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     (settings.dispatchers, settings.fleet_position) = (2, FleetPosition::ordinal(0, 2).unwrap());
     let mut harness = Harness::new(settings, 3);
     harness.now = 100_000.0;
@@ -146,7 +146,7 @@
 /// A route's engines alone, in the ratio of their weights; what has no route goes anywhere.
 #[test]
 fn routes_bind_requests_to_engines_by_weight() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 1.0)]);
     let engines = Some([(EngineId(1), 1.0), (EngineId(2), 3.0)].into());
     settings.routes = vec![Route { classes: Some(vec![ClassId(0)]), tenants: None, engines }];
     for dispatchers in [1, 100] {
@@ -167,7 +167,7 @@
 /// as they bear, which, where nothing can be cancelled, lasts for as long as clients retry.
 #[test]
 fn dispatchers_leave_capacity_for_each_other_where_engines_do_not_report() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     settings.dispatchers = 4;
     let mut at_engine = [0; 6];
     for seed in 0..4 {
@@ -187,7 +187,7 @@
 /// Requests that pile up at an engine that hangs say nothing of the others.
 #[test]
 fn requests_piling_up_at_one_engine_leave_the_others_in_use() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     settings.dispatchers = 4;
     let mut harness = Harness::new(settings, 6);
     let mut sent = Vec::new();
--- a/crates/dispatch/tests/dispatcher/retries.rs
+++ b/crates/dispatch/tests/dispatcher/retries.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn unsafe_class_is_never_cancelled_retried_or_rejected_once_it_may_have_run() {
-    let mut harness = trained(settings(vec![class(Effect::Unsafe, 1.0)]), 1, 20_000.0);
+    let mut harness = trained(settings(vec![class(Idempotency::Unsafe, 1.0)]), 1, 20_000.0);
     assert_eq!(time_until_cancel(&mut harness, 8_000.0), None);
     let sent = sends(&harness.arrive(request(9_000, 0, harness.now + 60_000.0)));
     let actions = harness.end(9_000, 0, sent[0], Outcome::Reset, 10.0);
@@ -17,7 +17,7 @@
 
 #[test]
 fn unsafe_request_that_never_ran_is_retried() {
-    let mut harness = Harness::new(settings(vec![class(Effect::Unsafe, 1.0)]), 3);
+    let mut harness = Harness::new(settings(vec![class(Idempotency::Unsafe, 1.0)]), 3);
     let sent = sends(&harness.arrive(request(1, 0, 60_000.0)));
     let again = sends(&harness.end(1, 0, sent[0], Outcome::ConnectFailed, 250.0));
     assert_eq!(again.len(), 1);
@@ -27,7 +27,7 @@
 #[test]
 fn keyed_request_is_retried_only_in_its_cell_and_within_its_window() {
     for (wait, expected) in [(10.0, 1), (2_000.0, 0)] {
-        let mut settings = settings(vec![class(Effect::Keyed(DedupGroup::Cell, 1_000.0), 1.0)]);
+        let mut settings = settings(vec![class(Idempotency::Keyed(DedupGroup::Cell, 1_000.0), 1.0)]);
         settings.memory_grants = false;
         let mut harness = Harness::new(settings, 0);
         let cell = |engine| EngineEntry { cell: CellId(u64::from(engine) % 2), ..entry(engine) };
@@ -44,7 +44,7 @@
 
 #[test]
 fn retries_stay_within_their_budget() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     settings.retry_budget = Some(RetryBudgetSettings { min_retries: 2.0, ratio: 0.1, window: 5_000.0 });
     let mut harness = Harness::new(settings, 40);
     let mut further = 0;
@@ -58,7 +58,7 @@
 /// Guards the ration of attempts, and the client's time, against a request that no engine can answer.
 #[test]
 fn request_that_fails_on_two_engines_is_given_up_at_once() {
-    let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 4);
+    let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 4);
     let first = sends(&harness.arrive(request(1, 0, harness.now + 60_000.0)))[0];
     let second = sends(&harness.end(1, 0, first, Outcome::Failed, 5.0))[0];
     assert_ne!(first, second);
--- a/crates/dispatch/tests/dispatcher/slow_start.rs
+++ b/crates/dispatch/tests/dispatcher/slow_start.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn warming_engine_gets_no_more_than_its_budget_in_a_window() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     (settings.dispatchers, settings.fleet_position) = (2, FleetPosition::ordinal(0, 2).unwrap());
     let mut harness = Harness::new(settings.clone(), 0);
     harness.now = 100_000.0;
@@ -26,7 +26,7 @@
 /// successors of a release starve. All together must send some, within 3 times 30% of 8 cores.
 #[test]
 fn many_dispatchers_use_a_warming_engine_and_keep_its_budget_together() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     settings.dispatchers = 250;
     let mut sent = 0;
     for seed in 0..250 {
@@ -46,7 +46,7 @@
 /// the light requests beside it would get nothing of the budget.
 #[test]
 fn heavy_request_waiting_for_a_warming_engine_leaves_budget_to_light_ones() {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.0)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 1.0)]);
     settings.dispatchers = 20;
     let mut harness = Harness::new(settings, 0);
     harness.now = 100_000.0;
--- a/crates/dispatch/tests/dispatcher/timeouts.rs
+++ b/crates/dispatch/tests/dispatcher/timeouts.rs
@@ -42,7 +42,7 @@
 /// m = 2.9 before any relaunch is known. So the timeout is the first edge past 1.
 #[test]
 fn timeout_falls_just_past_the_bulk_where_a_tail_is_long() {
-    let mut harness = trained(settings(vec![class(Effect::Safe, 1.0)]), 1, 20_000.0);
+    let mut harness = trained(settings(vec![class(Idempotency::Safe, 1.0)]), 1, 20_000.0);
     let cancelled = time_until_cancel(&mut harness, 8_000.0).expect("a timeout pays here");
     assert!((1_000.0..2_500.0).contains(&cancelled), "cancelled after {cancelled} ms");
 }
@@ -50,13 +50,13 @@
 /// A relaunch takes as long as the run, so nothing beats never cancelling.
 #[test]
 fn nothing_is_cancelled_where_all_runs_take_the_same_time() {
-    let mut harness = trained(settings(vec![class(Effect::Safe, 1.0)]), 0, 0.0);
+    let mut harness = trained(settings(vec![class(Idempotency::Safe, 1.0)]), 0, 0.0);
     assert_eq!(time_until_cancel(&mut harness, 900.0), None);
 }
 
 #[test]
 fn nothing_is_cancelled_before_enough_outcomes() {
-    let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 4);
+    let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 4);
     for number in 0..15 {
         harness.serve(number, 0, if number % 10 == 0 { 20_000.0 } else { 1_000.0 });
     }
@@ -66,7 +66,7 @@
 
 #[test]
 fn relaunch_waits_for_the_cancelled_outcome_goes_elsewhere_and_is_never_cancelled() {
-    let mut harness = trained(settings(vec![class(Effect::Safe, 1.0)]), 1, 20_000.0);
+    let mut harness = trained(settings(vec![class(Idempotency::Safe, 1.0)]), 1, 20_000.0);
     for number in 2_000..2_010 {
         let first = sends(&harness.arrive(request(number, 0, harness.now + 600_000.0)))[0];
         let seen = harness.advance(6_000.0);
@@ -88,7 +88,7 @@
 /// Once all stragglers are cancelled the tail is hardly seen: the timeout must not come and go.
 #[test]
 fn timeout_stays_once_stragglers_are_cancelled() {
-    let mut harness = trained(settings(vec![class(Effect::Safe, 1.0)]), 1, 20_000.0);
+    let mut harness = trained(settings(vec![class(Idempotency::Safe, 1.0)]), 1, 20_000.0);
     let mut stops = 0;
     for number in 3_000..3_120 {
         let first = sends(&harness.arrive(request(number, 0, harness.now + 600_000.0)))[0];
@@ -110,7 +110,7 @@
 #[test]
 fn progress_report_prevents_a_cancel_or_brings_it_forward() {
     for (share, expected) in [(0.6, false), (0.02, true)] {
-        let mut harness = trained(settings(vec![class(Effect::Safe, 1.0)]), 1, 20_000.0);
+        let mut harness = trained(settings(vec![class(Idempotency::Safe, 1.0)]), 1, 20_000.0);
         let mut cancelled = 0;
         for number in 4_000..4_005 {
             let first = sends(&harness.arrive(request(number, 0, harness.now + 600_000.0)))[0];
@@ -131,7 +131,7 @@
 /// A relaunch needs another engine.
 #[test]
 fn nothing_is_cancelled_where_no_other_engine_is_permitted() {
-    let mut bound = class(Effect::Safe, 1.0);
+    let mut bound = class(Idempotency::Safe, 1.0);
     bound.zones = Some(vec![ZoneId(1)]);
     let mut harness = Harness::new(settings(vec![bound]), 3);
     harness.handle(Event::EngineChanges(vec![EngineEntry { zone: ZoneId(1), ..entry(1) }]));
@@ -147,7 +147,7 @@
 #[test]
 fn class_without_outcomes_learns_its_timeout_from_other_classes_and_progress_reports() {
     for (share, expected) in [(0.03, 1), (0.9, 0)] {
-        let mut harness = Harness::new(settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.0)]), 4);
+        let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 1.0)]), 4);
         for number in 0..25 {
             harness.serve(number, 0, 1_000.0);
         }
@@ -167,7 +167,7 @@
 #[test]
 fn restart_forgets_timeouts_and_equal_events_give_equal_actions() {
     let play = || {
-        let mut harness = trained(settings(vec![class(Effect::Safe, 1.0)]), 1, 20_000.0);
+        let mut harness = trained(settings(vec![class(Idempotency::Safe, 1.0)]), 1, 20_000.0);
         let mut actions = Vec::new();
         for number in 0..20 {
             actions.extend(harness.arrive(request(5_000 + number, 0, harness.now + 30_000.0)));
@@ -176,14 +176,14 @@
         actions
     };
     assert_eq!(play(), play());
-    let mut fresh = Harness::new(settings(vec![class(Effect::Safe, 1.0)]), 4);
+    let mut fresh = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 4);
     assert_eq!(time_until_cancel(&mut fresh, 8_000.0), None, "a new dispatcher has learned no timeout");
 }
 
 /// i8326e2: a run that by its progress report outlasts its client by far.
 #[test]
 fn hopeless_run_is_given_up_if_it_may_be_repeated() {
-    for (effect, given_up) in [(Effect::Safe, 1), (Effect::Unsafe, 0)] {
+    for (effect, given_up) in [(Idempotency::Safe, 1), (Idempotency::Unsafe, 0)] {
         let mut harness = Harness::new(settings(vec![class(effect, 1.0)]), 2);
         harness.arrive(request(1, 0, 9_000.0));
         harness.advance(2_000.0);
--- a/crates/dispatch/tests/dispatcher/work_estimates.rs
+++ b/crates/dispatch/tests/dispatcher/work_estimates.rs
@@ -10,7 +10,7 @@
         target_latency: 500.0,
         target_stretch: 0.0,
         late_fraction: 0.0,
-        ..class(Effect::Safe, 1.0)
+        ..class(Idempotency::Safe, 1.0)
     };
     Harness::new(settings(vec![class]), 2)
 }
--- a/crates/dispatch/tests/fleet_slow_start.rs
+++ b/crates/dispatch/tests/fleet_slow_start.rs
@@ -29,7 +29,7 @@
 /// from the seed; each attempt ends served after its work. Dispatchers have the positions of `place` among `dispatchers`,
 /// and their clocks are up to `skew` ms late.
 fn play(length: Millis, dispatchers: u64, skew: Millis, place: impl Fn(u64) -> FleetPosition) -> Played {
-    let settings = settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.0)]);
+    let settings = settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 1.0)]);
     let start = 100_000.0;
     let mut played = Played { work: BTreeMap::new(), light: 0, heavy: 0 };
     for seed in 0..DISPATCHERS {
@@ -87,7 +87,7 @@
 /// of 8 cores at the start, in 1.5 s. The part that is allowed for chance is not used.
 fn worst(played: &Played) -> f64 {
     let window = (1_500.0 / STEP) as u64;
-    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Effect::Safe, 1.0)]).slow_start };
+    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
     let last = played.work.keys().last().copied().unwrap_or(0);
     let sums = (0..=last).map(|first| {
         let sent: Millis = played.work.range(first..first + window).map(|(_, work)| work).sum();
@@ -97,7 +97,7 @@
 }
 
 fn mean(played: &Played, length: Millis) -> f64 {
-    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Effect::Safe, 1.0)]).slow_start };
+    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
     played.work.values().sum::<Millis>() / budget.accrued(length)
 }
 
@@ -149,7 +149,7 @@
     let mut back = Vec::new();
     for ordinal in 0..DISPATCHERS {
         let place = FleetPosition::ordinal(ordinal as u32, DISPATCHERS as u32).unwrap();
-        let settings = settings(vec![class(Effect::Safe, 1.0)]);
+        let settings = settings(vec![class(Idempotency::Safe, 1.0)]);
         let settings = Settings { dispatchers: DISPATCHERS as usize, fleet_position: place, ..settings };
         let mut harness = Harness { dispatcher: Dispatcher::new(settings, ordinal).unwrap(), now: 0.0 };
         harness.handle(Event::EngineList(vec![entry(0)]));
--- a/crates/dispatch/tests/parts/mod.rs
+++ b/crates/dispatch/tests/parts/mod.rs
@@ -28,7 +28,7 @@
 
 /// The context of one class whose requests may be repeated freely.
 fn safe_class(now: Millis) -> Context {
-    context(now, common::settings(vec![common::class(Effect::Safe, 1.0)]))
+    context(now, common::settings(vec![common::class(Idempotency::Safe, 1.0)]))
 }
 
 /// A request that has arrived at time 0, with a minute left.
--- a/crates/dispatch/tests/parts/ordering.rs
+++ b/crates/dispatch/tests/parts/ordering.rs
@@ -5,9 +5,9 @@
 use crate::requests::OrderedQueues;
 
 fn ordered_class(now: Millis) -> Context {
-    let mut ordered = class(Effect::Unsafe, 1.0);
+    let mut ordered = class(Idempotency::Unsafe, 1.0);
     ordered.ordered = true;
-    context(now, settings(vec![ordered, class(Effect::Safe, 1.0)]))
+    context(now, settings(vec![ordered, class(Idempotency::Safe, 1.0)]))
 }
 
 fn keyed(number: u32, class: usize) -> NewRequest {
--- a/crates/dispatch/tests/parts/placement.rs
+++ b/crates/dispatch/tests/parts/placement.rs
@@ -93,7 +93,7 @@
     for (group, expected) in
         [(DedupGroup::All, vec![1, 2, 3]), (DedupGroup::Zone, vec![2]), (DedupGroup::Cell, vec![3])]
     {
-        let context = context(0.0, settings(vec![class(Effect::Keyed(group, 9_000.0), 1.0)]));
+        let context = context(0.0, settings(vec![class(Idempotency::Keyed(group, 9_000.0), 1.0)]));
         let mut fleet = fleet(&[0.0; 4]);
         for (id, engine) in &mut fleet.engines {
             engine.entry.zone = ZoneId((id.0 % 2) as usize);
@@ -110,9 +110,9 @@
 
 #[test]
 fn loads_hold_the_locks_of_their_tables_while_they_run() {
-    let mut load = class(Effect::Unsafe, 1.0);
+    let mut load = class(Idempotency::Unsafe, 1.0);
     load.locks_tables = true;
-    let settings = settings(vec![load, class(Effect::Safe, 1.0)]);
+    let settings = settings(vec![load, class(Idempotency::Safe, 1.0)]);
     let running = Request { attempts: vec![Attempt::new(EngineId(3), 0.0)], ..open_request(1) };
     let over = Request { attempts: vec![ended(4, 0.0, Outcome::Failed)], ..open_request(2) };
     let requests: Requests = [running, over].map(|it| (it.new.id.clone(), it)).into();
--- a/crates/dispatch/tests/parts/ranking.rs
+++ b/crates/dispatch/tests/parts/ranking.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn rank_is_the_priority_weight_for_each_unit_of_work() {
-    let mut two_threads = settings(vec![class(Effect::Safe, 2.0)]);
+    let mut two_threads = settings(vec![class(Idempotency::Safe, 2.0)]);
     two_threads.classes[0].priority_weight = 3.0;
     let context = context(0.0, two_threads);
     let mut request = open_request(1);
--- a/crates/dispatch/tests/parts/retry.rs
+++ b/crates/dispatch/tests/parts/retry.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::policy::{RetryBudget, repeat_until};
 
-fn with_effect(now: Millis, effect: Effect) -> Context {
+fn with_effect(now: Millis, effect: Idempotency) -> Context {
     context(now, settings(vec![class(effect, 1.0)]))
 }
 
@@ -14,7 +14,7 @@
 
 #[test]
 fn unsafe_request_is_retried_only_if_no_attempt_ran() {
-    let context = with_effect(100.0, Effect::Unsafe);
+    let context = with_effect(100.0, Idempotency::Unsafe);
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         assert!(allows(&context, vec![ended(0, 0.0, outcome)]), "{outcome:?}");
     }
@@ -25,7 +25,7 @@
 
 #[test]
 fn keyed_request_is_retried_within_the_window_of_its_first_run() {
-    let effect = Effect::Keyed(DedupGroup::All, 1_000.0);
+    let effect = Idempotency::Keyed(DedupGroup::All, 1_000.0);
     let attempts = || vec![ended(0, 0.0, Outcome::ConnectFailed), ended(1, 200.0, Outcome::Reset)];
     assert!(allows(&with_effect(1_189.0, effect), attempts()));
     assert!(!allows(&with_effect(1_190.0, effect), attempts()), "10 ms are left for delays");
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -49,12 +49,12 @@
 }
 
 fn random_settings() -> Settings {
-    let keyed = class(Effect::Keyed(DedupGroup::Cell, DEDUP_WINDOW), 2.0);
-    let mut ordered = class(Effect::Unsafe, 2.0);
+    let keyed = class(Idempotency::Keyed(DedupGroup::Cell, DEDUP_WINDOW), 2.0);
+    let mut ordered = class(Idempotency::Unsafe, 2.0);
     ordered.ordered = true;
-    let mut bound = class(Effect::Safe, 4.0);
+    let mut bound = class(Idempotency::Safe, 4.0);
     bound.zones = Some(vec![ZoneId(1)]);
-    let mut settings = settings(vec![class(Effect::Safe, 1.0), keyed, ordered, bound]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0), keyed, ordered, bound]);
     settings.tenants = vec![TenantSettings { quota_per_s: 20.0 }, TenantSettings { quota_per_s: 5.0 }];
     settings.dispatchers = 2;
     settings.max_attempts = 3;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,7 +10,7 @@
 
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{
-    ClassSettings, DedupGroup, Effect, FleetPosition, MachineTypeId, MachineTypeSettings, RetryBudgetSettings,
+    ClassSettings, DedupGroup, Idempotency, FleetPosition, MachineTypeId, MachineTypeSettings, RetryBudgetSettings,
     SlowStartSettings, TenantSettings, ZoneId,
 };
 use serde::Deserialize as _;
@@ -92,18 +92,18 @@
 }
 
 /// What a repeat of a request does; a class that does not say so must never run twice.
-fn effect(service: &Service) -> Result<Effect, SettingError> {
+fn effect(service: &Service) -> Result<Idempotency, SettingError> {
     Ok(match text(&service.effect) {
-        Some("safe") => Effect::Safe,
+        Some("safe") => Idempotency::Safe,
         Some("keyed") => {
             let group = match text(&service.group) {
                 Some("zone") => DedupGroup::Zone,
                 Some("cell") => DedupGroup::Cell,
                 _ => DedupGroup::All,
             };
-            Effect::Keyed(group, service.window_ms.or("window_ms", 0.0)?)
+            Idempotency::Keyed(group, service.window_ms.or("window_ms", 0.0)?)
         }
-        _ => Effect::Unsafe,
+        _ => Idempotency::Unsafe,
     })
 }
 
--- a/crates/settings/tests/decode.rs
+++ b/crates/settings/tests/decode.rs
@@ -1,6 +1,6 @@
 //! What a settings document may hold: keys of any type, of which only numbers that are read are checked.
 
-use gaugestep_dispatch::interface::{DedupGroup, Effect, FleetPosition, ZoneId};
+use gaugestep_dispatch::interface::{DedupGroup, Idempotency, FleetPosition, ZoneId};
 use gaugestep_settings::decode;
 use serde_json::{Value, json};
 
@@ -21,7 +21,7 @@
     for service in [json!(1), json!(["safe"]), json!({"effect": {"safe": null}}), json!({"keep_order": 1})] {
         assert_eq!(class(service.clone()), unsafe_class, "{service}");
     }
-    assert_eq!(unsafe_class.effect, Effect::Unsafe);
+    assert_eq!(unsafe_class.effect, Idempotency::Unsafe);
     let bound = class(json!({"areas_open": [1, -1, "x", 2.5, 2], "served_on": 4}));
     assert_eq!((bound.zones, bound.machine_types), (Some(vec![ZoneId(1), ZoneId(2)]), None));
 }
@@ -64,6 +64,6 @@
     {
         let service = json!({"effect": "keyed", "group": group, "window_ms": 9});
         let settings = decode(&json!({ "services": [service] })).unwrap();
-        assert_eq!(settings.classes[0].effect, Effect::Keyed(expected, 9.0));
+        assert_eq!(settings.classes[0].effect, Idempotency::Keyed(expected, 9.0));
     }
 }
