--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
     /// What a repeat would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// What an answer within the target latency counts for, against other requests.
     pub priority_weight: f64,
     /// The fraction of the priority weight that a later answer keeps.
--- a/crates/dispatch/src/policy/lifecycle.rs
+++ b/crates/dispatch/src/policy/lifecycle.rs
@@ -157,7 +157,7 @@
         // A run that by its progress report cannot by far end before the client leaves only slows others.
         let time_left = request.live().next().and_then(|(_, attempt)| attempt.time_left());
         let hopeless = time_left.is_some_and(|left| is_hopeless(context, request, left));
-        let given_up = hopeless && context.settings.class(&request.new).effect == Idempotency::Safe;
+        let given_up = hopeless && context.settings.class(&request.new).idempotency == Idempotency::Safe;
         if context.now >= self.answer_by(request) || (request.is_idle() && lost()) || given_up {
             return Some(Due::Answer);
         }
@@ -313,7 +313,7 @@
     /// Ends a request that is not finished with a rejection where that may be promised, else with a failure.
     fn answer(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        let harmless = match self.context.settings.class(&request.new).effect {
+        let harmless = match self.context.settings.class(&request.new).idempotency {
             Idempotency::Safe | Idempotency::Keyed(DedupGroup::All, _) => true,
             Idempotency::Keyed(..) | Idempotency::Unsafe => !request.may_have_run(),
         };
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -72,7 +72,7 @@
     /// Whether the engine takes work, and class, route and effect permit the request there.
     pub fn takes(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
         let (class, entry) = (context.settings.class(&request.new), &engine.entry);
-        let drops_repeats = |attempt: &Attempt| match class.effect {
+        let drops_repeats = |attempt: &Attempt| match class.idempotency {
             Idempotency::Keyed(DedupGroup::All, _) | Idempotency::Safe | Idempotency::Unsafe => true,
             Idempotency::Keyed(group, _) => {
                 self.engines.get(&attempt.engine).is_some_and(|it| group.contains_both(&it.entry, entry))
--- a/crates/dispatch/src/policy/retry.rs
+++ b/crates/dispatch/src/policy/retry.rs
@@ -49,5 +49,5 @@
 
 /// Until when one more attempt may follow the request's first `count`, by the effect of repeats.
 pub fn repeat_until(context: &Context, request: &Request, count: usize) -> Millis {
-    request.repeat_until(context.settings.class(&request.new).effect, count) - TIMER_SLACK
+    request.repeat_until(context.settings.class(&request.new).idempotency, count) - TIMER_SLACK
 }
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -91,9 +91,9 @@
     }
 }
 
-fn class(effect: Idempotency, threads: f64) -> ClassSettings {
+fn class(idempotency: Idempotency, threads: f64) -> ClassSettings {
     ClassSettings {
-        effect,
+        idempotency,
         priority_weight: 1.0,
         late_fraction: 0.5,
         target_latency: 2_000.0,
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use gaugestep_dispatch::interface::*;
 use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
 
-pub fn class(effect: Idempotency, threads: f64) -> ClassSettings {
+pub fn class(idempotency: Idempotency, threads: f64) -> ClassSettings {
     ClassSettings {
-        effect,
+        idempotency,
         priority_weight: 1.0,
         late_fraction: 0.5,
         target_latency: 4_000.0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -77,7 +77,7 @@
 /// The class of a service, which is the one at `index`.
 fn class(service: &Service, family: &FamilyInfo, index: usize) -> Result<ClassSettings, SettingError> {
     Ok(ClassSettings {
-        effect: effect(service)?,
+        idempotency: effect(service)?,
         priority_weight: service.importance.or("importance", 1.0)?,
         late_fraction: service.late_share.or("late_share", 0.0)?,
         target_latency: service.aim_ms.or("aim_ms", 0.0)?,
--- a/crates/settings/tests/decode.rs
+++ b/crates/settings/tests/decode.rs
@@ -21,7 +21,7 @@
     for service in [json!(1), json!(["safe"]), json!({"effect": {"safe": null}}), json!({"keep_order": 1})] {
         assert_eq!(class(service.clone()), unsafe_class, "{service}");
     }
-    assert_eq!(unsafe_class.effect, Idempotency::Unsafe);
+    assert_eq!(unsafe_class.idempotency, Idempotency::Unsafe);
     let bound = class(json!({"areas_open": [1, -1, "x", 2.5, 2], "served_on": 4}));
     assert_eq!((bound.zones, bound.machine_types), (Some(vec![ZoneId(1), ZoneId(2)]), None));
 }
@@ -64,6 +64,6 @@
     {
         let service = json!({"effect": "keyed", "group": group, "window_ms": 9});
         let settings = decode(&json!({ "services": [service] })).unwrap();
-        assert_eq!(settings.classes[0].effect, Idempotency::Keyed(expected, 9.0));
+        assert_eq!(settings.classes[0].idempotency, Idempotency::Keyed(expected, 9.0));
     }
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -133,7 +133,7 @@
     let json =
         serde_json::from_str(r#"{"services": [{"effect": "keyed", "group": "cell", "window_ms": 9}]}"#);
     let read = decode(&json.unwrap()).unwrap();
-    assert_eq!(read.classes[0].effect, Idempotency::Keyed(DedupGroup::Cell, 9.0));
+    assert_eq!(read.classes[0].idempotency, Idempotency::Keyed(DedupGroup::Cell, 9.0));
     assert_eq!(read.classes[0].target_stretch, 0.0);
     assert_eq!((read.retry_budget, read.order_pause, read.tenants.len()), (None, 0.0, 0));
     assert!(
