--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -30,13 +30,13 @@
     /// When it last started, if that was not long ago.
     pub started_at: Option<Millis>,
     /// Its key, the same at every dispatcher, as `gaugestep_subsetting::key` makes it of its name.
-    pub key: u64,
+    pub name_key: u64,
 }
 
 impl EngineEntry {
     /// The engine as subsets are drawn from it; `size` against the others'.
     pub fn subset_member(&self, size: f64) -> Member {
-        Member { id: self.engine.0, key: self.key, size, zone: self.zone.0 as u64 }
+        Member { id: self.engine.0, key: self.name_key, size, zone: self.zone.0 as u64 }
     }
 }
 
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -87,7 +87,7 @@
         cell: CellId(u64::from(engine / ENGINES_PER_CELL)),
         readiness: Readiness::Up,
         started_at: None,
-        key: gaugestep_subsetting::key(&format!("engine-{engine}")),
+        name_key: gaugestep_subsetting::key(&format!("engine-{engine}")),
     }
 }
 
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -59,7 +59,7 @@
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
-        key: gaugestep_subsetting::key(&engine.to_string()),
+        name_key: gaugestep_subsetting::key(&engine.to_string()),
     }
 }
 
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -132,7 +132,7 @@
             cell: CellId(update.cell),
             readiness,
             started_at: update.up_since.map(|at| self.handler.facade.at_unix(at)),
-            key: gaugestep_subsetting::key(name),
+            name_key: gaugestep_subsetting::key(name),
         })
     }
 
--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -34,7 +34,7 @@
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
-        key: 1,
+        name_key: 1,
     }
 }
 
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -232,7 +232,7 @@
     let engine = fields.engine()?;
     Ok(EngineEntry {
         engine,
-        key: gaugestep_subsetting::key(&engine.0.to_string()),
+        name_key: gaugestep_subsetting::key(&engine.0.to_string()),
         zone: ZoneId(fields.integer_or("campus", 0)? as usize),
         machine_type: MachineTypeId(fields.integer_or("machine", 0)? as usize),
         cell: CellId(fields.integer_or("group", 0)?),
