--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -58,7 +58,7 @@
     /// The tables that it reads.
     pub tables: TableSetId,
     /// The key under which it takes turns.
-    pub key: Option<OrderKey>,
+    pub order_key: Option<OrderKey>,
 }
 
 /// How an attempt ended.
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -183,7 +183,7 @@
     ///
     /// If there is no such class.
     pub fn order_key<'a>(&self, new: &'a NewRequest) -> Option<&'a OrderKey> {
-        new.key.as_ref().filter(|_| self.class(new).ordered)
+        new.order_key.as_ref().filter(|_| self.class(new).ordered)
     }
 
     /// The settings of a request's class.
--- a/crates/dispatch/src/policy/ordering.rs
+++ b/crates/dispatch/src/policy/ordering.rs
@@ -17,7 +17,7 @@
     /// Pauses the request's key after an attempt that might still be running.
     pub fn on_attempt_ended(&mut self, context: &Context, new: &NewRequest, outcome: Outcome) {
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.pause(new.key.as_ref(), context.now + context.settings.order_pause + 1.0);
+            self.pause(new.order_key.as_ref(), context.now + context.settings.order_pause + 1.0);
         }
     }
 }
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -290,7 +290,7 @@
             estimate,
             memory_mb: stated_memory,
             tables,
-            key,
+            order_key: key,
         };
         let cost = Cost { work, memory_mb };
         let client = Client { new: new.clone(), cost, attempts: Vec::new(), over: false };
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -76,7 +76,7 @@
         estimate: 1_000.0,
         memory_mb: 100.0,
         tables: TableSetId(0),
-        key: None,
+        order_key: None,
     }
 }
 
--- a/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
+++ b/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
@@ -9,7 +9,7 @@
     let mut ordered = class(Idempotency::Unsafe, 1.0);
     ordered.ordered = true;
     let mut harness = Harness::new(settings(vec![ordered]), 3);
-    let keyed = |number, due| NewRequest { key: Some(OrderKey("k".into())), ..request(number, 0, due) };
+    let keyed = |number, due| NewRequest { order_key: Some(OrderKey("k".into())), ..request(number, 0, due) };
     let first = sends(&harness.arrive(keyed(1, 60_000.0)))[0];
     assert!(sends(&harness.arrive(keyed(2, 60_000.0))).is_empty());
     assert!(sends(&harness.arrive(keyed(3, 60_000.0))).is_empty());
@@ -29,7 +29,7 @@
     let full = sends(&harness.arrive(request(1, 1, 60_000.0)))[0];
     assert!(sends(&harness.arrive(request(2, 1, 60_000.0))).is_empty(), "the engine has no room");
     for number in 10..14 {
-        let keyed = NewRequest { key: Some(OrderKey("k".into())), ..request(number, 0, 60_000.0) };
+        let keyed = NewRequest { order_key: Some(OrderKey("k".into())), ..request(number, 0, 60_000.0) };
         assert!(sends(&harness.arrive(keyed)).is_empty());
     }
     let actions = harness.end(1, 0, full, Outcome::Served, 125.0);
--- a/crates/dispatch/tests/parts/ordering.rs
+++ b/crates/dispatch/tests/parts/ordering.rs
@@ -11,7 +11,7 @@
 }
 
 fn keyed(number: u32, class: usize) -> NewRequest {
-    NewRequest { key: Some(OrderKey("k".into())), ..request(number, class, 60_000.0) }
+    NewRequest { order_key: Some(OrderKey("k".into())), ..request(number, class, 60_000.0) }
 }
 
 fn queues_of(context: &Context, requests: &[NewRequest]) -> OrderedQueues {
@@ -67,7 +67,7 @@
     queues.on_attempt_ended(&context, &new, Outcome::Reset);
     queues.remove(context.settings.order_key(&new), &new.id);
     queues.prune(500.0);
-    assert!(queues.get(new.key.as_ref()).is_some());
+    assert!(queues.get(new.order_key.as_ref()).is_some());
     queues.prune(501.0);
-    assert!(queues.get(new.key.as_ref()).is_none());
+    assert!(queues.get(new.order_key.as_ref()).is_none());
 }
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -112,7 +112,7 @@
         let new = NewRequest {
             tenant: TenantId(number as usize % 2),
             estimate: random.rand_range(0..3_000) as f64,
-            key: key.clone(),
+            order_key: key.clone(),
             ..request(number, class, deadline)
         };
         self.arrivals.push(self.now);
--- a/crates/proxy/src/downstream/postgres/request.rs
+++ b/crates/proxy/src/downstream/postgres/request.rs
@@ -45,7 +45,7 @@
         estimate: fields.est,
         memory_mb: fields.space,
         tables: TableSetId(table_group(statement).unwrap_or(0)),
-        key: None,
+        order_key: None,
     };
     Ok(Query { request, class: class.clone(), statement: statement.to_vec(), client })
 }
--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -47,7 +47,7 @@
         estimate: 10.0,
         memory_mb: 1.0,
         tables: TableSetId(0),
-        key: None,
+        order_key: None,
     }
 }
 
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -116,7 +116,7 @@
             estimate: fields.number_or("estimate_ms", 0.0)?,
             memory_mb: fields.number_or("ram_mb", 0.0)?,
             tables: TableSetId(fields.number_or("source_set", 0.0)? as u64),
-            key: fields.optional("relation").map(|key| OrderKey(key.into())),
+            order_key: fields.optional("relation").map(|key| OrderKey(key.into())),
         }))
     }
 
