--- a/crates/dispatch/src/interface/actions.rs
+++ b/crates/dispatch/src/interface/actions.rs
@@ -1,22 +1,23 @@
-//! What the module wants done.
+//! The actions that the dispatcher asks its embedder to carry out.
 
 use super::*;
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its attempts failed or were rejected, and no further one may be made.
+    /// Its attempts failed or were rejected, and no further attempt is allowed.
     AttemptsFailed,
-    /// Its time ran out while no engine had capacity for it.
+    /// No engine had capacity for it before its deadline.
     QueueTimeout,
-    /// By the answers of its class, its run does not fit into the time that is left, or it has no priority weight left.
+    /// Its expected run time, learned from the responses of its class, exceeds the time to its deadline by far,
+    /// or a response would have no priority weight any more.
     TooLong,
-    /// Too many requests are open, and its rank is the lowest.
+    /// More than [`Settings::max_open`] requests are open, and this one has the lowest rank.
     Overloaded,
 }
 
 impl RejectReason {
-    /// The reason in words, for people who use clients.
+    /// The reason in words, as clients receive it.
     pub fn description(self) -> &'static str {
         match self {
             RejectReason::AttemptsFailed => "attempts on engines failed, and no further one is allowed",
@@ -31,53 +32,53 @@
     }
 }
 
-/// What the module wants done, in order.
+/// One action for the embedder. Actions are carried out in the order in which the dispatcher returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt that runs until the client gives up.
+    /// Start an attempt, which may run until the request's deadline.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The engine to send it to.
         engine: EngineId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt. Its end is still reported as [`Event::AttemptEnded`].
     Cancel {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt to cancel.
         attempt: AttemptNo,
     },
-    /// Final answer: declined, a retry does no harm.
+    /// The final response: rejected. The client may safely retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before a retry; 0 gives no advice.
+        /// How long the client should wait before a retry, in ms; 0 if no retry delay is sent.
         retry_after: Millis,
-        /// Why it is rejected.
+        /// The reason for the rejection.
         reason: RejectReason,
     },
-    /// Final answer: failed, nothing promised about the effect.
+    /// The final response: failed. The request may have taken effect.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Memory and priority for the request's further sends.
+    /// Set the memory grant and the priority of the request's further attempts.
     SetAttemptOptions {
         /// The request.
         id: RequestId,
-        /// Memory to grant in MB; 0 leaves it to the engine.
+        /// The memory grant in MB; 0 leaves it to the engine.
         memory_mb: f64,
-        /// Priority from 0 to 3.
+        /// The priority from 0 to 3; 3 is the highest.
         priority: u8,
     },
-    /// Ask for a timer.
+    /// Start a timer. When it is due, the embedder sends [`Event::Timer`].
     SetTimer {
-        /// Which timer.
+        /// The id to pass with the event.
         timer: TimerId,
-        /// How long from now.
+        /// The time from now until the timer is due, in ms.
         delay: Millis,
     },
-    /// A line for the on-call reader.
+    /// Write a line to the log, for operators.
     Log(String),
 }
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -1,40 +1,41 @@
-//! What the embedder reports to the module.
+//! The events that the embedder reports to the dispatcher.
 
 use super::*;
 
-/// The state of an engine on the list.
+/// The state of an engine in the discovery list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// It takes work.
+    /// It accepts new attempts.
     Up,
-    /// It finishes what it has.
+    /// It finishes its attempts in flight and gets no new ones.
     Draining,
-    /// It is gone.
+    /// It was removed from the list.
     #[default]
     Gone,
 }
 
-/// One line of the list of engines.
+/// One entry of the discovery list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEntry {
     /// The engine.
     pub engine: EngineId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// The type of machine that it runs on.
     pub machine_type: MachineTypeId,
-    /// Its cell.
+    /// The cell that it belongs to.
     pub cell: CellId,
-    /// Whether it takes work.
+    /// Whether it accepts new attempts.
     pub readiness: Readiness,
-    /// When it last started, if that was not long ago.
+    /// When its process started. None if unknown: an engine that first appears in [`Event::EngineChanges`] then
+    /// counts as started at that moment, one that first appears in [`Event::EngineList`] as warmed up.
     pub started_at: Option<Millis>,
-    /// Its key, the same at every dispatcher, as `gaugestep_subsetting::key` makes it of its name.
+    /// The key that `gaugestep_subsetting::key` derives from its name, which is the same at every dispatcher.
     pub name_key: u64,
 }
 
 impl EngineEntry {
-    /// The engine as subsets are drawn from it; `size` against the others'.
+    /// The engine as a member for drawing subsets. `size` is its capacity relative to the other engines.
     pub fn subset_member(&self, size: f64) -> Member {
         Member { id: self.engine.0, key: self.name_key, size, zone: self.zone.0 as u64 }
     }
@@ -43,47 +44,47 @@
 /// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, at sites that have any.
+    /// The tenant that sent it. An id without an entry in [`Settings::tenants`] has no quota.
     pub tenant: TenantId,
-    /// When the client gives up.
+    /// The time at which the client stops waiting for a response.
     pub deadline: Millis,
-    /// A guess of its work on one thread; 0 if none is given.
+    /// The client's estimate of the work, as run time on one thread in ms; 0 if the client gives none.
     pub estimate: Millis,
-    /// A guess of the memory that it needs; 0 if none is given.
+    /// The client's estimate of the memory that the query needs, in MB; 0 if the client gives none.
     pub memory_mb: f64,
-    /// The tables that it reads.
+    /// The set of tables that the query reads, or loads into if its class locks tables.
     pub tables: TableSetId,
-    /// The key under which it takes turns.
+    /// The key whose requests run one at a time if the class is ordered. None if the request has no such key.
     pub order_key: Option<OrderKey>,
 }
 
-/// How an attempt ended.
+/// The way in which an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The engine sent the complete response.
     Served,
-    /// The engine sent an error; it may have run.
+    /// The engine sent an error; the query may have run.
     Failed,
-    /// The engine rejected it without running it.
+    /// The engine rejected the attempt without running it.
     Rejected,
-    /// No answer came in time; it may still be running.
+    /// No response arrived by the request's deadline; the query may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection to the engine could be opened; the query never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the query may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// The attempt was cancelled; the query may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was not sent to the engine.
     NotSent,
 }
 
 impl Outcome {
-    /// True if this outcome proves that the attempt never ran.
+    /// True if the query certainly did not run.
     pub fn never_ran(self) -> bool {
         match self {
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => true,
@@ -94,87 +95,89 @@
     }
 }
 
-/// What a query turned out to need.
+/// The resources that a query used, as the engine reports them with the response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cost {
-    /// Work on one thread.
+    /// The work, as run time on one thread in ms.
     pub work: Millis,
-    /// Memory.
+    /// The memory in MB.
     pub memory_mb: f64,
 }
 
-/// An engine's own report of its load; what it does not report is absent.
+/// An engine's report of its load. A figure that the engine does not report is None.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries in flight there.
+    /// Queries in flight on the engine, from all dispatchers, including those that wait for memory.
     pub in_flight: Option<f64>,
-    /// Queries that wait for memory.
+    /// Queries that wait for memory on the engine.
     pub queued: Option<f64>,
-    /// How busy its cores are, 0 to 1.
+    /// The utilization of its cores, from 0 to 1.
     pub core_utilization: Option<f64>,
-    /// The share of its memory that is granted.
+    /// The fraction of its memory that is granted, from 0 to 1.
     pub memory_utilization: Option<f64>,
 }
 
-/// The end of an attempt.
+/// The end of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// Which attempt.
+    /// The number of the attempt.
     pub attempt: AttemptNo,
-    /// Where it was sent.
+    /// The engine that it was sent to.
     pub engine: EngineId,
-    /// How it ended.
+    /// The way in which it ended.
     pub outcome: Outcome,
-    /// True if the request is finished, by this outcome or before.
+    /// True if the request needs no further attempt, because of this outcome or since an earlier event.
     pub finished: bool,
-    /// How long ago it was sent.
+    /// The time since the attempt was sent, in ms.
     pub elapsed: Millis,
-    /// What it needed, where answers carry that.
+    /// The resources that the query used. None if the engine does not report them.
     pub cost: Option<Cost>,
-    /// The engine's load, if it came along.
+    /// The engine's load report. None if none came with the outcome.
     pub load: Option<LoadReport>,
 }
 
-/// What an engine reports of a running attempt.
+/// A progress report of an engine on a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressReport {
-    /// The share of its work that is done, roughly.
+    /// The approximate fraction of the work that is completed, from 0 to 1.
     CompletedFraction(f64),
-    /// It spills, for lack of this many MB.
+    /// The query spills to disk because its memory grant is this many MB too small.
     Spills(f64),
-    /// It waits for memory.
+    /// The query waits for memory.
     WaitsForMemory,
-    /// It waits for a load.
+    /// The query waits for a load to release the lock on its tables.
     WaitsForLoad,
 }
 
-/// What the embedder reports to the module.
+/// An event that the embedder reports to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The complete list of engines; whatever is missing is gone.
+    /// The complete discovery list; engines that are not in it are removed.
     EngineList(Vec<EngineEntry>),
-    /// Changed lines of the list.
+    /// The entries of the discovery list that changed.
     EngineChanges(Vec<EngineEntry>),
-    /// A request from a client.
+    /// A client sent a request.
     Request(NewRequest),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The answer of a streamed request has started: attempt and client are on their own.
+    /// The response of this attempt has started to stream to the client: the request gets no further attempt.
     StreamingStarted(RequestId, AttemptNo),
-    /// A progress report on a running attempt.
+    /// An engine sent a progress report on a running attempt.
     Progress(RequestId, AttemptNo, ProgressReport),
-    /// The client left, or the answer is overdue.
+    /// The client left, or the embedder stopped waiting for an overdue response.
     ClientGone(RequestId),
-    /// The dispatcher will end: this is the latest deadline of its requests.
+    /// The dispatcher shuts down: open requests whose deadline is later get this time as their deadline.
     ShutdownBy(Millis),
-    /// The dispatcher has this position by a roster until then, and that of its settings from then on.
+    /// The roster assigns this position in the fleet until the given time. Afterwards the position of the settings
+    /// applies.
     PositionAssigned(FleetPosition, Millis),
-    /// New settings. A class keeps its number while a request of it is open; a class with other rules gets a new number.
+    /// The settings changed. A class must keep its number while a request of it is open; a class with other rules
+    /// gets a new number.
     SettingsUpdated(Box<Settings>),
-    /// A probe came back.
+    /// A probe of an engine ended, with a load report if the engine sent one.
     ProbeResult(EngineId, Outcome, Option<LoadReport>),
-    /// A timer came due.
+    /// A timer is due.
     Timer(TimerId),
 }
--- a/crates/dispatch/src/interface/ids.rs
+++ b/crates/dispatch/src/interface/ids.rs
@@ -1,47 +1,47 @@
-//! Identifiers of what the module decides on.
+//! The identifiers of requests, engines, classes and the other things that the dispatcher decides on.
 
 use std::sync::Arc;
 
-/// The name of one request; never used twice.
+/// The unique id of a request; never reused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
-/// An engine, the same number at every dispatcher.
+/// The number of an engine, by which the embedder and its dispatcher refer to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u32);
 
-/// A class of requests: its position in [`Settings::classes`](super::Settings::classes).
+/// The number of a class of requests: its index in [`Settings::classes`](super::Settings::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// A tenant: its position in [`Settings::tenants`](super::Settings::tenants).
+/// The number of a tenant: its index in [`Settings::tenants`](super::Settings::tenants).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// A zone of the deployment.
+/// The number of a zone of the deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// A kind of machine: its position in [`Settings::machine_types`](super::Settings::machine_types).
+/// The number of a machine type: its index in [`Settings::machine_types`](super::Settings::machine_types).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineTypeId(pub usize);
 
-/// A group of engines that share which keyed requests they have seen.
+/// A group of engines that share the record of the keyed requests that they have received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u64);
 
-/// A group of tables that a query reads.
+/// A set of tables that queries read or lock together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableSetId(pub u64);
 
-/// The key under which requests of an ordered class take turns.
+/// A key of an ordered class: requests with the same key run one at a time, in the order of arrival.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey(pub Arc<str>);
 
-/// The number of an attempt of one request, counted from 0 in the order of sending.
+/// The number of an attempt of one request, from 0 in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNo(pub usize);
 
-/// A timer that the module asked for.
+/// The id of a timer that the dispatcher started with [`Action::SetTimer`](super::Action::SetTimer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
--- a/crates/dispatch/src/interface/mod.rs
+++ b/crates/dispatch/src/interface/mod.rs
@@ -1,6 +1,7 @@
-//! The types that go in and out of the decision module: settings, events and actions.
+//! The interface of the decision module: its settings, the events that it handles and the actions that it
+//! returns.
 //!
-//! Times are milliseconds on one clock of the embedder's choosing that never goes backwards.
+//! Times are in milliseconds on a monotonic clock of the embedder.
 
 mod actions;
 mod events;
@@ -15,12 +16,13 @@
 pub use gaugestep_subsetting::slow_start::SlowStartSettings;
 pub use gaugestep_subsetting::subset::Member;
 pub use ids::{
-    AttemptNo, CellId, ClassId, EngineId, MachineTypeId, OrderKey, RequestId, TableSetId, TenantId, TimerId, ZoneId,
+    AttemptNo, CellId, ClassId, EngineId, MachineTypeId, OrderKey, RequestId, TableSetId, TenantId, TimerId,
+    ZoneId,
 };
 pub use settings::{
-    ClassSettings, DedupGroup, Idempotency, MachineTypeSettings, RetryBudgetSettings, Route, Settings, SettingsError,
-    TenantSettings,
+    ClassSettings, DedupGroup, Idempotency, MachineTypeSettings, RetryBudgetSettings, Route, Settings,
+    SettingsError, TenantSettings,
 };
 
-/// A point on the embedder's clock, or a span of it, in milliseconds.
+/// A time on the embedder's clock, or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -6,21 +6,21 @@
 
 use super::*;
 
-/// What running a request twice would do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may be repeated freely.
+    /// It may run any number of times.
     Safe,
-    /// The engines of this group drop repeats within the window.
+    /// The engines of this group deduplicate repeats by the request's id within this window, in ms.
     Keyed(DedupGroup, Millis),
-    /// It must never run twice.
+    /// It must not run more than once.
     Unsafe,
 }
 
-/// Which engines drop the repeats of a keyed request.
+/// The engines that deduplicate the repeats of a keyed request among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
-    /// Every engine.
+    /// All engines.
     All,
     /// The engines of one zone.
     Zone,
@@ -29,7 +29,7 @@
 }
 
 impl DedupGroup {
-    /// Whether two engines are in one group.
+    /// Whether the group of one engine also contains the other.
     pub fn contains_both(self, one: &EngineEntry, other: &EngineEntry) -> bool {
         match self {
             DedupGroup::All => true,
@@ -39,127 +39,132 @@
     }
 }
 
-/// One class of requests.
+/// The settings of one class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// What a repeat would do.
+    /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// What an answer within the target latency counts for, against other requests.
+    /// The weight of a response within the target latency, relative to the other classes; 0 or more.
     pub priority_weight: f64,
-    /// The fraction of the priority weight that a later answer keeps.
+    /// The fraction of the priority weight that a response after the target latency keeps; 0 or more.
     pub late_fraction: f64,
-    /// An answer within this time has the full priority weight.
+    /// The time from a request's arrival within which a response has the full priority weight, in ms, before
+    /// `target_stretch` is added.
     pub target_latency: Millis,
-    /// The target latency grows by this times the true work over the threads.
+    /// The target latency is extended by this factor times the estimated run time of the request alone.
     pub target_stretch: f64,
-    /// Threads that a query runs on.
+    /// The number of threads that a query runs on; above 0.
     pub threads: f64,
-    /// True if requests of one key must run in turn.
+    /// True if requests with the same order key run one at a time, in the order of arrival.
     pub ordered: bool,
-    /// True if it locks its tables on its engine while it runs, as loads do.
+    /// True if a query locks its tables on its engine while it runs, as loads do.
     pub locks_tables: bool,
-    /// True if it is blocked while a load locks its tables.
+    /// True if a query is blocked on an engine while a load there locks its tables.
     pub waits_for_loads: bool,
-    /// The only zones it may be sent to, if it is bound.
+    /// The zones of the engines that it may be sent to. None allows all zones.
     pub zones: Option<Vec<ZoneId>>,
-    /// The only kinds of machine it may be sent to, if it is bound.
+    /// The machine types of the engines that it may be sent to. None allows all types.
     pub machine_types: Option<Vec<MachineTypeId>>,
 }
 
 impl ClassSettings {
-    /// Whether it may be sent to some zones or machine_types only.
+    /// Whether the class may be sent to some zones or machine types only.
     pub fn has_placement_constraints(&self) -> bool {
         self.zones.is_some() || self.machine_types.is_some()
     }
 }
 
-/// One kind of machine.
+/// The settings of one machine type.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineTypeSettings {
-    /// Cores of one engine.
+    /// The number of cores of an engine; above 0.
     pub cores: f64,
-    /// Memory of one engine in MB; 0 if unknown.
+    /// The memory of an engine in MB; 0 if unknown, which disables the check of memory.
     pub memory_mb: f64,
 }
 
-/// One tenant.
+/// The settings of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Its quota of requests a second, over all dispatchers; 0 if it has none.
+    /// Its quota in requests per second, over all dispatchers; 0 if it has none.
     pub quota_per_s: f64,
 }
 
-/// The budget of retries: attempts beyond a request's first.
+/// The retry budget, which limits the attempts beyond a request's first one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries allowed in any window, however light the traffic.
+    /// The number of retries allowed in any window without regard to the number of requests.
     pub min_retries: f64,
-    /// Retries allowed for each request that arrives in the window.
+    /// The number of additional retries allowed for each request that arrives in the window.
     pub ratio: f64,
-    /// The length of the window.
+    /// The length of the window, in ms.
     pub window: Millis,
 }
 
-/// Where requests of some classes and tenants may go.
+/// A rule that sends requests of some classes and tenants to certain engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The classes that it applies to; all, if none are named.
+    /// The classes that it applies to. None matches all classes.
     pub classes: Option<Vec<ClassId>>,
-    /// The tenants that it applies to; all, if none are named.
+    /// The tenants that it applies to. None matches all tenants.
     pub tenants: Option<Vec<TenantId>>,
-    /// The engines, with their weights against each other; any engine, if none are named.
+    /// The engines that may serve a matching request, with their relative weights. None allows all engines with
+    /// equal weights.
     pub engines: Option<BTreeMap<EngineId, f64>>,
 }
 
 /// The settings of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The classes of requests.
+    /// The classes of requests, indexed by [`ClassId`]; at least one.
     pub classes: Vec<ClassSettings>,
-    /// The kinds of machine.
+    /// The machine types, indexed by [`MachineTypeId`].
     pub machine_types: Vec<MachineTypeSettings>,
-    /// The tenants; may be empty.
+    /// The tenants, indexed by [`TenantId`]; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// How many dispatchers there are.
+    /// The number of dispatchers in the fleet; 1 or more.
     pub dispatchers: usize,
-    /// The position of this one among them.
+    /// The position of this dispatcher in the fleet while the roster assigns none.
     pub fleet_position: FleetPosition,
-    /// The zone of this one.
+    /// The zone of this dispatcher.
     pub zone: ZoneId,
-    /// Requests that may be open together; of more, those of the lowest rank are rejected.
+    /// The maximum number of open requests. Beyond it the waiting requests of the lowest rank are rejected.
     pub max_open: usize,
-    /// Attempts allowed for one request.
+    /// The maximum number of attempts of one request, the first one included; 0 counts as 1.
     pub max_attempts: usize,
-    /// True if two attempts of one request may be in flight together.
+    /// True if a relaunch may be sent before the cancelled attempt has ended.
     pub concurrent_attempts: bool,
-    /// True if attempts may be cancelled.
+    /// True if attempts in flight may be cancelled.
     pub cancellation: bool,
-    /// True if the engines heed a memory grant.
+    /// True if the engines apply the memory grant of [`Action::SetAttemptOptions`].
     pub memory_grants: bool,
-    /// True if queries queue on an engine whose memory is granted, rather than run with less.
+    /// True if queries queue on an engine whose memory is used up; false if they run with a smaller grant.
     pub memory_queueing: bool,
-    /// True if the engines heed a priority.
+    /// True if the engines apply the priority of [`Action::SetAttemptOptions`].
     pub priorities: bool,
-    /// The fraction of the priority weight that a request beyond its tenant's quota keeps.
+    /// The fraction of the priority weight that a request above its tenant's quota keeps.
     pub over_quota_fraction: f64,
-    /// Points lost for attempts that cross zones, as a share of first tries.
+    /// The penalty for an attempt on an engine in another zone, as a fraction of the value of a first attempt; 0
+    /// for none. Placement raises the load of engines in other zones in proportion to it.
     pub cross_zone_penalty: f64,
-    /// A final answer this long after the deadline still counts.
+    /// The time after the deadline during which a final response still counts as timely, in ms. No policy of the
+    /// dispatcher reads it.
     pub response_slack: Millis,
-    /// The warm-up of a freshly started engine, and the work that it can take meanwhile.
+    /// The warm-up of a freshly started engine, and the load that it tolerates meanwhile.
     pub slow_start: SlowStartSettings,
-    /// How long an order key is paused after an attempt that might still be running.
+    /// The time for which an order key is paused after an attempt that may still be running, in ms.
     pub order_pause: Millis,
-    /// The budget of retries, if there is one.
+    /// The retry budget. None if retries are not limited by a budget.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// The longest wait before a retry that clients honour; 0 if they are given none.
+    /// The longest retry delay that clients honour, in ms. Every rejection carries it; 0 if no delay is sent.
     pub max_retry_after: Millis,
-    /// Where requests may go: the first route that applies decides; without any, all engines are equal.
+    /// The routes. The first one that matches a request applies; without a match all engines have the same
+    /// weight.
     pub routes: Vec<Route>,
 }
 
 impl Settings {
-    /// An engine's weight in serving the request, against other engines; 0 if it may not serve it.
+    /// The weight of an engine in the route of a request, relative to other engines; 0 if it may not serve it.
     pub fn route_weight(&self, new: &NewRequest, engine: EngineId) -> f64 {
         let applies = |route: &&Route| {
             route.classes.as_ref().is_none_or(|classes| classes.contains(&new.class))
@@ -171,13 +176,13 @@
         }
     }
 
-    /// An engine's machine; one of a kind that is not named is taken for the smallest.
+    /// The machine type of an engine; for a type without settings, one core and unknown memory.
     pub fn machine_type(&self, entry: &EngineEntry) -> MachineTypeSettings {
-        let smallest = MachineTypeSettings { cores: 1.0, memory_mb: 0.0 };
-        self.machine_types.get(entry.machine_type.0).copied().unwrap_or(smallest)
+        let unknown = MachineTypeSettings { cores: 1.0, memory_mb: 0.0 };
+        self.machine_types.get(entry.machine_type.0).copied().unwrap_or(unknown)
     }
 
-    /// The key under which a request takes turns, if its class is ordered.
+    /// The order key of a request. None if it has none or its class is not ordered.
     ///
     /// # Panics
     ///
@@ -195,15 +200,15 @@
         &self.classes[new.class.0]
     }
 
-    /// Checks that they can be used.
+    /// Checks that the values are in their ranges.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first field at fault.
+    /// A [`SettingsError`] that names the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let settings = self;
         let fail = |field, reason| Err(SettingsError { field, reason });
-        let time = |value: f64| value.is_finite() && value >= 0.0;
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
         if settings.classes.is_empty() {
             return fail("classes", "must not be empty");
         }
@@ -216,7 +221,7 @@
             ("budget.span", settings.retry_budget.map_or(0.0, |budget| budget.window)),
         ];
         for (field, value) in times {
-            if !time(value) {
+            if !is_valid(value) {
                 return fail(field, "must be a finite time of 0 or more");
             }
         }
@@ -226,14 +231,14 @@
         if !(0.0..=1.0).contains(&settings.slow_start.initial_share) {
             return fail("cold.share", "must lie between 0 and 1");
         }
-        if !time(settings.slow_start.capacity_multiple) {
+        if !is_valid(settings.slow_start.capacity_multiple) {
             return fail("cold.multiple", "must be finite and 0 or more");
         }
         for class in &settings.classes {
-            if !time(class.target_latency)
-                || !time(class.target_stretch)
-                || !time(class.priority_weight)
-                || !time(class.late_fraction)
+            if !is_valid(class.target_latency)
+                || !is_valid(class.target_stretch)
+                || !is_valid(class.priority_weight)
+                || !is_valid(class.late_fraction)
             {
                 return fail("classes", "must have finite aims and worths of 0 or more");
             }
@@ -241,8 +246,8 @@
                 return fail("classes.threads", "must be above 0");
             }
         }
-        for machine in &settings.machine_types {
-            if !machine.cores.is_finite() || machine.cores <= 0.0 {
+        for machine_type in &settings.machine_types {
+            if !machine_type.cores.is_finite() || machine_type.cores <= 0.0 {
                 return fail("machines.cores", "must be above 0");
             }
         }
@@ -250,12 +255,12 @@
     }
 }
 
-/// Why settings cannot be used.
+/// Settings with a value out of its range.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("unusable settings: {field} {reason}")]
 pub struct SettingsError {
-    /// The field at fault.
+    /// The name of the invalid field in error messages, which may differ from its name in [`Settings`].
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The rule that the field breaks.
     pub reason: &'static str,
 }
