--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -130,7 +130,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(attempt) = request.attempts.get_mut(attempt.0) else { return };
         match report {
-            ProgressReport::CompletedFraction(share) => attempt.on_progress(share, self.context.now),
+            ProgressReport::Done(share) => attempt.on_progress(share, self.context.now),
             ProgressReport::Spills(_) => self.work.on_spill(request.new.class),
             ProgressReport::WaitsForMemory | ProgressReport::WaitsForLoad => {}
         }
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -142,7 +142,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressReport {
     /// The approximate fraction of the work that is completed, from 0 to 1.
-    CompletedFraction(f64),
+    Done(f64),
     /// The query spills to disk because its memory grant is this many MB too small.
     Spills(f64),
     /// The query waits for memory.
--- a/crates/dispatch/tests/action_digest/encoding.rs
+++ b/crates/dispatch/tests/action_digest/encoding.rs
@@ -95,7 +95,7 @@
 /// The name of a progress report's kind.
 pub fn progress_kind(note: ProgressReport) -> &'static str {
     match note {
-        ProgressReport::CompletedFraction(_) => "done",
+        ProgressReport::Done(_) => "done",
         ProgressReport::Spills(_) => "spills",
         ProgressReport::WaitsForMemory => "waits_for_memory",
         ProgressReport::WaitsForLoad => "waits_for_load",
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -372,7 +372,7 @@
                 0 => ProgressReport::Spills(self.between(1.0, 500.0)),
                 1 => ProgressReport::WaitsForMemory,
                 2 => ProgressReport::WaitsForLoad,
-                _ => ProgressReport::CompletedFraction(share * self.between(0.7, 1.2)),
+                _ => ProgressReport::Done(share * self.between(0.7, 1.2)),
             };
             self.plan(run * share, Planned::Progress(id.clone(), attempt, note));
         }
@@ -606,8 +606,8 @@
             0 => self.handle_event(Event::AttemptEnded(end)),
             1 => self.handle_event(Event::AttemptEnded(AttemptEnd { id: known, attempt: no_attempt, ..end })),
             2 => self.handle_event(Event::StreamingStarted(unknown, AttemptNo(0))),
-            3 => self.handle_event(Event::Progress(known, no_attempt, ProgressReport::CompletedFraction(0.5))),
-            4 => self.handle_event(Event::Progress(known, AttemptNo(0), ProgressReport::CompletedFraction(-0.5))),
+            3 => self.handle_event(Event::Progress(known, no_attempt, ProgressReport::Done(0.5))),
+            4 => self.handle_event(Event::Progress(known, AttemptNo(0), ProgressReport::Done(-0.5))),
             5 => self.handle_event(Event::Progress(unknown, AttemptNo(0), ProgressReport::Spills(1.0))),
             6 => self.handle_event(Event::ClientGone(unknown)),
             7 => self.handle_event(Event::Timer(TimerId(7))),
--- a/crates/dispatch/tests/dispatcher/timeouts.rs
+++ b/crates/dispatch/tests/dispatcher/timeouts.rs
@@ -118,7 +118,7 @@
             cancelled += cancels(&harness.handle(Event::Progress(
                 id(number),
                 AttemptNo(0),
-                ProgressReport::CompletedFraction(share),
+                ProgressReport::Done(share),
             )));
             cancelled += cancels(&harness.advance(150.0));
             harness.handle(Event::ClientGone(id(number)));
@@ -157,7 +157,7 @@
         }
         harness.advance(1_200.0);
         for number in 100..103 {
-            harness.handle(Event::Progress(id(number), AttemptNo(0), ProgressReport::CompletedFraction(share)));
+            harness.handle(Event::Progress(id(number), AttemptNo(0), ProgressReport::Done(share)));
         }
         cancelled += cancels(&harness.advance(4_000.0));
         assert_eq!(cancelled.min(1), expected, "share done {share}");
@@ -187,7 +187,7 @@
         let mut harness = Harness::new(settings(vec![class(effect, 1.0)]), 2);
         harness.arrive(request(1, 0, 9_000.0));
         harness.advance(2_000.0);
-        let actions = harness.handle(Event::Progress(id(1), AttemptNo(0), ProgressReport::CompletedFraction(0.01)));
+        let actions = harness.handle(Event::Progress(id(1), AttemptNo(0), ProgressReport::Done(0.01)));
         assert_eq!((rejections(&actions), cancels(&actions)), (given_up, given_up));
     }
 }
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -179,7 +179,7 @@
         }
         if pick < 70 && !in_flight.is_empty() {
             let (id, index) = in_flight[0].clone();
-            return Some(Event::Progress(id, AttemptNo(index), ProgressReport::CompletedFraction(random.rand_float())));
+            return Some(Event::Progress(id, AttemptNo(index), ProgressReport::Done(random.rand_float())));
         }
         self.now += random.rand_range(1..120) as f64;
         self.timer_at = self.timer_at.map(|at| at.max(self.now - 5.0));
--- a/crates/proxy/src/upstream/line_protocol/attempt.rs
+++ b/crates/proxy/src/upstream/line_protocol/attempt.rs
@@ -91,7 +91,7 @@
 
     /// Passes a progress report on.
     pub fn on_progress(&mut self, report: ProgressReport) {
-        let is_running = matches!(report, ProgressReport::CompletedFraction(share) if share > 0.0);
+        let is_running = matches!(report, ProgressReport::Done(share) if share > 0.0);
         if is_running && matches!(self.reply, Reply::Awaited) {
             self.reply = Reply::Running;
         }
--- a/crates/proxy/src/upstream/line_protocol/message.rs
+++ b/crates/proxy/src/upstream/line_protocol/message.rs
@@ -198,7 +198,7 @@
         const WAITS_FOR_LOAD: f64 = 2.0;
         let amount = self.figure("datum").unwrap_or(0.0);
         match self.field("detail")? {
-            "done" => Some(ProgressReport::CompletedFraction(amount)),
+            "done" => Some(ProgressReport::Done(amount)),
             "spills" => Some(ProgressReport::Spills(amount)),
             "waits" if amount == WAITS_FOR_LOAD => Some(ProgressReport::WaitsForLoad),
             "waits" => Some(ProgressReport::WaitsForMemory),
--- a/crates/proxy/tests/unit/upstream_message.rs
+++ b/crates/proxy/tests/unit/upstream_message.rs
@@ -98,7 +98,7 @@
 #[test]
 fn progress_reports_are_told_apart() {
     let report = |fields: &str| message(&format!("1 INFO {fields} 0\r\n\r\n")).progress_report();
-    assert_eq!(report("detail=done,datum=0.5"), Some(ProgressReport::CompletedFraction(0.5)));
+    assert_eq!(report("detail=done,datum=0.5"), Some(ProgressReport::Done(0.5)));
     assert_eq!(report("detail=spills,datum=3"), Some(ProgressReport::Spills(3.0)));
     assert_eq!(report("detail=waits,datum=2"), Some(ProgressReport::WaitsForLoad));
     assert_eq!(report("detail=waits,datum=1"), Some(ProgressReport::WaitsForMemory));
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -214,7 +214,7 @@
     const WAITS_FOR_LOAD: f64 = 2.0;
     let amount = fields.number_or("amount", 0.0)?;
     let report = match fields.integer("sort")? {
-        1 => ProgressReport::CompletedFraction(amount),
+        1 => ProgressReport::Done(amount),
         2 => ProgressReport::Spills(amount),
         3 if amount == WAITS_FOR_LOAD => ProgressReport::WaitsForLoad,
         3 => ProgressReport::WaitsForMemory,
