--- a/crates/settings/src/lenient.rs
+++ b/crates/settings/src/lenient.rs
@@ -1,13 +1,15 @@
-//! Types that decode a JSON value without ever failing: the platform's document may hold keys of any type.
+//! Types whose decoding from a JSON value never fails, because the platform's document may have values of any
+//! type.
 //!
-//! A value of an unexpected type counts as absent. Only numbers are checked, when they are read: see [`Number`].
+//! A value of an unexpected type counts as absent, except for numbers, which are checked when they are read;
+//! see [`Number`].
 
 use serde::de::{Deserialize, DeserializeOwned, Deserializer, Error as _};
 use serde_json::Value;
 
 use crate::SettingError;
 
-/// A value that is absent if the document has none of this type.
+/// A value of type `T`. `None` if the key is missing or its value has another type.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lenient<T>(pub Option<T>);
 
@@ -24,7 +26,7 @@
     }
 }
 
-/// A list that is empty if the document has none.
+/// A list. Empty if the key is missing or its value is not such a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List<T>(pub Vec<T>);
 
@@ -41,15 +43,15 @@
 }
 
 impl<T: Copy> List<Lenient<T>> {
-    /// The entry at this index, if there is one and it has the expected type.
+    /// The entry at this index. `None` if there is no such entry or it has another type.
     pub fn get(&self, index: usize) -> Option<T> {
         self.0.get(index).and_then(|entry| entry.0)
     }
 }
 
-/// An object; anything else counts as an object without keys.
+/// An object. A value of another type counts as an object without keys.
 ///
-/// A derived struct alone would take an array too, as its fields in order.
+/// Without this type a derived struct would also accept an array, as its fields in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Section<T>(pub T);
 
@@ -62,7 +64,7 @@
     }
 }
 
-/// A number whose type is checked when it is read, because a document with a bad value that nobody reads is accepted.
+/// A number whose type is checked when it is read: an invalid value in a key that is not read is no error.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Number {
     /// The key is missing or `null`.
@@ -79,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// A [`SettingError`] that names `key` if the value is no number.
+    /// A [`SettingError`] that names `key` if the value has another type.
     pub fn or(&self, key: &'static str, default: f64) -> Result<f64, SettingError> {
         match self {
             Number::Absent => Ok(default),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,10 @@
 #![forbid(unsafe_code)]
-//! Decodes the settings that the platform gives a dispatcher, as JSON, for the decision module.
+//! Decodes the JSON settings that the platform gives a dispatcher into the [`Settings`] of the decision
+//! module.
 //!
-//! Keys that are absent, and values of an unexpected type, take the default that the protocol states. A number of
-//! another type is an error if the setting is read at all. Values are not checked against each other here; see
-//! [`Settings::validate`].
+//! A key that is absent, or whose value has an unexpected type, gets the default of the protocol. For a
+//! setting that must be a number, a value of another type is an error, but only if the setting is read. The
+//! ranges of values are checked by [`Settings::validate`], not here.
 
 mod document;
 pub mod lenient;
@@ -16,10 +17,10 @@
 use serde::Deserialize as _;
 use serde_json::Value;
 
-use crate::document::{Document, FamilyInfo, Limits, Rules, Service};
+use crate::document::{Class, Document, EngineFamily, Limits, Rules, Tenant};
 use crate::lenient::{Lenient, Number, Section};
 
-/// A setting that is to be a number has another type.
+/// A setting that must be a number has a value of another type.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("setting '{key}' is {value}, not a number")]
 pub struct SettingError {
@@ -33,21 +34,20 @@
 ///
 /// # Errors
 ///
-/// The first setting, in the order of decoding, that is no number though one is needed.
+/// A [`SettingError`] for the first setting, in the order of decoding, that is read as a number and is none.
 pub fn decode(json: &Value) -> Result<Settings, SettingError> {
-    // Every field of the document takes any value, so that decoding cannot fail before a number is read.
+    // Every field of the document accepts any value, so that decoding cannot fail before a number is read.
     let Section(document) = Section::<Document>::deserialize(json).unwrap_or_default();
     let (family, limits, rules) = (&document.family_info.0, &document.limits.0, &document.rules.0);
-    let services = document.services.0.iter().enumerate();
     Ok(Settings {
-        classes: services
-            .map(|(index, service)| class(&service.0, family, index))
+        classes: (document.services.0.iter().enumerate())
+            .map(|(index, class)| class_settings(&class.0, family, index))
             .collect::<Result<_, _>>()?,
-        machine_types: (0..document.kinds.0.len()).map(|kind| machine(family, kind)).collect(),
+        machine_types: (0..document.kinds.0.len()).map(|index| machine_type_settings(family, index)).collect(),
         tenants: document.orgs.0.iter().map(|tenant| tenant_settings(&tenant.0)).collect::<Result<_, _>>()?,
         retry_budget: retry_budget(rules)?,
         dispatchers: document.balancers.or("balancers", 1.0)? as usize,
-        fleet_position: position(&document)?,
+        fleet_position: fleet_position(&document)?,
         zone: ZoneId(document.zone.or("zone", 0.0)? as usize),
         max_open: limits.max_open.or("max_open", f64::MAX)? as usize,
         max_attempts: limits.max_attempts.or("max_attempts", 1.0)? as usize,
@@ -66,6 +66,7 @@
     })
 }
 
+/// A switch, which is off if absent.
 fn flag(value: &Lenient<bool>) -> bool {
     value.0.unwrap_or(false)
 }
@@ -74,57 +75,59 @@
     value.0.as_deref()
 }
 
-/// The class of a service, which is the one at `index`.
-fn class(service: &Service, family: &FamilyInfo, index: usize) -> Result<ClassSettings, SettingError> {
+/// The settings of the class at `index` of the document.
+fn class_settings(class: &Class, family: &EngineFamily, index: usize) -> Result<ClassSettings, SettingError> {
     Ok(ClassSettings {
-        idempotency: effect(service)?,
-        priority_weight: service.importance.or("importance", 1.0)?,
-        late_fraction: service.late_share.or("late_share", 0.0)?,
-        target_latency: service.aim_ms.or("aim_ms", 0.0)?,
-        target_stretch: service.aim_stretch.or("aim_stretch", 0.0)?,
+        idempotency: idempotency(class)?,
+        priority_weight: class.importance.or("importance", 1.0)?,
+        late_fraction: class.late_share.or("late_share", 0.0)?,
+        target_latency: class.aim_ms.or("aim_ms", 0.0)?,
+        target_stretch: class.aim_stretch.or("aim_stretch", 0.0)?,
         threads: family.class_threads.get(index).unwrap_or(1.0),
-        ordered: flag(&service.keep_order),
+        ordered: flag(&class.keep_order),
         locks_tables: family.writes_tables.get(index).unwrap_or(false),
         waits_for_loads: family.waits_for_loads.get(index).unwrap_or(false),
-        zones: numbers(&service.areas_open, ZoneId),
-        machine_types: numbers(&service.served_on, MachineTypeId),
+        zones: ids(&class.areas_open, ZoneId),
+        machine_types: ids(&class.served_on, MachineTypeId),
     })
 }
 
-/// What a repeat of a request does; a class that does not say so must never run twice.
-fn effect(service: &Service) -> Result<Idempotency, SettingError> {
-    Ok(match text(&service.effect) {
+/// The idempotency of a class; without a known value its requests must not run more than once.
+fn idempotency(class: &Class) -> Result<Idempotency, SettingError> {
+    Ok(match text(&class.effect) {
         Some("safe") => Idempotency::Safe,
         Some("keyed") => {
-            let group = match text(&service.group) {
+            let group = match text(&class.group) {
                 Some("zone") => DedupGroup::Zone,
                 Some("cell") => DedupGroup::Cell,
                 _ => DedupGroup::All,
             };
-            Idempotency::Keyed(group, service.window_ms.or("window_ms", 0.0)?)
+            Idempotency::Keyed(group, class.window_ms.or("window_ms", 0.0)?)
         }
         _ => Idempotency::Unsafe,
     })
 }
 
-/// The entries of a list that are natural numbers; `None` where there is no list.
-fn numbers<T>(list: &Lenient<Vec<Lenient<u64>>>, id: fn(usize) -> T) -> Option<Vec<T>> {
+/// The ids of a list, without the entries that are not non-negative integers; `None` if the value is not a
+/// list.
+fn ids<T>(list: &Lenient<Vec<Lenient<u64>>>, id: fn(usize) -> T) -> Option<Vec<T>> {
     let entries = list.0.as_ref()?;
     Some(entries.iter().filter_map(|entry| entry.0).map(|number| id(number as usize)).collect())
 }
 
-fn machine(family: &FamilyInfo, kind: usize) -> MachineTypeSettings {
+/// The settings of the machine type at `index` of the document.
+fn machine_type_settings(family: &EngineFamily, index: usize) -> MachineTypeSettings {
     MachineTypeSettings {
-        cores: family.size_cores.get(kind).unwrap_or(1.0),
-        memory_mb: family.ram_of_kind_mb.get(kind).unwrap_or(0.0),
+        cores: family.size_cores.get(index).unwrap_or(1.0),
+        memory_mb: family.ram_of_kind_mb.get(index).unwrap_or(0.0),
     }
 }
 
-fn tenant_settings(tenant: &document::Organisation) -> Result<TenantSettings, SettingError> {
+fn tenant_settings(tenant: &Tenant) -> Result<TenantSettings, SettingError> {
     Ok(TenantSettings { quota_per_s: tenant.quota_per_s.or("quota_per_s", 0.0)? })
 }
 
-/// The budget for retries; none without a window. Its other numbers are not read then.
+/// The retry budget. `None` without a window; the other numbers of the budget are not read in this case.
 fn retry_budget(rules: &Rules) -> Result<Option<RetryBudgetSettings>, SettingError> {
     if rules.ratio_span_ms == Number::Absent {
         return Ok(None);
@@ -145,7 +148,7 @@
     })
 }
 
-/// The longest wait that clients are asked for; 0 and not read where they take no such hint.
+/// The longest retry delay that clients honour. 0, without reading the limit, if they honour none.
 fn max_retry_after(limits: &Limits) -> Result<f64, SettingError> {
     match flag(&limits.retry_after) {
         true => limits.max_retry_after_ms.or("max_retry_after_ms", 0.0),
@@ -153,9 +156,11 @@
     }
 }
 
-/// The dispatcher's ordinal in the fleet, where the settings state one.
-fn position(document: &Document) -> Result<FleetPosition, SettingError> {
-    let (own, all) = (document.me.or("me", -1.0)?, document.balancers.or("balancers", 1.0)?);
-    let ordinal = (own >= 0.0 && own < all).then(|| FleetPosition::ordinal(own as u32, all as u32));
-    Ok(ordinal.flatten().unwrap_or(FleetPosition::NameKey(0)))
+/// The dispatcher's ordinal in the fleet if the document has a valid one; otherwise the name key 0.
+fn fleet_position(document: &Document) -> Result<FleetPosition, SettingError> {
+    let ordinal = document.me.or("me", -1.0)?;
+    let fleet_size = document.balancers.or("balancers", 1.0)?;
+    let is_valid = ordinal >= 0.0 && ordinal < fleet_size;
+    let position = is_valid.then(|| FleetPosition::ordinal(ordinal as u32, fleet_size as u32));
+    Ok(position.flatten().unwrap_or(FleetPosition::NameKey(0)))
 }
--- a/crates/settings/tests/decode.rs
+++ b/crates/settings/tests/decode.rs
@@ -1,4 +1,5 @@
-//! What a settings document may hold: keys of any type, of which only numbers that are read are checked.
+//! Decoding of settings documents: keys may have values of any type, and only numbers that are read are
+//! checked.
 
 use gaugestep_dispatch::interface::{DedupGroup, Idempotency, FleetPosition, ZoneId};
 use gaugestep_settings::decode;
@@ -16,14 +17,14 @@
     for document in documents {
         assert_eq!(decode(&document).unwrap(), empty, "{document}");
     }
-    let class = |service: Value| decode(&json!({ "services": [service] })).unwrap().classes.remove(0);
-    let unsafe_class = class(json!({}));
-    for service in [json!(1), json!(["safe"]), json!({"effect": {"safe": null}}), json!({"keep_order": 1})] {
-        assert_eq!(class(service.clone()), unsafe_class, "{service}");
+    let decode_class = |class: Value| decode(&json!({ "services": [class] })).unwrap().classes.remove(0);
+    let unsafe_class = decode_class(json!({}));
+    for class in [json!(1), json!(["safe"]), json!({"effect": {"safe": null}}), json!({"keep_order": 1})] {
+        assert_eq!(decode_class(class.clone()), unsafe_class, "{class}");
     }
     assert_eq!(unsafe_class.idempotency, Idempotency::Unsafe);
-    let bound = class(json!({"areas_open": [1, -1, "x", 2.5, 2], "served_on": 4}));
-    assert_eq!((bound.zones, bound.machine_types), (Some(vec![ZoneId(1), ZoneId(2)]), None));
+    let restricted = decode_class(json!({"areas_open": [1, -1, "x", 2.5, 2], "served_on": 4}));
+    assert_eq!((restricted.zones, restricted.machine_types), (Some(vec![ZoneId(1), ZoneId(2)]), None));
 }
 
 #[test]
@@ -32,13 +33,13 @@
     assert_eq!(message(&json!({"balancers": "x"})), "setting 'balancers' is \"x\", not a number");
     let keyed = |effect: &str| json!({"services": [{"effect": effect, "group": "zone", "window_ms": true}]});
     assert_eq!(message(&keyed("keyed")), "setting 'window_ms' is true, not a number");
-    assert!(decode(&keyed("safe")).is_ok(), "only keyed classes have a window");
+    assert!(decode(&keyed("safe")).is_ok(), "the window is read for keyed classes only");
     let rules = |window: Value| json!({"rules": {"ratio_span_ms": window, "budget_free": []}});
     assert_eq!(message(&rules(json!(5))), "setting 'budget_free' is [], not a number");
     assert_eq!(decode(&rules(Value::Null)).unwrap().retry_budget, None);
-    let limits = |hint: bool| json!({"limits": {"retry_after": hint, "max_retry_after_ms": {}}});
+    let limits = |honoured: bool| json!({"limits": {"retry_after": honoured, "max_retry_after_ms": {}}});
     assert_eq!(message(&limits(true)), "setting 'max_retry_after_ms' is {}, not a number");
-    assert!(decode(&limits(false)).is_ok(), "no hint, no limit of it");
+    assert!(decode(&limits(false)).is_ok(), "the limit is read only if clients honour a retry delay");
 }
 
 #[test]
@@ -52,18 +53,18 @@
 }
 
 #[test]
-fn an_ordinal_needs_a_number_below_the_size_of_the_fleet() {
-    let position = |me: f64| decode(&json!({"me": me, "balancers": 3})).unwrap().fleet_position;
+fn ordinal_outside_the_fleet_size_is_ignored() {
+    let position = |ordinal: f64| decode(&json!({"me": ordinal, "balancers": 3})).unwrap().fleet_position;
     assert_eq!(Some(position(2.0)), FleetPosition::ordinal(2, 3));
     assert_eq!((position(3.0), position(-1.0)), (FleetPosition::NameKey(0), FleetPosition::NameKey(0)));
 }
 
 #[test]
-fn engines_drop_repeats_in_the_named_group() {
+fn keyed_class_has_the_named_dedup_group_or_all_engines() {
     for (group, expected) in [("zone", DedupGroup::Zone), ("cell", DedupGroup::Cell), ("x", DedupGroup::All)]
     {
-        let service = json!({"effect": "keyed", "group": group, "window_ms": 9});
-        let settings = decode(&json!({ "services": [service] })).unwrap();
+        let class = json!({"effect": "keyed", "group": group, "window_ms": 9});
+        let settings = decode(&json!({ "services": [class] })).unwrap();
         assert_eq!(settings.classes[0].idempotency, Idempotency::Keyed(expected, 9.0));
     }
 }
