--- a/crates/dispatch/src/interface/actions.rs
+++ b/crates/dispatch/src/interface/actions.rs
@@ -9,8 +9,8 @@
     AttemptsFailed,
     /// No engine had capacity for it before its deadline.
     QueueTimeout,
-    /// Its expected run time, learned from the responses of its class, exceeds the time to its deadline by far,
-    /// or a response would have no priority weight any more.
+    /// Its expected run time, learned from the responses of its class, exceeds the time to its deadline by
+    /// far, or a response would have no priority weight any more.
     TooLong,
     /// More than [`Settings::max_open`] requests are open, and this one has the lowest rank.
     Overloaded,
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -27,8 +27,8 @@
     pub cell: CellId,
     /// Whether it accepts new attempts.
     pub readiness: Readiness,
-    /// When its process started. None if unknown: an engine that first appears in [`Event::EngineChanges`] then
-    /// counts as started at that moment, one that first appears in [`Event::EngineList`] as warmed up.
+    /// When its process started. None if unknown: an engine that first appears in [`Event::EngineChanges`]
+    /// then counts as started at that moment, one that first appears in [`Event::EngineList`] as warmed up.
     pub started_at: Option<Millis>,
     /// The key that `gaugestep_subsetting::key` derives from its name, which is the same at every dispatcher.
     pub name_key: u64,
@@ -170,11 +170,11 @@
     ClientGone(RequestId),
     /// The dispatcher shuts down: open requests whose deadline is later get this time as their deadline.
     ShutdownBy(Millis),
-    /// The roster assigns this position in the fleet until the given time. Afterwards the position of the settings
-    /// applies.
+    /// The roster assigns this position in the fleet until the given time. Afterwards the position of the
+    /// settings applies.
     PositionAssigned(FleetPosition, Millis),
-    /// The settings changed. A class must keep its number while a request of it is open; a class with other rules
-    /// gets a new number.
+    /// The settings changed. A class must keep its number while a request of it is open; a class with other
+    /// rules gets a new number.
     SettingsUpdated(Box<Settings>),
     /// A probe of an engine ended, with a load report if the engine sent one.
     ProbeResult(EngineId, Outcome, Option<LoadReport>),
--- a/crates/dispatch/src/interface/mod.rs
+++ b/crates/dispatch/src/interface/mod.rs
@@ -1,7 +1,8 @@
 //! The interface of the decision module: its settings, the events that it handles and the actions that it
 //! returns.
 //!
-//! Times are in milliseconds on a monotonic clock of the embedder.
+//! The embedder is the program that hosts a dispatcher: a proxy, the simulator's adapter or a test. Times are
+//! in milliseconds on a monotonic clock of the embedder.
 
 mod actions;
 mod events;
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -108,8 +108,8 @@
     pub classes: Option<Vec<ClassId>>,
     /// The tenants that it applies to. None matches all tenants.
     pub tenants: Option<Vec<TenantId>>,
-    /// The engines that may serve a matching request, with their relative weights. None allows all engines with
-    /// equal weights.
+    /// The engines that may serve a matching request, with their relative weights. None allows all engines
+    /// with equal weights.
     pub engines: Option<BTreeMap<EngineId, f64>>,
 }
 
@@ -144,11 +144,11 @@
     pub priorities: bool,
     /// The fraction of the priority weight that a request above its tenant's quota keeps.
     pub over_quota_fraction: f64,
-    /// The penalty for an attempt on an engine in another zone, as a fraction of the value of a first attempt; 0
-    /// for none. Placement raises the load of engines in other zones in proportion to it.
+    /// The penalty for an attempt on an engine in another zone, as a fraction of the value of a first
+    /// attempt; 0 for none. Placement raises the load of engines in other zones in proportion to it.
     pub cross_zone_penalty: f64,
-    /// The time after the deadline during which a final response still counts as timely, in ms. No policy of the
-    /// dispatcher reads it.
+    /// The time after the deadline during which a final response still counts as timely, in ms. No policy of
+    /// the dispatcher reads it.
     pub response_slack: Millis,
     /// The warm-up of a freshly started engine, and the load that it tolerates meanwhile.
     pub slow_start: SlowStartSettings,
@@ -164,7 +164,7 @@
 }
 
 impl Settings {
-    /// The weight of an engine in the route of a request, relative to other engines; 0 if it may not serve it.
+    /// The weight of an engine in the route of a request, relative to other engines; 0 excludes the engine.
     pub fn route_weight(&self, new: &NewRequest, engine: EngineId) -> f64 {
         let applies = |route: &&Route| {
             route.classes.as_ref().is_none_or(|classes| classes.contains(&new.class))
