--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: plain settings, and events with sensible defaults.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! Test helpers: settings and events with defaults, and a dispatcher with a simulated clock.
+#![allow(dead_code, reason = "each test program uses some of the helpers")]
 
 use gaugestep_dispatch::interface::*;
 use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
@@ -80,7 +80,7 @@
     }
 }
 
-/// A dispatcher with a clock, for tests that step through events.
+/// A dispatcher with a simulated clock, to which tests pass one event after the other.
 pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Millis,
@@ -100,9 +100,9 @@
         actions
     }
 
-    /// Lets the clock run in steps of the module's timer and gathers what it does.
-    pub fn advance(&mut self, span: Millis) -> Vec<Action> {
-        let end = self.now + span;
+    /// Advances the clock in steps of 10 ms with a timer event after each, and returns all actions.
+    pub fn advance(&mut self, duration: Millis) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 10.0).min(end);
@@ -135,12 +135,12 @@
         }))
     }
 
-    /// Serves one request of `class` from start to end with the given run time.
-    pub fn serve(&mut self, number: u32, class: usize, run: Millis) {
+    /// Sends one request of `class`, which an engine serves after `run_time`.
+    pub fn serve(&mut self, number: u32, class: usize, run_time: Millis) {
         let sent = sends(&self.arrive(request(number, class, self.now + 60_000.0)));
-        let engine = *sent.first().expect("an idle fleet takes the request at once");
-        self.now += run;
-        self.end(number, 0, engine, Outcome::Served, run);
+        let engine = *sent.first().expect("an idle fleet gets the request at once");
+        self.now += run_time;
+        self.end(number, 0, engine, Outcome::Served, run_time);
     }
 }
 
--- a/crates/dispatch/tests/dispatcher/answers.rs
+++ b/crates/dispatch/tests/dispatcher/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers, settings that are not usable and events that change nothing.
+//! Final responses, invalid settings and events without effect.
 
 use gaugestep_dispatch::Dispatcher;
 use gaugestep_dispatch::interface::*;
@@ -6,7 +6,7 @@
 use crate::common::*;
 
 #[test]
-fn every_request_gets_one_answer_before_its_deadline_even_without_engines() {
+fn every_request_gets_one_response_by_its_deadline_without_engines() {
     let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 0);
     let mut actions = harness.arrive(request(1, 0, 3_000.0));
     actions.extend(harness.advance(3_000.0));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn time_out_at_the_deadline_is_answered_at_once() {
+fn attempt_that_times_out_at_the_deadline_is_rejected_at_once() {
     let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 2);
     let sent = sends(&harness.arrive(request(1, 0, 2_500.0)))[0];
     harness.now = 2_500.0;
@@ -26,47 +26,47 @@
 }
 
 #[test]
-fn unusable_settings_name_their_field() {
+fn invalid_settings_name_the_field_in_the_error() {
     let error = Dispatcher::new(settings(vec![]), 1).err().unwrap();
     assert_eq!(error.field, "classes");
-    let mut endless = settings(vec![class(Idempotency::Safe, 1.0)]);
-    endless.order_pause = f64::INFINITY;
-    assert_eq!(Dispatcher::new(endless, 1).err().unwrap().field, "order_pause");
+    let mut infinite = settings(vec![class(Idempotency::Safe, 1.0)]);
+    infinite.order_pause = f64::INFINITY;
+    assert_eq!(Dispatcher::new(infinite, 1).err().unwrap().field, "order_pause");
     let mut negative = settings(vec![class(Idempotency::Safe, 1.0)]);
     negative.slow_start.window = -1.0;
     assert_eq!(Dispatcher::new(negative, 1).err().unwrap().field, "cold.span");
-    let mut nobody = settings(vec![class(Idempotency::Safe, 1.0)]);
-    nobody.dispatchers = 0;
-    assert_eq!(Dispatcher::new(nobody, 1).err().unwrap().field, "dispatchers");
-    for share in [-0.1, 1.1, f64::NAN] {
-        let mut odd = settings(vec![class(Idempotency::Safe, 1.0)]);
-        odd.slow_start.initial_share = share;
-        assert_eq!(Dispatcher::new(odd, 1).err().unwrap().field, "cold.share");
+    let mut empty_fleet = settings(vec![class(Idempotency::Safe, 1.0)]);
+    empty_fleet.dispatchers = 0;
+    assert_eq!(Dispatcher::new(empty_fleet, 1).err().unwrap().field, "dispatchers");
+    for fraction in [-0.1, 1.1, f64::NAN] {
+        let mut out_of_range = settings(vec![class(Idempotency::Safe, 1.0)]);
+        out_of_range.slow_start.initial_share = fraction;
+        assert_eq!(Dispatcher::new(out_of_range, 1).err().unwrap().field, "cold.share");
     }
 }
 
 #[test]
 fn outcomes_of_unknown_requests_and_repeated_outcomes_change_nothing() {
     let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 2);
-    let silent = |actions: &[Action]| {
+    let changes_nothing = |actions: &[Action]| {
         sends(actions).is_empty() && rejections(actions) + failures(actions) + cancels(actions) == 0
     };
-    assert!(silent(&harness.end(77, 0, EngineId(0), Outcome::Served, 5.0)));
+    assert!(changes_nothing(&harness.end(77, 0, EngineId(0), Outcome::Served, 5.0)));
     let sent = sends(&harness.arrive(request(1, 0, 9_000.0)))[0];
-    assert!(silent(&harness.end(1, 3, sent, Outcome::Served, 5.0)));
-    assert!(silent(&harness.end(1, 0, sent, Outcome::Served, 5.0)));
-    assert!(silent(&harness.end(1, 0, sent, Outcome::Served, 5.0)));
-    assert!(silent(&harness.handle(Event::ClientGone(id(1)))));
+    assert!(changes_nothing(&harness.end(1, 3, sent, Outcome::Served, 5.0)));
+    assert!(changes_nothing(&harness.end(1, 0, sent, Outcome::Served, 5.0)));
+    assert!(changes_nothing(&harness.end(1, 0, sent, Outcome::Served, 5.0)));
+    assert!(changes_nothing(&harness.handle(Event::ClientGone(id(1)))));
 }
 
-/// At the limit of open requests, clients of the next ones could not even connect.
+/// Guards against a dispatcher at its limit of open requests, to which further clients could not connect.
 #[test]
 fn excess_requests_of_the_lowest_rank_are_rejected() {
-    let mut site = settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 2.0)]);
-    site.max_open = 40;
-    let mut harness = Harness::new(site, 1);
-    let refused: usize = (0..60)
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 2.0)]);
+    settings.max_open = 40;
+    let mut harness = Harness::new(settings, 1);
+    let rejected: usize = (0..60)
         .map(|number| rejections(&harness.arrive(request(number, usize::from(number % 2 == 0), 60_000.0))))
         .sum();
-    assert_eq!(refused, 20);
+    assert_eq!(rejected, 20);
 }
--- a/crates/dispatch/tests/dispatcher/main.rs
+++ b/crates/dispatch/tests/dispatcher/main.rs
@@ -1,4 +1,4 @@
-//! Black-box tests of the decision module, by concern.
+//! Black-box tests of the dispatcher, one module for each concern.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/dispatch/tests/dispatcher/retries.rs
+++ b/crates/dispatch/tests/dispatcher/retries.rs
@@ -1,4 +1,4 @@
-//! Whether a request gets another attempt.
+//! Retries: whether a request gets another attempt.
 
 use gaugestep_dispatch::interface::*;
 
@@ -6,7 +6,7 @@
 use crate::timeouts::{time_until_cancel, trained};
 
 #[test]
-fn unsafe_class_is_never_cancelled_retried_or_rejected_once_it_may_have_run() {
+fn unsafe_request_that_may_have_run_is_never_cancelled_retried_or_rejected() {
     let mut harness = trained(settings(vec![class(Idempotency::Unsafe, 1.0)]), 1, 20_000.0);
     assert_eq!(time_until_cancel(&mut harness, 8_000.0), None);
     let sent = sends(&harness.arrive(request(9_000, 0, harness.now + 60_000.0)));
@@ -19,9 +19,9 @@
 fn unsafe_request_that_never_ran_is_retried() {
     let mut harness = Harness::new(settings(vec![class(Idempotency::Unsafe, 1.0)]), 3);
     let sent = sends(&harness.arrive(request(1, 0, 60_000.0)));
-    let again = sends(&harness.end(1, 0, sent[0], Outcome::ConnectFailed, 250.0));
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0], sent[0]);
+    let retry = sends(&harness.end(1, 0, sent[0], Outcome::ConnectFailed, 250.0));
+    assert_eq!(retry.len(), 1);
+    assert_ne!(retry[0], sent[0]);
 }
 
 #[test]
@@ -47,17 +47,18 @@
     let mut settings = settings(vec![class(Idempotency::Safe, 1.0)]);
     settings.retry_budget = Some(RetryBudgetSettings { min_retries: 2.0, ratio: 0.1, window: 5_000.0 });
     let mut harness = Harness::new(settings, 40);
-    let mut further = 0;
+    let mut retries = 0;
     for number in 0..10 {
         let sent = sends(&harness.arrive(request(number, 0, 60_000.0)));
-        further += sends(&harness.end(number, 0, sent[0], Outcome::Failed, 1.0)).len();
+        retries += sends(&harness.end(number, 0, sent[0], Outcome::Failed, 1.0)).len();
     }
-    assert_eq!(further, 3, "2 free and a tenth of 10 requests");
+    assert_eq!(retries, 3, "2 in any window and a tenth of 10 requests");
 }
 
-/// Guards the ration of attempts, and the client's time, against a request that no engine can answer.
+/// A request that no engine can serve must not use up the retry budget, nor keep its client waiting until the
+/// deadline.
 #[test]
-fn request_that_fails_on_two_engines_is_given_up_at_once() {
+fn request_that_fails_on_two_engines_is_rejected_at_once() {
     let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 4);
     let first = sends(&harness.arrive(request(1, 0, harness.now + 60_000.0)))[0];
     let second = sends(&harness.end(1, 0, first, Outcome::Failed, 5.0))[0];
--- a/crates/dispatch/tests/dispatcher/work_estimates.rs
+++ b/crates/dispatch/tests/dispatcher/work_estimates.rs
@@ -1,10 +1,10 @@
-//! What is learned of the work of a class.
+//! The estimates of the work of a class, learned from its responses.
 
 use gaugestep_dispatch::interface::*;
 
 use crate::common::*;
 
-/// A class whose late answers have no priority weight, as in the README's example.
+/// A dispatcher of one class whose responses after the target latency have no priority weight.
 fn without_late_weight() -> Harness {
     let class = ClassSettings {
         target_latency: 500.0,
@@ -15,7 +15,7 @@
     Harness::new(settings(vec![class]), 2)
 }
 
-/// Sends a request and has it served with this work, if it is sent at all.
+/// Passes on a request and, if it is sent, ends it as served with this work. Returns whether it was sent.
 fn is_served(harness: &mut Harness, number: u32, estimate: Millis, work: Millis) -> bool {
     let new = NewRequest { estimate, ..request(number, 0, harness.now + 1_500.0) };
     let Some(engine) = sends(&harness.arrive(new)).first().copied() else { return false };
@@ -33,9 +33,10 @@
     true
 }
 
-/// What is only assumed to take too long must not be rejected for good: nothing would ever be learned.
+/// A class must not be rejected because its work is assumed to be too long: its true work would never be
+/// learned.
 #[test]
-fn class_without_estimates_is_tried_and_learned_from_its_answers() {
+fn class_without_estimates_is_sent_and_its_work_is_learned_from_responses() {
     let mut harness = without_late_weight();
     for number in 0..30 {
         assert!(is_served(&mut harness, number, 0.0, 50.0), "request {number}");
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn requests_with_estimates_inform_those_without() {
+fn work_learned_from_requests_with_estimates_applies_to_requests_without() {
     let mut harness = without_late_weight();
     for number in 0..30 {
         assert!(is_served(&mut harness, number, 50.0, 50.0));
@@ -51,14 +52,15 @@
     assert!(is_served(&mut harness, 30, 0.0, 50.0));
 }
 
-/// Answers are forgotten: a class that got slow is tried again after a while, and found quick again.
+/// What is learned from responses expires, so that a class that was slow for some time is not rejected for
+/// ever.
 #[test]
-fn class_known_to_take_too_long_is_rejected_and_tried_again_later() {
+fn class_known_to_take_too_long_is_rejected_and_sent_again_later() {
     let mut harness = without_late_weight();
     assert!(is_served(&mut harness, 0, 0.0, 900.0));
-    let refused = harness.arrive(NewRequest { estimate: 0.0, ..request(1, 0, harness.now + 1_500.0) });
-    let refused = [refused, harness.advance(30.0)].concat();
-    let reason = refused.iter().find_map(|action| match action {
+    let actions = harness.arrive(NewRequest { estimate: 0.0, ..request(1, 0, harness.now + 1_500.0) });
+    let actions = [actions, harness.advance(30.0)].concat();
+    let reason = actions.iter().find_map(|action| match action {
         Action::Reject { reason, .. } => Some(*reason),
         _ => None,
     });
@@ -69,5 +71,5 @@
             harness.advance(30_000.0);
         }
     }
-    assert!(is_served(&mut harness, 50, 0.0, 50.0), "found quick again");
+    assert!(is_served(&mut harness, 50, 0.0, 50.0), "the class is fast again");
 }
