--- a/crates/dispatch/tests/action_digest.rs
+++ b/crates/dispatch/tests/action_digest.rs
@@ -1,14 +1,18 @@
-//! Pins the decision module: the same seed and the same events lead to the same actions.
+//! Pins the behaviour of the dispatcher: the same seed and the same events lead to the same actions.
 //!
-//! A simulated embedder plays streams of events under several profiles of settings, fleet and traffic, and reacts to what the
-//! module wants done. A digest of all actions of each stream, with counts of what came, is compared with
-//! `tests/golden/action_digests.txt`. A change that is to keep behaviour must not change that file.
+//! A simulated embedder generates streams of events under several profiles of settings, fleet and traffic,
+//! and carries out the dispatcher's actions. A digest of all actions of each stream, with counts of its
+//! events and actions, is compared with `tests/golden/action_digests.txt`. A change that is meant to preserve
+//! behaviour must not change that file.
 //!
-//! - `GAUGESTEP_WRITE_GOLDEN=1 cargo test --test action_digest` rewrites the file, for a change of behaviour that is meant.
-//! - `GAUGESTEP_ACTION_TRACE=DIR cargo test --test action_digest` writes the text behind each digest to a file in that folder;
-//!   a `diff` with the files of an earlier commit shows the first decision that differs.
+//! - `GAUGESTEP_WRITE_GOLDEN=1 cargo test --test action_digest` rewrites the file, for an intended change of
+//!   behaviour.
+//! - `GAUGESTEP_ACTION_TRACE=DIR cargo test --test action_digest` writes the digested text of each stream to
+//!   a file in that folder; a `diff` with the files of an earlier commit shows the first decision that
+//!   differs.
 //!
-//! Decisions use `exp` and `ln` of the platform's mathematical library, which may differ in the last place between platforms.
+//! Decisions use `exp` and `ln` of the platform's math library, which may differ in the last bit between
+//! platforms.
 
 #[path = "action_digest/encoding.rs"]
 mod encoding;
@@ -27,18 +31,18 @@
 use recorder::{Coverage, Recorder};
 use simulation::Simulation;
 
-/// The seeds that each profile is played with.
+/// The seeds with which each profile is simulated.
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// Events in all streams together, at the least.
-const LEAST_EVENTS: u64 = 100_000;
-/// Open requests above which the module defers placement to a call of its own.
+/// The minimum number of events in all streams together.
+const MIN_EVENTS: u64 = 100_000;
+/// The number of open requests above which the dispatcher defers placement to `run_pending`.
 const DEFERRED_ABOVE_OPEN: usize = 300;
-/// Set to 1, the golden file is rewritten.
+/// The environment variable that, set to 1, makes the test rewrite the golden file.
 const WRITE_GOLDEN: &str = "GAUGESTEP_WRITE_GOLDEN";
-/// Set to a folder, the text behind each digest is written there.
+/// The environment variable with the folder to which the digested text of each stream is written.
 const ACTION_TRACE: &str = "GAUGESTEP_ACTION_TRACE";
 
-/// What all streams gave.
+/// The results of all streams.
 #[derive(Default)]
 struct PlayedStreams {
     /// The text of the golden file.
@@ -57,18 +61,18 @@
     Simulation::play(profile, seed, trace.as_deref())
 }
 
-/// Plays a profile with all seeds, side by side; the records come in the order of the seeds.
+/// Simulates a profile with all seeds in parallel. The records are in the order of the seeds.
 fn play_all_seeds(profile: &Profile) -> Vec<(u64, Recorder)> {
     std::thread::scope(|scope| {
         let streams = SEEDS.map(|seed| (seed, scope.spawn(move || play(profile, seed))));
         let record = |(seed, stream): (u64, std::thread::ScopedJoinHandle<Recorder>)| {
-            (seed, stream.join().expect("a stream is played without a panic"))
+            (seed, stream.join().expect("the simulation of a stream does not panic"))
         };
         streams.into_iter().map(record).collect()
     })
 }
 
-/// Plays a profile with all seeds and adds what came of it.
+/// Simulates a profile with all seeds and adds the results.
 fn add_profile(played: &mut PlayedStreams, profile: &Profile) {
     let mut coverage = Coverage::default();
     let text = &mut played.text;
@@ -87,7 +91,7 @@
         format!("outcomes: {}", coverage.outcomes.text()),
         format!("progress: {}", coverage.progress.text()),
         format!("run_pending calls with actions: {}", coverage.pending_runs),
-        format!("most open: {}, most avoided: {}", coverage.most_open, coverage.most_avoided),
+        format!("most open: {}, most avoided: {}", coverage.most_open, coverage.most_ejected),
     ];
     for line in lines {
         writeln!(text, "  {line}").expect("a string takes any text");
@@ -106,14 +110,14 @@
 #[test]
 fn actions_are_those_of_the_golden_file() {
     let played = play_all();
-    assert_eq!(played.coverage.missing(), Vec::<&str>::new(), "kinds that never came:\n{}", played.text);
-    assert!(played.events >= LEAST_EVENTS, "only {} events", played.events);
+    assert_eq!(played.coverage.missing(), Vec::<&str>::new(), "kinds that never occurred:\n{}", played.text);
+    assert!(played.events >= MIN_EVENTS, "only {} events", played.events);
     assert!(played.coverage.most_open > DEFERRED_ABOVE_OPEN, "overload must be covered");
     assert!(played.coverage.pending_runs > 0, "deferred placement must be covered");
-    assert!(played.coverage.most_avoided > 0, "engines must be avoided");
+    assert!(played.coverage.most_ejected > 0, "ejections must be covered");
     if std::env::var(WRITE_GOLDEN).is_ok_and(|value| value == "1") {
         return fs::write(golden_path(), played.text).expect("the golden file can be written");
     }
-    let golden = fs::read_to_string(golden_path()).expect("the golden file is there");
-    assert!(golden == played.text, "actions differ from the golden file; now they are:\n{}", played.text);
+    let golden = fs::read_to_string(golden_path()).expect("the golden file can be read");
+    assert!(golden == played.text, "actions differ from the golden file; the actual ones are:\n{}", played.text);
 }
--- a/crates/dispatch/tests/action_digest/encoding.rs
+++ b/crates/dispatch/tests/action_digest/encoding.rs
@@ -1,8 +1,10 @@
-//! The stable text of the module's actions and the names of what is counted.
+//! The stable text form of the dispatcher's actions, and the names under which events and actions are
+//! counted.
 //!
-//! Every name of a product type, variant or field that the digest depends on stands in this file. The texts on the right-hand
-//! side are part of the golden file and must stay as they are when a product name changes. Floats are written as their bits,
-//! so that a difference in the last place shows. The texts of log lines are left out on purpose.
+//! This file alone maps types, variants and fields of the interface to the texts of the digests. The texts
+//! are part of the golden file and must not change when the interface renames something. Floats are written
+//! as their bits, so that a difference in the last bit is detected. The texts of log lines are not part of
+//! the digests, so that they can be reworded.
 
 use std::fmt::Write as _;
 
@@ -11,7 +13,7 @@
 /// The kinds of action in the order of the golden file; each must occur.
 pub const ACTION_KINDS: [&str; 7] = ["send", "cancel", "reject", "fail", "set_terms", "set_timer", "log"];
 
-/// The reasons of a rejection in the order of the golden file; each must occur.
+/// The reject reasons in the order of the golden file; each must occur.
 pub const REJECT_REASONS: [&str; 4] = ["attempts_failed", "expired_waiting", "too_long", "overloaded"];
 
 /// The kinds of event in the order of the golden file; each must occur.
@@ -50,7 +52,7 @@
     }
 }
 
-/// The name of a rejection's reason.
+/// The name of a reject reason.
 pub fn reject_reason(reason: RejectReason) -> &'static str {
     match reason {
         RejectReason::AttemptsFailed => "attempts_failed",
@@ -93,8 +95,8 @@
 }
 
 /// The name of a progress report's kind.
-pub fn progress_kind(note: ProgressReport) -> &'static str {
-    match note {
+pub fn progress_kind(report: ProgressReport) -> &'static str {
+    match report {
         ProgressReport::Done(_) => "done",
         ProgressReport::Spills(_) => "spills",
         ProgressReport::WaitsForMemory => "waits_for_memory",
@@ -121,18 +123,18 @@
     written.expect("a string takes any text");
 }
 
-/// Appends the line that precedes the actions of one call: its number, its time and what was called.
+/// Appends the line that precedes the actions of one call: its number, its time and the name of the call.
 pub fn write_call(text: &mut String, number: u64, now: Millis, call: &str) {
     writeln!(text, "call {number} {} {call}", bits(now)).expect("a string takes any text");
 }
 
-/// Appends the answer to a query for the time until which an attempt may be sent.
+/// Appends the result of `Dispatcher::sendable_until`.
 pub fn write_sendable_until(text: &mut String, until: Millis) {
     writeln!(text, "sendable_until {}", bits(until)).expect("a string takes any text");
 }
 
-/// Appends the answer to a query for the number of engines avoided.
-pub fn write_avoided(text: &mut String, engines: usize) {
+/// Appends the result of `Dispatcher::ejected_count`.
+pub fn write_ejected_count(text: &mut String, engines: usize) {
     writeln!(text, "avoided {engines}").expect("a string takes any text");
 }
 
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -4,86 +4,87 @@
 
 use gaugestep_dispatch::interface::*;
 
-/// What one stream is generated from.
+/// The parameters from which a stream is generated.
 #[derive(Clone)]
 pub struct Profile {
     /// Its name in the golden file.
     pub name: &'static str,
-    /// The settings at the start.
+    /// The initial settings.
     pub settings: Settings,
-    /// Engines on the first list.
+    /// The number of engines on the first list.
     pub engines: u32,
     /// The traffic and the faults.
     pub traffic: Traffic,
-    /// Whether settings are changed on the way.
+    /// Whether the settings change during the stream.
     pub changes_settings: bool,
-    /// Whether the dispatcher's place comes from a roster.
+    /// Whether a roster assigns the dispatcher's position in the fleet.
     pub has_roster: bool,
-    /// Events in one stream.
+    /// The number of events in one stream.
     pub events: u64,
 }
 
-/// Traffic and faults; chances are from 0 to 1.
+/// The traffic and the faults. Probabilities are from 0 to 1, times in ms.
 #[derive(Clone)]
 pub struct Traffic {
     /// The mean time between two arrivals.
-    pub arrival_gap: Millis,
+    pub mean_arrival_interval: Millis,
     /// The time between two probes of an engine.
-    pub probe_gap: Millis,
+    pub probe_interval: Millis,
     /// The shortest and the longest work of a request.
     pub work: (Millis, Millis),
-    /// The shortest and the longest time that a client waits.
+    /// The shortest and the longest time that a client waits for its response.
     pub patience: (Millis, Millis),
-    /// The chance that a run takes many times its work.
+    /// The probability that a run takes many times its usual time.
     pub straggler: f64,
-    /// The chance that an engine goes through a spell of one kind of fault, at each look at the fleet.
-    pub fault_spell: f64,
-    /// The longest such spell.
-    pub longest_spell: Millis,
-    /// The chance that an engine is drained, removed, replaced or brought back, at each look at the fleet.
+    /// The probability that an engine gets a fault, at each change of the fleet.
+    pub fault: f64,
+    /// The longest duration of a fault.
+    pub max_fault_duration: Millis,
+    /// The probability that an engine is drained, removed or restarted or that the list is sent again, at
+    /// each change of the fleet.
     pub fleet_change: f64,
-    /// The chance that a load report comes with an end or a probe.
+    /// The probability that the end of an attempt or a probe carries a load report.
     pub load_report: f64,
-    /// The chance that an answer tells the true cost.
+    /// The probability that a response carries the true cost.
     pub cost_report: f64,
-    /// The chance that a running attempt sends progress reports.
+    /// The probability that an attempt sends progress reports.
     pub progress: f64,
-    /// The chance that a client leaves before its answer.
+    /// The probability that a client leaves before its response.
     pub client_leaves: f64,
-    /// The chance that an answer is streamed.
+    /// The probability that a response is streamed.
     pub streamed: f64,
-    /// The chance that an odd but legal event is put in, for each arrival.
-    pub odd_event: f64,
+    /// The probability, for each arrival, that an unusual but legal event follows.
+    pub unusual_event: f64,
 }
 
-const USUAL_TRAFFIC: Traffic = Traffic {
-    arrival_gap: 60.0,
-    probe_gap: 150.0,
+const DEFAULT_TRAFFIC: Traffic = Traffic {
+    mean_arrival_interval: 60.0,
+    probe_interval: 150.0,
     work: (50.0, 1_500.0),
     patience: (4_000.0, 20_000.0),
     straggler: 0.05,
-    fault_spell: 0.1,
-    longest_spell: 5_000.0,
+    fault: 0.1,
+    max_fault_duration: 5_000.0,
     fleet_change: 0.05,
     load_report: 0.6,
     cost_report: 0.5,
     progress: 0.3,
     client_leaves: 0.03,
     streamed: 0.05,
-    odd_event: 0.05,
+    unusual_event: 0.05,
 };
 
-/// Number of engines in each zone, cell and machine kind follows from the engine's number by these.
+/// The numbers by which an engine's zone, cell and machine type follow from its id.
 const ZONES: u32 = 3;
 const ENGINES_PER_CELL: u32 = 2;
-const MACHINE_KINDS: u32 = 2;
+const MACHINE_TYPES: u32 = 2;
 
-/// An engine's line of the list while it takes work.
+/// An engine's entry of the list while it accepts attempts.
 pub fn engine_entry(engine: u32) -> EngineEntry {
     EngineEntry {
         engine: EngineId(engine),
         zone: ZoneId((engine % ZONES) as usize),
-        machine_type: MachineTypeId((engine / ZONES % MACHINE_KINDS) as usize),
+        machine_type: MachineTypeId((engine / ZONES % MACHINE_TYPES) as usize),
         cell: CellId(u64::from(engine / ENGINES_PER_CELL)),
         readiness: Readiness::Up,
         started_at: None,
@@ -153,7 +154,7 @@
     ]
 }
 
-/// One class of each effect and of each binding, two of them ordered.
+/// Classes of each idempotency and with each placement constraint; two of them are ordered.
 fn classes_of_all_kinds() -> Vec<ClassSettings> {
     let keyed = |group, window| class(Idempotency::Keyed(group, window), 1.0);
     vec![
@@ -169,7 +170,7 @@
     ]
 }
 
-/// Loads that hold tables, queries that wait for them, and a plain class.
+/// A class of loads that lock tables, one of queries that wait for loads, and one without either.
 fn classes_with_loads() -> Vec<ClassSettings> {
     vec![
         class(Idempotency::Safe, 1.0),
@@ -186,8 +187,8 @@
         memory_and_loads(),
         tenants_budget_and_routes(),
         concurrent_attempts(),
-        no_cancelling(),
-        cold_fleet(),
+        no_cancellation(),
+        warming_fleet(),
         many_dispatchers(),
         many_dispatchers_without_reports(),
         outages(),
@@ -199,21 +200,21 @@
     ]
 }
 
-fn usual(name: &'static str, settings: Settings, engines: u32) -> Profile {
-    let traffic = USUAL_TRAFFIC;
+fn default_profile(name: &'static str, settings: Settings, engines: u32) -> Profile {
+    let traffic = DEFAULT_TRAFFIC;
     Profile { name, settings, engines, traffic, changes_settings: true, has_roster: false, events: 5_000 }
 }
 
 fn few_dispatchers() -> Profile {
     let settings = Settings { priorities: true, cross_zone_penalty: 0.05, ..settings(two_classes()) };
-    usual("few_dispatchers", settings, 8)
+    default_profile("few_dispatchers", settings, 8)
 }
 
 fn effects_and_order() -> Profile {
     let budget = RetryBudgetSettings { min_retries: 3.0, ratio: 0.2, window: 5_000.0 };
     let settings =
         Settings { retry_budget: Some(budget), max_attempts: 3, ..settings(classes_of_all_kinds()) };
-    usual("effects_and_order", settings, 9)
+    default_profile("effects_and_order", settings, 9)
 }
 
 fn memory_and_loads() -> Profile {
@@ -224,7 +225,7 @@
         dispatchers: 1,
         ..settings(classes_with_loads())
     };
-    usual("memory_and_loads", settings, 6)
+    default_profile("memory_and_loads", settings, 6)
 }
 
 fn tenants_budget_and_routes() -> Profile {
@@ -245,7 +246,7 @@
         ],
         ..settings(two_classes())
     };
-    usual("tenants_budget_and_routes", settings, 7)
+    default_profile("tenants_budget_and_routes", settings, 7)
 }
 
 fn concurrent_attempts() -> Profile {
@@ -256,21 +257,21 @@
         max_attempts: 3,
         ..settings(two_classes())
     };
-    let profile = usual("second_copies", settings, 8);
-    Profile { traffic: Traffic { straggler: 0.15, ..USUAL_TRAFFIC }, ..profile }
+    let profile = default_profile("second_copies", settings, 8);
+    Profile { traffic: Traffic { straggler: 0.15, ..DEFAULT_TRAFFIC }, ..profile }
 }
 
-fn no_cancelling() -> Profile {
+fn no_cancellation() -> Profile {
     let settings = Settings { cancellation: false, max_retry_after: 0.0, ..settings(classes_of_all_kinds()) };
-    usual("no_cancelling", settings, 6)
+    default_profile("no_cancelling", settings, 6)
 }
 
-fn cold_fleet() -> Profile {
-    let cold =
+fn warming_fleet() -> Profile {
+    let slow_start =
         SlowStartSettings { initial_share: 0.1, warm_up: 20_000.0, capacity_multiple: 2.5, window: 2_000.0 };
-    let settings = Settings { slow_start: cold, dispatchers: 4, ..settings(two_classes()) };
-    let traffic = Traffic { fleet_change: 0.3, arrival_gap: 40.0, ..USUAL_TRAFFIC };
-    Profile { traffic, has_roster: true, ..usual("cold_fleet", settings, 8) }
+    let settings = Settings { slow_start, dispatchers: 4, ..settings(two_classes()) };
+    let traffic = Traffic { fleet_change: 0.3, mean_arrival_interval: 40.0, ..DEFAULT_TRAFFIC };
+    Profile { traffic, has_roster: true, ..default_profile("cold_fleet", settings, 8) }
 }
 
 fn many_dispatchers() -> Profile {
@@ -280,59 +281,61 @@
         priorities: true,
         ..settings(classes_of_all_kinds())
     };
-    Profile { has_roster: true, ..usual("many_dispatchers", settings, 24) }
+    Profile { has_roster: true, ..default_profile("many_dispatchers", settings, 24) }
 }
 
 fn many_dispatchers_without_reports() -> Profile {
     let settings = Settings { dispatchers: 12, ..settings(two_classes()) };
-    let traffic = Traffic { load_report: 0.0, fleet_change: 0.15, ..USUAL_TRAFFIC };
-    Profile { traffic, ..usual("many_dispatchers_without_reports", settings, 20) }
+    let traffic = Traffic { load_report: 0.0, fleet_change: 0.15, ..DEFAULT_TRAFFIC };
+    Profile { traffic, ..default_profile("many_dispatchers_without_reports", settings, 20) }
 }
 
-/// Two engines that are often in trouble and short queries, so that requests wait until their time runs out.
+/// Two engines with frequent faults and clients with short waits, so that requests are queued until their
+/// deadline.
 fn outages() -> Profile {
     let settings = Settings { priorities: true, dispatchers: 1, ..settings(two_classes()) };
     let traffic = Traffic {
         work: (5.0, 40.0),
         patience: (100.0, 1_500.0),
-        fault_spell: 0.2,
-        longest_spell: 40_000.0,
+        fault: 0.2,
+        max_fault_duration: 40_000.0,
         fleet_change: 0.02,
-        ..USUAL_TRAFFIC
+        ..DEFAULT_TRAFFIC
     };
-    Profile { traffic, ..usual("outages", settings, 2) }
+    Profile { traffic, ..default_profile("outages", settings, 2) }
 }
 
-/// Fewer requests may be open than the engines have room for, so that the last places are kept for urgent ones.
+/// The limit of open requests is below the capacity of the engines, so that its last part is reserved for
+/// urgent requests.
 fn low_open_limit() -> Profile {
     let settings = Settings { priorities: true, max_open: 20, ..settings(two_classes()) };
-    let traffic = Traffic { arrival_gap: 25.0, work: (100.0, 3_000.0), ..USUAL_TRAFFIC };
-    Profile { traffic, ..usual("low_open_limit", settings, 8) }
+    let traffic = Traffic { mean_arrival_interval: 25.0, work: (100.0, 3_000.0), ..DEFAULT_TRAFFIC };
+    Profile { traffic, ..default_profile("low_open_limit", settings, 8) }
 }
 
-/// So few requests that what was learned of a class is forgotten between them.
+/// So few requests that what is learned of a class expires between them.
 fn sparse_traffic() -> Profile {
     let settings = Settings { priorities: true, ..settings(two_classes()) };
     let traffic = Traffic {
-        arrival_gap: 10_000.0,
-        probe_gap: 3_000.0,
+        mean_arrival_interval: 10_000.0,
+        probe_interval: 3_000.0,
         work: (200.0, 3_000.0),
         patience: (300.0, 3_000.0),
-        ..USUAL_TRAFFIC
+        ..DEFAULT_TRAFFIC
     };
-    Profile { traffic, changes_settings: false, ..usual("sparse_traffic", settings, 3) }
+    Profile { traffic, changes_settings: false, ..default_profile("sparse_traffic", settings, 3) }
 }
 
-/// One class under the same rules for so many requests that its oldest runs are forgotten.
+/// So many requests of one class, under the same settings, that its oldest runs are dropped from the history.
 fn one_class() -> Profile {
     let settings = settings(vec![class(Idempotency::Safe, 1.0)]);
-    let traffic = Traffic { progress: 0.1, probe_gap: 1_000.0, ..USUAL_TRAFFIC };
-    Profile { traffic, changes_settings: false, events: 9_000, ..usual("one_class", settings, 6) }
+    let traffic = Traffic { progress: 0.1, probe_interval: 1_000.0, ..DEFAULT_TRAFFIC };
+    Profile { traffic, changes_settings: false, events: 9_000, ..default_profile("one_class", settings, 6) }
 }
 
-/// Traffic of a multiple of what the fleet can do, so that several hundred requests are open.
+/// Several times as much traffic as the fleet can serve, so that several hundred requests are open.
 fn overload_traffic() -> Traffic {
-    Traffic { arrival_gap: 4.0, work: (500.0, 4_000.0), patience: (2_000.0, 9_000.0), ..USUAL_TRAFFIC }
+    Traffic { mean_arrival_interval: 4.0, work: (500.0, 4_000.0), patience: (2_000.0, 9_000.0), ..DEFAULT_TRAFFIC }
 }
 
 fn overload() -> Profile {
@@ -343,18 +346,19 @@
         tenants: [5.0, 50.0].map(|quota_per_s| TenantSettings { quota_per_s }).to_vec(),
         ..settings(two_classes())
     };
-    let profile = usual("overload", settings, 6);
+    let profile = default_profile("overload", settings, 6);
     Profile { traffic: overload_traffic(), changes_settings: false, events: 1_000, ..profile }
 }
 
 fn overload_many_dispatchers() -> Profile {
     let settings = Settings { max_open: 330, dispatchers: 30, ..settings(two_classes()) };
-    let profile = usual("overload_many_dispatchers", settings, 10);
+    let profile = default_profile("overload_many_dispatchers", settings, 10);
     Profile { traffic: overload_traffic(), has_roster: true, events: 1_000, ..profile }
 }
 
-/// The settings after the `number`th change: each differs from the last one in another part, and the first ones come back.
-/// Classes are only added or changed, never removed, as requests of them may be open.
+/// The settings after the `number`th change. Each change concerns another part and starts from the initial
+/// settings, except that changes of classes accumulate. Classes are never removed, because requests of them
+/// may be open.
 pub fn changed_settings(initial: &Settings, current: &Settings, number: u64) -> Settings {
     let mut next = Settings { classes: current.classes.clone(), ..initial.clone() };
     match number % 8 {
--- a/crates/dispatch/tests/action_digest/recorder.rs
+++ b/crates/dispatch/tests/action_digest/recorder.rs
@@ -1,4 +1,5 @@
-//! Records what the module does: a digest of all actions, and how often each kind of action and event came.
+//! Records the dispatcher's actions: a digest of all of them, and the counts of each kind of action and
+//! event.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -10,7 +11,7 @@
 
 use crate::encoding;
 
-/// How often each of a fixed list of names came.
+/// The number of occurrences of each of a fixed list of names.
 #[derive(Clone)]
 pub struct Counts {
     names: &'static [&'static str],
@@ -23,17 +24,17 @@
     }
 
     fn add(&mut self, name: &'static str) {
-        *self.counts.get_mut(name).expect("each name is on its list") += 1;
+        *self.counts.get_mut(name).expect("the name is on the list") += 1;
     }
 
-    /// Adds what another stream counted under the same names.
+    /// Adds the counts of another stream for the same names.
     pub fn merge(&mut self, other: &Counts) {
         for (name, count) in &other.counts {
             *self.counts.get_mut(name).expect("both have the same list") += count;
         }
     }
 
-    /// The names that never came.
+    /// The names that never occurred.
     pub fn missing(&self) -> Vec<&'static str> {
         self.names.iter().filter(|name| self.counts[**name] == 0).copied().collect()
     }
@@ -46,7 +47,7 @@
     }
 }
 
-/// All that is counted of streams.
+/// The counts of all kinds of events and actions.
 #[derive(Clone)]
 pub struct Coverage {
     /// Actions by kind.
@@ -59,12 +60,12 @@
     pub outcomes: Counts,
     /// Progress reports by kind.
     pub progress: Counts,
-    /// Calls to serve pending requests that led to an action.
+    /// Calls of `run_pending` that led to an action.
     pub pending_runs: u64,
-    /// The most requests that were open at one time.
+    /// The largest number of requests open at one time.
     pub most_open: usize,
-    /// The most engines that were avoided at one time.
-    pub most_avoided: usize,
+    /// The largest number of engines ejected at one time.
+    pub most_ejected: usize,
 }
 
 impl Default for Coverage {
@@ -77,13 +78,13 @@
             progress: Counts::new(&encoding::PROGRESS_KINDS),
             pending_runs: 0,
             most_open: 0,
-            most_avoided: 0,
+            most_ejected: 0,
         }
     }
 }
 
 impl Coverage {
-    /// Adds what another stream covered.
+    /// Adds the counts of another stream.
     pub fn merge(&mut self, other: &Coverage) {
         self.actions.merge(&other.actions);
         self.rejections.merge(&other.rejections);
@@ -92,10 +93,10 @@
         self.progress.merge(&other.progress);
         self.pending_runs += other.pending_runs;
         self.most_open = self.most_open.max(other.most_open);
-        self.most_avoided = self.most_avoided.max(other.most_avoided);
+        self.most_ejected = self.most_ejected.max(other.most_ejected);
     }
 
-    /// All kinds that never came.
+    /// All kinds that never occurred.
     pub fn missing(&self) -> Vec<&'static str> {
         let all = [&self.actions, &self.rejections, &self.events, &self.outcomes, &self.progress];
         all.into_iter().flat_map(Counts::missing).collect()
@@ -104,7 +105,7 @@
 
 /// Records one stream.
 pub struct Recorder {
-    /// What was counted so far.
+    /// The counts so far.
     pub coverage: Coverage,
     /// Events handled so far.
     pub events: u64,
@@ -114,7 +115,7 @@
 }
 
 impl Recorder {
-    /// An empty record; with a path, the text that is digested is written there as well.
+    /// An empty record. With a path, the digested text is also written to that file.
     pub fn new(trace: Option<&Path>) -> Self {
         let create = |path| BufWriter::new(File::create(path).expect("the trace file can be created"));
         Recorder {
@@ -133,24 +134,24 @@
         self.call(now, event, actions);
     }
 
-    /// Records a call to serve pending requests.
+    /// Records a call of `run_pending` and the actions that followed.
     pub fn run_pending(&mut self, now: Millis, actions: &[Action]) {
         self.coverage.pending_runs += u64::from(!actions.is_empty());
         self.call(now, "run_pending", actions);
     }
 
-    /// Records the answer to a query for the time until which an attempt may be sent.
+    /// Records the result of `Dispatcher::sendable_until`.
     pub fn sendable_until(&mut self, until: Millis) {
         let mut text = String::new();
         encoding::write_sendable_until(&mut text, until);
         self.write(&text);
     }
 
-    /// Records the answer to a query for the number of engines avoided.
-    pub fn avoided(&mut self, engines: usize) {
-        self.coverage.most_avoided = self.coverage.most_avoided.max(engines);
+    /// Records the result of `Dispatcher::ejected_count`.
+    pub fn ejected_count(&mut self, engines: usize) {
+        self.coverage.most_ejected = self.coverage.most_ejected.max(engines);
         let mut text = String::new();
-        encoding::write_avoided(&mut text, engines);
+        encoding::write_ejected_count(&mut text, engines);
         self.write(&text);
     }
 
@@ -175,16 +176,16 @@
         }
     }
 
-    /// Counts what an event carries.
+    /// Counts the outcome or the progress report that an event carries.
     pub fn count_content(&mut self, event: &Event) {
         match event {
             Event::AttemptEnded(end) => self.coverage.outcomes.add(encoding::outcome(end.outcome)),
-            Event::Progress(_, _, note) => self.coverage.progress.add(encoding::progress_kind(*note)),
+            Event::Progress(_, _, report) => self.coverage.progress.add(encoding::progress_kind(*report)),
             _ => {}
         }
     }
 
-    /// The digest of all that was recorded, in hexadecimal.
+    /// The SHA-256 digest of the recorded text, in hexadecimal.
     pub fn digest(self) -> String {
         self.hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
     }
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -1,6 +1,7 @@
-//! A small simulated embedder: clients, engines with faults, and a clock. It reacts to the module's actions as the proxy
-//! does: sends become ends of attempts, progress reports and streams; cancels become outcomes a little later; timers come due.
-//! All is drawn from one seed.
+//! A simulated embedder with clients, engines that have faults, and a clock. It carries out the dispatcher's
+//! actions as the proxy does: it reports progress, streaming and the end of each attempt that is sent, the
+//! outcome of a cancel a little later, and timers when they are due. All random numbers are drawn from one
+//! seed.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,31 +13,33 @@
 use crate::profiles::{Profile, changed_settings, engine_entry};
 use crate::recorder::Recorder;
 
-/// ms at least between two calls to serve pending requests, as the proxy makes them.
-const RUN_PENDING_EVERY: Millis = 1.0;
-/// ms between two looks at the fleet, which may begin a fault or change an engine.
-const FLEET_LOOK_EVERY: Millis = 400.0;
-/// ms between two changes of the settings.
-const SETTINGS_CHANGE_EVERY: Millis = 6_000.0;
-/// ms between two grants of a place by the roster, and for how long each holds: with a gap, so that places expire.
-const ROSTER_EVERY: Millis = 5_000.0;
-const ROSTER_HOLDS: Millis = 4_000.0;
-/// ms after its deadline at which a client without an answer is given up by the embedder.
+/// The minimum time between two calls of `run_pending`, as in the proxy, in ms.
+const RUN_PENDING_INTERVAL: Millis = 1.0;
+/// The time between two steps that may start a fault or change an engine, in ms.
+const FLEET_CHANGE_INTERVAL: Millis = 400.0;
+/// The time between two changes of the settings, in ms.
+const SETTINGS_CHANGE_INTERVAL: Millis = 6_000.0;
+/// The time between two assignments of a position by the roster, and the lifetime of a position, in ms. The
+/// lifetime is shorter, so that positions expire.
+const ROSTER_INTERVAL: Millis = 5_000.0;
+const POSITION_LIFETIME: Millis = 4_000.0;
+/// The time after its deadline at which the embedder stops waiting for a client's response, in ms.
 const OVERDUE_AFTER: Millis = 60.0;
-/// Events between two queries for the number of engines avoided.
-const AVOIDED_EVERY: u64 = 16;
-/// The share of the stream after which the dispatcher learns that it closes, and ms from then to its end.
-const CLOSING_AT: f64 = 0.7;
-const CLOSING_WITHIN: Millis = 2_500.0;
+/// The number of events between two calls of `ejected_count`.
+const EJECTED_COUNT_INTERVAL: u64 = 16;
+/// The fraction of the stream after which the shutdown is announced, and the time from then to the shutdown
+/// in ms.
+const SHUTDOWN_AT_FRACTION: f64 = 0.7;
+const SHUTDOWN_DELAY: Millis = 2_500.0;
 
-/// The chance that an attempt turns out not to be sendable any more.
-const UNSENDABLE: f64 = 0.005;
+/// The probability that an attempt cannot be sent any more.
+const UNSENDABLE_CHANCE: f64 = 0.005;
 
-/// A trouble that an engine is in for a while.
+/// A temporary fault of an engine.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     RefusesConnections,
-    TurnsAway,
+    Rejects,
     BreaksConnections,
     Fails,
     Slow,
@@ -45,7 +48,7 @@
 
 const FAULTS: [Fault; 6] = [
     Fault::RefusesConnections,
-    Fault::TurnsAway,
+    Fault::Rejects,
     Fault::BreaksConnections,
     Fault::Fails,
     Fault::Slow,
@@ -69,46 +72,47 @@
 /// A client with its request.
 struct Client {
     new: NewRequest,
-    /// The true work on one thread, and the true memory.
+    /// The true cost of the query, which may differ from the estimates in the request.
     cost: Cost,
     attempts: Vec<Attempt>,
-    /// It has its answer, or left.
-    over: bool,
+    /// True if the client has its response or has left.
+    is_finished: bool,
 }
 
-/// What will happen at a time.
-enum Planned {
+/// An event of the simulation that is scheduled for a time.
+enum Scheduled {
     Arrival,
     AttemptEnd(RequestId, AttemptNo, Outcome),
     Progress(RequestId, AttemptNo, ProgressReport),
     StreamStart(RequestId, AttemptNo),
-    ClientLeaves(RequestId),
+    ClientDisconnect(RequestId),
     Timer(TimerId),
     RunPending,
-    FleetLook,
+    FleetChange,
     Probe,
     SettingsChange,
-    RosterGrant,
+    PositionAssignment,
 }
 
-/// One stream in the making.
+/// The simulation of one stream.
 pub struct Simulation {
     profile: Profile,
     settings: Settings,
     dispatcher: Dispatcher,
     random: oorandom::Rand64,
     now: Millis,
-    /// What is planned, by the bits of its time (which order as the times do, being positive) and a running number.
-    planned: BTreeMap<(u64, u64), Planned>,
-    plans: u64,
+    /// The scheduled events, by the bits of their times (positive floats and their bits have the same order)
+    /// and a sequence number.
+    scheduled: BTreeMap<(u64, u64), Scheduled>,
+    last_sequence: u64,
     clients: BTreeMap<RequestId, Client>,
     engines: BTreeMap<EngineId, Engine>,
     arrivals: u64,
     settings_changes: u64,
-    roster_grants: u64,
+    positions_assigned: u64,
     pending_run_at: Millis,
     pending_run_planned: bool,
-    closing_announced: bool,
+    shutdown_announced: bool,
     recorder: Recorder,
 }
 
@@ -124,16 +128,16 @@
             dispatcher,
             random: oorandom::Rand64::new(u128::from(seed) << 32 | 0x5eed),
             now: 0.0,
-            planned: BTreeMap::new(),
-            plans: 0,
+            scheduled: BTreeMap::new(),
+            last_sequence: 0,
             clients: BTreeMap::new(),
             engines: fleet.map(|entry| (entry.engine, engine(entry))).collect(),
             arrivals: 0,
             settings_changes: 0,
-            roster_grants: 0,
+            positions_assigned: 0,
             pending_run_at: 0.0,
             pending_run_planned: false,
-            closing_announced: false,
+            shutdown_announced: false,
             recorder: Recorder::new(trace),
             profile: profile.clone(),
         };
@@ -144,50 +148,50 @@
 
     fn start(&mut self) {
         self.send_engine_list();
-        self.plan(1.0, Planned::Arrival);
-        self.plan(FLEET_LOOK_EVERY, Planned::FleetLook);
-        self.plan(self.profile.traffic.probe_gap, Planned::Probe);
+        self.schedule(1.0, Scheduled::Arrival);
+        self.schedule(FLEET_CHANGE_INTERVAL, Scheduled::FleetChange);
+        self.schedule(self.profile.traffic.probe_interval, Scheduled::Probe);
         if self.profile.changes_settings {
-            self.plan(SETTINGS_CHANGE_EVERY, Planned::SettingsChange);
+            self.schedule(SETTINGS_CHANGE_INTERVAL, Scheduled::SettingsChange);
         }
         if self.profile.has_roster {
-            self.plan(1.0, Planned::RosterGrant);
+            self.schedule(1.0, Scheduled::PositionAssignment);
         }
     }
 
     fn run(&mut self) {
         while self.recorder.events < self.profile.events {
-            let Some(((time, _), planned)) = self.planned.pop_first() else { return };
+            let Some(((time, _), scheduled)) = self.scheduled.pop_first() else { return };
             self.now = f64::from_bits(time);
-            self.happen(planned);
-            let closing = self.recorder.events as f64 >= CLOSING_AT * self.profile.events as f64;
-            if closing && !self.closing_announced {
-                self.closing_announced = true;
-                self.handle_event(Event::ShutdownBy(self.now + CLOSING_WITHIN));
+            self.handle_scheduled(scheduled);
+            let is_due = self.recorder.events as f64 >= SHUTDOWN_AT_FRACTION * self.profile.events as f64;
+            if is_due && !self.shutdown_announced {
+                self.shutdown_announced = true;
+                self.handle_event(Event::ShutdownBy(self.now + SHUTDOWN_DELAY));
             }
         }
     }
 
-    fn happen(&mut self, planned: Planned) {
-        match planned {
-            Planned::Arrival => self.arrival(),
-            Planned::AttemptEnd(id, attempt, outcome) => self.attempt_ends(id, attempt, outcome),
-            Planned::Progress(id, attempt, note) => self.progress(id, attempt, note),
-            Planned::StreamStart(id, attempt) => self.stream_starts(id, attempt),
-            Planned::ClientLeaves(id) => self.client_leaves(id),
-            Planned::Timer(timer) => self.handle_event(Event::Timer(timer)),
-            Planned::RunPending => {
+    fn handle_scheduled(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Arrival => self.arrival(),
+            Scheduled::AttemptEnd(id, attempt, outcome) => self.end_attempt(id, attempt, outcome),
+            Scheduled::Progress(id, attempt, report) => self.progress(id, attempt, report),
+            Scheduled::StreamStart(id, attempt) => self.start_streaming(id, attempt),
+            Scheduled::ClientDisconnect(id) => self.disconnect_client(id),
+            Scheduled::Timer(timer) => self.handle_event(Event::Timer(timer)),
+            Scheduled::RunPending => {
                 self.pending_run_planned = false;
                 self.run_pending();
             }
-            Planned::FleetLook => self.look_at_fleet(),
-            Planned::Probe => self.probe(),
-            Planned::SettingsChange => self.change_settings(),
-            Planned::RosterGrant => self.grant_place(),
+            Scheduled::FleetChange => self.change_fleet(),
+            Scheduled::Probe => self.probe(),
+            Scheduled::SettingsChange => self.change_settings(),
+            Scheduled::PositionAssignment => self.assign_position(),
         }
     }
 
-    // Random draws and plans.
+    // Random draws and scheduling.
 
     fn chance(&mut self, chance: f64) -> bool {
         self.random.rand_float() < chance
@@ -201,44 +205,44 @@
         self.random.rand_range(0..count as u64) as usize
     }
 
-    fn any_engine(&mut self) -> EngineId {
+    fn random_engine(&mut self) -> EngineId {
         EngineId(self.below(self.profile.engines as usize) as u32)
     }
 
-    fn plan(&mut self, delay: Millis, planned: Planned) {
-        self.plans += 1;
-        self.planned.insert(((self.now + delay).to_bits(), self.plans), planned);
+    fn schedule(&mut self, delay: Millis, scheduled: Scheduled) {
+        self.last_sequence += 1;
+        self.scheduled.insert(((self.now + delay).to_bits(), self.last_sequence), scheduled);
     }
 
-    // Calls of the module.
+    // Calls of the dispatcher.
 
     fn handle_event(&mut self, event: Event) {
         self.handle_event_at(self.now, event);
     }
 
-    /// Hands an event to the module with a reading of the clock, and carries out what it wants done.
+    /// Passes an event with the time `now` to the dispatcher and carries out the actions.
     fn handle_event_at(&mut self, now: Millis, event: Event) {
         let kind = encoding::event_kind(&event);
         self.recorder.count_content(&event);
         let mut actions = Vec::new();
         self.dispatcher.handle(now, event, &mut actions);
         self.recorder.event(now, kind, &actions);
-        self.carry_out(actions);
-        if self.recorder.events % AVOIDED_EVERY == 0 {
-            self.recorder.avoided(self.dispatcher.ejected_count(self.now));
+        self.execute(actions);
+        if self.recorder.events % EJECTED_COUNT_INTERVAL == 0 {
+            self.recorder.ejected_count(self.dispatcher.ejected_count(self.now));
         }
-        let open = self.clients.values().filter(|client| !client.over).count();
+        let open = self.clients.values().filter(|client| !client.is_finished).count();
         self.recorder.coverage.most_open = self.recorder.coverage.most_open.max(open);
         self.run_pending_soon();
     }
 
-    /// Serves pending requests now, or as soon as the last call is long enough ago.
+    /// Calls `run_pending` now or, if the last call was too recent, schedules it.
     fn run_pending_soon(&mut self) {
-        if self.now - self.pending_run_at >= RUN_PENDING_EVERY {
+        if self.now - self.pending_run_at >= RUN_PENDING_INTERVAL {
             self.run_pending();
         } else if !self.pending_run_planned {
             self.pending_run_planned = true;
-            self.plan(self.pending_run_at + RUN_PENDING_EVERY - self.now, Planned::RunPending);
+            self.schedule(self.pending_run_at + RUN_PENDING_INTERVAL - self.now, Scheduled::RunPending);
         }
     }
 
@@ -247,16 +251,16 @@
         let mut actions = Vec::new();
         self.dispatcher.run_pending(self.now, &mut actions);
         self.recorder.run_pending(self.now, &actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, engine } => self.send(id, engine),
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
-                Action::Reject { id, .. } | Action::Fail { id } => self.client_is_over(&id),
-                Action::SetTimer { timer, delay } => self.plan(delay.max(0.0), Planned::Timer(timer)),
+                Action::Reject { id, .. } | Action::Fail { id } => self.finish_client(&id),
+                Action::SetTimer { timer, delay } => self.schedule(delay.max(0.0), Scheduled::Timer(timer)),
                 Action::SetAttemptOptions { .. } | Action::Log(_) => {}
             }
         }
@@ -266,8 +270,8 @@
 
     fn arrival(&mut self) {
         let traffic = self.profile.traffic.clone();
-        let gap = -traffic.arrival_gap * (1.0 - self.random.rand_float()).ln();
-        self.plan(gap, Planned::Arrival);
+        let gap = -traffic.mean_arrival_interval * (1.0 - self.random.rand_float()).ln();
+        self.schedule(gap, Scheduled::Arrival);
         self.arrivals += 1;
         let id = RequestId(format!("r{}", self.arrivals).into());
         let class = self.below(self.settings.classes.len());
@@ -275,8 +279,8 @@
         let work = traffic.work.0 * (traffic.work.1 / traffic.work.0).powf(spread);
         let memory_mb = self.between(10.0, 4_000.0);
         let patience = self.between(traffic.patience.0, traffic.patience.1);
-        let hurried = self.chance(0.05);
-        let due = self.now + if hurried { patience / 20.0 } else { patience };
+        let is_hurried = self.chance(0.05);
+        let deadline = self.now + if is_hurried { patience / 20.0 } else { patience };
         let estimate = if self.chance(0.2) { 0.0 } else { work * self.between(0.6, 1.6) };
         let tables = TableSetId(self.below(3) as u64);
         let key = self.chance(0.8).then(|| OrderKey(format!("k{}", self.below(4)).into()));
@@ -286,53 +290,53 @@
             id: id.clone(),
             class: ClassId(class),
             tenant,
-            deadline: due,
+            deadline,
             estimate,
             memory_mb: stated_memory,
             tables,
             order_key: key,
         };
         let cost = Cost { work, memory_mb };
-        let client = Client { new: new.clone(), cost, attempts: Vec::new(), over: false };
+        let client = Client { new: new.clone(), cost, attempts: Vec::new(), is_finished: false };
         self.clients.insert(id.clone(), client);
         if self.chance(traffic.client_leaves) {
             let after = self.between(0.0, patience);
-            self.plan(after, Planned::ClientLeaves(id.clone()));
+            self.schedule(after, Scheduled::ClientDisconnect(id.clone()));
         }
-        self.plan(due - self.now + OVERDUE_AFTER, Planned::ClientLeaves(id));
+        self.schedule(deadline - self.now + OVERDUE_AFTER, Scheduled::ClientDisconnect(id));
         self.handle_event(Event::Request(new));
-        if self.chance(traffic.odd_event) {
-            self.handle_odd_event();
+        if self.chance(traffic.unusual_event) {
+            self.handle_unusual_event();
         }
     }
 
     fn send(&mut self, id: RequestId, engine: EngineId) {
         let until = self.dispatcher.sendable_until(&id);
         self.recorder.sendable_until(until);
-        let unsendable = self.chance(UNSENDABLE);
-        let dial = if self.chance(0.02) { self.between(50.0, 500.0) } else { self.between(0.1, 3.0) };
+        let unsendable = self.chance(UNSENDABLE_CHANCE);
+        let connect_time = if self.chance(0.02) { self.between(50.0, 500.0) } else { self.between(0.1, 3.0) };
         let Some(client) = self.clients.get_mut(&id) else { return };
         let attempt = AttemptNo(client.attempts.len());
         client.attempts.push(Attempt { engine, sent: self.now, ended: false });
-        if unsendable || client.over || self.now + dial > until {
-            return self.plan(dial, Planned::AttemptEnd(id, attempt, Outcome::NotSent));
+        if unsendable || client.is_finished || self.now + connect_time > until {
+            return self.schedule(connect_time, Scheduled::AttemptEnd(id, attempt, Outcome::NotSent));
         }
-        let due_in = (client.new.deadline - self.now).max(0.0);
+        let time_to_deadline = (client.new.deadline - self.now).max(0.0);
         let work = client.cost.work / self.settings.classes[client.new.class.0].threads;
-        let run = dial + self.run_time(work, engine);
-        self.plan(due_in, Planned::AttemptEnd(id.clone(), attempt, Outcome::TimedOut));
-        if let Some((outcome, after)) = self.fate(engine, run) {
-            self.plan(after, Planned::AttemptEnd(id.clone(), attempt, outcome));
+        let run = connect_time + self.run_time(work, engine);
+        self.schedule(time_to_deadline, Scheduled::AttemptEnd(id.clone(), attempt, Outcome::TimedOut));
+        if let Some((outcome, after)) = self.draw_outcome(engine, run) {
+            self.schedule(after, Scheduled::AttemptEnd(id.clone(), attempt, outcome));
         }
         if self.chance(self.profile.traffic.progress) {
-            self.plan_progress(&id, attempt, run);
+            self.schedule_progress(&id, attempt, run);
         }
         if self.chance(self.profile.traffic.streamed) {
-            self.plan(run * 0.9, Planned::StreamStart(id, attempt));
+            self.schedule(run * 0.9, Scheduled::StreamStart(id, attempt));
         }
     }
 
-    /// How long a run of this work takes on the engine, at its present state.
+    /// The time that a run of this work takes on the engine with its present fault.
     fn run_time(&mut self, work: Millis, engine: EngineId) -> Millis {
         let straggles = self.chance(self.profile.traffic.straggler);
         let scatter = self.between(0.7, 1.4);
@@ -341,21 +345,22 @@
         work * scatter * factor * slow
     }
 
-    /// How an attempt on the engine ends, and after how long; none if only the deadline ends it.
-    fn fate(&mut self, engine: EngineId, run: Millis) -> Option<(Outcome, Millis)> {
+    /// The outcome of an attempt on the engine and the time until then. `None` if it lasts until its
+    /// deadline.
+    fn draw_outcome(&mut self, engine: EngineId, run: Millis) -> Option<(Outcome, Millis)> {
         let soon = self.between(0.5, 20.0);
-        let accident = self.random.rand_float();
+        let draw = self.random.rand_float();
         match self.fault(engine) {
             Some(Fault::RefusesConnections) => Some((Outcome::ConnectFailed, soon)),
-            Some(Fault::TurnsAway) => Some((Outcome::Rejected, soon)),
+            Some(Fault::Rejects) => Some((Outcome::Rejected, soon)),
             Some(Fault::BreaksConnections) => Some((Outcome::Reset, soon)),
             Some(Fault::Fails) => Some((Outcome::Failed, soon)),
             Some(Fault::Hangs) => None,
-            Some(Fault::Slow) | None => match accident {
-                it if it < 0.01 => Some((Outcome::Failed, run * 0.5)),
-                it if it < 0.015 => Some((Outcome::Reset, run * 0.5)),
-                it if it < 0.02 => Some((Outcome::ConnectFailed, soon)),
-                it if it < 0.022 => Some((Outcome::Rejected, soon)),
+            Some(Fault::Slow) | None => match draw {
+                draw if draw < 0.01 => Some((Outcome::Failed, run * 0.5)),
+                draw if draw < 0.015 => Some((Outcome::Reset, run * 0.5)),
+                draw if draw < 0.02 => Some((Outcome::ConnectFailed, soon)),
+                draw if draw < 0.022 => Some((Outcome::Rejected, soon)),
                 _ => Some((Outcome::Served, run)),
             },
         }
@@ -366,27 +371,27 @@
         engine.fault.filter(|_| self.now < engine.fault_until)
     }
 
-    fn plan_progress(&mut self, id: &RequestId, attempt: AttemptNo, run: Millis) {
-        for share in [0.05, 0.3, 0.6, 0.9] {
-            let note = match self.below(8) {
+    fn schedule_progress(&mut self, id: &RequestId, attempt: AttemptNo, run: Millis) {
+        for fraction in [0.05, 0.3, 0.6, 0.9] {
+            let report = match self.below(8) {
                 0 => ProgressReport::Spills(self.between(1.0, 500.0)),
                 1 => ProgressReport::WaitsForMemory,
                 2 => ProgressReport::WaitsForLoad,
-                _ => ProgressReport::Done(share * self.between(0.7, 1.2)),
+                _ => ProgressReport::Done(fraction * self.between(0.7, 1.2)),
             };
-            self.plan(run * share, Planned::Progress(id.clone(), attempt, note));
+            self.schedule(run * fraction, Scheduled::Progress(id.clone(), attempt, report));
         }
     }
 
     fn cancel(&mut self, id: RequestId, attempt: AttemptNo) {
-        // Some cancels are lost; then the run's own end or the deadline comes.
+        // Some cancels are lost; the attempt then ends by itself or at its deadline.
         if self.chance(0.95) {
             let after = if self.chance(0.1) { self.between(50.0, 800.0) } else { self.between(0.5, 15.0) };
-            self.plan(after, Planned::AttemptEnd(id, attempt, Outcome::Cancelled));
+            self.schedule(after, Scheduled::AttemptEnd(id, attempt, Outcome::Cancelled));
         }
     }
 
-    fn attempt_ends(&mut self, id: RequestId, number: AttemptNo, outcome: Outcome) {
+    fn end_attempt(&mut self, id: RequestId, number: AttemptNo, outcome: Outcome) {
         let repeated = self.chance(0.02);
         let Some(client) = self.clients.get_mut(&id) else { return };
         let attempt = &mut client.attempts[number.0];
@@ -395,8 +400,8 @@
         }
         attempt.ended = true;
         let (engine, sent) = (attempt.engine, attempt.sent);
-        client.over |= outcome == Outcome::Served;
-        let (finished, cost) = (client.over, client.cost);
+        client.is_finished |= outcome == Outcome::Served;
+        let (finished, cost) = (client.is_finished, client.cost);
         let reports_cost = outcome == Outcome::Served && self.chance(self.profile.traffic.cost_report);
         let load = self.load_report(engine);
         self.handle_event(Event::AttemptEnded(AttemptEnd {
@@ -409,7 +414,7 @@
             cost: reports_cost.then_some(cost),
             load,
         }));
-        self.forget_if_done(&id);
+        self.remove_if_finished(&id);
     }
 
     fn load_report(&mut self, engine: EngineId) -> Option<LoadReport> {
@@ -418,50 +423,50 @@
         }
         let attempts = self.clients.values().flat_map(|client| &client.attempts);
         let own = attempts.filter(|attempt| !attempt.ended && attempt.engine == engine).count();
-        let others = if self.settings.dispatchers > 1 { self.below(6) } else { 0 };
-        let held = (own + others) as f64;
+        let of_other_dispatchers = if self.settings.dispatchers > 1 { self.below(6) } else { 0 };
+        let in_flight = (own + of_other_dispatchers) as f64;
         Some(LoadReport {
-            in_flight: self.chance(0.9).then_some(held),
-            queued: self.chance(0.5).then_some((held - 8.0).max(0.0)),
-            core_utilization: self.chance(0.5).then_some((held / 8.0).min(1.0)),
-            memory_utilization: self.chance(0.5).then_some((held / 16.0).min(1.0)),
+            in_flight: self.chance(0.9).then_some(in_flight),
+            queued: self.chance(0.5).then_some((in_flight - 8.0).max(0.0)),
+            core_utilization: self.chance(0.5).then_some((in_flight / 8.0).min(1.0)),
+            memory_utilization: self.chance(0.5).then_some((in_flight / 16.0).min(1.0)),
         })
     }
 
-    fn progress(&mut self, id: RequestId, attempt: AttemptNo, note: ProgressReport) {
+    fn progress(&mut self, id: RequestId, attempt: AttemptNo, report: ProgressReport) {
         let Some(client) = self.clients.get(&id) else { return };
         if !client.attempts[attempt.0].ended {
-            self.handle_event(Event::Progress(id, attempt, note));
+            self.handle_event(Event::Progress(id, attempt, report));
         }
     }
 
-    fn stream_starts(&mut self, id: RequestId, attempt: AttemptNo) {
+    fn start_streaming(&mut self, id: RequestId, attempt: AttemptNo) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        if !client.over && !client.attempts[attempt.0].ended {
-            client.over = true;
+        if !client.is_finished && !client.attempts[attempt.0].ended {
+            client.is_finished = true;
             self.handle_event(Event::StreamingStarted(id, attempt));
         }
     }
 
-    fn client_leaves(&mut self, id: RequestId) {
+    fn disconnect_client(&mut self, id: RequestId) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        if !client.over {
-            client.over = true;
+        if !client.is_finished {
+            client.is_finished = true;
             self.handle_event(Event::ClientGone(id.clone()));
-            self.forget_if_done(&id);
+            self.remove_if_finished(&id);
         }
     }
 
-    fn client_is_over(&mut self, id: &RequestId) {
+    fn finish_client(&mut self, id: &RequestId) {
         if let Some(client) = self.clients.get_mut(id) {
-            client.over = true;
+            client.is_finished = true;
         }
-        self.forget_if_done(id);
+        self.remove_if_finished(id);
     }
 
-    /// Forgets a client that has its answer and no attempt out.
-    fn forget_if_done(&mut self, id: &RequestId) {
-        let done = |client: &Client| client.over && client.attempts.iter().all(|attempt| attempt.ended);
+    /// Removes a client that needs no response any more and has no attempt in flight.
+    fn remove_if_finished(&mut self, id: &RequestId) {
+        let done = |client: &Client| client.is_finished && client.attempts.iter().all(|attempt| attempt.ended);
         if self.clients.get(id).is_some_and(done) {
             self.clients.remove(id);
         }
@@ -475,12 +480,12 @@
         self.handle_event(Event::EngineList(entries));
     }
 
-    fn look_at_fleet(&mut self) {
-        self.plan(FLEET_LOOK_EVERY, Planned::FleetLook);
-        if self.chance(self.profile.traffic.fault_spell) {
-            let id = self.any_engine();
+    fn change_fleet(&mut self) {
+        self.schedule(FLEET_CHANGE_INTERVAL, Scheduled::FleetChange);
+        if self.chance(self.profile.traffic.fault) {
+            let id = self.random_engine();
             let fault = FAULTS[self.below(FAULTS.len())];
-            let until = self.now + self.between(300.0, self.profile.traffic.longest_spell);
+            let until = self.now + self.between(300.0, self.profile.traffic.max_fault_duration);
             if let Some(engine) = self.engines.get_mut(&id) {
                 (engine.fault, engine.fault_until) = (Some(fault), until);
             }
@@ -488,15 +493,15 @@
         if self.chance(self.profile.traffic.fleet_change) {
             self.change_an_engine();
         }
-        // Whatever happened, an engine comes back now and then, so that the fleet does not shrink for good.
-        let away = self.engines.values().find(|engine| engine.entry.readiness != Readiness::Up);
-        if let Some(id) = away.map(|engine| engine.entry.engine).filter(|_| self.random.rand_float() < 0.2) {
+        // An engine that is down restarts from time to time, so that the fleet does not shrink permanently.
+        let not_up = self.engines.values().find(|engine| engine.entry.readiness != Readiness::Up);
+        if let Some(id) = not_up.map(|engine| engine.entry.engine).filter(|_| self.random.rand_float() < 0.2) {
             self.restart_engine(id);
         }
     }
 
     fn change_an_engine(&mut self) {
-        let id = self.any_engine();
+        let id = self.random_engine();
         match self.below(4) {
             0 => self.set_readiness(id, Readiness::Draining),
             1 => {
@@ -522,7 +527,7 @@
         }
     }
 
-    /// Puts a fresh process in the engine's place; its start is not always reported.
+    /// Restarts the engine's process. The time of the start is not always reported.
     fn restart_engine(&mut self, id: EngineId) {
         let started = self.chance(0.7).then_some(self.now);
         if let Some(engine) = self.engines.get_mut(&id) {
@@ -531,7 +536,7 @@
         self.set_readiness(id, Readiness::Up);
     }
 
-    /// Breaks the connections of all attempts on an engine whose process is gone.
+    /// Breaks the connections of all attempts on an engine whose process has ended.
     fn break_attempts(&mut self, engine: EngineId) {
         let mut broken = Vec::new();
         for (id, client) in &self.clients {
@@ -540,13 +545,13 @@
             broken.extend(live.map(|(at, _)| (id.clone(), AttemptNo(at))));
         }
         for (id, attempt) in broken {
-            self.plan(0.5, Planned::AttemptEnd(id, attempt, Outcome::Reset));
+            self.schedule(0.5, Scheduled::AttemptEnd(id, attempt, Outcome::Reset));
         }
     }
 
     fn probe(&mut self) {
-        self.plan(self.profile.traffic.probe_gap, Planned::Probe);
-        let engine = self.any_engine();
+        self.schedule(self.profile.traffic.probe_interval, Scheduled::Probe);
+        let engine = self.random_engine();
         let outcome = match self.fault(engine) {
             Some(Fault::RefusesConnections) => Outcome::ConnectFailed,
             Some(Fault::Hangs) => Outcome::TimedOut,
@@ -556,41 +561,41 @@
         self.handle_event(Event::ProbeResult(engine, outcome, load));
     }
 
-    // Settings and places.
+    // Settings and positions.
 
     fn change_settings(&mut self) {
-        self.plan(SETTINGS_CHANGE_EVERY, Planned::SettingsChange);
+        self.schedule(SETTINGS_CHANGE_INTERVAL, Scheduled::SettingsChange);
         self.settings = changed_settings(&self.profile.settings, &self.settings, self.settings_changes);
         self.settings_changes += 1;
         self.handle_event(Event::SettingsUpdated(Box::new(self.settings.clone())));
     }
 
-    fn grant_place(&mut self) {
-        self.plan(ROSTER_EVERY, Planned::RosterGrant);
-        self.roster_grants += 1;
+    fn assign_position(&mut self) {
+        self.schedule(ROSTER_INTERVAL, Scheduled::PositionAssignment);
+        self.positions_assigned += 1;
         let dispatchers = self.profile.settings.dispatchers as u32;
         let ordinal = self.below(dispatchers as usize) as u32;
-        let name = FleetPosition::NameKey(self.roster_grants);
-        let place = if self.chance(0.8) {
+        let name = FleetPosition::NameKey(self.positions_assigned);
+        let position = if self.chance(0.8) {
             FleetPosition::ordinal(ordinal, dispatchers).unwrap_or(name)
         } else {
             name
         };
-        self.handle_event(Event::PositionAssigned(place, self.now + ROSTER_HOLDS));
+        self.handle_event(Event::PositionAssigned(position, self.now + POSITION_LIFETIME));
     }
 
-    // Odd events that are legal all the same.
+    // Unusual but legal events.
 
-    fn any_client(&mut self) -> Option<RequestId> {
+    fn random_client(&mut self) -> Option<RequestId> {
         let at = self.below(self.clients.len().max(1));
         self.clients.keys().nth(at).cloned()
     }
 
-    fn handle_odd_event(&mut self) {
+    fn handle_unusual_event(&mut self) {
         let unknown = RequestId(format!("unknown{}", self.arrivals).into());
-        let known = self.any_client().unwrap_or_else(|| unknown.clone());
+        let known = self.random_client().unwrap_or_else(|| unknown.clone());
         let no_attempt = AttemptNo(99);
-        let engine = self.any_engine();
+        let engine = self.random_engine();
         let load = Some(LoadReport { in_flight: Some(3.0), ..LoadReport::default() });
         let end = AttemptEnd {
             id: unknown.clone(),
@@ -626,13 +631,13 @@
         }
     }
 
-    /// A request whose id is in use already, and one of a class that does not exist.
+    /// Sends a request whose id is already in use, and one of a class that does not exist.
     fn handle_unusable_requests(&mut self, known: RequestId) {
         let Some(client) = self.clients.get(&known) else { return };
-        let again = client.new.clone();
+        let duplicate = client.new.clone();
         let id = RequestId(format!("no-class{}", self.arrivals).into());
-        let no_class = NewRequest { id, class: ClassId(self.settings.classes.len()), ..again.clone() };
-        self.handle_event(Event::Request(again));
+        let no_class = NewRequest { id, class: ClassId(self.settings.classes.len()), ..duplicate.clone() };
+        self.handle_event(Event::Request(duplicate));
         self.handle_event(Event::Request(no_class));
     }
 }
