--- a/crates/dispatch/tests/fleet_slow_start.rs
+++ b/crates/dispatch/tests/fleet_slow_start.rs
@@ -1,8 +1,8 @@
-//! Many dispatchers in simulated time before one warming engine: what all of them together send there.
+//! The work that many dispatchers together send to one engine that is warming up, in simulated time.
 //!
-//! Each dispatcher keeps to its slow-start budget. The limit holds for the sum over the fleet, in every window: this plays a
-//! fleet whose requests wait for that engine alone, as after a release where the old engines are full, and sums the work that
-//! reaches it.
+//! Each dispatcher has its own slow-start budget, and the limit applies to the sum over the fleet in every
+//! window. The tests simulate a fleet whose requests wait for this engine only, as after a release while the
+//! old engines are full, and add up the work that it is sent.
 
 mod common;
 
@@ -14,27 +14,39 @@
 use gaugestep_subsetting::slow_start::SlowStartLimit;
 
 const DISPATCHERS: u64 = 40;
+/// The step of the simulated clock, in ms.
 const STEP: Millis = 10.0;
+/// The work of a light request, in ms.
 const LIGHT: Millis = 50.0;
+/// The work of a heavy request, in ms.
 const HEAVY: Millis = 2_000.0;
 
-struct Played {
-    /// Work sent to the warming engine, by the step it was sent in.
+/// The requests that were sent to the warming engine.
+struct SentWork {
+    /// The work, by the step in which it was sent.
     work: BTreeMap<u64, Millis>,
+    /// The number of light requests.
     light: usize,
+    /// The number of heavy requests.
     heavy: usize,
 }
 
-/// Plays `length` ms: each dispatcher gets a light request every 200 ms on average and a heavy one every 1,000 ms,
-/// from the seed; each attempt ends served after its work. Dispatchers have the positions of `place` among `dispatchers`,
-/// and their clocks are up to `skew` ms late.
-fn play(length: Millis, dispatchers: u64, skew: Millis, place: impl Fn(u64) -> FleetPosition) -> Played {
+/// Simulates the fleet for `duration`. Each dispatcher gets a light request every 200 ms on average and a
+/// heavy one every 1,000 ms, drawn from its seed; each attempt is served after its work. By its settings a
+/// dispatcher is one of `dispatchers` and has the position that `position` returns for its seed. Clocks are
+/// up to `skew` ms late.
+fn simulate(
+    duration: Millis,
+    dispatchers: u64,
+    skew: Millis,
+    position: impl Fn(u64) -> FleetPosition,
+) -> SentWork {
     let settings = settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 1.0)]);
     let start = 100_000.0;
-    let mut played = Played { work: BTreeMap::new(), light: 0, heavy: 0 };
+    let mut total = SentWork { work: BTreeMap::new(), light: 0, heavy: 0 };
     for seed in 0..DISPATCHERS {
         let settings =
-            Settings { dispatchers: dispatchers as usize, fleet_position: place(seed), ..settings.clone() };
+            Settings { dispatchers: dispatchers as usize, fleet_position: position(seed), ..settings.clone() };
         let mut harness = Harness {
             dispatcher: Dispatcher::new(settings, seed).expect("the settings are valid"),
             now: start,
@@ -46,11 +58,11 @@
         }]));
         let mut random = oorandom::Rand64::new(u128::from(seed) + 1_000);
         let mut running: Vec<(Millis, u32)> = Vec::new();
-        // Each request's work and number, by its id.
+        // The work and the number of each request, by its id.
         let mut requests = BTreeMap::new();
         let mut number = 0;
         let mut step = 0;
-        while harness.now < start + length {
+        while harness.now < start + duration {
             let mut actions = Vec::new();
             for (work, chance) in [(LIGHT, STEP / 200.0), (HEAVY, STEP / 1_000.0)] {
                 if random.rand_float() < chance {
@@ -61,18 +73,18 @@
                     actions.extend(harness.arrive(new));
                 }
             }
-            let (done, going): (Vec<_>, Vec<_>) =
+            let (ended, still_running): (Vec<_>, Vec<_>) =
                 running.into_iter().partition(|(end, _)| *end <= harness.now);
-            running = going;
-            for (_, ended) in done {
-                actions.extend(harness.end(ended, 0, EngineId(0), Outcome::Served, requests[&id(ended)].0));
+            running = still_running;
+            for (_, number) in ended {
+                actions.extend(harness.end(number, 0, EngineId(0), Outcome::Served, requests[&id(number)].0));
             }
             actions.extend(harness.advance(STEP));
             for action in actions {
                 if let Action::Send { id: sent, engine: EngineId(0) } = action {
                     let (work, number) = requests[&sent];
-                    *played.work.entry(step).or_default() += work;
-                    let count = if work == HEAVY { &mut played.heavy } else { &mut played.light };
+                    *total.work.entry(step).or_default() += work;
+                    let count = if work == HEAVY { &mut total.heavy } else { &mut total.light };
                     *count += 1;
                     running.push((harness.now + work, number));
                 }
@@ -80,81 +92,80 @@
             step += 1;
         }
     }
-    played
+    total
 }
 
-/// The most that is sent in one window, over what the rule allows: 3 times what the engine can do at present, here 30%
-/// of 8 cores at the start, in 1.5 s. The part that is allowed for chance is not used.
-fn worst(played: &Played) -> f64 {
+/// The largest ratio of the work sent in one window of 1.5 s to the limit of that window, without the tolerance
+/// for chance. The limit is 3 times the capacity of the engine, which at its start is 30% of 8 cores.
+fn worst_window(sent: &SentWork) -> f64 {
     let window = (1_500.0 / STEP) as u64;
     let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
-    let last = played.work.keys().last().copied().unwrap_or(0);
+    let last = sent.work.keys().last().copied().unwrap_or(0);
     let sums = (0..=last).map(|first| {
-        let sent: Millis = played.work.range(first..first + window).map(|(_, work)| work).sum();
-        sent / budget.window_limit(first as f64 * STEP)
+        let work: Millis = sent.work.range(first..first + window).map(|(_, work)| work).sum();
+        work / budget.window_limit(first as f64 * STEP)
     });
     sums.fold(0.0, f64::max)
 }
 
-fn mean(played: &Played, length: Millis) -> f64 {
+/// The fraction of the accrued budget that was used over the duration.
+fn used_fraction(sent: &SentWork, duration: Millis) -> f64 {
     let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
-    played.work.values().sum::<Millis>() / budget.accrued(length)
+    sent.work.values().sum::<Millis>() / budget.accrued(duration)
 }
 
 #[test]
 fn fleet_keeps_the_slow_start_limit_of_a_warming_engine_in_any_window() {
     let ordinal = |seed: u64| FleetPosition::ordinal(seed as u32, DISPATCHERS as u32).unwrap();
-    let played = play(6_000.0, DISPATCHERS, 0.0, ordinal);
-    let (worst_window, used) = (worst(&played), mean(&played, 6_000.0));
-    println!(
-        "ordinals: worst {worst_window:.2}, {used:.2} used, {} light, {} heavy",
-        played.light, played.heavy
-    );
-    assert!(worst_window <= 1.0, "{worst_window} of the limit in one window");
-    // More is used than without ordinals, and light requests are not starved by heavy ones that wait beside them.
+    let sent = simulate(6_000.0, DISPATCHERS, 0.0, ordinal);
+    let (worst, used) = (worst_window(&sent), used_fraction(&sent, 6_000.0));
+    println!("ordinals: worst {worst:.2}, {used:.2} used, {} light, {} heavy", sent.light, sent.heavy);
+    assert!(worst <= 1.0, "{worst} of the limit in one window");
+    // More of the budget is used than without ordinals, and waiting heavy requests do not starve light ones.
     assert!(
-        used > 0.33 && played.light > 100 && played.heavy > 3,
-        "{used}, {} {}",
-        played.light,
-        played.heavy
+        used > 0.33 && sent.light > 100 && sent.heavy > 3,
+        "{used} used, {} light, {} heavy",
+        sent.light,
+        sent.heavy
     );
-    let late = worst(&play(6_000.0, DISPATCHERS, 150.0, ordinal));
-    assert!(late <= 1.0, "{late} of the limit where clocks differ by a tenth of the window");
+    let skewed = worst_window(&simulate(6_000.0, DISPATCHERS, 150.0, ordinal));
+    assert!(skewed <= 1.0, "{skewed} of the limit with clocks that differ by a tenth of the window");
 }
 
-/// Without ordinals each dispatcher has a slot by chance; the same holds where the number of dispatchers is wrong by a factor
-/// of two either way.
+/// Without ordinals each dispatcher has a random slot in the rotation. The count of dispatchers may also be
+/// wrong, here by a factor of two in either direction.
 #[test]
-fn fleet_without_ordinals_or_with_a_wrong_count_keeps_the_limit_on_average() {
+fn fleet_without_ordinals_or_with_a_wrong_count_keeps_its_bound_on_the_limit() {
     let name = |seed: u64| FleetPosition::NameKey(gaugestep_subsetting::key(&format!("n{seed}")));
-    let by_name = play(6_000.0, DISPATCHERS, 0.0, name);
-    println!("names: worst {:.2}, {:.2} used", worst(&by_name), mean(&by_name, 6_000.0));
-    assert!(worst(&by_name) <= 1.0 && mean(&by_name, 6_000.0) > 0.1);
-    let many = play(6_000.0, 2 * DISPATCHERS, 0.0, |seed| {
+    let by_name = simulate(6_000.0, DISPATCHERS, 0.0, name);
+    println!("names: worst {:.2}, {:.2} used", worst_window(&by_name), used_fraction(&by_name, 6_000.0));
+    assert!(worst_window(&by_name) <= 1.0 && used_fraction(&by_name, 6_000.0) > 0.1);
+    let twice = simulate(6_000.0, 2 * DISPATCHERS, 0.0, |seed| {
         FleetPosition::ordinal(seed as u32, 2 * DISPATCHERS as u32).unwrap()
     });
-    let few = play(6_000.0, DISPATCHERS / 2, 0.0, |seed| {
+    let half = simulate(6_000.0, DISPATCHERS / 2, 0.0, |seed| {
         FleetPosition::ordinal((seed / 2) as u32, DISPATCHERS as u32 / 2).unwrap()
     });
-    println!("twice the count: worst {:.2}, {:.2} used", worst(&many), mean(&many, 6_000.0));
-    println!("half the count: worst {:.2}, {:.2} used", worst(&few), mean(&few, 6_000.0));
-    assert!(worst(&many) <= 1.0 && mean(&many, 6_000.0) > 0.1);
-    // Each right is used twice: twice the limit's part, and no more.
-    assert!(worst(&few) <= 2.0, "{}", worst(&few));
+    println!("twice the count: worst {:.2}, {:.2} used", worst_window(&twice), used_fraction(&twice, 6_000.0));
+    println!("half the count: worst {:.2}, {:.2} used", worst_window(&half), used_fraction(&half, 6_000.0));
+    assert!(worst_window(&twice) <= 1.0 && used_fraction(&twice, 6_000.0) > 0.1);
+    // Two dispatchers use each credit, so that up to twice the limit is sent.
+    assert!(worst_window(&half) <= 2.0, "{}", worst_window(&half));
 }
 
-/// All meet one failure at one moment, as where an engine hangs or a zone is partitioned.
+/// If an engine hangs or a zone is partitioned, all dispatchers observe the failure at the same time. They
+/// must not all send the first request after the ejection at the same time.
 #[test]
-fn dispatchers_that_met_one_failure_retry_the_engine_one_after_the_other() {
-    let mut back = Vec::new();
+fn dispatchers_that_observed_one_failure_retry_the_engine_at_different_times() {
+    let mut retry_times = Vec::new();
     for ordinal in 0..DISPATCHERS {
-        let place = FleetPosition::ordinal(ordinal as u32, DISPATCHERS as u32).unwrap();
+        let position = FleetPosition::ordinal(ordinal as u32, DISPATCHERS as u32).unwrap();
         let settings = settings(vec![class(Idempotency::Safe, 1.0)]);
-        let settings = Settings { dispatchers: DISPATCHERS as usize, fleet_position: place, ..settings };
+        let settings = Settings { dispatchers: DISPATCHERS as usize, fleet_position: position, ..settings };
         let mut harness = Harness { dispatcher: Dispatcher::new(settings, ordinal).unwrap(), now: 0.0 };
         harness.handle(Event::EngineList(vec![entry(0)]));
         assert_eq!(harness.arrive(request(0, 0, 60_000.0)).len(), 3);
-        let refused = AttemptEnd {
+        let rejected = AttemptEnd {
             id: id(0),
             attempt: AttemptNo(0),
             engine: EngineId(0),
@@ -164,14 +175,14 @@
             cost: None,
             load: None,
         };
-        harness.handle(Event::AttemptEnded(refused));
+        harness.handle(Event::AttemptEnded(rejected));
         harness.arrive(request(1, 0, 60_000.0));
         while !harness.advance(5.0).iter().any(|action| matches!(action, Action::Send { .. })) {
             assert!(harness.now < 10_000.0);
         }
-        back.push(harness.now);
+        retry_times.push(harness.now);
     }
-    let within = |from: f64| back.iter().filter(|at| (from..from + 50.0).contains(*at)).count();
-    let most = (0..100).map(|at| within(f64::from(at) * 10.0)).max().unwrap();
-    assert!(most <= DISPATCHERS as usize / 3, "{most} of {DISPATCHERS} within 50 ms: {back:?}");
+    let count_within = |from: f64| retry_times.iter().filter(|at| (from..from + 50.0).contains(*at)).count();
+    let most = (0..100).map(|step| count_within(f64::from(step) * 10.0)).max().unwrap();
+    assert!(most <= DISPATCHERS as usize / 3, "{most} of {DISPATCHERS} within 50 ms: {retry_times:?}");
 }
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Seeded random sequences of legal events; an independent model checks the actions.
+//! Random sequences of legal events from fixed seeds. An independent model checks every action.
 
 mod common;
 
@@ -10,17 +10,18 @@
 use gaugestep_dispatch::interface::*;
 use oorandom::Rand64;
 
-/// Engines on the list.
+/// The number of engines on the list.
 const ENGINES: u32 = 7;
-/// Classes of the settings, by number.
+/// The numbers of the classes in the settings.
 const KEYED: usize = 1;
 const ORDERED: usize = 2;
-const BOUND: usize = 3;
-/// How long keyed requests are deduplicated, and the window of the retry budget, in ms.
+const RESTRICTED: usize = 3;
+/// The deduplication window of keyed requests and the window of the retry budget, in ms.
 const DEDUP_WINDOW: Millis = 900.0;
 const BUDGET_WINDOW: Millis = 5_000.0;
-/// ms that an answer may come behind the deadline, as timers come late here.
-const ANSWER_SLACK: Millis = 140.0;
+/// The time after the deadline by which a final response must have been sent, in ms: timers are late in this
+/// simulation.
+const RESPONSE_SLACK: Millis = 140.0;
 
 struct SentAttempt {
     engine: EngineId,
@@ -39,12 +40,12 @@
     deadline: Millis,
     key: Option<OrderKey>,
     sent: Vec<SentAttempt>,
-    answered: bool,
+    has_response: bool,
 }
 
 impl OpenRequest {
     fn is_over(&self) -> bool {
-        self.answered && self.sent.iter().all(|sent| sent.outcome.is_some())
+        self.has_response && self.sent.iter().all(|sent| sent.outcome.is_some())
     }
 }
 
@@ -52,9 +53,9 @@
     let keyed = class(Idempotency::Keyed(DedupGroup::Cell, DEDUP_WINDOW), 2.0);
     let mut ordered = class(Idempotency::Unsafe, 2.0);
     ordered.ordered = true;
-    let mut bound = class(Idempotency::Safe, 4.0);
-    bound.zones = Some(vec![ZoneId(1)]);
-    let mut settings = settings(vec![class(Idempotency::Safe, 1.0), keyed, ordered, bound]);
+    let mut restricted = class(Idempotency::Safe, 4.0);
+    restricted.zones = Some(vec![ZoneId(1)]);
+    let mut settings = settings(vec![class(Idempotency::Safe, 1.0), keyed, ordered, restricted]);
     settings.tenants = vec![TenantSettings { quota_per_s: 20.0 }, TenantSettings { quota_per_s: 5.0 }];
     settings.dispatchers = 2;
     settings.max_attempts = 3;
@@ -66,15 +67,16 @@
     EngineEntry { zone: ZoneId(engine as usize % 2), cell: CellId(u64::from(engine / 3)), ..entry(engine) }
 }
 
-/// What was sent and answered, as an embedder sees it.
+/// The requests, attempts and responses from the embedder's point of view.
 struct Model {
     settings: Settings,
     now: Millis,
     timer_at: Option<Millis>,
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// The requests of each key in the order of arrival, and until when the key is paused.
+    /// The requests of each order key, in the order of arrival.
     queues: BTreeMap<OrderKey, Vec<RequestId>>,
-    paused: BTreeMap<OrderKey, Millis>,
+    /// The end of the latest pause of each order key.
+    paused_until: BTreeMap<OrderKey, Millis>,
     up: BTreeMap<EngineId, bool>,
     arrivals: Vec<Millis>,
     retries: Vec<Millis>,
@@ -88,20 +90,20 @@
             timer_at: None,
             requests: BTreeMap::new(),
             queues: BTreeMap::new(),
-            paused: BTreeMap::new(),
+            paused_until: BTreeMap::new(),
             up: (0..ENGINES).map(|engine| (EngineId(engine), true)).collect(),
             arrivals: vec![],
             retries: vec![],
         }
     }
 
-    /// The attempts without outcome.
+    /// The attempts without an outcome, each by its request and number.
     fn in_flight(&self) -> Vec<(RequestId, usize)> {
-        let of = |(id, request): (&RequestId, &OpenRequest)| {
+        let attempts_of = |(id, request): (&RequestId, &OpenRequest)| {
             let live = request.sent.iter().enumerate().filter(|(_, sent)| sent.outcome.is_none());
             live.map(|(index, _)| (id.clone(), index)).collect::<Vec<_>>()
         };
-        self.requests.iter().flat_map(of).collect()
+        self.requests.iter().flat_map(attempts_of).collect()
     }
 
     fn arrive(&mut self, random: &mut Rand64) -> Event {
@@ -119,35 +121,35 @@
         if let Some(key) = &key {
             self.queues.entry(key.clone()).or_default().push(new.id.clone());
         }
-        let open = OpenRequest { class, deadline, key, sent: vec![], answered: false };
+        let open = OpenRequest { class, deadline, key, sent: vec![], has_response: false };
         self.requests.insert(new.id.clone(), open);
         Event::Request(new)
     }
 
     fn end(&mut self, id: RequestId, index: usize, outcome: Outcome) -> Event {
-        let request = self.requests.get_mut(&id).expect("it is in flight");
+        let request = self.requests.get_mut(&id).expect("the request of an attempt in flight is open");
         let sent = &mut request.sent[index];
         sent.outcome = Some(outcome);
         let (engine, elapsed) = (sent.engine, self.now - sent.at);
-        request.answered |= outcome == Outcome::Served;
+        request.has_response |= outcome == Outcome::Served;
         if matches!(outcome, Outcome::Reset | Outcome::Cancelled)
             && let Some(key) = &request.key
         {
-            self.paused.insert(key.clone(), self.now + self.settings.order_pause);
+            self.paused_until.insert(key.clone(), self.now + self.settings.order_pause);
         }
         Event::AttemptEnded(AttemptEnd {
             id,
             attempt: AttemptNo(index),
             engine,
             outcome,
-            finished: request.answered,
+            finished: request.has_response,
             elapsed,
             cost: None,
             load: None,
         })
     }
 
-    /// The next event, or none where only time passes. The timer comes when it is due; other events between.
+    /// The next event: the timer if it is due, else a random one. `None` if only the clock advances.
     fn next_event(&mut self, random: &mut Rand64) -> Option<Event> {
         let pick = random.rand_range(0..100);
         let in_flight = self.in_flight();
@@ -186,14 +188,14 @@
         None
     }
 
-    fn check_effect(&self, request: &OpenRequest, engine: EngineId) {
+    fn check_idempotency(&self, request: &OpenRequest, engine: EngineId) {
         let mut ran = request.sent.iter().filter(|sent| sent.may_have_run());
         match request.class {
             KEYED => assert!(
                 ran.all(|sent| { sent.engine.0 / 3 == engine.0 / 3 && self.now - sent.at <= DEDUP_WINDOW })
             ),
-            ORDERED => assert!(ran.next().is_none(), "an effect twice"),
-            BOUND => assert_eq!(engine.0 % 2, 1, "out of its zone"),
+            ORDERED => assert!(ran.next().is_none(), "an unsafe request may have run before"),
+            RESTRICTED => assert_eq!(engine.0 % 2, 1, "the engine is in a zone that the class may not be sent to"),
             _ => {}
         }
     }
@@ -201,9 +203,9 @@
     fn check_order(&self, id: &RequestId, request: &OpenRequest) {
         let Some(key) = &request.key else { return };
         for earlier in self.queues[key].iter().take_while(|other| *other != id) {
-            assert!(self.requests[earlier].is_over(), "before its turn");
+            assert!(self.requests[earlier].is_over(), "an earlier request of the key is not finished");
         }
-        let paused = self.paused.get(key).is_some_and(|until| self.now < *until);
+        let paused = self.paused_until.get(key).is_some_and(|until| self.now < *until);
         assert!(!request.sent.is_empty() || !paused, "the key is paused");
     }
 
@@ -211,38 +213,38 @@
         self.retries.push(self.now);
         let recent =
             |times: &[Millis]| times.iter().filter(|at| self.now - **at <= BUDGET_WINDOW).count() as f64;
-        assert!(recent(&self.retries) <= 2.0 + 0.1 * recent(&self.arrivals), "over the retry budget");
+        assert!(recent(&self.retries) <= 2.0 + 0.1 * recent(&self.arrivals), "the retry budget is exceeded");
     }
 
     fn check_send(&mut self, id: &RequestId, engine: EngineId) {
-        assert!(self.up[&engine], "a send to an engine that drains or is gone");
+        assert!(self.up[&engine], "an attempt is sent to an engine that is draining or removed");
         let request = &self.requests[id];
-        assert!(!request.answered, "a send after the answer");
-        assert!(request.sent.iter().all(|sent| sent.outcome.is_some()), "two attempts at once");
+        assert!(!request.has_response, "an attempt is sent after the final response");
+        assert!(request.sent.iter().all(|sent| sent.outcome.is_some()), "two attempts are in flight together");
         assert!(request.sent.len() < self.settings.max_attempts);
-        self.check_effect(request, engine);
+        self.check_idempotency(request, engine);
         self.check_order(id, request);
         if !request.sent.is_empty() {
             self.check_retry_budget();
         }
         let sent = SentAttempt { engine, at: self.now, outcome: None };
-        self.requests.get_mut(id).expect("it was looked up above").sent.push(sent);
+        self.requests.get_mut(id).expect("the request was found above").sent.push(sent);
     }
 
-    fn check_answer(&mut self, id: &RequestId, rejected: bool) {
-        let request = self.requests.get_mut(id).expect("only open requests are answered");
-        assert!(!request.answered, "two answers for {id:?}");
-        let repeatable = matches!(request.class, 0 | BOUND);
+    fn check_response(&mut self, id: &RequestId, rejected: bool) {
+        let request = self.requests.get_mut(id).expect("only open requests get a response");
+        assert!(!request.has_response, "two responses for {id:?}");
+        let repeatable = matches!(request.class, 0 | RESTRICTED);
         let ran = request.sent.iter().any(SentAttempt::may_have_run);
-        assert!(!rejected || repeatable || !ran, "a false promise");
-        request.answered = true;
+        assert!(!rejected || repeatable || !ran, "a request that may have run is rejected");
+        request.has_response = true;
     }
 
     fn check(&mut self, action: Action) {
         match action {
             Action::Send { id, engine } => self.check_send(&id, engine),
-            Action::Reject { id, .. } => self.check_answer(&id, true),
-            Action::Fail { id } => self.check_answer(&id, false),
+            Action::Reject { id, .. } => self.check_response(&id, true),
+            Action::Fail { id } => self.check_response(&id, false),
             Action::SetTimer { delay, .. } => self.timer_at = Some(self.now + delay),
             Action::Cancel { id, attempt } => assert!(attempt.0 < self.requests[&id].sent.len()),
             Action::SetAttemptOptions { priority, memory_mb, .. } => {
@@ -255,13 +257,13 @@
     fn check_deadlines(&self) {
         if self.timer_at.is_none_or(|at| at > self.now) {
             for (id, request) in &self.requests {
-                assert!(request.answered || self.now <= request.deadline + ANSWER_SLACK, "{id:?} was lost");
+                assert!(request.has_response || self.now <= request.deadline + RESPONSE_SLACK, "{id:?} has no response by its deadline");
             }
         }
     }
 }
 
-/// Plays `steps` random events and checks every action; returns what was done, as text.
+/// Passes `steps` random events to a dispatcher and checks every action. Returns the actions as text.
 fn play(seed: u128, steps: usize) -> String {
     let mut random = Rand64::new(seed);
     let mut model = Model::new(random_settings());
@@ -286,7 +288,7 @@
 }
 
 #[test]
-fn random_events_break_no_rule_and_repeat_exactly() {
+fn random_events_violate_no_rule_and_give_the_same_actions_again() {
     for seed in 1..13 {
         assert_eq!(play(seed, 1_500), play(seed, 1_500));
     }
