--- a/crates/dispatch/benches/dispatch.rs
+++ b/crates/dispatch/benches/dispatch.rs
@@ -1,9 +1,11 @@
-//! What a decision costs: `cargo bench --bench dispatch`. Prints figures and asserts none.
+//! Measures the time that the dispatcher needs for one request: `cargo bench --bench dispatch`. Prints the
+//! results and checks none of them.
 //!
-//! Each case keeps a number of requests open and repeats one round: the oldest attempt in flight ends as served and a new
-//! request arrives; the module sends it, or another one that waits. Timers come due between rounds, and pending requests are
-//! served as often as the proxy does it. So a round is the whole cost of one request in a steady state. The clock is
-//! simulated, and moves so that attempts run for about their estimated time.
+//! Each case has a constant number of open requests and repeats one round: the oldest attempt in flight is
+//! served and a new request arrives, after which the dispatcher sends this request or another one that is
+//! waiting. Timers fire between rounds, and `run_pending` is called as often as the proxy calls it, so that a
+//! round is the complete cost of one request in a steady state. The clock is simulated and advances so that
+//! attempts run for about their estimated time.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -15,27 +17,27 @@
 use gaugestep_dispatch::Dispatcher;
 use gaugestep_dispatch::interface::*;
 
-/// Rounds before measuring, so that estimates and queues are in a steady state.
+/// The number of rounds before the measurement, after which estimates and queues are in a steady state.
 const WARM_UP_ROUNDS: u32 = 2_000;
-/// Repetitions of each case, of which the median is reported.
+/// The number of repetitions of each case, of which the median is reported.
 const REPETITIONS: usize = 7;
-/// ms between two calls to serve pending requests, as in the proxy.
-const RUN_PENDING_EVERY: Millis = 1.0;
-/// ms that an attempt runs, about.
+/// The minimum time between two calls of `run_pending`, as in the proxy, in ms.
+const RUN_PENDING_INTERVAL: Millis = 1.0;
+/// The approximate run time of an attempt, in ms.
 const RUN_TIME: Millis = 1_000.0;
-/// ms that clients wait.
-const PATIENCE: Millis = 600_000.0;
+/// The time that clients wait for a response, in ms.
+const CLIENT_WAIT: Millis = 600_000.0;
 
 /// One case of the benchmark.
 struct Case {
     name: &'static str,
     dispatchers: usize,
     engines: u32,
-    /// Requests open at any time.
+    /// The number of requests that are open at any time.
     open: u32,
-    /// Whether ends carry the engine's load report.
+    /// Whether the end of an attempt carries the engine's load report.
     load_reports: bool,
-    /// Rounds in one repetition.
+    /// The number of rounds in one repetition.
     rounds: u32,
 }
 
@@ -89,7 +91,7 @@
     sent: Millis,
 }
 
-/// The module under a steady stream of requests.
+/// A dispatcher with a steady stream of requests.
 struct SteadyLoad {
     dispatcher: Dispatcher,
     now: Millis,
@@ -97,14 +99,14 @@
     timer_due: Option<Millis>,
     arrivals: u32,
     in_flight: VecDeque<InFlight>,
-    /// Attempts in flight by engine.
-    held: Vec<u32>,
+    /// The number of attempts in flight on each engine.
+    in_flight_by_engine: Vec<u32>,
     load_reports: bool,
     actions: Vec<Action>,
 }
 
 impl SteadyLoad {
-    /// Opens the case's requests, evenly over the time of one run.
+    /// Opens the requests of the case, evenly spread over the run time of one attempt.
     fn new(case: &Case) -> Self {
         let safe = class(Idempotency::Safe, 1.0);
         let settings =
@@ -116,7 +118,7 @@
             timer_due: None,
             arrivals: 0,
             in_flight: VecDeque::new(),
-            held: vec![0; case.engines as usize],
+            in_flight_by_engine: vec![0; case.engines as usize],
             load_reports: case.load_reports,
             actions: Vec::new(),
         };
@@ -128,17 +130,17 @@
         load
     }
 
-    /// Hands over an event, and serves pending requests if the last time is long enough ago.
+    /// Passes an event to the dispatcher, and calls `run_pending` if its interval has passed.
     fn handle(&mut self, event: Event) {
         self.dispatcher.handle(self.now, event, &mut self.actions);
-        if self.now - self.pending_run_at >= RUN_PENDING_EVERY {
+        if self.now - self.pending_run_at >= RUN_PENDING_INTERVAL {
             self.pending_run_at = self.now;
             self.dispatcher.run_pending(self.now, &mut self.actions);
         }
         for action in self.actions.drain(..) {
             match action {
                 Action::Send { id, engine } => {
-                    self.held[engine.0 as usize] += 1;
+                    self.in_flight_by_engine[engine.0 as usize] += 1;
                     self.in_flight.push_back(InFlight { id, engine, sent: self.now });
                 }
                 Action::SetTimer { delay, .. } => self.timer_due = Some(self.now + delay),
@@ -152,15 +154,15 @@
 
     fn request(&mut self) {
         self.arrivals += 1;
-        self.handle(Event::Request(request(self.arrivals, 0, self.now + PATIENCE)));
+        self.handle(Event::Request(request(self.arrivals, 0, self.now + CLIENT_WAIT)));
     }
 
     /// Ends the oldest attempt as served.
     fn end_oldest(&mut self) {
         let Some(oldest) = self.in_flight.pop_front() else { return };
-        let held = &mut self.held[oldest.engine.0 as usize];
-        *held -= 1;
-        let report = LoadReport { in_flight: Some(f64::from(*held)), ..LoadReport::default() };
+        let in_flight = &mut self.in_flight_by_engine[oldest.engine.0 as usize];
+        *in_flight -= 1;
+        let report = LoadReport { in_flight: Some(f64::from(*in_flight)), ..LoadReport::default() };
         self.handle(Event::AttemptEnded(AttemptEnd {
             id: oldest.id,
             attempt: AttemptNo(0),
@@ -173,7 +175,7 @@
         }));
     }
 
-    /// One request ends and one arrives, after as long as keeps attempts running for about the run time.
+    /// Ends one request and adds one. The clock advances so that attempts run for about `RUN_TIME`.
     fn round(&mut self) {
         self.now += RUN_TIME / self.in_flight.len().max(1) as f64;
         if self.timer_due.is_some_and(|due| due <= self.now) {
@@ -185,34 +187,34 @@
     }
 }
 
-/// What a case measured.
-struct Figures {
-    /// The median cost of a round.
+/// The results of one case.
+struct Measurement {
+    /// The median time of a round, in ns.
     nanoseconds: f64,
-    /// Attempts in flight at the end.
+    /// The number of attempts in flight at the end.
     in_flight: usize,
 }
 
-fn measure(case: &Case) -> Figures {
+fn measure(case: &Case) -> Measurement {
     let mut load = SteadyLoad::new(case);
     for _ in 0..WARM_UP_ROUNDS.min(case.rounds) {
         load.round();
     }
     let mut repetition = || {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for _ in 0..case.rounds {
             load.round();
         }
-        began.elapsed().as_secs_f64() * 1e9 / f64::from(case.rounds)
+        started_at.elapsed().as_secs_f64() * 1e9 / f64::from(case.rounds)
     };
     let mut costs: Vec<f64> = (0..REPETITIONS).map(|_| repetition()).collect();
     costs.sort_by(f64::total_cmp);
-    Figures { nanoseconds: costs[REPETITIONS / 2], in_flight: load.in_flight.len() }
+    Measurement { nanoseconds: costs[REPETITIONS / 2], in_flight: load.in_flight.len() }
 }
 
 fn main() {
     for case in &CASES {
-        let Figures { nanoseconds, in_flight } = measure(case);
+        let Measurement { nanoseconds, in_flight } = measure(case);
         println!("{}: {nanoseconds:.0} ns a request ({in_flight} attempts in flight)", case.name);
     }
 }
--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -1,5 +1,5 @@
-//! What choosing by ordinals costs: `cargo bench --bench subsets`. Prints figures and asserts none; those of note are kept in
-//! docs/subsetting.md.
+//! Measures the time for drawing subsets by ordinals: `cargo bench --bench subsets`. Prints the results and
+//! checks none of them; docs/subsetting.md has the relevant ones.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -12,21 +12,23 @@
 use gaugestep_subsetting::key;
 use gaugestep_subsetting::subset::{Member, Subset};
 
-/// The median of five, in microseconds for each of `times`.
+/// The median of five measurements of the time of one run, in microseconds; each measurement repeats `run`
+/// `times` times.
 fn micros(times: u32, mut run: impl FnMut()) -> f64 {
-    let mut spans: Vec<f64> = (0..5)
+    let mut durations: Vec<f64> = (0..5)
         .map(|_| {
-            let began = Instant::now();
+            let started_at = Instant::now();
             (0..times).for_each(|_| run());
-            began.elapsed().as_secs_f64() * 1e6 / f64::from(times)
+            started_at.elapsed().as_secs_f64() * 1e6 / f64::from(times)
         })
         .collect();
-    spans.sort_by(f64::total_cmp);
-    spans[2]
+    durations.sort_by(f64::total_cmp);
+    durations[2]
 }
 
-/// One request arrives, is sent and served, at one of 100 dispatchers with 60 engines.
-fn pick() -> f64 {
+/// The time in which one of 100 dispatchers with 60 engines sends one request and handles its end, in
+/// microseconds.
+fn request_micros() -> f64 {
     let settings = Settings { dispatchers: 100, ..settings(vec![class(Idempotency::Safe, 1.0)]) };
     let mut harness =
         Harness { dispatcher: Dispatcher::new(settings, 7).expect("the settings are valid"), now: 0.0 };
@@ -43,12 +45,12 @@
 }
 
 fn main() {
-    println!("one request, sent and served: {:.2} us", pick());
+    println!("one request, sent and served: {:.2} us", request_micros());
     for (proxies, engines) in [(10, 40), (100, 60), (300, 80), (1_000, 80)] {
         let member = |id: u32| Member { id, key: key(&format!("s-{id}")), size: 8.0, zone: 0 };
         let members: Vec<Member> = (0..engines).map(member).collect();
-        let place = FleetPosition::ordinal(3, proxies).expect("there is such an ordinal");
-        let span = micros(20, || drop(Subset::draw(place, proxies as usize, &members, 8)));
-        println!("{proxies} proxies, {engines} engines: the subset is drawn anew in {span:.0} us");
+        let position = FleetPosition::ordinal(3, proxies).expect("the ordinal is valid");
+        let micros = micros(20, || drop(Subset::draw(position, proxies as usize, &members, 8)));
+        println!("{proxies} proxies, {engines} engines: drawing the subset takes {micros:.0} us");
     }
 }
