--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -39,8 +39,9 @@
     // Every field of the document accepts any value, so that decoding cannot fail before a number is read.
     let Section(document) = Section::<Document>::deserialize(json).unwrap_or_default();
     let (family, limits, rules) = (&document.family_info.0, &document.limits.0, &document.rules.0);
+    let classes = document.services.0.iter().enumerate();
     Ok(Settings {
-        classes: (document.services.0.iter().enumerate())
+        classes: classes
             .map(|(index, class)| class_settings(&class.0, family, index))
             .collect::<Result<_, _>>()?,
         machine_types: (0..document.kinds.0.len()).map(|index| machine_type_settings(family, index)).collect(),
