--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -80,7 +80,10 @@
         };
         self.outliers.is_available(engine, context.now)
             && class.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
-            && class.machine_types.as_ref().is_none_or(|machine_types| machine_types.contains(&entry.machine_type))
+            && class
+                .machine_types
+                .as_ref()
+                .is_none_or(|machine_types| machine_types.contains(&entry.machine_type))
             && request.attempts.iter().all(|attempt| attempt.never_ran() || drops_repeats(attempt))
             && context.settings.route_weight(&request.new, entry.engine) > 0.0
     }
--- a/crates/dispatch/src/requests.rs
+++ b/crates/dispatch/src/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{
-    AttemptNo, ClassId, Idempotency, EngineId, Millis, NewRequest, OrderKey, Outcome, RequestId,
+    AttemptNo, ClassId, EngineId, Idempotency, Millis, NewRequest, OrderKey, Outcome, RequestId,
 };
 use crate::stats::{LogFactor, LogMean, Mean};
 
--- a/crates/dispatch/tests/action_digest.rs
+++ b/crates/dispatch/tests/action_digest.rs
@@ -119,5 +119,9 @@
         return fs::write(golden_path(), played.text).expect("the golden file can be written");
     }
     let golden = fs::read_to_string(golden_path()).expect("the golden file can be read");
-    assert!(golden == played.text, "actions differ from the golden file; the actual ones are:\n{}", played.text);
+    assert!(
+        golden == played.text,
+        "actions differ from the golden file; the actual ones are:\n{}",
+        played.text
+    );
 }
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -335,7 +335,12 @@
 
 /// Several times as much traffic as the fleet can serve, so that several hundred requests are open.
 fn overload_traffic() -> Traffic {
-    Traffic { mean_arrival_interval: 4.0, work: (500.0, 4_000.0), patience: (2_000.0, 9_000.0), ..DEFAULT_TRAFFIC }
+    Traffic {
+        mean_arrival_interval: 4.0,
+        work: (500.0, 4_000.0),
+        patience: (2_000.0, 9_000.0),
+        ..DEFAULT_TRAFFIC
+    }
 }
 
 fn overload() -> Profile {
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -466,7 +466,8 @@
 
     /// Removes a client that needs no response any more and has no attempt in flight.
     fn remove_if_finished(&mut self, id: &RequestId) {
-        let done = |client: &Client| client.is_finished && client.attempts.iter().all(|attempt| attempt.ended);
+        let done =
+            |client: &Client| client.is_finished && client.attempts.iter().all(|attempt| attempt.ended);
         if self.clients.get(id).is_some_and(done) {
             self.clients.remove(id);
         }
@@ -495,7 +496,8 @@
         }
         // An engine that is down restarts from time to time, so that the fleet does not shrink permanently.
         let not_up = self.engines.values().find(|engine| engine.entry.readiness != Readiness::Up);
-        if let Some(id) = not_up.map(|engine| engine.entry.engine).filter(|_| self.random.rand_float() < 0.2) {
+        if let Some(id) = not_up.map(|engine| engine.entry.engine).filter(|_| self.random.rand_float() < 0.2)
+        {
             self.restart_engine(id);
         }
     }
--- a/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
+++ b/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
@@ -9,7 +9,10 @@
     let mut ordered = class(Idempotency::Unsafe, 1.0);
     ordered.ordered = true;
     let mut harness = Harness::new(settings(vec![ordered]), 3);
-    let keyed = |number, deadline| NewRequest { order_key: Some(OrderKey("k".into())), ..request(number, 0, deadline) };
+    let keyed = |number, deadline| NewRequest {
+        order_key: Some(OrderKey("k".into())),
+        ..request(number, 0, deadline)
+    };
     let first = sends(&harness.arrive(keyed(1, 60_000.0)))[0];
     assert!(sends(&harness.arrive(keyed(2, 60_000.0))).is_empty());
     assert!(sends(&harness.arrive(keyed(3, 60_000.0))).is_empty());
--- a/crates/dispatch/tests/dispatcher/placement.rs
+++ b/crates/dispatch/tests/dispatcher/placement.rs
@@ -46,7 +46,10 @@
         let load = LoadReport { in_flight: Some(40.0), ..LoadReport::default() };
         harness.handle(Event::ProbeResult(EngineId(engine), Outcome::Served, Some(load)));
     }
-    assert!(sends(&harness.arrive(request(1, 0, 60_000.0))).is_empty(), "all engines are at their load limit");
+    assert!(
+        sends(&harness.arrive(request(1, 0, 60_000.0))).is_empty(),
+        "all engines are at their load limit"
+    );
     assert_eq!(sends(&harness.advance(20_000.0)).len(), 1, "an old load report does not block the request");
 }
 
@@ -112,7 +115,8 @@
     settings.dispatchers = 100;
     let mut harness = Harness::new(settings, 40);
     for removed in (4..40).rev() {
-        harness.handle(Event::EngineChanges(vec![EngineEntry { readiness: Readiness::Gone, ..entry(removed) }]));
+        harness
+            .handle(Event::EngineChanges(vec![EngineEntry { readiness: Readiness::Gone, ..entry(removed) }]));
         let sent = sends(&harness.arrive(request(removed, 0, harness.now + 60_000.0)));
         assert!(sent[0].0 < removed, "{sent:?}");
         harness.end(removed, 0, sent[0], Outcome::Served, 1.0);
--- a/crates/dispatch/tests/dispatcher/slow_start.rs
+++ b/crates/dispatch/tests/dispatcher/slow_start.rs
@@ -71,5 +71,8 @@
         light_sent += sent.len();
     }
     // The budget is 162 ms of work at first and accrues 335 ms in 3.1 s: about nine requests of 50 ms.
-    assert!((5..=10 - heavy_sent).contains(&light_sent), "{light_sent} light requests, {heavy_sent} heavy ones");
+    assert!(
+        (5..=10 - heavy_sent).contains(&light_sent),
+        "{light_sent} light requests, {heavy_sent} heavy ones"
+    );
 }
--- a/crates/dispatch/tests/dispatcher/timeouts.rs
+++ b/crates/dispatch/tests/dispatcher/timeouts.rs
@@ -153,7 +153,8 @@
 #[test]
 fn class_without_outcomes_learns_its_timeout_from_other_classes_and_progress_reports() {
     for (completed, expected) in [(0.03, 1), (0.9, 0)] {
-        let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 1.0)]), 4);
+        let mut harness =
+            Harness::new(settings(vec![class(Idempotency::Safe, 1.0), class(Idempotency::Safe, 1.0)]), 4);
         for number in 0..25 {
             harness.serve(number, 0, 1_000.0);
         }
--- a/crates/dispatch/tests/fleet_slow_start.rs
+++ b/crates/dispatch/tests/fleet_slow_start.rs
@@ -45,8 +45,11 @@
     let start = 100_000.0;
     let mut total = SentWork { work: BTreeMap::new(), light: 0, heavy: 0 };
     for seed in 0..DISPATCHERS {
-        let settings =
-            Settings { dispatchers: dispatchers as usize, fleet_position: position(seed), ..settings.clone() };
+        let settings = Settings {
+            dispatchers: dispatchers as usize,
+            fleet_position: position(seed),
+            ..settings.clone()
+        };
         let mut harness = Harness {
             dispatcher: Dispatcher::new(settings, seed).expect("the settings are valid"),
             now: start,
@@ -99,7 +102,8 @@
 /// for chance. The limit is 3 times the capacity of the engine, which at its start is 30% of 8 cores.
 fn worst_window(sent: &SentWork) -> f64 {
     let window = (1_500.0 / STEP) as u64;
-    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
+    let budget =
+        SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
     let last = sent.work.keys().last().copied().unwrap_or(0);
     let sums = (0..=last).map(|first| {
         let work: Millis = sent.work.range(first..first + window).map(|(_, work)| work).sum();
@@ -110,7 +114,8 @@
 
 /// The fraction of the accrued budget that was used over the duration.
 fn used_fraction(sent: &SentWork, duration: Millis) -> f64 {
-    let budget = SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
+    let budget =
+        SlowStartLimit { cores: 8.0, settings: settings(vec![class(Idempotency::Safe, 1.0)]).slow_start };
     sent.work.values().sum::<Millis>() / budget.accrued(duration)
 }
 
@@ -146,7 +151,11 @@
     let half = simulate(6_000.0, DISPATCHERS / 2, 0.0, |seed| {
         FleetPosition::ordinal((seed / 2) as u32, DISPATCHERS as u32 / 2).unwrap()
     });
-    println!("twice the count: worst {:.2}, {:.2} used", worst_window(&twice), used_fraction(&twice, 6_000.0));
+    println!(
+        "twice the count: worst {:.2}, {:.2} used",
+        worst_window(&twice),
+        used_fraction(&twice, 6_000.0)
+    );
     println!("half the count: worst {:.2}, {:.2} used", worst_window(&half), used_fraction(&half, 6_000.0));
     assert!(worst_window(&twice) <= 1.0 && used_fraction(&twice, 6_000.0) > 0.1);
     // Two dispatchers use each credit, so that up to twice the limit is sent.
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -195,7 +195,9 @@
                 ran.all(|sent| { sent.engine.0 / 3 == engine.0 / 3 && self.now - sent.at <= DEDUP_WINDOW })
             ),
             ORDERED => assert!(ran.next().is_none(), "an unsafe request may have run before"),
-            RESTRICTED => assert_eq!(engine.0 % 2, 1, "the engine is in a zone that the class may not be sent to"),
+            RESTRICTED => {
+                assert_eq!(engine.0 % 2, 1, "the engine is in a zone that the class may not be sent to")
+            }
             _ => {}
         }
     }
@@ -220,7 +222,10 @@
         assert!(self.up[&engine], "an attempt is sent to an engine that is draining or removed");
         let request = &self.requests[id];
         assert!(!request.has_response, "an attempt is sent after the final response");
-        assert!(request.sent.iter().all(|sent| sent.outcome.is_some()), "two attempts are in flight together");
+        assert!(
+            request.sent.iter().all(|sent| sent.outcome.is_some()),
+            "two attempts are in flight together"
+        );
         assert!(request.sent.len() < self.settings.max_attempts);
         self.check_idempotency(request, engine);
         self.check_order(id, request);
@@ -257,7 +262,10 @@
     fn check_deadlines(&self) {
         if self.timer_at.is_none_or(|at| at > self.now) {
             for (id, request) in &self.requests {
-                assert!(request.has_response || self.now <= request.deadline + RESPONSE_SLACK, "{id:?} has no response by its deadline");
+                assert!(
+                    request.has_response || self.now <= request.deadline + RESPONSE_SLACK,
+                    "{id:?} has no response by its deadline"
+                );
             }
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,8 +11,8 @@
 
 use gaugestep_dispatch::Settings;
 use gaugestep_dispatch::interface::{
-    ClassSettings, DedupGroup, Idempotency, FleetPosition, MachineTypeId, MachineTypeSettings, RetryBudgetSettings,
-    SlowStartSettings, TenantSettings, ZoneId,
+    ClassSettings, DedupGroup, FleetPosition, Idempotency, MachineTypeId, MachineTypeSettings,
+    RetryBudgetSettings, SlowStartSettings, TenantSettings, ZoneId,
 };
 use serde::Deserialize as _;
 use serde_json::Value;
@@ -44,7 +44,9 @@
         classes: classes
             .map(|(index, class)| class_settings(&class.0, family, index))
             .collect::<Result<_, _>>()?,
-        machine_types: (0..document.kinds.0.len()).map(|index| machine_type_settings(family, index)).collect(),
+        machine_types: (0..document.kinds.0.len())
+            .map(|index| machine_type_settings(family, index))
+            .collect(),
         tenants: document.orgs.0.iter().map(|tenant| tenant_settings(&tenant.0)).collect::<Result<_, _>>()?,
         retry_budget: retry_budget(rules)?,
         dispatchers: document.balancers.or("balancers", 1.0)? as usize,
--- a/crates/settings/tests/decode.rs
+++ b/crates/settings/tests/decode.rs
@@ -1,7 +1,7 @@
 //! Decoding of settings documents: keys may have values of any type, and only numbers that are read are
 //! checked.
 
-use gaugestep_dispatch::interface::{DedupGroup, Idempotency, FleetPosition, ZoneId};
+use gaugestep_dispatch::interface::{DedupGroup, FleetPosition, Idempotency, ZoneId};
 use gaugestep_settings::decode;
 use serde_json::{Value, json};
 
