--- a/crates/dispatch/src/interface/actions.rs
+++ b/crates/dispatch/src/interface/actions.rs
@@ -5,11 +5,11 @@
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its attempts failed or were rejected, and no further attempt is allowed.
+    /// The request's attempts failed or were rejected, and no further attempt is allowed.
     AttemptsFailed,
-    /// No engine had capacity for it before its deadline.
+    /// No engine had capacity for the request before its deadline.
     QueueTimeout,
-    /// Its expected run time, learned from the responses of its class, exceeds the time to its deadline by
+    /// The expected run time, learned from the responses of the class, exceeds the time to the deadline by
     /// far, or a response would have no priority weight any more.
     TooLong,
     /// More than [`Settings::max_open`] requests are open, and this one has the lowest rank.
@@ -37,21 +37,21 @@
 pub enum Action {
     /// Start an attempt, which may run until the request's deadline.
     Send {
-        /// The request.
+        /// The request to send.
         id: RequestId,
         /// The engine to send it to.
         engine: EngineId,
     },
     /// Cancel an attempt. Its end is still reported as [`Event::AttemptEnded`].
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
         /// The attempt to cancel.
         attempt: AttemptNo,
     },
     /// The final response: rejected. The client may safely retry.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
         /// How long the client should wait before a retry, in ms; 0 if no retry delay is sent.
         retry_after: Millis,
@@ -60,12 +60,12 @@
     },
     /// The final response: failed. The request may have taken effect.
     Fail {
-        /// The request.
+        /// The failed request.
         id: RequestId,
     },
     /// Set the memory grant and the priority of the request's further attempts.
     SetAttemptOptions {
-        /// The request.
+        /// The request whose attempts the options apply to.
         id: RequestId,
         /// The memory grant in MB; 0 leaves it to the engine.
         memory_mb: f64,
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -5,11 +5,11 @@
 /// The state of an engine in the discovery list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// It accepts new attempts.
+    /// The engine accepts new attempts.
     Up,
-    /// It finishes its attempts in flight and gets no new ones.
+    /// The engine finishes its attempts in flight and gets no new ones.
     Draining,
-    /// It was removed from the list.
+    /// The engine was removed from the list.
     #[default]
     Gone,
 }
@@ -17,20 +17,21 @@
 /// One entry of the discovery list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEntry {
-    /// The engine.
+    /// The engine that the entry describes.
     pub engine: EngineId,
-    /// The zone that it runs in.
+    /// The zone that the engine runs in.
     pub zone: ZoneId,
-    /// The type of machine that it runs on.
+    /// The type of machine that the engine runs on.
     pub machine_type: MachineTypeId,
-    /// The cell that it belongs to.
+    /// The cell that the engine belongs to.
     pub cell: CellId,
-    /// Whether it accepts new attempts.
+    /// Whether the engine accepts new attempts.
     pub readiness: Readiness,
-    /// When its process started. None if unknown: an engine that first appears in [`Event::EngineChanges`]
-    /// then counts as started at that moment, one that first appears in [`Event::EngineList`] as warmed up.
+    /// When the engine's process started. None if unknown: an engine that first appears in
+    /// [`Event::EngineChanges`] then counts as started at that moment, one that first appears in
+    /// [`Event::EngineList`] as warmed up.
     pub started_at: Option<Millis>,
-    /// The key that `gaugestep_subsetting::key` derives from its name, which is the same at every dispatcher.
+    /// The key that `gaugestep_subsetting::key` derives from the engine's name; the same at every dispatcher.
     pub name_key: u64,
 }
 
@@ -48,7 +49,7 @@
     pub id: RequestId,
     /// The class of the request.
     pub class: ClassId,
-    /// The tenant that sent it. An id without an entry in [`Settings::tenants`] has no quota.
+    /// The tenant that sent the request. An id without an entry in [`Settings::tenants`] has no quota.
     pub tenant: TenantId,
     /// The time at which the client stops waiting for a response.
     pub deadline: Millis,
@@ -111,22 +112,22 @@
     pub in_flight: Option<f64>,
     /// Queries that wait for memory on the engine.
     pub queued: Option<f64>,
-    /// The utilization of its cores, from 0 to 1.
+    /// The utilization of the engine's cores, from 0 to 1.
     pub core_utilization: Option<f64>,
-    /// The fraction of its memory that is granted, from 0 to 1.
+    /// The fraction of the engine's memory that is granted, from 0 to 1.
     pub memory_utilization: Option<f64>,
 }
 
 /// The end of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
     /// The number of the attempt.
     pub attempt: AttemptNo,
-    /// The engine that it was sent to.
+    /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// The way in which it ended.
+    /// The way in which the attempt ended.
     pub outcome: Outcome,
     /// True if the request needs no further attempt, because of this outcome or since an earlier event.
     pub finished: bool,
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -9,22 +9,22 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Safe,
     /// The engines of this group deduplicate repeats by the request's id within this window, in ms.
     Keyed(DedupGroup, Millis),
-    /// It must not run more than once.
+    /// The request must not run more than once.
     Unsafe,
 }
 
 /// The engines that deduplicate the repeats of a keyed request among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
-    /// All engines.
+    /// All engines deduplicate together.
     All,
-    /// The engines of one zone.
+    /// The engines of one zone deduplicate together.
     Zone,
-    /// The engines of one cell.
+    /// The engines of one cell deduplicate together.
     Cell,
 }
 
@@ -42,7 +42,7 @@
 /// The settings of one class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Whether its requests may run more than once.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
     /// The weight of a response within the target latency, relative to the other classes; 0 or more.
     pub priority_weight: f64,
@@ -61,9 +61,9 @@
     pub locks_tables: bool,
     /// True if a query is blocked on an engine while a load there locks its tables.
     pub waits_for_loads: bool,
-    /// The zones of the engines that it may be sent to. None allows all zones.
+    /// The zones of the engines that the class may be sent to. None allows all zones.
     pub zones: Option<Vec<ZoneId>>,
-    /// The machine types of the engines that it may be sent to. None allows all types.
+    /// The machine types of the engines that the class may be sent to. None allows all types.
     pub machine_types: Option<Vec<MachineTypeId>>,
 }
 
@@ -86,7 +86,7 @@
 /// The settings of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Its quota in requests per second, over all dispatchers; 0 if it has none.
+    /// The quota in requests per second, over all dispatchers; 0 if the tenant has none.
     pub quota_per_s: f64,
 }
 
@@ -104,9 +104,9 @@
 /// A rule that sends requests of some classes and tenants to certain engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The classes that it applies to. None matches all classes.
+    /// The classes that the route applies to. None matches all classes.
     pub classes: Option<Vec<ClassId>>,
-    /// The tenants that it applies to. None matches all tenants.
+    /// The tenants that the route applies to. None matches all tenants.
     pub tenants: Option<Vec<TenantId>>,
     /// The engines that may serve a matching request, with their relative weights. None allows all engines
     /// with equal weights.
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -7,7 +7,7 @@
 /// The parameters from which a stream is generated.
 #[derive(Clone)]
 pub struct Profile {
-    /// Its name in the golden file.
+    /// The name of the profile in the golden file.
     pub name: &'static str,
     /// The initial settings.
     pub settings: Settings,
--- a/crates/dispatch/tests/dispatcher/work_estimates.rs
+++ b/crates/dispatch/tests/dispatcher/work_estimates.rs
@@ -52,8 +52,8 @@
     assert!(is_served(&mut harness, 30, 0.0, 50.0));
 }
 
-/// What is learned from responses expires, so that a class that was slow for some time is not rejected for
-/// ever.
+/// What is learned from responses expires, so that a class that was slow for some time is not rejected
+/// permanently.
 #[test]
 fn class_known_to_take_too_long_is_rejected_and_sent_again_later() {
     let mut harness = without_late_weight();
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -5,7 +5,7 @@
 
 use crate::lenient::{Lenient, List, Number, Section};
 
-/// The document.
+/// The settings document of one dispatcher.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Document {
@@ -29,7 +29,7 @@
     pub over_share_worth: Number,
 }
 
-/// One class of requests.
+/// An entry of `services`: one class of requests.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Class {
@@ -39,11 +39,11 @@
     pub group: Lenient<String>,
     /// The deduplication window of a keyed request.
     pub window_ms: Number,
-    /// The priority weight.
+    /// The priority weight of a response within the target latency.
     pub importance: Number,
     /// The fraction of the priority weight that a response after the target latency keeps.
     pub late_share: Number,
-    /// The target latency.
+    /// The time from a request's arrival within which a response has the full priority weight.
     pub aim_ms: Number,
     /// The factor of the estimated run time by which the target latency is extended.
     pub aim_stretch: Number,
@@ -55,7 +55,7 @@
     pub served_on: Lenient<Vec<Lenient<u64>>>,
 }
 
-/// One tenant.
+/// An entry of `orgs`: one tenant.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Tenant {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -26,7 +26,7 @@
 pub struct SettingError {
     /// The key of the setting.
     pub key: &'static str,
-    /// Its value.
+    /// The value of the setting.
     pub value: Value,
 }
 
