--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -86,7 +86,7 @@
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
             // The client has received a part of the response, so the request can be neither rejected nor
             // retried.
-            Event::Streaming(id, _) => {
+            Event::StreamingStarted(id, _) => {
                 self.requests.entry(id).and_modify(|request| request.finished = true);
             }
             Event::Progress(id, attempt, report) => {
@@ -94,7 +94,7 @@
                 self.act_on_due(&id, out);
             }
             Event::ClientGone(id) => self.finish(&id, out),
-            Event::ClosingBy(latest) => {
+            Event::ShutdownBy(latest) => {
                 self.requests.values_mut().for_each(|request| request.limit_deadline(latest));
             }
             Event::SettingsUpdated(settings) => self.update_settings(*settings),
--- a/crates/dispatch/src/policy/lifecycle.rs
+++ b/crates/dispatch/src/policy/lifecycle.rs
@@ -17,8 +17,8 @@
 use crate::dispatcher::Dispatcher;
 use crate::engines::Engine;
 use crate::interface::{
-    Action, AttemptEnd, AttemptNo, ClassId, DedupGroup, Effect, EngineId, LoadReport, Millis, NewRequest,
-    Outcome, RejectReason, RequestId, TimerId,
+    Action, AttemptEnd, AttemptNo, ClassId, DedupGroup, EngineId, Idempotency, LoadReport, Millis,
+    NewRequest, Outcome, RejectReason, RequestId, TimerId,
 };
 use crate::requests::{Attempt, DueAction, OngoingRun, Request, WaitingRequest};
 
@@ -219,7 +219,7 @@
         // A run that by its progress report ends far beyond the deadline only slows down other queries.
         let remaining = request.in_flight().next().and_then(|(_, attempt)| attempt.remaining_time());
         let run_is_hopeless = remaining.is_some_and(|remaining| is_hopeless(context, request, remaining));
-        let is_safe = context.settings.class(&request.new).effect == Effect::Safe;
+        let is_safe = context.settings.class(&request.new).idempotency == Idempotency::Safe;
         let must_respond = context.now >= self.respond_by(request)
             || (!request.is_in_flight() && cannot_be_served())
             || (run_is_hopeless && is_safe);
@@ -393,7 +393,7 @@
         let settings = &context.settings;
         if settings.memory_grants || settings.priorities {
             let memory_mb = if settings.memory_grants { demand.memory_mb } else { 0.0 };
-            out.push(Action::SetTerms { id: id.clone(), memory_mb, priority });
+            out.push(Action::SetAttemptOptions { id: id.clone(), memory_mb, priority });
         }
         out.push(Action::Send { id: id.clone(), engine });
         true
@@ -403,9 +403,9 @@
     /// by the client is harmless, else a failure.
     fn respond(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        let retry_is_harmless = match self.context.settings.class(&request.new).effect {
-            Effect::Safe | Effect::Keyed(DedupGroup::All, _) => true,
-            Effect::Keyed(..) | Effect::Unsafe => !request.may_have_run(),
+        let retry_is_harmless = match self.context.settings.class(&request.new).idempotency {
+            Idempotency::Safe | Idempotency::Keyed(DedupGroup::All, _) => true,
+            Idempotency::Keyed(..) | Idempotency::Unsafe => !request.may_have_run(),
         };
         let reason = if !request.attempts.is_empty() {
             RejectReason::AttemptsFailed
--- a/crates/dispatch/src/policy/load.rs
+++ b/crates/dispatch/src/policy/load.rs
@@ -41,7 +41,7 @@
         let mut reporting_cores = 0.0;
         let mut own_queries = Vec::new();
         for engine in available {
-            let cores = context.settings.machine(&engine.entry).cores;
+            let cores = context.settings.machine_type(&engine.entry).cores;
             let reported = &engine.reported_queries_of_other_dispatchers;
             let confidence = reported.confidence(context.now, REPORT_HORIZON);
             // The first engine counts as if it had also just reported that it is idle. Without fresh reports
@@ -66,7 +66,7 @@
     /// towards the fleet's mean with the age of the report. Without any reports the estimate is made from
     /// this dispatcher's own queries.
     pub fn queries_of_other_dispatchers(&self, context: &Context, engine: &Engine) -> f64 {
-        let cores = context.settings.machine(&engine.entry).cores;
+        let cores = context.settings.machine_type(&engine.entry).cores;
         let capacity_fraction = engine.warm_up.capacity_fraction(context);
         let fleet_mean = self.fleet_queries_per_core.value * cores * capacity_fraction;
         if self.reporters.is_empty() {
--- a/crates/dispatch/src/policy/ordering.rs
+++ b/crates/dispatch/src/policy/ordering.rs
@@ -23,7 +23,7 @@
     /// Pauses the request's order key after an attempt that may still be running.
     pub fn on_attempt_ended(&mut self, context: &Context, new: &NewRequest, outcome: Outcome) {
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.pause(new.key.as_ref(), context.now + context.settings.order_pause + PAUSE_MARGIN);
+            self.pause(new.order_key.as_ref(), context.now + context.settings.order_pause + PAUSE_MARGIN);
         }
     }
 }
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -7,7 +7,7 @@
 use super::ranking::HIGHEST_PRIORITY;
 use crate::dispatcher::Context;
 use crate::engines::{Candidate, Engine, Fleet};
-use crate::interface::{DedupGroup, Effect, EngineId, NewRequest, Settings};
+use crate::interface::{DedupGroup, EngineId, Idempotency, NewRequest, Settings};
 use crate::requests::{Attempt, Request, Requests};
 use crate::stats::InFlightLoad;
 
@@ -53,8 +53,8 @@
             }
             let Some(load) = self.load_if_capacity(context, engine, demand, priority) else { return false };
             let crosses_zones = engine.entry.zone != settings.zone;
-            let price = if crosses_zones { ZONE_CROSSING_WEIGHT * settings.cross_zone_price } else { 0.0 };
-            let weight = settings.weight(&request.new, candidate.engine);
+            let price = if crosses_zones { ZONE_CROSSING_WEIGHT * settings.cross_zone_penalty } else { 0.0 };
+            let weight = settings.route_weight(&request.new, candidate.engine);
             let jitter = candidate.score;
             candidate.score = load * (1.0 + price) * jitter / weight;
             true
@@ -69,7 +69,7 @@
     fn candidates(&self, context: &Context, request: &Request, random: &mut Rand64) -> Vec<Candidate> {
         let engines: Vec<EngineId> = if self.uses_subset(context) {
             let class = context.settings.class(&request.new);
-            let is_restricted = class.is_bound() || !context.settings.routes.is_empty();
+            let is_restricted = class.has_placement_constraints() || !context.settings.routes.is_empty();
             let needs_eligible_members = is_restricted || !request.attempts.is_empty();
             let eligible_members = needs_eligible_members
                 .then(|| self.subset_members(|engine| self.is_eligible(context, engine, request)));
@@ -100,18 +100,21 @@
     pub fn is_eligible(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
         let class = context.settings.class(&request.new);
         let entry = &engine.entry;
-        let drops_repeat_of = |attempt: &Attempt| match class.effect {
-            Effect::Keyed(DedupGroup::All, _) | Effect::Safe | Effect::Unsafe => true,
-            Effect::Keyed(group, _) => {
+        let drops_repeat_of = |attempt: &Attempt| match class.idempotency {
+            Idempotency::Keyed(DedupGroup::All, _) | Idempotency::Safe | Idempotency::Unsafe => true,
+            Idempotency::Keyed(group, _) => {
                 let earlier = self.engines.get(&attempt.engine);
-                earlier.is_some_and(|earlier| group.has_both(&earlier.entry, entry))
+                earlier.is_some_and(|earlier| group.contains_both(&earlier.entry, entry))
             }
         };
         self.outliers.is_available(engine, context.now)
             && class.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
-            && class.machines.as_ref().is_none_or(|machines| machines.contains(&entry.machine))
+            && class
+                .machine_types
+                .as_ref()
+                .is_none_or(|machine_types| machine_types.contains(&entry.machine_type))
             && request.attempts.iter().all(|attempt| attempt.never_ran() || drops_repeat_of(attempt))
-            && context.settings.weight(&request.new, entry.engine) > 0.0
+            && context.settings.route_weight(&request.new, entry.engine) > 0.0
     }
 
     /// The engine's threads per core with the further demand, adjusted for its slow start and slowness;
@@ -125,7 +128,7 @@
         priority: u8,
     ) -> Option<f64> {
         let settings = &context.settings;
-        let machine = settings.machine(&engine.entry);
+        let machine = settings.machine_type(&engine.entry);
         let queries_of_other_dispatchers = self.loads.queries_of_other_dispatchers(context, engine);
         let total = self.loads.total_load(engine, queries_of_other_dispatchers, demand);
         let cores = machine.cores * engine.warm_up.capacity_fraction(context);
--- a/crates/dispatch/src/policy/retry.rs
+++ b/crates/dispatch/src/policy/retry.rs
@@ -64,5 +64,5 @@
 /// Until when one more attempt may follow the first `count` ones of the request, by its class's effect. It
 /// lies one timer slack before the end of the window in which engines drop repeats.
 pub fn may_repeat_until(context: &Context, request: &Request, count: usize) -> Millis {
-    request.repeatable_until(context.settings.class(&request.new).effect, count) - TIMER_SLACK
+    request.repeatable_until(context.settings.class(&request.new).idempotency, count) - TIMER_SLACK
 }
--- a/crates/dispatch/src/requests.rs
+++ b/crates/dispatch/src/requests.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{
-    AttemptNo, ClassId, Effect, EngineId, Millis, NewRequest, OrderKey, Outcome, RequestId,
+    AttemptNo, ClassId, EngineId, Idempotency, Millis, NewRequest, OrderKey, Outcome, RequestId,
 };
 use crate::stats::{DecayingMean, GeometricMean, LogFactor};
 
@@ -131,11 +131,11 @@
     /// Until when one more attempt may follow the first `count` ones without the risk of a repeated effect.
     /// For keyed requests that is one window after the earliest attempt that may have run, because engines
     /// drop repeats for that time only.
-    pub fn repeatable_until(&self, effect: Effect, count: usize) -> Millis {
+    pub fn repeatable_until(&self, effect: Idempotency, count: usize) -> Millis {
         let window = match effect {
-            Effect::Safe => f64::INFINITY,
-            Effect::Keyed(_, window) => window,
-            Effect::Unsafe => f64::NEG_INFINITY,
+            Idempotency::Safe => f64::INFINITY,
+            Idempotency::Keyed(_, window) => window,
+            Idempotency::Unsafe => f64::NEG_INFINITY,
         };
         let may_have_run = self.attempts.iter().take(count).filter(|attempt| !attempt.never_ran());
         may_have_run.map(|attempt| attempt.sent_at + window).fold(f64::INFINITY, f64::min)
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! What the tests share: plain settings, and events with sensible defaults.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! Test helpers: settings and events with defaults, and a dispatcher with a simulated clock.
+#![allow(dead_code, reason = "each test program uses some of the helpers")]
 
 use gaugestep_dispatch::interface::*;
 use gaugestep_dispatch::{Action, Dispatcher, Event, Settings};
 
-pub fn class(effect: Effect, threads: f64) -> ClassSettings {
+pub fn class(idempotency: Idempotency, threads: f64) -> ClassSettings {
     ClassSettings {
-        effect,
+        idempotency,
         priority_weight: 1.0,
         late_fraction: 0.5,
         target_latency: 4_000.0,
@@ -16,14 +16,14 @@
         locks_tables: false,
         waits_for_loads: false,
         zones: None,
-        machines: None,
+        machine_types: None,
     }
 }
 
 pub fn settings(classes: Vec<ClassSettings>) -> Settings {
     Settings {
         classes,
-        machines: vec![MachineSettings { cores: 8.0, memory_mb: 16_384.0 }],
+        machine_types: vec![MachineTypeSettings { cores: 8.0, memory_mb: 16_384.0 }],
         tenants: vec![],
         dispatchers: 1,
         fleet_position: FleetPosition::NameKey(1),
@@ -35,9 +35,9 @@
         memory_queueing: false,
         memory_grants: true,
         priorities: true,
-        over_quota_weight: 0.1,
-        cross_zone_price: 0.0,
-        answer_slack: 20.0,
+        over_quota_fraction: 0.1,
+        cross_zone_penalty: 0.0,
+        response_slack: 20.0,
         slow_start: SlowStartSettings {
             initial_share: 0.3,
             warm_up: 14_000.0,
@@ -55,11 +55,11 @@
     EngineEntry {
         engine: EngineId(engine),
         zone: ZoneId(0),
-        machine: MachineId(0),
+        machine_type: MachineTypeId(0),
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
-        key: gaugestep_subsetting::key(&engine.to_string()),
+        name_key: gaugestep_subsetting::key(&engine.to_string()),
     }
 }
 
@@ -75,12 +75,12 @@
         deadline,
         estimate: 1_000.0,
         memory_mb: 100.0,
-        tables: TablesId(0),
-        key: None,
+        tables: TableSetId(0),
+        order_key: None,
     }
 }
 
-/// A dispatcher with a clock, for tests that step through events.
+/// A dispatcher with a simulated clock, to which tests pass one event after the other.
 pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Millis,
@@ -100,9 +100,9 @@
         actions
     }
 
-    /// Lets the clock run in steps of the module's timer and gathers what it does.
-    pub fn advance(&mut self, span: Millis) -> Vec<Action> {
-        let end = self.now + span;
+    /// Advances the clock in steps of 10 ms with a timer event after each, and returns all actions.
+    pub fn advance(&mut self, duration: Millis) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 10.0).min(end);
@@ -135,12 +135,12 @@
         }))
     }
 
-    /// Serves one request of `class` from start to end with the given run time.
-    pub fn serve(&mut self, number: u32, class: usize, run: Millis) {
+    /// Sends one request of `class`, which an engine serves after `run_time`.
+    pub fn serve(&mut self, number: u32, class: usize, run_time: Millis) {
         let sent = sends(&self.arrive(request(number, class, self.now + 60_000.0)));
-        let engine = *sent.first().expect("an idle fleet takes the request at once");
-        self.now += run;
-        self.end(number, 0, engine, Outcome::Served, run);
+        let engine = *sent.first().expect("an idle fleet gets the request at once");
+        self.now += run_time;
+        self.end(number, 0, engine, Outcome::Served, run_time);
     }
 }
 
--- a/crates/dispatch/tests/parts/placement.rs
+++ b/crates/dispatch/tests/parts/placement.rs
@@ -68,7 +68,7 @@
     let mut fleet = fleet(&[1.0, 2.0]);
     fleet.engines.get_mut(&EngineId(0)).unwrap().entry.zone = ZoneId(1);
     assert_eq!(ranked(&context, &fleet, &open_request(1), 0), [0, 1]);
-    context.settings.cross_zone_price = 1.0;
+    context.settings.cross_zone_penalty = 1.0;
     assert_eq!(ranked(&context, &fleet, &open_request(1), 0), [1, 0]);
 }
 
@@ -93,7 +93,7 @@
     for (group, expected) in
         [(DedupGroup::All, vec![1, 2, 3]), (DedupGroup::Zone, vec![2]), (DedupGroup::Cell, vec![3])]
     {
-        let context = context(0.0, settings(vec![class(Effect::Keyed(group, 9_000.0), 1.0)]));
+        let context = context(0.0, settings(vec![class(Idempotency::Keyed(group, 9_000.0), 1.0)]));
         let mut fleet = fleet(&[0.0; 4]);
         for (id, engine) in &mut fleet.engines {
             engine.entry.zone = ZoneId((id.0 % 2) as usize);
@@ -110,14 +110,14 @@
 
 #[test]
 fn attempts_in_flight_that_lock_tables_are_lock_holders() {
-    let mut load = class(Effect::Unsafe, 1.0);
+    let mut load = class(Idempotency::Unsafe, 1.0);
     load.locks_tables = true;
-    let settings = settings(vec![load, class(Effect::Safe, 1.0)]);
+    let settings = settings(vec![load, class(Idempotency::Safe, 1.0)]);
     let running = Request { attempts: vec![Attempt::new(EngineId(3), 0.0)], ..open_request(1) };
     let ended_request = Request { attempts: vec![ended(4, 0.0, Outcome::Failed)], ..open_request(2) };
     let requests: Requests = [running, ended_request].map(|request| (request.new.id.clone(), request)).into();
     let holders = |new: NewRequest| lock_holders(&settings, &requests, &new);
     assert_eq!(holders(request(9, 0, 0.0)), [EngineId(3)]);
     assert_eq!(holders(request(9, 1, 0.0)), [], "its class locks no tables");
-    assert_eq!(holders(NewRequest { tables: TablesId(7), ..request(9, 0, 0.0) }), [], "other tables");
+    assert_eq!(holders(NewRequest { tables: TableSetId(7), ..request(9, 0, 0.0) }), [], "other tables");
 }
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, OnceLock};
 
-use gaugestep_dispatch::interface::{CellId, EngineEntry, EngineId, MachineId, Readiness, ZoneId};
+use gaugestep_dispatch::interface::{CellId, EngineEntry, EngineId, MachineTypeId, Readiness, ZoneId};
 use serde_json::Value;
 
 use super::endpoint::{Endpoint, EndpointUpdate};
@@ -132,11 +132,11 @@
         Some(EngineEntry {
             engine,
             zone: ZoneId(name_index(&names.zones, update.zone).unwrap_or(0)),
-            machine: MachineId(name_index(&names.machines, update.kind).unwrap_or(usize::MAX)),
+            machine_type: MachineTypeId(name_index(&names.machines, update.kind).unwrap_or(usize::MAX)),
             cell: CellId(update.cell),
             readiness,
             started_at: update.up_since.map(|at| self.handler.facade.unix_to_clock(at)),
-            key: gaugestep_subsetting::key(name),
+            name_key: gaugestep_subsetting::key(name),
         })
     }
 
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -148,7 +148,7 @@
     pub fn limit_deadlines(&self, latest_deadline: Millis) {
         let mut state = lock(&self.state);
         state.limit_deadlines(latest_deadline);
-        self.dispatch(state, Some(Event::ClosingBy(latest_deadline)));
+        self.dispatch(state, Some(Event::ShutdownBy(latest_deadline)));
     }
 
     /// Fires the timers that are due.
--- a/crates/proxy/src/facade/state.rs
+++ b/crates/proxy/src/facade/state.rs
@@ -250,7 +250,7 @@
                 self.finish(&id, RequestEvent::Reject(Rejection { retry_after, reason }));
             }
             Action::Fail { id } => self.finish(&id, RequestEvent::Fail),
-            Action::SetTerms { id, priority, .. } => self.set_priority(&id, priority),
+            Action::SetAttemptOptions { id, priority, .. } => self.set_priority(&id, priority),
             Action::SetTimer { timer, delay } => self.timers.set(now + delay, Timer::Dispatcher(timer)),
             Action::Log(line) => self.log_lines.push(line),
         }
--- a/crates/proxy/src/upstream/line_protocol/message.rs
+++ b/crates/proxy/src/upstream/line_protocol/message.rs
@@ -185,8 +185,8 @@
             match name {
                 "rif" | "inflight" => load.in_flight = value,
                 "q" | "queue" => load.queued = value,
-                "busy" | "util" => load.busy = value,
-                "x0" => load.memory = value,
+                "busy" | "util" => load.core_utilization = value,
+                "x0" => load.memory_utilization = value,
                 _ => {}
             }
         }
--- a/crates/proxy/tests/unit/facade.rs
+++ b/crates/proxy/tests/unit/facade.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use gaugestep_dispatch::interface::{
-    AttemptNo, CellId, ClassId, EngineEntry, EngineId, MachineId, Millis, NewRequest, Outcome, Readiness,
-    TablesId, TenantId, ZoneId,
+    AttemptNo, CellId, ClassId, EngineEntry, EngineId, MachineTypeId, Millis, NewRequest, Outcome, Readiness,
+    TableSetId, TenantId, ZoneId,
 };
 use serde_json::json;
 
@@ -30,11 +30,11 @@
     EngineEntry {
         engine: EngineId(4),
         zone: ZoneId(0),
-        machine: MachineId(0),
+        machine_type: MachineTypeId(0),
         cell: CellId(0),
         readiness: Readiness::Up,
         started_at: None,
-        key: 1,
+        name_key: 1,
     }
 }
 
@@ -46,8 +46,8 @@
         deadline,
         estimate: 10.0,
         memory_mb: 1.0,
-        tables: TablesId(0),
-        key: None,
+        tables: TableSetId(0),
+        order_key: None,
     }
 }
 
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -2,8 +2,8 @@
 
 use gaugestep_dispatch::Event;
 use gaugestep_dispatch::interface::{
-    AttemptEnd, CellId, ClassId, Cost, EngineEntry, LoadReport, MachineId, NewRequest, OrderKey, Outcome,
-    ProgressReport, Readiness, TablesId, TenantId, TimerId, ZoneId,
+    AttemptEnd, CellId, ClassId, Cost, EngineEntry, LoadReport, MachineTypeId, NewRequest, OrderKey, Outcome,
+    ProgressReport, Readiness, TableSetId, TenantId, TimerId, ZoneId,
 };
 
 use crate::error::LineError;
@@ -115,8 +115,8 @@
             deadline: fields.number("due_ms")?,
             estimate: fields.number_or("estimate_ms", 0.0)?,
             memory_mb: fields.number_or("ram_mb", 0.0)?,
-            tables: TablesId(fields.number_or("source_set", 0.0)? as u64),
-            key: fields.optional("relation").map(|key| OrderKey(key.into())),
+            tables: TableSetId(fields.number_or("source_set", 0.0)? as u64),
+            order_key: fields.optional("relation").map(|key| OrderKey(key.into())),
         }))
     }
 
@@ -159,8 +159,8 @@
             match name.as_str() {
                 "rif" => report.in_flight = value,
                 "q" => report.queued = value,
-                "busy" => report.busy = value,
-                "x0" => report.memory = value,
+                "busy" => report.core_utilization = value,
+                "x0" => report.memory_utilization = value,
                 _ => {}
             }
         }
@@ -194,7 +194,7 @@
 ///
 /// If a field is malformed.
 pub fn streaming(fields: &Fields) -> Result<Event> {
-    Ok(Event::Streaming(fields.request()?, fields.attempt()?))
+    Ok(Event::StreamingStarted(fields.request()?, fields.attempt()?))
 }
 
 /// Decodes `client_gone`.
@@ -234,9 +234,9 @@
     let engine = fields.engine()?;
     Ok(EngineEntry {
         engine,
-        key: gaugestep_subsetting::key(&engine.0.to_string()),
+        name_key: gaugestep_subsetting::key(&engine.0.to_string()),
         zone: ZoneId(fields.integer_or("campus", 0)? as usize),
-        machine: MachineId(fields.integer_or("machine", 0)? as usize),
+        machine_type: MachineTypeId(fields.integer_or("machine", 0)? as usize),
         cell: CellId(fields.integer_or("group", 0)?),
         readiness: readiness(fields.text("readiness")?)?,
         started_at: Some(fields.number_or("online_since_ms", 0.0)?).filter(|at| *at > 0.0),
