--- a/crates/control-plane/src/raft/driver/apply.rs
+++ b/crates/control-plane/src/raft/driver/apply.rs
@@ -28,7 +28,7 @@
                 tracing::debug!(index = entry.index, "command rejected: {rejected}");
             }
             changes.extend(changed);
-            if let Some(number) = self.own_proposal(&entry.context) {
+            if let Some(number) = self.own_proposal_number(&entry.context) {
                 self.committed.push(CommittedProposal { number, outcome });
             }
         }
@@ -74,7 +74,7 @@
         for change in &changes {
             if let StateChange::HolderChanged(role) = change {
                 let RoleHolder { member: holder, term } = state.group.holder(role);
-                state.held_since.insert(role.clone(), clock::now());
+                state.holder_since.insert(role.clone(), clock::now());
                 tracing::info!(role, term, holder, "role holder changed");
             }
         }
@@ -91,7 +91,7 @@
         let kind = decode_change_kind(stored.kind).ok_or(ReplicaError::UnknownMembershipChange)?;
         let mut change = ConfChange { node_id: stored.member, ..ConfChange::default() };
         change.set_change_type(kind);
-        let membership = self.raw.apply_conf_change(&change)?;
+        let membership = self.raw_node.apply_conf_change(&change)?;
         stored_values::put_membership(batch, &membership);
         tracing::info!(voters = ?membership.voters, "membership changed");
         let voters = membership.voters.iter().copied().collect();
--- a/crates/control-plane/src/raft/driver/leadership.rs
+++ b/crates/control-plane/src/raft/driver/leadership.rs
@@ -22,29 +22,30 @@
     pub(super) fn maintain_leases(&mut self, all_roles: bool) {
         let now = clock::now();
         self.propose_due(now);
-        let leads = self.raw.raft.state == StateRole::Leader && self.raw.raft.commit_to_current_term();
-        self.grantor.set_leading(now, leads);
+        let is_leader =
+            self.raw_node.raft.state == StateRole::Leader && self.raw_node.raft.commit_to_current_term();
+        self.grantor.set_leading(now, is_leader);
         self.update_leader();
         self.request_lease(now);
         if all_roles {
             self.raise_stalled_terms(now);
         }
-        if leads {
-            self.announce_addresses();
+        if is_leader {
+            self.propose_restarted_members();
             self.promote_learner();
         }
         let actions = match all_roles {
-            true => self.lease_actions(now, leads),
+            true => self.lease_actions(now, is_leader),
             false => Vec::from_iter(self.grantor.next_confirmation(now)),
         };
-        self.carry_out(actions);
+        self.execute_lease_actions(actions);
     }
 
     fn update_leader(&self) {
-        let leader = self.raw.raft.leader_id;
+        let leader = self.raw_node.raft.leader_id;
         let mut state = self.replica.lock_state();
         if state.leader != leader {
-            let (member, term) = (self.replica.own.number, self.raw.raft.term);
+            let (member, term) = (self.replica.own_member.number, self.raw_node.raft.term);
             tracing::info!(member, leader, term, "leader changed");
             state.leader = leader;
         }
@@ -52,7 +53,7 @@
 
     /// Requests this member's lease from the leader, if a request is due.
     fn request_lease(&mut self, now: Timestamp) {
-        let (leader, own) = (self.raw.raft.leader_id, self.replica.own.number);
+        let (leader, own) = (self.raw_node.raft.leader_id, self.replica.own_member.number);
         if leader == NO_MEMBER {
             return;
         }
@@ -70,7 +71,7 @@
         let stalled = {
             let mut state = self.replica.lock_state();
             let ReplicaState { lease, group, .. } = &mut *state;
-            let held = group.roles_of(self.replica.own.number);
+            let held = group.roles_of(self.replica.own_member.number);
             lease.stalled_handovers(now, held.map(|role| (role.name.as_str(), role.term)))
         };
         for (role, term) in stalled {
@@ -81,7 +82,7 @@
     }
 
     /// Proposes the addresses of members that have started again since.
-    fn announce_addresses(&mut self) {
+    fn propose_restarted_members(&mut self) {
         let members = {
             let state = self.replica.lock_state();
             state.peers.unreplicated_starts(&state.group)
@@ -89,15 +90,15 @@
         for member in members {
             let what = Some(What::Member(member));
             if !self.proposals.contains(|command| command.what == what) {
-                let by = self.replica.own.number;
+                let by = self.replica.own_member.number;
                 self.on_propose(Command { by, what, ..Command::default() }, ignore_result());
             }
         }
     }
 
     /// What the leader has to do for the leases of all members. A member that does not lead has nothing to do.
-    fn lease_actions(&mut self, now: Timestamp, leads: bool) -> Vec<LeaseAction> {
-        if !leads {
+    fn lease_actions(&mut self, now: Timestamp, is_leader: bool) -> Vec<LeaseAction> {
+        if !is_leader {
             return Vec::new();
         }
         let (roles, voters) = {
@@ -107,17 +108,17 @@
         self.grantor.tick(now, &roles, &voters)
     }
 
-    pub(super) fn carry_out(&mut self, actions: Vec<LeaseAction>) {
+    pub(super) fn execute_lease_actions(&mut self, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
                 LeaseAction::ConfirmLeadership(number) => {
-                    self.raw.read_index(number.to_be_bytes().to_vec());
+                    self.raw_node.read_index(number.to_be_bytes().to_vec());
                 }
                 LeaseAction::Grant { member, number } => self.grant_lease(member, number),
                 LeaseAction::Assign { role, term, to } => {
                     tracing::info!(role, term, to, "assigning a role");
                     let what = Some(What::Assign(to));
-                    let by = self.replica.own.number;
+                    let by = self.replica.own_member.number;
                     self.on_propose(Command { duty: role, term, by, what }, ignore_result());
                 }
                 LeaseAction::RequestHandOver { role, term, from, to } => {
@@ -129,8 +130,8 @@
     }
 
     fn grant_lease(&self, member: u64, number: u64) {
-        let applied = self.raw.raft.raft_log.committed;
-        if member == self.replica.own.number {
+        let applied = self.raw_node.raft.raft_log.committed;
+        if member == self.replica.own_member.number {
             self.replica.lock_state().lease.on_granted(number, applied);
         } else {
             let granted = Renewed { member, number, applied };
@@ -139,7 +140,7 @@
     }
 
     fn request_hand_over(&self, from: u64, request: Yield) {
-        if from == self.replica.own.number {
+        if from == self.replica.own_member.number {
             self.on_hand_over(&request);
         } else {
             self.replica.links.send(from, Said::Yield(request));
--- a/crates/control-plane/src/raft/driver/mod.rs
+++ b/crates/control-plane/src/raft/driver/mod.rs
@@ -40,7 +40,7 @@
 /// The most messages with entries that a member has not acknowledged.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
 /// The most requests that are taken before what they lead to is persisted.
-const MAX_REQUESTS_PER_ROUND: usize = 256;
+const MAX_REQUESTS_PER_BATCH: usize = 256;
 /// How often the files of the keys are looked at.
 const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -57,7 +57,7 @@
 pub(crate) struct RaftDriver<'a> {
     replica: &'a Arc<Replica>,
     on_change: &'a OnChange,
-    raw: RawNode<RaftStorage>,
+    raw_node: RawNode<RaftStorage>,
     log: RaftStorage,
     store: ControlStore,
     grantor: LeaseGrantor,
@@ -77,12 +77,12 @@
     pub(crate) fn start(
         replica: &'a Arc<Replica>,
         recovered: RecoveredState,
-        turn: u64,
+        run_number: u64,
         on_change: &'a OnChange,
     ) -> Result<Self, ReplicaError> {
         let RecoveredState { store, group, log, .. } = recovered;
         let voters = &log.membership.voters;
-        let is_single_voter = *voters == [replica.own.number];
+        let is_single_voter = *voters == [replica.own_member.number];
         {
             let mut state = replica.lock_state();
             state.group = group;
@@ -90,17 +90,17 @@
             state.voters = voters.iter().copied().collect();
             state.store_failure = None;
         }
-        let (raw, log) = open_raft(replica, log)?;
+        let (raw_node, log) = open_raft(replica, log)?;
         let now = Instant::now();
         let mut driver = RaftDriver {
             replica,
             on_change,
-            raw,
+            raw_node,
             log,
             store,
             grantor: LeaseGrantor::new(LeaseTiming::default()),
             // A proposal of an earlier turn may be committed yet, and must not be taken for one of this turn.
-            proposals: PendingProposals::new(turn << 32),
+            proposals: PendingProposals::new(run_number << 32),
             responders: BTreeMap::new(),
             changes: Vec::new(),
             committed: Vec::new(),
@@ -109,7 +109,7 @@
         };
         if is_single_voter {
             // Nobody else can lead: no need to wait for a message of a leader.
-            driver.raw.campaign()?;
+            driver.raw_node.campaign()?;
         }
         Ok(driver)
     }
@@ -135,15 +135,15 @@
             self.process_ready()?;
             self.maintain_leases(ticked || !self.changes.is_empty());
             self.process_ready()?;
-            self.announce_changes();
-            self.answer_committed();
+            self.notify_changes();
+            self.respond_to_committed();
         }
     }
 
     /// Takes a request, and those that wait behind it.
     fn handle_batch(&mut self, first: Request, requests: &Receiver<Request>) {
         self.handle(first);
-        for request in requests.try_iter().take(MAX_REQUESTS_PER_ROUND) {
+        for request in requests.try_iter().take(MAX_REQUESTS_PER_BATCH) {
             self.handle(request);
         }
     }
@@ -156,7 +156,7 @@
             return false;
         }
         self.next_tick = now + TICK_INTERVAL;
-        self.raw.tick();
+        self.raw_node.tick();
         self.replica.links.wake_all();
         if self.keys_checked_at.elapsed() >= KEY_RELOAD_INTERVAL {
             self.keys_checked_at = Instant::now();
@@ -168,11 +168,11 @@
     }
 
     /// Tells the server what has changed in this round; connects to new members.
-    fn announce_changes(&mut self) {
+    fn notify_changes(&mut self) {
         let changes = std::mem::take(&mut self.changes);
         if changes.contains(&StateChange::MembersChanged) {
             outbound::connect_missing(self.replica);
-            let own = self.replica.own.number;
+            let own = self.replica.own_member.number;
             if self.replica.with_state(|group| group.removed.contains(&own)) {
                 self.replica.abort_process("this member was removed from its group");
             }
@@ -187,7 +187,7 @@
     log: LogContents,
 ) -> Result<(RawNode<RaftStorage>, RaftStorage), ReplicaError> {
     let config = Config {
-        id: replica.own.number,
+        id: replica.own_member.number,
         election_tick: ELECTION_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         applied: log.applied_index,
@@ -204,6 +204,6 @@
         weak.upgrade().map(encode).unwrap_or_default()
     };
     let storage = RaftStorage::new(log, Box::new(encode_snapshot));
-    let raw = RawNode::new(&config, storage.clone(), &log_bridge::logger())?;
-    Ok((raw, storage))
+    let raw_node = RawNode::new(&config, storage.clone(), &log_bridge::logger())?;
+    Ok((raw_node, storage))
 }
--- a/crates/control-plane/src/raft/driver/persistence.rs
+++ b/crates/control-plane/src/raft/driver/persistence.rs
@@ -20,17 +20,17 @@
 impl RaftDriver<'_> {
     /// Persists, sends and applies all that the library has ready.
     pub(super) fn process_ready(&mut self) -> Result<(), ReplicaError> {
-        while self.raw.has_ready() {
-            let mut ready = self.raw.ready();
+        while self.raw_node.has_ready() {
+            let mut ready = self.raw_node.ready();
             self.persist(&mut ready)?;
             self.log.append(ready.entries());
             self.send(ready.take_persisted_messages());
             let reads = ready.take_read_states();
-            let light = self.raw.advance(ready);
+            let light = self.raw_node.advance(ready);
             self.process_light_ready(light)?;
-            self.raw.advance_apply();
+            self.raw_node.advance_apply();
             self.compact_log()?;
-            self.on_confirmed(reads);
+            self.on_leadership_confirmed(reads);
         }
         Ok(())
     }
@@ -82,11 +82,11 @@
     }
 
     /// Majorities have confirmed that this member leads.
-    fn on_confirmed(&mut self, reads: Vec<ReadState>) {
+    fn on_leadership_confirmed(&mut self, reads: Vec<ReadState>) {
         for read in reads {
             if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
                 let granted = self.grantor.on_confirmed(u64::from_be_bytes(number));
-                self.carry_out(granted);
+                self.execute_lease_actions(granted);
             }
         }
     }
--- a/crates/control-plane/src/raft/driver/proposals.rs
+++ b/crates/control-plane/src/raft/driver/proposals.rs
@@ -13,9 +13,9 @@
 use crate::raft::request::{Request, Responder, Unavailable, ignore_result, reject};
 
 /// Bytes of a proposal's context: three numbers.
-const CONTEXT_LENGTH: usize = 24;
+const CONTEXT_BYTES: usize = 24;
 /// Bytes of the part of it that names the process.
-const PROCESS_LENGTH: usize = 16;
+const PROCESS_CONTEXT_BYTES: usize = 16;
 
 impl RaftDriver<'_> {
     pub(super) fn handle(&mut self, request: Request) {
@@ -29,12 +29,12 @@
             }
             Request::HandOver(request) => self.on_hand_over(&request),
             Request::ReportUnreachable { member } => {
-                self.raw.report_unreachable(member);
-                self.raw.report_snapshot(member, SnapshotStatus::Failure);
+                self.raw_node.report_unreachable(member);
+                self.raw_node.report_snapshot(member, SnapshotStatus::Failure);
             }
             Request::ReportSnapshot { member, sent } => {
                 let status = if sent { SnapshotStatus::Finish } else { SnapshotStatus::Failure };
-                self.raw.report_snapshot(member, status);
+                self.raw_node.report_snapshot(member, status);
             }
         }
     }
@@ -55,7 +55,7 @@
         let due = self.proposals.due(now);
         for Proposal { number, command } in due.propose {
             // Without a leader the library drops it; it is proposed again.
-            let _ = self.raw.propose(self.context(number), command.encode_to_vec());
+            let _ = self.raw_node.propose(self.context(number), command.encode_to_vec());
         }
         for number in due.timed_out {
             if let Some(responder) = self.responders.remove(&number) {
@@ -65,7 +65,7 @@
     }
 
     /// Answers the proposals of this process that were committed in this round.
-    pub(super) fn answer_committed(&mut self) {
+    pub(super) fn respond_to_committed(&mut self) {
         for CommittedProposal { number, outcome } in std::mem::take(&mut self.committed) {
             let Some(responder) = self.responders.remove(&number) else { continue };
             if self.proposals.complete(number) {
@@ -88,7 +88,7 @@
         if !self.replica.with_state(|group| group.members.contains_key(&member)) {
             return reject(responder, CommandRejected::UnknownMember(member));
         }
-        if self.replica.is_single_voter() && member == self.replica.own.number {
+        if self.replica.is_single_voter() && member == self.replica.own_member.number {
             return reject(responder, CommandRejected::LastMember);
         }
         self.propose_membership_change(membership_change(ConfChangeType::RemoveNode, member), responder);
@@ -96,8 +96,8 @@
 
     /// Makes a voter of a learner that has caught up.
     pub(super) fn promote_learner(&mut self) {
-        let committed = self.raw.raft.raft_log.committed;
-        let progress = self.raw.raft.prs();
+        let committed = self.raw_node.raft.raft_log.committed;
+        let progress = self.raw_node.raft.prs();
         let has_caught_up = |member: &&u64| progress.get(**member).is_some_and(|it| it.matched >= committed);
         let Some(member) = progress.conf().learners().iter().find(has_caught_up).copied() else { return };
         tracing::info!(member, "a member has caught up");
@@ -109,27 +109,27 @@
             Ok(number) => number,
             Err(too_many) => return responder(Err(too_many.into())),
         };
-        match self.raw.propose_conf_change(self.context(number), change) {
+        match self.raw_node.propose_conf_change(self.context(number), change) {
             Ok(()) => {
                 self.responders.insert(number, responder);
             }
             Err(_) => {
                 self.proposals.complete(number);
-                responder(Err(Unavailable::MembershipChangeRefused));
+                responder(Err(Unavailable::MembershipChangeRejected));
             }
         }
     }
 
     fn on_message(&mut self, message: Message) {
         let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
-        if is_heartbeat && message.commit > self.raw.raft.raft_log.last_index() {
+        if is_heartbeat && message.commit > self.raw_node.raft.raft_log.last_index() {
             // The library panics where a member has lost entries that it acknowledged.
             self.replica.abort_process(
                 "the store has lost what it acknowledged: remove this member, and add a new one",
             );
         }
         // An error says that the message is of no use, such as one of a former member.
-        let _ = self.raw.step(message);
+        let _ = self.raw_node.step(message);
     }
 
     pub(super) fn on_hand_over(&self, request: &Yield) {
@@ -140,18 +140,18 @@
 
     /// The context of a proposal: it names the process and the proposal.
     fn context(&self, number: u64) -> Vec<u8> {
-        let own = &self.replica.own;
+        let own = &self.replica.own_member;
         [own.number, own.nonce, number].map(u64::to_be_bytes).concat()
     }
 
     /// The number of a proposal, if this process proposed it.
-    pub(super) fn own_proposal(&self, context: &[u8]) -> Option<u64> {
-        if context.len() != CONTEXT_LENGTH {
+    pub(super) fn own_proposal_number(&self, context: &[u8]) -> Option<u64> {
+        if context.len() != CONTEXT_BYTES {
             return None;
         }
-        let (process, number) = context.split_at(PROCESS_LENGTH);
+        let (process, number) = context.split_at(PROCESS_CONTEXT_BYTES);
         let number = u64::from_be_bytes(number.try_into().ok()?);
-        (process == &self.context(number)[..PROCESS_LENGTH]).then_some(number)
+        (process == &self.context(number)[..PROCESS_CONTEXT_BYTES]).then_some(number)
     }
 }
 
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -34,7 +34,7 @@
     /// Opens the store for the first time in this process, and counts the start.
     pub(crate) fn open(settings: &ReplicaSettings) -> Result<Self, ReplicaError> {
         let store = ControlStore::open(&settings.store)?;
-        let boot = count_start(&store, settings)?;
+        let boot = record_process_start(&store, settings)?;
         Self::load(store, boot, settings)
     }
 
@@ -68,11 +68,11 @@
             }
         };
         let recovered = RecoveredState { store, boot, group, log };
-        recovered.store.write(&recovered.first_batch())?;
+        recovered.store.write(&recovered.initial_batch())?;
         Ok(recovered)
     }
 
-    fn first_batch(&self) -> WriteBatch {
+    fn initial_batch(&self) -> WriteBatch {
         let mut batch = WriteBatch { sync: true, ..WriteBatch::default() };
         stored_values::put_group_state(&mut batch, &self.group);
         stored_values::put_hard_state(&mut batch, &self.log.hard_state);
@@ -103,7 +103,7 @@
 }
 
 /// Checks that the store is neither rolled back nor a copy, and counts this start in it.
-fn count_start(store: &ControlStore, settings: &ReplicaSettings) -> Result<u64, ReplicaError> {
+fn record_process_start(store: &ControlStore, settings: &ReplicaSettings) -> Result<u64, ReplicaError> {
     let path = &settings.store;
     let has_peers = load_group_state(store)?.is_some_and(|group| group.members.len() > 1);
     let file_id = generation_file::file_id(path)?;
--- a/crates/control-plane/src/raft/replica.rs
+++ b/crates/control-plane/src/raft/replica.rs
@@ -32,7 +32,7 @@
 ///
 /// Each lock here is held for moments, and none while another is taken.
 pub struct Replica {
-    pub(crate) own: Member,
+    pub(crate) own_member: Member,
     pub(crate) settings: ReplicaSettings,
     state: Mutex<ReplicaState>,
     requests: Mutex<Sender<Request>>,
@@ -46,13 +46,13 @@
 impl Replica {
     pub(crate) fn new(
         settings: ReplicaSettings,
-        own: Member,
+        own_member: Member,
         state: ReplicaState,
         requests: Sender<Request>,
         tls: Option<PeerTls>,
     ) -> Self {
         Replica {
-            own,
+            own_member,
             settings,
             state: Mutex::new(state),
             requests: Mutex::new(requests),
@@ -64,7 +64,7 @@
 
     /// Ends the process, as it must not continue, and logs the reason.
     pub(crate) fn abort_process(&self, reason: &str) {
-        tracing::error!(member = self.own.number, "the process ends: {reason}");
+        tracing::error!(member = self.own_member.number, "the process ends: {reason}");
         eprintln!("gaugestep-control: {reason}");
         std::process::exit(1);
     }
@@ -80,7 +80,7 @@
 
     /// The number of this member.
     pub fn member_number(&self) -> u64 {
-        self.own.number
+        self.own_member.number
     }
 
     /// The lineage of the group; 0: this member has not joined one yet.
@@ -111,7 +111,7 @@
 
     /// What the command `members` shows.
     pub fn members(&self) -> schema::Members {
-        self.lock_state().member_report(self.own.number, clock::now())
+        self.lock_state().member_report(self.own_member.number, clock::now())
     }
 
     /// What the command `duties` shows.
@@ -131,7 +131,7 @@
         let state = self.lock_state();
         let RoleHolder { member, term } = state.group.holder(role);
         let has_lease = state.may_act(clock::now(), role, term) || failpoints::is_check_disabled("owner");
-        (member == self.own.number && has_lease).then_some(term)
+        (member == self.own_member.number && has_lease).then_some(term)
     }
 
     /// Whether this member has its lease, and so knows the replicated state but for the last moments.
@@ -148,7 +148,7 @@
 
     /// Why no member acts for a role at present.
     pub fn unavailable_reason(&self) -> Unavailable {
-        let (state, member) = (self.lock_state(), self.own.number);
+        let (state, member) = (self.lock_state(), self.own_member.number);
         if let Some(reason) = &state.store_failure {
             return Unavailable::StoreUnusable { member, reason: reason.clone() };
         }
@@ -165,7 +165,7 @@
 
     /// Proposes a command in the name of this member. `responder` is called within some seconds.
     pub fn propose(&self, command: Command, responder: Responder) {
-        let command = Box::new(Command { by: self.own.number, ..command });
+        let command = Box::new(Command { by: self.own_member.number, ..command });
         self.submit(Request::Propose { command, responder });
     }
 
@@ -213,7 +213,7 @@
     pub(crate) fn welcome(&self) -> PeerWelcome {
         let state = self.lock_state();
         let members = state.peers.all_members(&state.group);
-        PeerWelcome { member: self.own.number, members, refused: String::new(), fatal: false }
+        PeerWelcome { member: self.own_member.number, members, refused: String::new(), fatal: false }
     }
 
     pub(crate) fn check_hello(&self, hello: &PeerHello) -> Result<(), PeerRejected> {
--- a/crates/control-plane/src/raft/replica_thread.rs
+++ b/crates/control-plane/src/raft/replica_thread.rs
@@ -77,13 +77,14 @@
     fn run(self, on_change: &OnChange) {
         let ReplicaThread { replica, recovered, requests } = self;
         let mut recovered = Some(recovered);
-        for turn in 0u64.. {
+        for run_number in 0u64.. {
             let opened = match recovered.take() {
                 Some(recovered) => Ok(recovered),
-                None => RecoveredState::reopen(&replica.settings, replica.own.boot),
+                None => RecoveredState::reopen(&replica.settings, replica.own_member.boot),
             };
-            let result = opened
-                .and_then(|opened| RaftDriver::start(&replica, opened, turn, on_change)?.run(&requests));
+            let result = opened.and_then(|opened| {
+                RaftDriver::start(&replica, opened, run_number, on_change)?.run(&requests)
+            });
             let Err(error) = result else { return };
             on_store_failure(&replica, &error);
             on_change(&[]);
@@ -94,7 +95,7 @@
 
 /// This member does not act for any role until the store has worked for a while.
 fn on_store_failure(replica: &Replica, error: &ReplicaError) {
-    tracing::error!(member = replica.own.number, "the store cannot be used: {error}");
+    tracing::error!(member = replica.own_member.number, "the store cannot be used: {error}");
     let mut state = replica.lock_state();
     state.store_failure = Some(error.to_string());
     state.leader = NO_MEMBER;
--- a/crates/control-plane/src/raft/request.rs
+++ b/crates/control-plane/src/raft/request.rs
@@ -31,7 +31,7 @@
     NoHolder,
     /// Membership is changed at the leader, and the change before must be applied.
     #[error("members are changed at the leader, one at a time")]
-    MembershipChangeRefused,
+    MembershipChangeRejected,
     /// Too many proposals wait.
     #[error(transparent)]
     TooManyProposals(#[from] TooManyProposals),
--- a/crates/control-plane/src/raft/state.rs
+++ b/crates/control-plane/src/raft/state.rs
@@ -24,7 +24,7 @@
     /// The other members, as they are known beyond the replicated state.
     pub(crate) peers: PeerDirectory,
     /// When this member applied the last change of holder of each role.
-    pub(crate) held_since: BTreeMap<String, Timestamp>,
+    pub(crate) holder_since: BTreeMap<String, Timestamp>,
     /// Commands rejected for a stale term, by role.
     pub(crate) stale_commands: BTreeMap<String, u64>,
     /// Why the store cannot be used at present.
@@ -41,7 +41,7 @@
             leader: NO_MEMBER,
             voters: BTreeSet::new(),
             peers: PeerDirectory::new(own),
-            held_since: BTreeMap::new(),
+            holder_since: BTreeMap::new(),
             stale_commands: BTreeMap::new(),
             store_failure: None,
         }
@@ -78,13 +78,13 @@
     /// What the command `duties` shows.
     pub(crate) fn role_report(&self, now: Timestamp) -> Duties {
         let report = |role: &Duty| {
-            let held_since = self.held_since.get(&role.name);
+            let holder_since = self.holder_since.get(&role.name);
             DutyState {
                 name: role.name.clone(),
                 owner: role.owner,
                 term: role.term,
                 changes: role.changes,
-                held_ms: held_since.map_or(0, |since| now.duration_since(*since).as_millis() as u64),
+                held_ms: holder_since.map_or(0, |since| now.duration_since(*since).as_millis() as u64),
                 stale: self.stale_commands.get(&role.name).copied().unwrap_or(0),
             }
         };
--- a/crates/control-plane/src/raft/transport/inbound.rs
+++ b/crates/control-plane/src/raft/transport/inbound.rs
@@ -65,7 +65,7 @@
     ) -> Result<Option<PeerWelcome>, InboundError> {
         replica.mark_alive(self.member);
         match message.said {
-            Some(Said::Ping(_)) => return Ok(Some(self.answer_ping(replica))),
+            Some(Said::Ping(_)) => return Ok(Some(self.respond_to_ping(replica))),
             Some(Said::Piece(piece)) => self.on_piece(replica, &piece)?,
             Some(Said::Raft(message)) => self.step(replica, message)?,
             Some(Said::Renew(request)) if request.member == self.member => {
@@ -81,7 +81,7 @@
         Ok(None)
     }
 
-    fn answer_ping(&self, replica: &Replica) -> PeerWelcome {
+    fn respond_to_ping(&self, replica: &Replica) -> PeerWelcome {
         let welcome = replica.welcome();
         match replica.check_membership(self.member) {
             Ok(()) => welcome,
--- a/crates/control-plane/src/raft/transport/outbound.rs
+++ b/crates/control-plane/src/raft/transport/outbound.rs
@@ -67,7 +67,7 @@
 
 /// Connects to a member again and again, as long as it is one.
 fn keep_connected(replica: &Arc<Replica>, member: u64) {
-    let mut backoff = Backoff::new(replica.own.nonce ^ member);
+    let mut backoff = Backoff::new(replica.own_member.nonce ^ member);
     let mut last_reason = String::new();
     while replica.links.contains(member) {
         let started = Instant::now();
@@ -115,7 +115,7 @@
         let hello = PeerHello {
             protocol: PROTOCOL,
             lineage: replica.lineage(),
-            from: Some(replica.own.clone()),
+            from: Some(replica.own_member.clone()),
             to: member,
         };
         connection.send(&FromClient { said: Some(from_client::Said::PeerHello(hello)) })?;
--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -17,8 +17,9 @@
         let state = self.lock_state();
         let now = clock::now();
         let known = state.rollout_lease.rollout.proxies().iter();
-        let known = known.map(|(name, status)| known_proxy(&state, now, name, status));
-        let others = state.sessions.proxies().filter_map(|(id, proxy)| unmanaged_proxy(&state, id, proxy));
+        let known = known.map(|(name, status)| managed_proxy_status(&state, now, name, status));
+        let others =
+            state.sessions.proxies().filter_map(|(id, proxy)| unmanaged_proxy_status(&state, id, proxy));
         let mut proxies: Vec<Proxy> = known.chain(others).collect();
         proxies.sort_by(|a, b| (&a.name, a.displaced).cmp(&(&b.name, b.displaced)));
         let newest = self.replica.with_state(GroupState::newest_version);
@@ -27,7 +28,7 @@
 }
 
 /// A proxy that the rollout knows, connected or not.
-fn known_proxy(state: &ServerState, now: Timestamp, name: &str, status: &ProxyStatus) -> Proxy {
+fn managed_proxy_status(state: &ServerState, now: Timestamp, name: &str, status: &ProxyStatus) -> Proxy {
     let NameHolder { incarnation, term: name_term } = state.identities.holder(name).unwrap_or_default();
     Proxy {
         name: name.to_owned(),
@@ -46,7 +47,7 @@
 }
 
 /// A connected proxy that this server drives nothing for: another process holds its name, or it has seen a later term.
-fn unmanaged_proxy(state: &ServerState, id: SessionId, proxy: &ConnectedProxy) -> Option<Proxy> {
+fn unmanaged_proxy_status(state: &ServerState, id: SessionId, proxy: &ConnectedProxy) -> Option<Proxy> {
     let hello = &proxy.hello;
     let displaced = !state.identities.is_holder(&hello.proxy, id);
     let term = state.rollout_lease.acting_term.unwrap_or(0);
--- a/crates/control-plane/src/server/admin/group.rs
+++ b/crates/control-plane/src/server/admin/group.rs
@@ -29,9 +29,9 @@
         if leader == self.replica.member_number() {
             return Ok(());
         }
-        let known = if leader > 0 { self.address_of(leader, 0) } else { None };
+        let known = if leader > 0 { self.holder_address(leader, 0) } else { None };
         Err(match known {
-            Some(leader) => CallFailure::HeldElsewhere(leader),
+            Some(leader) => CallFailure::LeaseElsewhere(leader),
             None => CallFailure::Unavailable(self.replica.unavailable_reason().to_string()),
         })
     }
--- a/crates/control-plane/src/server/admin/mod.rs
+++ b/crates/control-plane/src/server/admin/mod.rs
@@ -24,7 +24,7 @@
 /// Serves the connection of an operator until it ends.
 pub(crate) fn serve(context: &ServerContext, mut connection: FramedConnection) -> Result<(), SessionError> {
     let id = open_call(context, &connection)?;
-    let result = answer_one(context, &mut connection);
+    let result = serve_call(context, &mut connection);
     context.lock_state().open_calls -= 1;
     context.on_session_closed(id);
     result
@@ -40,13 +40,13 @@
     Ok(state.sessions.open(connection.waker()))
 }
 
-fn answer_one(context: &ServerContext, connection: &mut FramedConnection) -> Result<(), SessionError> {
+fn serve_call(context: &ServerContext, connection: &mut FramedConnection) -> Result<(), SessionError> {
     let opened_at = Instant::now();
-    let mut answered = false;
+    let mut responded = false;
     loop {
         let closed = connection.pump()?;
-        if !answered {
-            answered = answer_next(context, connection)?;
+        if !responded {
+            responded = respond_to_next_call(context, connection)?;
         }
         if closed {
             return Ok(());
@@ -59,19 +59,22 @@
 }
 
 /// Answers the call, if it has come.
-fn answer_next(context: &ServerContext, connection: &mut FramedConnection) -> Result<bool, SessionError> {
+fn respond_to_next_call(
+    context: &ServerContext,
+    connection: &mut FramedConnection,
+) -> Result<bool, SessionError> {
     let Some(message) = connection.next_message::<FromClient>()? else { return Ok(false) };
     let Some(from_client::Said::Call(call)) = message.said else {
         return Err(SessionError::UnexpectedMessage);
     };
-    let reply = Reply { what: Some(context.reply_to(call)) };
+    let reply = Reply { what: Some(context.response_to(call)) };
     connection.send(&FromService { said: Some(from_service::Said::Reply(reply)) })?;
     connection.pump()?;
     Ok(true)
 }
 
 impl ServerContext {
-    fn reply_to(&self, call: Call) -> reply::What {
+    fn response_to(&self, call: Call) -> reply::What {
         let result = match call.what {
             Some(request) => self.execute(request),
             None => Err(CallFailure::rejected("a call that this build does not know")),
--- a/crates/control-plane/src/server/admin/outcome.rs
+++ b/crates/control-plane/src/server/admin/outcome.rs
@@ -15,7 +15,7 @@
     /// Not now: there is no lease holder, or no majority. The caller tries again.
     Unavailable(String),
     /// Not here: this member holds the lease.
-    HeldElsewhere(Owner),
+    LeaseElsewhere(Owner),
 }
 
 impl CallFailure {
@@ -29,7 +29,7 @@
         match failure {
             CallFailure::Rejected(reason) => reply::What::Error(reason),
             CallFailure::Unavailable(reason) => reply::What::Later(reason),
-            CallFailure::HeldElsewhere(holder) => reply::What::Owner(holder),
+            CallFailure::LeaseElsewhere(holder) => reply::What::Owner(holder),
         }
     }
 }
@@ -43,10 +43,10 @@
             return Ok(term);
         }
         let RoleHolder { member: holder, term } = self.replica.with_state(|group| group.holder(role));
-        let held_elsewhere =
+        let is_held_by_other_member =
             holder > 0 && holder != self.replica.member_number() && self.replica.leader() > 0;
-        match self.address_of(holder, term).filter(|_| held_elsewhere) {
-            Some(holder) => Err(CallFailure::HeldElsewhere(holder)),
+        match self.holder_address(holder, term).filter(|_| is_held_by_other_member) {
+            Some(holder) => Err(CallFailure::LeaseElsewhere(holder)),
             None => Err(CallFailure::Unavailable(self.replica.unavailable_reason().to_string())),
         }
     }
--- a/crates/control-plane/src/server/admin/versions.rs
+++ b/crates/control-plane/src/server/admin/versions.rs
@@ -49,7 +49,7 @@
         self.check_no_newer_term(&self.lock_state(), term)
             .map_err(|newer| CallFailure::Rejected(newer.to_string()))?;
         self.check_not_superseded_while_suspended()?;
-        let new = self.complete_publication(&self.lock_state(), new);
+        let new = self.complete_new_version(&self.lock_state(), new);
         await_outcome(|responder| self.propose(CONFIGURATION_ROLE, term, What::Version(new), responder))
     }
 
--- a/crates/control-plane/src/server/hand_over.rs
+++ b/crates/control-plane/src/server/hand_over.rs
@@ -17,10 +17,10 @@
             return Some(wanted).filter(is_eligible);
         }
         let eligible = members.heard.iter().copied().filter(is_eligible);
-        eligible.min_by_key(|member| (self.roles_held_by(*member).len(), *member))
+        eligible.min_by_key(|member| (self.roles_of_member(*member).len(), *member))
     }
 
-    fn roles_held_by(&self, member: u64) -> Vec<String> {
+    fn roles_of_member(&self, member: u64) -> Vec<String> {
         self.replica.with_state(|group| {
             let held = group.roles.values().filter(|role| role.owner == member);
             held.map(|role| role.name.clone()).collect()
@@ -32,7 +32,7 @@
         let deadline = Instant::now() + timeout;
         let (sender, decided) = mpsc::channel();
         let mut proposed = 0;
-        for role in self.roles_held_by(self.replica.member_number()) {
+        for role in self.roles_of_member(self.replica.member_number()) {
             let Some(term) = self.replica.acting_term(&role) else { continue };
             let Some(successor) = self.choose_successor(0) else { continue };
             tracing::info!(role, term, to = successor, "handing over a role before shutdown");
--- a/crates/control-plane/src/server/lease_holder.rs
+++ b/crates/control-plane/src/server/lease_holder.rs
@@ -24,23 +24,23 @@
     fn configuration_holder(&self, state: &ServerState) -> Option<Owner> {
         let own = self.replica.member_number();
         if let Some(term) = state.rollout_lease.acting_term {
-            return self.address_of(own, term);
+            return self.holder_address(own, term);
         }
         let RoleHolder { member: holder, term } =
             self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE));
         // This server itself, if it is the one on record, does not hold the lease any more.
-        if holder == own { None } else { self.address_of(holder, term) }
+        if holder == own { None } else { self.holder_address(holder, term) }
     }
 
     /// Where a member is reached as the holder of the configuration role under a term; none if it is not known.
-    pub(crate) fn address_of(&self, member: u64, term: u64) -> Option<Owner> {
+    pub(crate) fn holder_address(&self, member: u64, term: u64) -> Option<Owner> {
         let known = self.replica.member(member)?;
         let (listen, operators) = (known.listen, known.operators);
         Some(Owner { duty: CONFIGURATION_ROLE.into(), member, term, listen, operators })
     }
 
     /// Sends all proxies the present lease holder.
-    pub(crate) fn welcome_all(&self, state: &mut ServerState) {
+    pub(crate) fn send_welcome_to_all(&self, state: &mut ServerState) {
         for id in state.sessions.proxy_ids() {
             let welcome = self.welcome(state, id);
             state.sessions.send(id, from_service::Said::Welcome(welcome));
--- a/crates/control-plane/src/server/listener.rs
+++ b/crates/control-plane/src/server/listener.rs
@@ -24,14 +24,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Audience {
     /// Proxies, and the other members of the group.
-    Peers,
+    ProxiesAndMembers,
     Operators,
 }
 
 /// The keys of both listeners, which follow their files.
 #[derive(Clone, Default)]
 pub(crate) struct ListenerTls {
-    peers: Option<Arc<ServerTls>>,
+    proxies_and_members: Option<Arc<ServerTls>>,
     operators: Option<Arc<ServerTls>>,
 }
 
@@ -40,12 +40,15 @@
     pub(crate) fn load(keys: Option<ListenerKeys>) -> Result<Self, StartError> {
         let Some(keys) = keys else { return Ok(ListenerTls::default()) };
         let load = |files| ServerTls::load(files).map(Arc::new).map_err(StartError::Keys);
-        Ok(ListenerTls { peers: Some(load(keys.proxies)?), operators: Some(load(keys.operators)?) })
+        Ok(ListenerTls {
+            proxies_and_members: Some(load(keys.proxies)?),
+            operators: Some(load(keys.operators)?),
+        })
     }
 
     /// Starts the thread that reads the keys again when their files change. Reading files blocks, so it is no coroutine.
-    pub(crate) fn spawn_reloading(self) -> Result<(), StartError> {
-        let all: Vec<Arc<ServerTls>> = self.peers.into_iter().chain(self.operators).collect();
+    pub(crate) fn spawn_reload_thread(self) -> Result<(), StartError> {
+        let all: Vec<Arc<ServerTls>> = self.proxies_and_members.into_iter().chain(self.operators).collect();
         if all.is_empty() {
             return Ok(());
         }
@@ -61,7 +64,7 @@
 
     fn of(&self, audience: Audience) -> Option<Arc<ServerTls>> {
         match audience {
-            Audience::Peers => self.peers.clone(),
+            Audience::ProxiesAndMembers => self.proxies_and_members.clone(),
             Audience::Operators => self.operators.clone(),
         }
     }
@@ -117,7 +120,7 @@
         let tls = self.tls.as_ref().map(|tls| tls.current());
         let connection = FramedConnection::from_accepted(stream, tls)?;
         match self.audience {
-            Audience::Peers => PeerSession::serve(&self.context, connection),
+            Audience::ProxiesAndMembers => PeerSession::serve(&self.context, connection),
             Audience::Operators => admin::serve(&self.context, connection),
         }
     }
--- a/crates/control-plane/src/server/maintenance.rs
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -36,7 +36,7 @@
         let mut state = self.lock_state();
         self.check_suspension(&mut state, now);
         self.refresh_rollout_lease(&mut state);
-        self.drive(&mut state, Event::Tick);
+        self.handle_rollout_event(&mut state, Event::Tick);
         self.reclaim_identities(&mut state, now);
         self.maintain_roster(&mut state, now);
         state.sessions.wake_all();
@@ -67,7 +67,7 @@
         match change {
             StateChange::VersionPublished(number) => self.on_version_published(state, *number),
             StateChange::VersionDropped(_) => self.on_versions_dropped(state),
-            StateChange::HolderChanged(role) if role == CONFIGURATION_ROLE => self.welcome_all(state),
+            StateChange::HolderChanged(role) if role == CONFIGURATION_ROLE => self.send_welcome_to_all(state),
             StateChange::HolderChanged(role) | StateChange::RoleChanged(role) if role == ORDINALS_ROLE => {
                 self.send_ordinals(state);
             }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -51,12 +51,12 @@
         let (replica, replica_thread) = replica_thread::open(replica_settings(&settings, seed))?;
         let context = ServerContext::new(replica, &settings);
         let tls = ListenerTls::load(settings.keys)?;
-        listener::spawn(&context, settings.listen, Audience::Peers, &tls)?;
+        listener::spawn(&context, settings.listen, Audience::ProxiesAndMembers, &tls)?;
         listener::spawn(&context, settings.operators, Audience::Operators, &tls)?;
         let notified = Arc::clone(&context);
         replica_thread.start(Box::new(move |changes| notified.on_state_change(changes)))?;
         maintenance::spawn(&context)?;
-        tls.spawn_reloading()?;
+        tls.spawn_reload_thread()?;
         Ok(ControlServer { context })
     }
 
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -50,7 +50,7 @@
         if let Some(session) = state.sessions.get_mut(id) {
             session.proxy = Some(ConnectedProxy { hello, updated_at: now });
         }
-        let mut answers = vec![from_service::Said::Welcome(self.welcome(&state, id))];
+        let mut responses = vec![from_service::Said::Welcome(self.welcome(&state, id))];
         match claim {
             Claim::Granted { term, superseded } => {
                 if let Some(session) = superseded.and_then(|old| state.sessions.get_mut(old)) {
@@ -68,10 +68,10 @@
                     incarnation,
                     "proxy identity is held by another process"
                 );
-                answers.push(from_service::Said::Displaced(Displaced { name_term: term, by }));
+                responses.push(from_service::Said::Displaced(Displaced { name_term: term, by }));
             }
         }
-        answers
+        responses
     }
 
     /// A proxy reports what became of its requests. Returns the answers to send.
@@ -89,9 +89,12 @@
             let unserved = figures.declined.saturating_add(figures.aborted);
             let (proxy, served, number) = (proxy.to_owned(), figures.succeeded, figures.number);
             let counts = RequestCounts { served, unserved };
-            self.drive(&mut state, Event::RequestsCounted { proxy, stream: id, counts, number });
+            self.handle_rollout_event(
+                &mut state,
+                Event::RequestsCounted { proxy, stream: id, counts, number },
+            );
         }
-        self.confirm_followed(&state, id);
+        self.clear_suspension_if_followed(&state, id);
         let welcome = from_service::Said::Welcome(self.welcome(&state, id));
         let grant = self.ordinal_grant(&state, id).map(from_service::Said::Seated);
         std::iter::once(welcome).chain(grant).collect()
@@ -99,7 +102,7 @@
 
     /// A proxy that sends figures has read this server's welcome, and so follows no later term: that settles what
     /// a suspension left open. A hello proves less, as it may have waited while the process was suspended.
-    fn confirm_followed(&self, state: &ServerState, id: SessionId) {
+    fn clear_suspension_if_followed(&self, state: &ServerState, id: SessionId) {
         let term = self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE)).term;
         let follows = state
             .sessions
@@ -117,7 +120,7 @@
         let was_holder = state.identities.is_holder(&hello.proxy, id);
         state.identities.disconnected(clock::now(), id);
         if was_holder {
-            self.drive(&mut state, Event::Disconnected { proxy: hello.proxy, stream: id });
+            self.handle_rollout_event(&mut state, Event::Disconnected { proxy: hello.proxy, stream: id });
         }
     }
 
--- a/crates/control-plane/src/server/publication.rs
+++ b/crates/control-plane/src/server/publication.rs
@@ -25,7 +25,7 @@
 impl ServerContext {
     /// Completes a publication: the least number that it may have, and the versions that are kept whatever their age, as
     /// proxies have them in force or a rollback would restore them.
-    pub(crate) fn complete_publication(&self, state: &ServerState, new: NewVersion) -> NewVersion {
+    pub(crate) fn complete_new_version(&self, state: &ServerState, new: NewVersion) -> NewVersion {
         let rollout = &state.rollout_lease.rollout;
         let newest = self.replica.with_state(GroupState::newest_version);
         let mut needed: Vec<u64> = rollout.proxies().values().map(|proxy| proxy.in_force).collect();
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -44,7 +44,7 @@
             None => tracing::warn!(role = CONFIGURATION_ROLE, "lease lost"),
             Some(term) => self.resume_rollout(state, term),
         }
-        self.welcome_all(state);
+        self.send_welcome_to_all(state);
     }
 
     /// Goes on from the progress that the last lease holder committed.
@@ -84,7 +84,7 @@
         let (term, rolls_back_to) = (state.rollout_lease.acting_term, entry.rolls_back_to);
         tracing::info!(version = number, digest, term, rolls_back_to, "version published");
         let plan = entry.plan.unwrap_or_default();
-        self.drive(state, Event::Published { number, plan, rolls_back_to });
+        self.handle_rollout_event(state, Event::Published { number, plan, rolls_back_to });
     }
 
     /// Old versions are not kept any more.
@@ -108,7 +108,7 @@
         let in_force_for = Duration::from_millis(hello.age_ms).saturating_add(connected_for);
         let (proxy, build) = (hello.proxy, hello.build);
         let proxy = ConnectedProxy { proxy, stream: id, in_force, build, in_force_for };
-        self.drive(state, Event::Connected(proxy));
+        self.handle_rollout_event(state, Event::Connected(proxy));
     }
 
     /// What a proxy has in force, and whether it is the version that the group published under that number.
@@ -132,7 +132,7 @@
     }
 
     /// A proxy has accepted or rejected an offer.
-    pub(crate) fn on_answer(&self, proxy: &str, id: SessionId, answer: Answer) {
+    pub(crate) fn on_offer_response(&self, proxy: &str, id: SessionId, answer: Answer) {
         let Answer { nonce, number, refusal } = answer;
         let mut state = self.lock_state();
         match &refusal {
@@ -153,7 +153,10 @@
                 );
             }
         }
-        self.drive(&mut state, Event::Answered { proxy: proxy.into(), stream: id, nonce, refusal });
+        self.handle_rollout_event(
+            &mut state,
+            Event::Answered { proxy: proxy.into(), stream: id, nonce, refusal },
+        );
     }
 
     /// Brings the hello of a session up to date, so that the next lease holder's rollout sees what the proxy has now.
@@ -177,11 +180,11 @@
     }
 
     /// Feeds an event into the rollout and carries out what it decides. Nothing while another server drives it.
-    pub(crate) fn drive(&self, state: &mut ServerState, event: Event) {
+    pub(crate) fn handle_rollout_event(&self, state: &mut ServerState, event: Event) {
         let Some(term) = state.rollout_lease.acting_term else { return };
         let now = clock::now();
         let actions = state.rollout_lease.rollout.handle(now, event);
-        self.commit_progress(state, now, term);
+        self.propose_progress(state, now, term);
         for action in actions {
             // The next lease holder must know of a stage before any proxy does.
             let ready = match action {
@@ -189,12 +192,12 @@
                 _ => Some(action),
             };
             if let Some(action) = ready {
-                self.carry_out(state, term, action);
+                self.execute_action(state, term, action);
             }
         }
     }
 
-    fn carry_out(&self, state: &mut ServerState, term: u64, action: Action) {
+    fn execute_action(&self, state: &mut ServerState, term: u64, action: Action) {
         match action {
             Action::Offer { proxy, stream, nonce, number, base } => {
                 let offer = PlannedOffer { proxy, session: stream, nonce, version: number, base };
@@ -210,8 +213,8 @@
             }
             Action::RollBack { halted, restored, reason } => {
                 tracing::error!(version = halted, to = restored, reason, term, "rolled back");
-                let rollback = self.rollback_of(halted, restored, &reason);
-                let rollback = self.complete_publication(state, rollback);
+                let rollback = self.build_rollback_version(halted, restored, &reason);
+                let rollback = self.complete_new_version(state, rollback);
                 self.propose_for_rollout(term, What::Version(rollback));
             }
         }
@@ -233,7 +236,7 @@
     }
 
     /// The version that restores the content of an earlier one (0: an empty document) after a rollout was halted.
-    fn rollback_of(&self, halted: u64, restored: u64, reason: &str) -> NewVersion {
+    fn build_rollback_version(&self, halted: u64, restored: u64, reason: &str) -> NewVersion {
         let document = self.replica.with_state(|group| {
             let version = group.versions.get(&restored);
             version.map(|version| (*version.document).clone()).unwrap_or_default()
@@ -263,7 +266,7 @@
     }
 
     /// Proposes how far the rollout is, where that has changed.
-    fn commit_progress(&self, state: &mut ServerState, now: Timestamp, term: u64) {
+    fn propose_progress(&self, state: &mut ServerState, now: Timestamp, term: u64) {
         let progress = state.rollout_lease.rollout.progress();
         let Some(checkpoint) = state.rollout_lease.checkpoint.checkpoint(now, progress) else { return };
         let context = self.downgrade();
@@ -272,20 +275,20 @@
             let committed = outcome == Ok(Outcome::Applied);
             log_progress(&proposed, term, committed);
             if let Some(context) = context.upgrade() {
-                context.on_progress_decided(term, proposed.order, committed);
+                context.on_progress_outcome(term, proposed.order, committed);
             }
         };
         self.propose(CONFIGURATION_ROLE, term, What::Keep(checkpoint), Box::new(responder));
     }
 
     /// Sends the offers that waited for the progress to be committed.
-    fn on_progress_decided(&self, term: u64, order: u64, committed: bool) {
+    fn on_progress_outcome(&self, term: u64, order: u64, committed: bool) {
         let mut state = self.lock_state();
         if state.rollout_lease.acting_term != Some(term) {
             return;
         }
         for action in state.rollout_lease.checkpoint.on_commit(order, committed) {
-            self.carry_out(&mut state, term, action);
+            self.execute_action(&mut state, term, action);
         }
     }
 }
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -114,7 +114,7 @@
             let committed = outcome == Ok(Outcome::Applied);
             log_roster(&next, term, committed);
             if let Some(context) = context.upgrade() {
-                context.on_roster_decided(term, &next);
+                context.on_roster_outcome(term, &next);
             }
         };
         self.propose(ORDINALS_ROLE, term, command, Box::new(responder));
@@ -128,7 +128,7 @@
         Keep { state: roster.encode_to_vec(), order: committed + 1 }
     }
 
-    fn on_roster_decided(&self, term: u64, proposed: &Roster) {
+    fn on_roster_outcome(&self, term: u64, proposed: &Roster) {
         let is_current = self.committed_roster().is_some_and(|committed| committed.roster == *proposed);
         let mut state = self.lock_state();
         match state.roster.managed.as_mut().filter(|managed| managed.term == term) {
@@ -145,19 +145,19 @@
     ///
     /// The lease is checked before the roster is used: the other way round the roster could be an old one and the lease a
     /// new one.
-    fn grantable_roster(&self) -> Option<CommittedRoster> {
+    fn roster_under_lease(&self) -> Option<CommittedRoster> {
         let has_lease = self.replica.has_lease() || crate::failpoints::is_check_disabled("owner");
         self.committed_roster().filter(|committed| has_lease && committed.term > 0)
     }
 
     /// The ordinal to send to a proxy.
     pub(crate) fn ordinal_grant(&self, state: &ServerState, id: SessionId) -> Option<Seated> {
-        self.grantable_roster()?.grant(state, id)
+        self.roster_under_lease()?.grant(state, id)
     }
 
     /// Sends all proxies their ordinals.
     pub(crate) fn send_ordinals(&self, state: &mut ServerState) {
-        let Some(roster) = self.grantable_roster() else { return };
+        let Some(roster) = self.roster_under_lease() else { return };
         for id in state.sessions.proxy_ids() {
             if let Some(grant) = roster.grant(state, id) {
                 state.sessions.send(id, from_service::Said::Seated(grant));
--- a/crates/control-plane/src/server/session.rs
+++ b/crates/control-plane/src/server/session.rs
@@ -100,11 +100,11 @@
                 }
             }
             (Some(from_client::Said::Answer(answer)), Remote::Proxy(name)) => {
-                self.context.on_answer(name, self.id, answer);
+                self.context.on_offer_response(name, self.id, answer);
             }
             (Some(from_client::Said::Figures(figures)), Remote::Proxy(name)) => {
-                let answers = self.context.on_figures(name, self.id, &figures);
-                self.send_all(answers)?;
+                let responses = self.context.on_figures(name, self.id, &figures);
+                self.send_all(responses)?;
             }
             // A message of a later build, which this one does not know.
             (None, Remote::Proxy(_)) => {}
@@ -117,8 +117,8 @@
         check_hello(&hello)?;
         self.check_certificate(Some(&hello.proxy))?;
         self.remote = Remote::Proxy(hello.proxy.clone());
-        let answers = self.context.on_hello(self.id, hello);
-        self.send_all(answers)
+        let responses = self.context.on_hello(self.id, hello);
+        self.send_all(responses)
     }
 
     fn on_member_hello(&mut self, hello: &PeerHello) -> Result<Next, SessionError> {
--- a/crates/control-plane/src/server/settings.rs
+++ b/crates/control-plane/src/server/settings.rs
@@ -12,7 +12,7 @@
 /// Streams that may be open together, where the file does not say.
 const DEFAULT_MAX_STREAMS: u32 = 4_096;
 /// The number of a member whose file names none: it is alone.
-const DEFAULT_MEMBER: u64 = 1;
+const DEFAULT_MEMBER_NUMBER: u64 = 1;
 
 /// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -91,7 +91,7 @@
             return Err(SettingsError::Missing("group.service_name"));
         }
         let member = Member {
-            number: if group.member == 0 { DEFAULT_MEMBER } else { group.member },
+            number: if group.member == 0 { DEFAULT_MEMBER_NUMBER } else { group.member },
             listen: advertised_address("group.listen_as", &group.listen_as, listen)?,
             operators: advertised_address("group.operators_as", &group.operators_as, operators)?,
             ..Member::default()
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -201,19 +201,19 @@
     pub(crate) max_sessions: usize,
     /// The operator said that whoever used the store before is gone for good.
     pub(crate) store_restored: bool,
-    this: Weak<ServerContext>,
+    weak_self: Weak<ServerContext>,
 }
 
 impl ServerContext {
     pub(crate) fn new(replica: Arc<Replica>, settings: &Settings) -> Arc<Self> {
-        Arc::new_cyclic(|this| ServerContext {
+        Arc::new_cyclic(|weak_self| ServerContext {
             state: Mutex::default(),
             replica,
             pause_detector: Mutex::new(PauseDetector::new(clock::now())),
             retained_versions: settings.retained_versions,
             max_sessions: settings.max_streams,
             store_restored: settings.restored,
-            this: this.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
@@ -227,7 +227,7 @@
 
     /// This context, for callbacks that may outlive the server.
     pub(crate) fn downgrade(&self) -> Weak<ServerContext> {
-        self.this.clone()
+        self.weak_self.clone()
     }
 
     /// Proposes a command for a role under a term; `responder` is called once it is decided.
