--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,11 +1,12 @@
-//! The clock of leases: unlike [`std::time::Instant`] it counts the time for which the machine was suspended.
+//! The clock that leases are measured by. Unlike [`std::time::Instant`], it advances while the machine is
+//! suspended.
 
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The time since the machine started.
+/// Returns the time since the machine booted, including time in suspension.
 pub fn now() -> Timestamp {
     let now = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors as operators read them.
+//! Formatting of errors for log lines and command output.
 
 use std::error::Error;
 
-/// Returns an error and its sources on one line, each behind a colon.
+/// Formats an error and its chain of sources on one line, separated by colons.
 ///
-/// The errors of this workspace mostly say their sources themselves, those of other libraries mostly do not: a source that
-/// the line already contains is not repeated.
+/// Errors of this workspace usually include their source in their own text, those of other libraries usually
+/// do not. A source whose text the line already contains is therefore skipped.
 #[must_use]
 pub fn error_line(error: &dyn Error) -> String {
     let mut line = error.to_string();
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,13 +1,13 @@
 //! The control plane: versioned configuration for a fleet of proxies, agreed on by a group of members.
 //!
-//! What is decided is decided in crates without I/O (`gaugestep-config`, `gaugestep-leadership`, `gaugestep-subsetting`);
-//! here are the programs' parts round them that do the I/O:
+//! The decisions are made in crates without I/O (`gaugestep-config`, `gaugestep-leadership`,
+//! `gaugestep-subsetting`). This crate does the I/O around them:
 //!
-//! - [`raft`] replicates the state of the group on its members;
+//! - [`raft`] replicates the state of the group to its members;
 //! - [`server`] serves proxies, operators and other members;
 //! - [`client`] is a proxy's side of the configuration stream;
-//! - [`cli`] is the command line of `gaugestep-control`, with the client for operators' calls;
-//! - [`transport`] carries their messages: behind their length, over TLS where there are keys.
+//! - [`cli`] is the command line of `gaugestep-control`, including the client for operator calls;
+//! - [`transport`] carries length-prefixed messages, over TLS if keys are configured.
 
 pub mod cli;
 pub mod client;
--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -1,4 +1,4 @@
-//! The call that shows all proxies.
+//! The operator call that reports the status of all proxies.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_config::rollout::ProxyStatus;
@@ -16,18 +16,18 @@
         self.require_lease(CONFIGURATION_ROLE)?;
         let state = self.lock_state();
         let now = clock::now();
-        let known = state.rollout_lease.rollout.proxies().iter();
-        let known = known.map(|(name, status)| managed_proxy_status(&state, now, name, status));
-        let others =
+        let managed = state.rollout_lease.rollout.proxies().iter();
+        let managed = managed.map(|(name, status)| managed_proxy_status(&state, now, name, status));
+        let unmanaged =
             state.sessions.proxies().filter_map(|(id, proxy)| unmanaged_proxy_status(&state, id, proxy));
-        let mut proxies: Vec<Proxy> = known.chain(others).collect();
+        let mut proxies: Vec<Proxy> = managed.chain(unmanaged).collect();
         proxies.sort_by(|a, b| (&a.name, a.displaced).cmp(&(&b.name, b.displaced)));
         let newest = self.replica.with_state(GroupState::newest_version);
         Ok(reply::What::Fleet(Fleet { newest, proxies }))
     }
 }
 
-/// A proxy that the rollout knows, connected or not.
+/// The status of a proxy that the rollout manages, connected or not.
 fn managed_proxy_status(state: &ServerState, now: Timestamp, name: &str, status: &ProxyStatus) -> Proxy {
     let NameHolder { incarnation, term: name_term } = state.identities.holder(name).unwrap_or_default();
     Proxy {
@@ -46,7 +46,8 @@
     }
 }
 
-/// A connected proxy that this server drives nothing for: another process holds its name, or it has seen a later term.
+/// The status of a connected proxy that the rollout does not manage, because another process holds its name
+/// or it has seen a later term; `None` for any other proxy.
 fn unmanaged_proxy_status(state: &ServerState, id: SessionId, proxy: &ConnectedProxy) -> Option<Proxy> {
     let hello = &proxy.hello;
     let displaced = !state.identities.is_holder(&hello.proxy, id);
--- a/crates/control-plane/src/server/admin/group.rs
+++ b/crates/control-plane/src/server/admin/group.rs
@@ -1,4 +1,4 @@
-//! Calls that change the members of the group, and who holds which role.
+//! Operator calls that change the members of the group and the holders of roles.
 
 use std::net::SocketAddr;
 
@@ -23,15 +23,15 @@
         await_outcome(|responder| self.replica.remove_member(member, responder))
     }
 
-    /// Members are changed at the Raft leader alone.
+    /// Rejects the call unless this member is the Raft leader, which alone can change the members.
     fn require_leadership(&self) -> Result<(), CallFailure> {
         let leader = self.replica.leader();
         if leader == self.replica.member_number() {
             return Ok(());
         }
-        let known = if leader > 0 { self.holder_address(leader, 0) } else { None };
-        Err(match known {
-            Some(leader) => CallFailure::LeaseElsewhere(leader),
+        let leader_address = if leader > 0 { self.holder_address(leader, 0) } else { None };
+        Err(match leader_address {
+            Some(leader) => CallFailure::Redirect(leader),
             None => CallFailure::Unavailable(self.replica.unavailable_reason().to_string()),
         })
     }
@@ -47,11 +47,12 @@
     }
 
     pub(super) fn declare(&self, role: &str) -> CallResult {
-        // A role that is not there has no term yet.
+        // A role that has not been declared has no term: 0.
         await_outcome(|responder| self.propose(role, 0, What::Declare(Declare {}), responder))
     }
 
-    /// Goes on above the terms that proxies have seen, as an operator says that whoever granted those is gone for good.
+    /// Raises the term of a role above the terms that proxies have seen. With this call the operator confirms
+    /// that the lease holders of those terms will not return.
     pub(super) fn take_over(&self, role: &str) -> CallResult {
         let term = self.require_lease(role)?;
         self.lock_pause_detector().clear();
@@ -60,11 +61,12 @@
         await_outcome(|responder| self.propose(role, term, What::Raise(above), responder))
     }
 
-    /// The highest term that a proxy has seen, of those that are near enough to the own one to be credible.
+    /// The highest term that a proxy has seen, at least `term`. Terms more than [`MAX_TERM_RAISE`] above
+    /// `term` are ignored as corrupt.
     fn highest_credible_term(&self, term: u64) -> u64 {
         let state = self.lock_state();
-        let seen = state.sessions.values().map(Session::highest_term_seen);
-        let credible = seen.filter(|seen| seen.saturating_sub(term) <= MAX_TERM_RAISE);
+        let terms = state.sessions.values().map(Session::highest_term_seen);
+        let credible = terms.filter(|seen| seen.saturating_sub(term) <= MAX_TERM_RAISE);
         credible.max().unwrap_or(0).max(term)
     }
 }
--- a/crates/control-plane/src/server/admin/mod.rs
+++ b/crates/control-plane/src/server/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: one on each connection, one reply.
+//! Operator calls: each connection carries one call and its response.
 
 mod fleet;
 mod group;
@@ -18,7 +18,7 @@
 use crate::server::state::{ServerContext, SessionId};
 use crate::transport::connection::FramedConnection;
 
-/// Operators' calls that may be open together.
+/// The maximum number of concurrent operator calls.
 const MAX_OPEN_CALLS: usize = 64;
 
 /// Serves the connection of an operator until it ends.
@@ -36,7 +36,7 @@
         return Err(SessionError::TooManyCalls);
     }
     state.open_calls += 1;
-    // As a session it is woken regularly, and so looks at its deadline.
+    // Sessions are woken periodically, which lets this call check its deadline.
     Ok(state.sessions.open(connection.waker()))
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Answers the call, if it has come.
+/// Executes the call and sends the response; returns false if no complete call has been received yet.
 fn respond_to_next_call(
     context: &ServerContext,
     connection: &mut FramedConnection,
@@ -82,7 +82,7 @@
         result.unwrap_or_else(reply::What::from)
     }
 
-    /// Carries out a call; the coroutine waits while it is decided.
+    /// Executes a call. Calls that propose a command block the coroutine until its result is known.
     fn execute(&self, request: call::What) -> CallResult {
         match request {
             call::What::Publish(publish) => self.publish(publish),
--- a/crates/control-plane/src/server/admin/outcome.rs
+++ b/crates/control-plane/src/server/admin/outcome.rs
@@ -1,4 +1,4 @@
-//! What becomes of an operator's call, and how it is waited for.
+//! The result of an operator call, and waiting for the result of a proposed command.
 
 use gaugestep_config::schema::{Done, Owner, Published, reply};
 use gaugestep_leadership::RoleHolder;
@@ -7,15 +7,16 @@
 use crate::raft::request::Responder;
 use crate::server::state::ServerContext;
 
-/// Why a call is not carried out, as the reply says.
+/// The reason why a call was not executed, as it is sent in the response.
 #[derive(Debug)]
 pub(super) enum CallFailure {
-    /// It cannot be, and the same call again would not be either.
+    /// The call is invalid; a retry would be rejected as well.
     Rejected(String),
-    /// Not now: there is no lease holder, or no majority. The caller tries again.
+    /// There is no lease holder or no majority at present; the client may retry.
     Unavailable(String),
-    /// Not here: this member holds the lease.
-    LeaseElsewhere(Owner),
+    /// Another member executes this call: the lease holder of the role or the Raft leader. The client retries
+    /// there.
+    Redirect(Owner),
 }
 
 impl CallFailure {
@@ -29,7 +30,7 @@
         match failure {
             CallFailure::Rejected(reason) => reply::What::Error(reason),
             CallFailure::Unavailable(reason) => reply::What::Later(reason),
-            CallFailure::LeaseElsewhere(holder) => reply::What::Owner(holder),
+            CallFailure::Redirect(holder) => reply::What::Owner(holder),
         }
     }
 }
@@ -37,7 +38,8 @@
 pub(super) type CallResult = Result<reply::What, CallFailure>;
 
 impl ServerContext {
-    /// The term under which this server holds the lease of a role; otherwise where to ask.
+    /// Returns the term under which this server holds the lease of a role. Otherwise fails with the address
+    /// of the lease holder, or as unavailable if no holder is known.
     pub(super) fn require_lease(&self, role: &str) -> Result<u64, CallFailure> {
         if let Some(term) = self.replica.acting_term(role) {
             return Ok(term);
@@ -46,23 +48,23 @@
         let is_held_by_other_member =
             holder > 0 && holder != self.replica.member_number() && self.replica.leader() > 0;
         match self.holder_address(holder, term).filter(|_| is_held_by_other_member) {
-            Some(holder) => Err(CallFailure::LeaseElsewhere(holder)),
+            Some(holder) => Err(CallFailure::Redirect(holder)),
             None => Err(CallFailure::Unavailable(self.replica.unavailable_reason().to_string())),
         }
     }
 }
 
-/// Proposes something by way of `propose`, and waits until it is decided.
+/// Calls `propose` with a responder, and waits until the responder is called with the result.
 pub(super) fn await_outcome(propose: impl FnOnce(Responder)) -> CallResult {
-    let (sender, decided) = may::sync::mpsc::channel();
+    let (sender, receiver) = may::sync::mpsc::channel();
     propose(Box::new(move |outcome| drop(sender.send(outcome))));
-    match decided.recv() {
+    match receiver.recv() {
         Ok(Ok(Outcome::Applied)) => Ok(reply::What::Done(Done {})),
         Ok(Ok(Outcome::Published(version))) => {
             Ok(reply::What::Published(Published { version: Some(version) }))
         }
         Ok(Ok(Outcome::Rejected(reason))) => Err(CallFailure::Rejected(reason.to_string())),
-        // Another member took the lease while the command was under way.
+        // Another member acquired the lease before the command was committed.
         Ok(Ok(Outcome::StaleTerm { .. })) => {
             Err(CallFailure::Unavailable("the duty has another owner by now".into()))
         }
--- a/crates/control-plane/src/server/admin/versions.rs
+++ b/crates/control-plane/src/server/admin/versions.rs
@@ -1,4 +1,4 @@
-//! Calls that publish versions and show them.
+//! Operator calls that publish and show versions.
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{NewVersion, Plan, Publish, Rollback, Shown, Versions, reply};
@@ -9,7 +9,7 @@
 use crate::server::proxy_session::MAX_NAME_BYTES;
 use crate::server::state::ServerContext;
 
-/// Bytes of an operator's note about a version.
+/// The maximum length of an operator's note about a version.
 const MAX_NOTE_BYTES: usize = 4_096;
 
 impl ServerContext {
@@ -53,8 +53,8 @@
         await_outcome(|responder| self.propose(CONFIGURATION_ROLE, term, What::Version(new), responder))
     }
 
-    /// A group of one cannot ask others whether it was replaced while it was suspended: it publishes nothing until a proxy
-    /// has shown that it was not.
+    /// Rejects publications of a group of one after a suspension. It has no other members to ask whether
+    /// another server replaced it meanwhile, so it waits until a proxy has confirmed that none did.
     fn check_not_superseded_while_suspended(&self) -> Result<(), CallFailure> {
         self.check_suspension(&mut self.lock_state(), clock::now());
         let suspended_for = self.lock_pause_detector().suspended_for();
@@ -68,7 +68,7 @@
         )))
     }
 
-    /// The versions, newest first; `most` of 0: all.
+    /// Lists the newest `most` versions, newest first; 0 lists all.
     pub(super) fn list_versions(&self, most: u32) -> reply::What {
         let most = if most == 0 { usize::MAX } else { most as usize };
         let entries = self.replica.with_state(|group| {
@@ -77,7 +77,7 @@
         reply::What::Versions(Versions { entries })
     }
 
-    /// A version; `number` of 0: the newest.
+    /// Returns a version with its document; `number` 0 returns the newest version.
     pub(super) fn show_version(&self, number: u64) -> CallResult {
         let version = self.replica.with_state(|group| {
             let number = if number == 0 { group.newest_version() } else { number };
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a server cannot be started, and why a session ends.
+//! Errors of starting a server, and errors that end a session.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,34 +8,34 @@
 use crate::transport::connection::ConnectionError;
 use crate::transport::tls::TlsError;
 
-/// Why a server cannot be started.
+/// The reason why a server cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The replicated state cannot be used.
+    /// The replica cannot be opened or started.
     #[error(transparent)]
     Replica(#[from] ReplicaError),
-    /// The keys cannot be used.
+    /// The TLS keys cannot be loaded.
     #[error(transparent)]
     Keys(TlsError),
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address of the listener.
         address: SocketAddr,
-        /// What failed.
+        /// The error of the system call.
         source: io::Error,
     },
     /// A thread or a coroutine cannot be started.
     #[error("cannot start {what}: {source}")]
     Spawn {
-        /// Which.
+        /// `a thread` or `a coroutine`.
         what: &'static str,
-        /// What failed.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Why a session of a proxy, another member or an operator was ended from this side.
+/// The reason why this server ended the session of a proxy, of another member or of an operator.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SessionError {
     #[error(transparent)]
@@ -44,19 +44,19 @@
     Connection(#[from] ConnectionError),
     #[error(transparent)]
     Peer(#[from] InboundError),
-    #[error("too many streams are open")]
+    #[error("too many open streams")]
     TooManySessions,
-    #[error("too many calls are open")]
+    #[error("too many operator calls in progress")]
     TooManyCalls,
-    #[error("the peer is silent")]
+    #[error("the peer has sent no message within its deadline")]
     Silent,
-    #[error("the call took too long")]
+    #[error("the operator call has timed out")]
     CallTimeout,
-    #[error("a message that is not expected here")]
+    #[error("unexpected message in this state of the session")]
     UnexpectedMessage,
-    #[error("a hello that this build does not understand")]
+    #[error("unsupported protocol version or invalid hello")]
     InvalidHello,
-    #[error("its certificate does not carry the name '{0}'")]
+    #[error("the peer's certificate does not carry the name '{0}'")]
     WrongCertificate(String),
     #[error("this process was suspended")]
     Suspended,
--- a/crates/control-plane/src/server/listener.rs
+++ b/crates/control-plane/src/server/listener.rs
@@ -1,4 +1,5 @@
-//! The listeners of a server: one for proxies and members, one for operators. Each connection gets a coroutine.
+//! The listeners of a server: one for proxies and members, one for operators. Each connection has its own
+//! coroutine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,20 +16,20 @@
 use crate::transport::connection::{FramedConnection, STACK_WORDS};
 use crate::transport::tls::ServerTls;
 
-/// The pause after a connection could not be accepted, as when the process has no file descriptors left.
+/// The delay after a failed accept, for example when the process has run out of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the files of the keys are looked at.
+/// The interval at which the TLS key files are checked for changes.
 const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whom a listener serves.
+/// The kind of clients that a listener serves.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Audience {
-    /// Proxies, and the other members of the group.
+    /// Proxies and the other members of the group.
     ProxiesAndMembers,
     Operators,
 }
 
-/// The keys of both listeners, which follow their files.
+/// The TLS configuration of both listeners, reloaded when the key files change; `None` without TLS.
 #[derive(Clone, Default)]
 pub(crate) struct ListenerTls {
     proxies_and_members: Option<Arc<ServerTls>>,
@@ -36,7 +37,7 @@
 }
 
 impl ListenerTls {
-    /// Reads the keys, if there are any.
+    /// Loads the TLS keys, if any are configured.
     pub(crate) fn load(keys: Option<ListenerKeys>) -> Result<Self, StartError> {
         let Some(keys) = keys else { return Ok(ListenerTls::default()) };
         let load = |files| ServerTls::load(files).map(Arc::new).map_err(StartError::Keys);
@@ -46,7 +47,8 @@
         })
     }
 
-    /// Starts the thread that reads the keys again when their files change. Reading files blocks, so it is no coroutine.
+    /// Starts the thread that reloads the keys when their files change. It is a thread because reading files
+    /// blocks.
     pub(crate) fn spawn_reload_thread(self) -> Result<(), StartError> {
         let all: Vec<Arc<ServerTls>> = self.proxies_and_members.into_iter().chain(self.operators).collect();
         if all.is_empty() {
@@ -70,7 +72,7 @@
     }
 }
 
-/// One listener; its clones serve one connection each.
+/// A listener. Each connection is served by a clone of it.
 #[derive(Clone)]
 struct Listener {
     context: Arc<ServerContext>,
@@ -78,7 +80,7 @@
     tls: Option<Arc<ServerTls>>,
 }
 
-/// Listens on an address, and serves its connections from then on.
+/// Binds a listener and starts the coroutine that accepts its connections.
 pub(crate) fn spawn(
     context: &Arc<ServerContext>,
     address: SocketAddr,
--- a/crates/control-plane/src/server/maintenance.rs
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -1,4 +1,4 @@
-//! What the server does by itself: at regular intervals, and when the replicated state has changed.
+//! Periodic work of the server, and its reaction to changes of the replicated state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,13 @@
 use crate::server::error::StartError;
 use crate::server::state::{ServerContext, ServerState};
 
-/// How often clocks are looked at.
+/// The interval of the periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// A server that was suspended for longer may have lost its lease to another one without knowing: a lease lasts as long.
+/// A suspension of at least this duration makes the server close the sessions of proxies. It equals the
+/// duration of a lease, so another server may have acquired the lease in the meantime.
 const MAX_SUSPENSION: Duration = Duration::from_secs(2);
 
-/// Starts the coroutine that looks at the clock.
+/// Starts the coroutine that does the periodic work.
 pub(crate) fn spawn(context: &Arc<ServerContext>) -> Result<(), StartError> {
     let context = Arc::clone(context);
     let tick = move || {
@@ -42,19 +43,21 @@
         state.sessions.wake_all();
     }
 
-    /// Looks whether the process was suspended, whatever it does first when it goes on.
+    /// Checks whether the process was suspended. Called at each tick and before a publication, as either may run
+    /// first after a suspension.
     pub(crate) fn check_suspension(&self, state: &mut ServerState, now: Timestamp) {
         if !self.lock_pause_detector().observe(now, MAX_SUSPENSION, !state.identities.is_empty()) {
             return;
         }
         tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
-        // The proxies may follow another server by now; their next hello says which term they have seen.
+        // The proxies may already follow another server. Their next hello contains the highest term that they
+        // have seen.
         for session in state.sessions.values_mut().filter(|session| session.proxy.is_some()) {
             session.close_requested = true;
         }
     }
 
-    /// The replicated state has changed, or a lease.
+    /// Handles changes of the replicated state; called with no changes when only a lease may have changed.
     pub(crate) fn on_state_change(&self, changes: &[StateChange]) {
         let mut state = self.lock_state();
         self.refresh_rollout_lease(&mut state);
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,14 +1,18 @@
 //! The control server: serves proxies, operators and the other members of its group.
 //!
-//! What the group agrees on lies in the [`Replica`](crate::raft::replica::Replica). Here are, from the bottom up:
+//! The state that the group agrees on is in the [`Replica`](crate::raft::replica::Replica). The modules, from
+//! the bottom up:
 //!
-//! - [`settings`], and `state` with what all parts share and the order of locks;
-//! - `lease_holder` (which member proxies and operators are sent to), `publication` (numbers and offers of versions);
-//! - `rollout_driver` and `roster_service`, which act while this server holds the lease of their roles;
-//! - `proxy_session` (what proxies say), `hand_over` (of roles), `admin` (operators' calls);
-//! - `session` and `listener` (connections), `maintenance` (clocks, and changes of the replicated state).
+//! - [`settings`], and `state` with the shared state and the order in which its locks are acquired;
+//! - `lease_holder` (the member that proxies and operators are redirected to), `publication` (numbering and
+//!   offers of versions);
+//! - `rollout_driver` and `roster_service`, which are active while this server holds the lease of their role;
+//! - `proxy_session` (messages of proxies), `hand_over` (of roles), `admin` (operator calls);
+//! - `session` and `listener` (connections), `maintenance` (periodic work, and changes of the replicated
+//!   state).
 //!
-//! Each connection is one coroutine, which alone reads and writes it. Others queue messages for it and wake it.
+//! Each connection has one coroutine, and only that coroutine reads and writes it. Other coroutines queue
+//! messages for it and wake it.
 
 mod admin;
 mod error;
@@ -36,17 +40,18 @@
 pub use crate::server::error::StartError;
 pub use crate::server::settings::Settings;
 
-/// A control server that runs. Its threads and coroutines end with the process.
+/// A running control server. Its threads and coroutines run until the process ends.
 pub struct ControlServer {
     context: Arc<ServerContext>,
 }
 
 impl ControlServer {
-    /// Opens the store and the listeners, and begins to serve. `seed` must differ between processes.
+    /// Opens the store and the listeners and starts serving. `seed` must differ between processes.
     ///
     /// # Errors
     ///
-    /// If the store or the keys cannot be used, if an address cannot be listened on, or if a thread cannot be started.
+    /// If the store or the TLS keys cannot be used, if a listener cannot be bound, or if a thread cannot be
+    /// started.
     pub fn start(settings: Settings, seed: u64) -> Result<Self, StartError> {
         let (replica, replica_thread) = replica_thread::open(replica_settings(&settings, seed))?;
         let context = ServerContext::new(replica, &settings);
@@ -60,8 +65,8 @@
         Ok(ControlServer { context })
     }
 
-    /// Hands all roles of this server over to other members, as before the process ends, and waits for that, but for no
-    /// longer than the timeout. Blocks its thread.
+    /// Hands all roles of this server over to other members, for a shutdown, and waits until the hand-overs
+    /// are committed or the timeout expires. Blocks the calling thread.
     pub fn hand_over_all(&self, timeout: Duration) {
         self.context.hand_over_all(timeout);
     }
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -1,4 +1,4 @@
-//! What proxies say to the server, and what it answers.
+//! Handling of the messages of proxies, and the responses to them.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_config::PROTOCOL;
@@ -12,10 +12,11 @@
 use crate::server::error::SessionError;
 use crate::server::state::{ConnectedProxy, ServerContext, ServerState, SessionId, highest_term_seen};
 
-/// Bytes of a proxy's name, of its build, and of an operator's name.
+/// The maximum length of a proxy's name, of its build, and of an operator's name.
 pub(crate) const MAX_NAME_BYTES: usize = 128;
 
-/// Refuses a hello of another protocol, or one that would take more memory than a proxy may.
+/// Rejects a hello with another protocol version, without a name, or with fields above their size limits,
+/// which bound the memory per proxy.
 pub(crate) fn check_hello(hello: &Hello) -> Result<(), SessionError> {
     let is_named = (1..=MAX_NAME_BYTES).contains(&hello.proxy.len()) && hello.build.len() <= MAX_NAME_BYTES;
     if hello.protocol == PROTOCOL && is_named && hello.seen.len() <= MAX_ROLES {
@@ -36,10 +37,10 @@
 }
 
 impl ServerContext {
-    /// A proxy has opened a session. Returns the answers to send.
+    /// Registers the proxy of a session and claims its name. Returns the responses to send.
     pub(crate) fn on_hello(&self, id: SessionId, mut hello: Hello) -> Vec<from_service::Said> {
         if hello.incarnation == 0 {
-            // A build that does not name its processes: each of its sessions counts as one.
+            // The proxy's build sends no incarnation: each of its sessions counts as a separate process.
             hello.incarnation = id;
         }
         log_hello(&hello);
@@ -74,7 +75,7 @@
         responses
     }
 
-    /// A proxy reports what became of its requests. Returns the answers to send.
+    /// Handles a proxy's report of its request counts (`Figures`). Returns the responses to send.
     pub(crate) fn on_figures(
         &self,
         proxy: &str,
@@ -100,8 +101,11 @@
         std::iter::once(welcome).chain(grant).collect()
     }
 
-    /// A proxy that sends figures has read this server's welcome, and so follows no later term: that settles what
-    /// a suspension left open. A hello proves less, as it may have waited while the process was suspended.
+    /// Clears the suspension if the proxy of this session follows this server.
+    ///
+    /// A proxy that sends figures has read this server's welcome. If it has seen no later term, no other server
+    /// has superseded this one during the suspension. A hello does not prove that, as it may have been queued
+    /// while the process was suspended.
     fn clear_suspension_if_followed(&self, state: &ServerState, id: SessionId) {
         let term = self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE)).term;
         let follows = state
@@ -113,7 +117,8 @@
         }
     }
 
-    /// A session has ended, of a proxy or of anybody else.
+    /// Removes a closed session of any kind. If its proxy held its name, the rollout is informed that it
+    /// disconnected.
     pub(crate) fn on_session_closed(&self, id: SessionId) {
         let mut state = self.lock_state();
         let Some(ConnectedProxy { hello, .. }) = state.sessions.close(id) else { return };
@@ -124,7 +129,8 @@
         }
     }
 
-    /// Gives a name back to a process whose successor has been gone for long.
+    /// Claims names again for superseded processes that are still connected. A claim is granted once the process
+    /// that superseded them has been disconnected for long enough.
     pub(crate) fn reclaim_identities(&self, state: &mut ServerState, now: Timestamp) {
         let superseded: Vec<SessionId> =
             state.identities.superseded().map(|process| process.stream).collect();
@@ -133,7 +139,8 @@
                 continue;
             };
             let hello = &proxy.hello;
-            // Under a term of 0 it would claim the name as a process that never had it, and so as the newer one.
+            // A claim with term 0 is that of a process that never held the name and would count as the newer
+            // process.
             let term = hello.name_term.max(1);
             let claim = state.identities.claim(now, claim_request(hello, term, id));
             if matches!(claim, Claim::Granted { .. }) {
--- a/crates/control-plane/src/server/publication.rs
+++ b/crates/control-plane/src/server/publication.rs
@@ -1,4 +1,4 @@
-//! What a version is published with, and how it is offered to a proxy.
+//! Completes versions for publication, and builds their offers to proxies.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -11,7 +11,7 @@
 
 use crate::server::state::{ServerContext, ServerState};
 
-/// Most proxies have seen a later term than the one under which something was to be published.
+/// At least half of the connected proxies have seen a later term than that of the publication.
 #[derive(Debug, thiserror::Error)]
 #[error(
     "proxies follow an owner of term {highest}, this one's is {term}: if that owner is gone for good, \
@@ -23,8 +23,9 @@
 }
 
 impl ServerContext {
-    /// Completes a publication: the least number that it may have, and the versions that are kept whatever their age, as
-    /// proxies have them in force or a rollback would restore them.
+    /// Sets the fields of a new version that the server determines: the lowest version number allowed, the
+    /// time, the number of versions to retain, and the versions to retain regardless of age, because proxies
+    /// have them in force or a rollback would restore them.
     pub(crate) fn complete_new_version(&self, state: &ServerState, new: NewVersion) -> NewVersion {
         let rollout = &state.rollout_lease.rollout;
         let newest = self.replica.with_state(GroupState::newest_version);
@@ -41,13 +42,16 @@
         }
     }
 
-    /// Checks that the proxies do not follow a lease holder of a later term, which alone may publish to them.
+    /// Rejects a publication if the proxies follow a lease holder of a later term: only that holder may
+    /// publish to them.
     pub(crate) fn check_no_newer_term(&self, state: &ServerState, term: u64) -> Result<(), NewerTermSeen> {
-        let seen = state.sessions.proxies().map(|(_, proxy)| proxy.highest_term_seen());
-        let (newer, others): (Vec<u64>, Vec<u64>) = seen.partition(|seen| *seen > term);
-        match newer.iter().max() {
-            // One odd proxy of many does not stop a fleet from being changed.
-            Some(highest) if newer.len() >= others.len() => Err(NewerTermSeen { highest: *highest, term }),
+        let terms = state.sessions.proxies().map(|(_, proxy)| proxy.highest_term_seen());
+        let (newer_terms, other_terms): (Vec<u64>, Vec<u64>) = terms.partition(|seen| *seen > term);
+        match newer_terms.iter().max() {
+            // A minority of proxies with a newer term does not block changes for the fleet.
+            Some(highest) if newer_terms.len() >= other_terms.len() => {
+                Err(NewerTermSeen { highest: *highest, term })
+            }
             _ => Ok(()),
         }
     }
@@ -57,7 +61,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// An offer of a version: as changes to what the proxy has in force, where that is shorter.
+/// Builds the offer of a version to a proxy. The content is a delta to `base`, the version that the proxy has
+/// in force, if that is shorter than the full document.
 pub(crate) fn build_offer(
     version: &StoredVersion,
     base: Option<&StoredVersion>,
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -1,5 +1,7 @@
-//! Drives the rollout of versions while this server holds the lease of the configuration role: feeds events into
-//! [`Rollout`], which decides, and carries out its actions. Without the lease it does nothing.
+//! Runs the rollout of versions while this server holds the lease of the configuration role.
+//!
+//! It passes events to [`Rollout`], which makes the decisions, and executes the actions that it returns.
+//! Without the lease it does nothing.
 
 use std::time::Duration;
 
@@ -19,21 +21,22 @@
 use crate::server::publication::build_offer;
 use crate::server::state::{RolloutLease, ServerContext, ServerState, SessionId};
 
-/// The author of versions that the server publishes by itself.
+/// The author of versions that the server publishes for an automatic rollback.
 const SERVER_AUTHOR: &str = "gaugestep-control";
 
-/// An offer as the rollout decided on it.
+/// An offer that the rollout has decided to send.
 struct PlannedOffer {
     proxy: String,
     session: SessionId,
     nonce: u64,
     version: u64,
-    /// The version to send changes to; 0: none.
+    /// The version that a delta is computed from; 0 sends the full document.
     base: u64,
 }
 
 impl ServerContext {
-    /// Looks whether this server holds the lease, and takes the rollout up or lets it go accordingly.
+    /// Checks whether this server holds the lease. Resumes the rollout when the lease is acquired and
+    /// discards its state when the lease is lost.
     pub(crate) fn refresh_rollout_lease(&self, state: &mut ServerState) {
         let acting_term = self.replica.acting_term(CONFIGURATION_ROLE);
         if acting_term == state.rollout_lease.acting_term {
@@ -47,7 +50,7 @@
         self.send_welcome_to_all(state);
     }
 
-    /// Goes on from the progress that the last lease holder committed.
+    /// Resumes the rollout from the progress that the last lease holder committed.
     fn resume_rollout(&self, state: &mut ServerState, term: u64) {
         let (versions, role) = self.replica.with_state(|group| {
             let versions = group.versions.values().map(|version| {
@@ -73,7 +76,7 @@
         }
     }
 
-    /// A version is committed: its rollout begins.
+    /// Starts the rollout of a version that was committed, unless the rollout already has it.
     pub(crate) fn on_version_published(&self, state: &mut ServerState, number: u64) {
         if state.rollout_lease.acting_term.is_none() || state.rollout_lease.rollout.state(number).is_some() {
             return;
@@ -87,13 +90,13 @@
         self.handle_rollout_event(state, Event::Published { number, plan, rolls_back_to });
     }
 
-    /// Old versions are not kept any more.
+    /// Removes versions from the rollout that the group no longer retains.
     pub(crate) fn on_versions_dropped(&self, state: &mut ServerState) {
         let oldest = self.replica.with_state(|group| group.versions.keys().next().copied().unwrap_or(0));
         state.rollout_lease.rollout.forget_below(oldest);
     }
 
-    /// Makes a proxy known to the rollout, if its process holds its name and it has seen no later term.
+    /// Adds a proxy to the rollout if its process holds its name and it has seen no later term.
     pub(crate) fn register_proxy(&self, state: &mut ServerState, id: SessionId) {
         let Some(proxy) = state.identified_proxy(id) else { return };
         let (hello, updated_at, seen) = (proxy.hello.clone(), proxy.updated_at, proxy.highest_term_seen());
@@ -111,7 +114,8 @@
         self.handle_rollout_event(state, Event::Connected(proxy));
     }
 
-    /// What a proxy has in force, and whether it is the version that the group published under that number.
+    /// The version that a proxy has in force, and whether it equals the version that the group published
+    /// under that number.
     fn reported_version(&self, hello: &Hello) -> ReportedVersion {
         let number = hello.in_force.as_ref().map_or(0, |version| version.number);
         let published = self.replica.with_state(|group| {
@@ -124,14 +128,15 @@
         }
     }
 
-    /// The operator of a restored store said that whoever used it before is gone for good: goes on above its terms.
+    /// With a store that an operator declared restored, raises the term above the one that a proxy has seen:
+    /// the operator has confirmed that the previous user of the store will not return.
     fn raise_term_of_restored_store(&self, seen: u64, term: u64) {
         if self.store_restored && seen - term <= MAX_TERM_RAISE {
             self.propose(CONFIGURATION_ROLE, term, What::Raise(seen), Box::new(|_| {}));
         }
     }
 
-    /// A proxy has accepted or rejected an offer.
+    /// Handles a proxy's response to an offer: it has acknowledged or rejected the version.
     pub(crate) fn on_offer_response(&self, proxy: &str, id: SessionId, answer: Answer) {
         let Answer { nonce, number, refusal } = answer;
         let mut state = self.lock_state();
@@ -159,7 +164,8 @@
         );
     }
 
-    /// Brings the hello of a session up to date, so that the next lease holder's rollout sees what the proxy has now.
+    /// Updates the stored hello of a session, so that the rollout has the proxy's present version when this
+    /// server acquires the lease again.
     fn record_acceptance(&self, state: &mut ServerState, id: SessionId, number: u64) {
         let version = self.replica.with_state(|group| group.versions.get(&number)?.entry.version.clone());
         let term = state.rollout_lease.acting_term;
@@ -172,21 +178,23 @@
         if version.is_some() {
             hello.in_force = version;
         }
-        // The proxy has kept the term of what it accepted.
+        // The proxy has stored the term of the offer that it acknowledged.
         let seen = hello.seen.iter_mut().find(|seen| seen.duty == CONFIGURATION_ROLE);
         if let (Some(seen), Some(term)) = (seen, term) {
             seen.term = seen.term.max(term);
         }
     }
 
-    /// Feeds an event into the rollout and carries out what it decides. Nothing while another server drives it.
+    /// Passes an event to the rollout and executes the resulting actions. Does nothing while this server has
+    /// no lease.
     pub(crate) fn handle_rollout_event(&self, state: &mut ServerState, event: Event) {
         let Some(term) = state.rollout_lease.acting_term else { return };
         let now = clock::now();
         let actions = state.rollout_lease.rollout.handle(now, event);
         self.propose_progress(state, now, term);
         for action in actions {
-            // The next lease holder must know of a stage before any proxy does.
+            // A stage must be committed, so that the next lease holder knows it, before any proxy receives
+            // its offers.
             let ready = match action {
                 Action::Offer { .. } => state.rollout_lease.checkpoint.submit(action),
                 _ => Some(action),
@@ -203,7 +211,7 @@
                 let offer = PlannedOffer { proxy, session: stream, nonce, version: number, base };
                 self.send_offer(state, term, &offer);
             }
-            // The version that superseded it was published, and that alone makes it so.
+            // The publication of the next version already marked this one as superseded.
             Action::StateChanged { state: State::Overtaken, .. } => {}
             Action::StateChanged { number, state: version_state, reason } => {
                 let name = version_state.as_str_name();
@@ -221,7 +229,8 @@
     }
 
     fn send_offer(&self, state: &mut ServerState, term: u64, planned: &PlannedOffer) {
-        // Fencing on the sender's side: the lease is checked at the last moment. The proxy checks the term.
+        // Fencing on the sender's side: the lease is checked immediately before sending. The proxy checks the
+        // term.
         if self.replica.acting_term(CONFIGURATION_ROLE) != Some(term) {
             return;
         }
@@ -235,7 +244,8 @@
         session.send(from_service::Said::Offer(offer));
     }
 
-    /// The version that restores the content of an earlier one (0: an empty document) after a rollout was halted.
+    /// Builds the version that restores the content of an earlier version (0: an empty document) after a
+    /// rollout was halted.
     fn build_rollback_version(&self, halted: u64, restored: u64, reason: &str) -> NewVersion {
         let document = self.replica.with_state(|group| {
             let version = group.versions.get(&restored);
@@ -247,7 +257,8 @@
             note: format!("brings back version {restored}, as version {halted} was halted: {reason}"),
             plan: Some(Plan::default()),
             rolls_back_to: restored,
-            // Whichever lease holder comes to it first: it is restored once.
+            // The key deduplicates publications: if two lease holders propose the rollback, it is published
+            // once.
             key: format!("halted-{halted}"),
             ..NewVersion::default()
         }
@@ -260,12 +271,12 @@
                 Ok(_) => return,
                 Err(unavailable) => unavailable.to_string(),
             };
-            tracing::warn!("a command for the versions was not committed: {reason}");
+            tracing::warn!("a rollout command was not committed: {reason}");
         };
         self.propose(CONFIGURATION_ROLE, term, command, Box::new(log_failure));
     }
 
-    /// Proposes how far the rollout is, where that has changed.
+    /// Proposes the progress of the rollout if a checkpoint is due. Offers wait until it is committed.
     fn propose_progress(&self, state: &mut ServerState, now: Timestamp, term: u64) {
         let progress = state.rollout_lease.rollout.progress();
         let Some(checkpoint) = state.rollout_lease.checkpoint.checkpoint(now, progress) else { return };
@@ -281,7 +292,7 @@
         self.propose(CONFIGURATION_ROLE, term, What::Keep(checkpoint), Box::new(responder));
     }
 
-    /// Sends the offers that waited for the progress to be committed.
+    /// Sends the offers that were waiting for the progress to be committed.
     fn on_progress_outcome(&self, term: u64, order: u64, committed: bool) {
         let mut state = self.lock_state();
         if state.rollout_lease.acting_term != Some(term) {
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -1,8 +1,8 @@
-//! The ordinals of proxies: the lease holder of the ordinals role assigns them by a [`RosterManager`], which decides; every
-//! member sends its proxies the ordinals of the committed roster.
+//! The ordinals of proxies. The lease holder of the ordinals role assigns them through a [`RosterManager`],
+//! which makes the decisions. Every member sends the ordinals of the committed roster to its own proxies.
 //!
-//! Members report to the lease holder which proxies are connected to them. The roster is committed by the group, so every member
-//! knows it.
+//! Members report the proxies that are connected to them to the lease holder. The roster is committed by the
+//! group, so every member knows it.
 
 use std::time::Duration;
 
@@ -18,12 +18,12 @@
 use crate::clock;
 use crate::server::state::{ManagedRoster, ServerContext, ServerState, SessionId};
 
-/// How often members report which proxies are connected to them.
+/// The interval at which members report the proxies that are connected to them.
 const PRESENCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The roster as the group has committed it.
+/// The roster that the group has committed, and the term it belongs to.
 struct CommittedRoster {
-    /// The lease holder that assigns the ordinals; 0: none.
+    /// The member that holds the ordinals role; 0: none.
     holder: u64,
     term: u64,
     roster: Roster,
@@ -31,13 +31,13 @@
 
 impl CommittedRoster {
     fn from_role(role: &schema::Duty) -> Self {
-        // What cannot be read is as good as no roster: it was written by the group itself.
+        // The group itself wrote this state, so a decoding error is treated as an empty roster.
         let stored = schema::Roster::decode(role.state.as_slice()).unwrap_or_default();
         let roster = Roster { epoch: stored.epoch, names: stored.proxies };
         CommittedRoster { holder: role.owner, term: role.term, roster }
     }
 
-    /// The ordinal of a session's proxy; nothing while another process holds the proxy's name.
+    /// The ordinal message for a session's proxy; `None` while another process holds the proxy's name.
     fn grant(&self, state: &ServerState, id: SessionId) -> Option<Seated> {
         let proxy = state.identified_proxy(id)?;
         let session = state.sessions.get(id)?;
@@ -52,12 +52,12 @@
 }
 
 impl ServerContext {
-    /// The committed roster; none while no operator has declared the role.
+    /// The committed roster; `None` if the ordinals role has not been declared by an operator.
     fn committed_roster(&self) -> Option<CommittedRoster> {
         self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map(CommittedRoster::from_role))
     }
 
-    /// Reports which proxies are connected here, and assigns ordinals if this server holds the lease.
+    /// Reports the proxies that are connected to this server, and assigns ordinals while it holds the lease.
     pub(crate) fn maintain_roster(&self, state: &mut ServerState, now: Timestamp) {
         self.refresh_roster_lease(state, now);
         self.report_presence(state, now);
@@ -96,12 +96,12 @@
         if holder == self.replica.member_number() {
             self.replica.report_presence(report);
         } else if !report.proxies.is_empty() {
-            // A report that is lost is made up for by the next one.
+            // A lost report is replaced by the next one.
             self.replica.links.send(holder, Said::Present(report));
         }
     }
 
-    /// Proposes the next roster, if the manager wants a change.
+    /// Proposes the next roster if the manager requests a change.
     fn propose_roster(&self, state: &mut ServerState, now: Timestamp) {
         let Some(ManagedRoster { term, manager }) = &mut state.roster.managed else { return };
         for report in self.replica.take_presence_reports() {
@@ -120,7 +120,8 @@
         self.propose(ORDINALS_ROLE, term, command, Box::new(responder));
     }
 
-    /// The order is the one behind the committed: of two proposals made of one roster only the first is accepted.
+    /// The checkpoint command for a roster. Its order follows the committed one, so that of two proposals
+    /// that are based on the same roster only the first is accepted.
     fn roster_checkpoint(&self, roster: &Roster) -> Keep {
         let committed =
             self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map_or(0, |role| role.order));
@@ -135,27 +136,28 @@
             Some(managed) if is_current => {
                 managed.manager.change_decided(clock::now(), proposed.epoch, true);
             }
-            // It may be committed yet, or another one was: begins again with whatever is committed.
+            // The proposal may still be committed, or another one was: resumes from the committed roster.
             Some(_) => state.roster.managed = None,
             None => {}
         }
     }
 
-    /// The roster from which ordinals may be granted; none while this member could be behind the group.
+    /// The roster from which ordinals may be sent; `None` while this member has no lease and may be behind
+    /// the group.
     ///
-    /// The lease is checked before the roster is used: the other way round the roster could be an old one and the lease a
-    /// new one.
+    /// The lease is checked before the roster is read. In the other order, an outdated roster could be
+    /// combined with a lease that was granted after it was read.
     fn roster_under_lease(&self) -> Option<CommittedRoster> {
         let has_lease = self.replica.has_lease() || crate::failpoints::is_check_disabled("owner");
         self.committed_roster().filter(|committed| has_lease && committed.term > 0)
     }
 
-    /// The ordinal to send to a proxy.
+    /// The ordinal message to send to the proxy of a session.
     pub(crate) fn ordinal_grant(&self, state: &ServerState, id: SessionId) -> Option<Seated> {
         self.roster_under_lease()?.grant(state, id)
     }
 
-    /// Sends all proxies their ordinals.
+    /// Sends every proxy its ordinal.
     pub(crate) fn send_ordinals(&self, state: &mut ServerState) {
         let Some(roster) = self.roster_under_lease() else { return };
         for id in state.sessions.proxy_ids() {
@@ -165,7 +167,7 @@
         }
     }
 
-    /// The roster as the command `seats` shows it; none while no operator has declared the role.
+    /// The roster for the command `seats`; `None` if the ordinals role has not been declared by an operator.
     pub(crate) fn roster_report(&self) -> Option<schema::Seats> {
         let CommittedRoster { holder, term, roster } = self.committed_roster()?;
         Some(schema::Seats { keeper: holder, term, epoch: roster.epoch, proxies: roster.names })
--- a/crates/control-plane/src/server/session.rs
+++ b/crates/control-plane/src/server/session.rs
@@ -1,5 +1,5 @@
-//! The session of a proxy or of another member: one coroutine, which owns the connection, reads what comes and writes what
-//! is queued, until either side ends it.
+//! The session of a proxy or of another member: one coroutine owns the connection, handles received messages
+//! and sends queued ones until either side closes it.
 
 use std::time::{Duration, Instant};
 
@@ -12,27 +12,27 @@
 use crate::transport::connection::FramedConnection;
 use crate::transport::tls;
 
-/// How long a peer may take to say who it is.
+/// The deadline for the hello of a new connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a peer may be silent.
+/// The longest time without a message before the session is closed.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Who is at the other end.
+/// The remote end of a session.
 enum Remote {
-    /// Nobody has said yet.
+    /// No hello has been received yet.
     Unknown,
     Proxy(String),
     Member(InboundPeer),
 }
 
-/// Whether a session goes on after a message.
+/// Whether the session continues after a message.
 #[derive(PartialEq)]
 enum Next {
     Continue,
     Close,
 }
 
-/// A session, as its own coroutine sees it.
+/// The session's own coroutine state. Other coroutines use [`Session`](crate::server::state::Session).
 pub(crate) struct PeerSession<'a> {
     context: &'a ServerContext,
     connection: FramedConnection,
@@ -106,7 +106,7 @@
                 let responses = self.context.on_figures(name, self.id, &figures);
                 self.send_all(responses)?;
             }
-            // A message of a later build, which this one does not know.
+            // A message type of a later build: ignored.
             (None, Remote::Proxy(_)) => {}
             _ => return Err(SessionError::UnexpectedMessage),
         }
@@ -134,7 +134,8 @@
         }
     }
 
-    /// With TLS, the certificate must carry the name: the key of one proxy must not do for another.
+    /// With TLS, the peer's certificate must carry the name, so that the key of one proxy cannot be used for
+    /// another.
     fn check_certificate(&self, name: Option<&str>) -> Result<(), SessionError> {
         let Some(certificate) = self.connection.peer_certificate() else { return Ok(()) };
         if name.is_some_and(|name| tls::certificate_is_valid_for(certificate, name)) {
@@ -144,14 +145,15 @@
     }
 
     fn check_deadline(&self) -> Result<(), SessionError> {
-        let late = match self.remote {
+        let is_overdue = match self.remote {
             Remote::Unknown => self.opened_at.elapsed() >= HELLO_TIMEOUT,
             Remote::Proxy(_) | Remote::Member(_) => self.last_message_at.elapsed() >= SILENCE_TIMEOUT,
         };
-        if late { Err(SessionError::Silent) } else { Ok(()) }
+        if is_overdue { Err(SessionError::Silent) } else { Ok(()) }
     }
 
-    /// Sends what other coroutines have queued, and closes the session if one of them wants that.
+    /// Sends the messages that other coroutines have queued, and closes the session if one of them has
+    /// requested it.
     fn flush_outbound(&mut self) -> Result<(), SessionError> {
         let (queued, close_requested) = match self.context.lock_state().sessions.get_mut(self.id) {
             Some(session) => (session.take_outbound(), session.close_requested),
--- a/crates/control-plane/src/server/settings.rs
+++ b/crates/control-plane/src/server/settings.rs
@@ -1,4 +1,4 @@
-//! How a control server runs, as its file says.
+//! The settings of a control server, taken from its settings file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,75 +7,77 @@
 
 use crate::transport::tls::{self, TlsError, TlsFiles};
 
-/// Versions that are kept at least, where the file does not say.
+/// The default of the minimum number of retained versions.
 const DEFAULT_RETAINED_VERSIONS: u32 = 100;
-/// Streams that may be open together, where the file does not say.
+/// The default of the maximum number of concurrent streams.
 const DEFAULT_MAX_STREAMS: u32 = 4_096;
-/// The number of a member whose file names none: it is alone.
+/// The default of the member number, for a server that is a group of one.
 const DEFAULT_MEMBER_NUMBER: u64 = 1;
 
-/// Why settings cannot be used.
+/// The reason why settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A field that is needed is empty.
+    /// A required field is empty.
     #[error("'{0}' is missing")]
     Missing(&'static str),
-    /// A field is no address.
+    /// A field is not an IP address with a port.
     #[error("'{field}' is '{value}', no address")]
     InvalidAddress {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
         /// Its value.
         value: String,
     },
-    /// The keys are not complete.
+    /// The TLS key files are incomplete.
     #[error(transparent)]
     Keys(TlsError),
-    /// An address may not be served without TLS.
+    /// An address is not loopback and no TLS keys are configured.
     #[error(transparent)]
     InsecureAddress(TlsError),
 }
 
-/// The files of keys for the two listeners.
+/// The TLS key files of the two listeners.
 #[derive(Clone, Debug)]
 pub struct ListenerKeys {
-    /// For proxies and the other members.
+    /// For the listener of proxies and other members.
     pub proxies: TlsFiles,
-    /// For operators, whose certificates another authority signs.
+    /// For the listener of operators, whose certificates are signed by a separate authority.
     pub operators: TlsFiles,
 }
 
-/// How a server runs.
+/// The settings of a control server.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where proxies and the other members connect.
+    /// The address of the listener for proxies and other members.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// The address of the listener for operators.
     pub operators: SocketAddr,
-    /// The file in which versions are kept.
+    /// The file of the store, which contains the versions and the Raft log.
     pub store: PathBuf,
-    /// Keys; without them only loopback addresses are served.
+    /// The TLS keys; `None` serves without TLS, on loopback addresses only.
     pub keys: Option<ListenerKeys>,
-    /// Versions that are kept at least.
+    /// The minimum number of versions to retain, at least 1.
     pub retained_versions: u32,
-    /// Streams that may be open together.
+    /// The maximum number of concurrent streams, at least 1.
     pub max_streams: usize,
     /// This server as a member of its group.
     pub member: Member,
-    /// It has an empty store and waits to be added.
+    /// Whether this server starts with an empty store and waits to be added to a group.
     pub joins: bool,
-    /// The name that the other members' certificates carry.
+    /// The server name that the certificates of the other members must carry.
     pub service_name: String,
-    /// The store is used although it is a copy, or older than its generation file.
+    /// Whether to use the store even if it is a copy or older than its generation file; set by the option
+    /// `--restored`.
     pub restored: bool,
 }
 
 impl Settings {
-    /// Takes the settings from the server's file.
+    /// Converts and checks the settings of a parsed settings file.
     ///
     /// # Errors
     ///
-    /// If a field is missing or is no address, or if an address that is not loopback would be served without keys.
+    /// If a field is missing or not an address, or if an address is not loopback and no TLS keys are
+    /// configured.
     pub fn from_schema(config: &schema::Service) -> Result<Self, SettingsError> {
         let keys = listener_keys(config)?;
         if config.store.is_empty() {
@@ -125,7 +127,8 @@
     value.parse().map_err(|_| SettingsError::InvalidAddress { field, value: value.to_owned() })
 }
 
-/// The address under which others reach a listener: its own one if none is set.
+/// The address at which other members reach a listener: `value`, or the listener's own address if `value` is
+/// empty.
 fn advertised_address(field: &'static str, value: &str, listen: SocketAddr) -> Result<String, SettingsError> {
     let address = if value.is_empty() { listen } else { parse_address(field, value)? };
     Ok(address.to_string())
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -1,7 +1,7 @@
-//! The state that all parts of a control server share. Every other module of the server builds on this one.
+//! The state that the modules of a control server share.
 //!
-//! Locks are taken in this order: the server's state, the pause detector, the replica's own. None is held while a
-//! connection is waited for.
+//! Locks are acquired in this order: the server's state, the pause detector, the locks of the replica. No
+//! lock is held while waiting for a connection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -22,14 +22,14 @@
 use crate::server::settings::Settings;
 use crate::{clock, lock};
 
-/// Names a session; numbers rise and are never used twice.
+/// The identifier of a session. Identifiers ascend and are not reused within a process.
 pub(crate) type SessionId = u64;
 
-/// What a proxy has said of itself.
+/// A connected proxy, as described by its hello.
 pub(crate) struct ConnectedProxy {
-    /// Its hello, kept up to date with its acknowledgements.
+    /// The proxy's hello, updated with its acknowledgements.
     pub(crate) hello: Hello,
-    /// When the hello was last brought up to date, on the lease clock.
+    /// The time of the last update of `hello`, on the lease clock.
     pub(crate) updated_at: Timestamp,
 }
 
@@ -40,21 +40,22 @@
     }
 }
 
-/// The highest term of the configuration role that a hello names; 0: none.
+/// The highest term of the configuration role in a hello; 0 if there is none.
 pub(crate) fn highest_term_seen(hello: &Hello) -> u64 {
     let terms = hello.seen.iter().filter(|seen| seen.duty == CONFIGURATION_ROLE).map(|seen| seen.term);
     terms.max().unwrap_or(0)
 }
 
-/// One connection, as other coroutines see it. The coroutine of the connection alone reads and writes the socket.
+/// The shared state of a connection. Only the connection's own coroutine reads and writes the socket.
 pub(crate) struct Session {
     outbound: VecDeque<FromService>,
     waker: Waker,
-    /// The proxy, once its hello has come; none for members and operators.
+    /// The proxy, once its hello has been received; `None` for members and operators.
     pub(crate) proxy: Option<ConnectedProxy>,
-    /// `asked_ms` of the figures that the proxy sent last: what its ordinal is confirmed for.
+    /// `asked_ms` of the proxy's latest figures, echoed in the ordinal message so that the proxy can date the
+    /// confirmation.
     pub(crate) figures_sent_ms: u64,
-    /// The session must be closed, so that the proxy connects again.
+    /// Whether the session's coroutine is to close it, so that the proxy reconnects.
     pub(crate) close_requested: bool,
 }
 
@@ -69,7 +70,7 @@
         self.waker.wakeup();
     }
 
-    /// The messages that are to be sent now.
+    /// Removes and returns the queued messages.
     pub(crate) fn take_outbound(&mut self) -> VecDeque<FromService> {
         std::mem::take(&mut self.outbound)
     }
@@ -88,14 +89,14 @@
 }
 
 impl SessionTable {
-    /// Adds a session, whose coroutine is woken by `waker`.
+    /// Adds a session and returns its identifier. `waker` wakes the session's coroutine.
     pub(crate) fn open(&mut self, waker: Waker) -> SessionId {
         self.last_id += 1;
         self.sessions.insert(self.last_id, Session::new(waker));
         self.last_id
     }
 
-    /// Removes a session; the proxy that it was of.
+    /// Removes a session and returns its proxy, if it has one.
     pub(crate) fn close(&mut self, id: SessionId) -> Option<ConnectedProxy> {
         self.sessions.remove(&id)?.proxy
     }
@@ -112,7 +113,7 @@
         self.sessions.get_mut(&id)
     }
 
-    /// Sends a message over a session that is still open.
+    /// Queues a message for a session. Does nothing if the session is closed.
     pub(crate) fn send(&mut self, id: SessionId, said: from_service::Said) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.send(said);
@@ -132,52 +133,53 @@
         self.sessions.iter().filter_map(|(id, session)| Some((*id, session.proxy.as_ref()?)))
     }
 
-    /// The numbers of the sessions of proxies.
+    /// The identifiers of the sessions of proxies.
     pub(crate) fn proxy_ids(&self) -> Vec<SessionId> {
         self.proxies().map(|(id, _)| id).collect()
     }
 
-    /// Wakes all coroutines, so that each looks at its deadlines.
+    /// Wakes the coroutines of all sessions, so that each checks its deadlines.
     pub(crate) fn wake_all(&self) {
         self.values().for_each(|session| session.waker.wakeup());
     }
 }
 
-/// The lease of the configuration role, and the rollout that its holder drives; empty while this server does not hold it.
+/// The lease of the configuration role and the rollout that its holder runs; empty while this server has no
+/// lease.
 #[derive(Default)]
 pub(crate) struct RolloutLease {
-    /// The term under which this server drives the rollout; none while it does not hold the lease.
+    /// The term under which this server runs the rollout; `None` while it has no lease.
     pub(crate) acting_term: Option<u64>,
-    /// Decides which proxy is offered which version.
+    /// Decides which version is offered to which proxy.
     pub(crate) rollout: Rollout,
-    /// Holds the offers of a stage back until its progress is committed.
+    /// Delays the offers of a stage until its progress is committed.
     pub(crate) checkpoint: CheckpointBarrier<Action>,
 }
 
-/// The roster under the term of this server's lease.
+/// The roster that this server manages under the term of its lease.
 pub(crate) struct ManagedRoster {
     pub(crate) term: u64,
     pub(crate) manager: RosterManager,
 }
 
-/// What a server does for the ordinals of proxies.
+/// The state for assigning ordinals and reporting connected proxies.
 #[derive(Default)]
 pub(crate) struct RosterState {
-    /// The roster, while this server holds the lease of the ordinals role.
+    /// The managed roster; `None` while this server has no lease of the ordinals role.
     pub(crate) managed: Option<ManagedRoster>,
-    /// When this server last reported its proxies, on the lease clock.
+    /// The time of the last report of connected proxies, on the lease clock.
     pub(crate) reported_at: Option<Timestamp>,
 }
 
-/// What changes while a server runs.
+/// The mutable state of a server, behind one lock.
 #[derive(Default)]
 pub(crate) struct ServerState {
     pub(crate) rollout_lease: RolloutLease,
     pub(crate) roster: RosterState,
-    /// Which process holds the name of a proxy.
+    /// The process that holds each proxy name.
     pub(crate) identities: IdentityRegistry,
     pub(crate) sessions: SessionTable,
-    /// Operators' calls that are being carried out.
+    /// The number of operator calls in progress.
     pub(crate) open_calls: usize,
 }
 
@@ -189,17 +191,18 @@
     }
 }
 
-/// What all coroutines of a server share.
+/// The context that all coroutines of a server share.
 pub(crate) struct ServerContext {
     state: Mutex<ServerState>,
-    /// The group's replicated state, and the leases.
+    /// The replicated state of the group, and the leases.
     pub(crate) replica: Arc<Replica>,
     pause_detector: Mutex<PauseDetector>,
-    /// Versions that are kept at least.
+    /// The minimum number of versions to retain.
     pub(crate) retained_versions: u32,
-    /// Sessions that may be open together.
+    /// The maximum number of concurrent sessions.
     pub(crate) max_sessions: usize,
-    /// The operator said that whoever used the store before is gone for good.
+    /// Whether the operator has confirmed, with `--restored`, that the previous user of the store will not
+    /// return.
     pub(crate) store_restored: bool,
     weak_self: Weak<ServerContext>,
 }
@@ -225,12 +228,12 @@
         lock(&self.pause_detector)
     }
 
-    /// This context, for callbacks that may outlive the server.
+    /// A weak reference to this context, for callbacks that may outlive the server.
     pub(crate) fn downgrade(&self) -> Weak<ServerContext> {
         self.weak_self.clone()
     }
 
-    /// Proposes a command for a role under a term; `responder` is called once it is decided.
+    /// Proposes a command for a role under a term. `responder` is called with the result.
     pub(crate) fn propose(&self, role: &str, term: u64, command: What, responder: Responder) {
         let command = Act { duty: role.into(), term, what: Some(command), ..Act::default() };
         self.replica.propose(command, responder);
