--- a/crates/control-plane/src/raft/codec.rs
+++ b/crates/control-plane/src/raft/codec.rs
@@ -1,13 +1,14 @@
-//! Conversion of the Raft library's messages to and from the project's own schema, in which they are sent and stored.
+//! Conversion of the Raft library's messages to and from the project's own schema, in which they are sent and
+//! stored.
 //!
-//! No byte of a peer or of a file reaches the decoder of the library.
+//! Bytes from a peer or a file never reach the library's own decoder.
 
 use gaugestep_config::schema::{RaftEntry, RaftHard, RaftMembers, RaftMessage, RaftSnapshot};
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
 
 fn decode_message_kind(kind: i32) -> Option<MessageType> {
     use MessageType::*;
-    // The kinds that a peer may send: none that a member only sends to itself.
+    // Only the kinds that a peer may send; kinds that a member sends to itself are rejected.
     const KINDS: [MessageType; 12] = [
         MsgAppend,
         MsgAppendResponse,
@@ -22,14 +23,15 @@
         MsgRequestPreVoteResponse,
         MsgPropose,
     ];
-    KINDS.into_iter().find(|known| *known as i32 == kind)
+    KINDS.into_iter().find(|allowed_kind| *allowed_kind as i32 == kind)
 }
 
 fn decode_entry_kind(kind: i32) -> Option<EntryType> {
-    [EntryType::EntryNormal, EntryType::EntryConfChange].into_iter().find(|known| *known as i32 == kind)
+    let supported = [EntryType::EntryNormal, EntryType::EntryConfChange];
+    supported.into_iter().find(|supported_kind| *supported_kind as i32 == kind)
 }
 
-/// An entry as it is sent and stored.
+/// Encodes a log entry for sending and storing.
 pub(crate) fn encode_entry(entry: &Entry) -> RaftEntry {
     RaftEntry {
         kind: entry.get_entry_type() as i32,
@@ -40,17 +42,17 @@
     }
 }
 
-/// The entry that was sent or stored; `None` if this build does not know its kind.
-pub(crate) fn decode_entry(sent: RaftEntry) -> Option<Entry> {
+/// Decodes a received or stored log entry; `None` if this build does not support its kind.
+pub(crate) fn decode_entry(encoded: RaftEntry) -> Option<Entry> {
     let mut entry = Entry::default();
-    entry.set_entry_type(decode_entry_kind(sent.kind)?);
-    (entry.term, entry.index) = (sent.term, sent.index);
-    entry.data = sent.data.into();
-    entry.context = sent.context.into();
+    entry.set_entry_type(decode_entry_kind(encoded.kind)?);
+    (entry.term, entry.index) = (encoded.term, encoded.index);
+    entry.data = encoded.data.into();
+    entry.context = encoded.context.into();
     Some(entry)
 }
 
-/// The members as they are sent and stored.
+/// Encodes the membership for sending and storing.
 pub(crate) fn encode_membership(state: &ConfState) -> RaftMembers {
     RaftMembers {
         voters: state.voters.to_vec(),
@@ -61,31 +63,31 @@
     }
 }
 
-/// The members that were sent or stored.
-pub(crate) fn decode_membership(sent: RaftMembers) -> ConfState {
+/// Decodes a received or stored membership.
+pub(crate) fn decode_membership(encoded: RaftMembers) -> ConfState {
     ConfState {
-        voters: sent.voters,
-        learners: sent.learners,
-        voters_outgoing: sent.voters_outgoing,
-        learners_next: sent.learners_next,
-        auto_leave: sent.auto_leave,
+        voters: encoded.voters,
+        learners: encoded.learners,
+        voters_outgoing: encoded.voters_outgoing,
+        learners_next: encoded.learners_next,
+        auto_leave: encoded.auto_leave,
         ..ConfState::default()
     }
 }
 
-/// Term, vote and commit index as they are stored.
+/// Encodes term, vote and commit index for storing.
 pub(crate) fn encode_hard_state(state: &HardState) -> RaftHard {
     RaftHard { term: state.term, vote: state.vote, commit: state.commit }
 }
 
-/// Term, vote and commit index that were stored.
+/// Decodes stored term, vote and commit index.
 pub(crate) fn decode_hard_state(stored: &RaftHard) -> HardState {
     let mut state = HardState::default();
     (state.term, state.vote, state.commit) = (stored.term, stored.vote, stored.commit);
     state
 }
 
-/// A message as it is sent.
+/// Encodes a message for sending.
 pub(crate) fn encode_message(message: &Message) -> RaftMessage {
     let snapshot = message.has_snapshot().then(|| {
         let (snapshot, meta) = (message.get_snapshot(), message.get_snapshot().get_metadata());
@@ -115,30 +117,30 @@
     }
 }
 
-/// The message that was sent; `None` if this build does not know it, or a peer must not send it.
-pub(crate) fn decode_message(sent: RaftMessage) -> Option<Message> {
+/// Decodes a received message; `None` if this build does not support it or a peer must not send it.
+pub(crate) fn decode_message(encoded: RaftMessage) -> Option<Message> {
     let mut message = Message::default();
-    let kind = decode_message_kind(sent.kind)?;
+    let kind = decode_message_kind(encoded.kind)?;
     message.set_msg_type(kind);
-    (message.to, message.from, message.term) = (sent.to, sent.from, sent.term);
-    (message.log_term, message.index) = (sent.log_term, sent.index);
-    (message.commit, message.commit_term) = (sent.commit, sent.commit_term);
-    (message.request_snapshot, message.reject) = (sent.request_snapshot, sent.reject);
-    (message.reject_hint, message.priority) = (sent.reject_hint, sent.priority);
-    message.context = sent.context.into();
-    // Changes of membership are proposed only by the member that received the operator's call: the library would read a
-    // proposed one with its own decoder.
+    (message.to, message.from, message.term) = (encoded.to, encoded.from, encoded.term);
+    (message.log_term, message.index) = (encoded.log_term, encoded.index);
+    (message.commit, message.commit_term) = (encoded.commit, encoded.commit_term);
+    (message.request_snapshot, message.reject) = (encoded.request_snapshot, encoded.reject);
+    (message.reject_hint, message.priority) = (encoded.reject_hint, encoded.priority);
+    message.context = encoded.context.into();
+    // Changes of membership are proposed only by the member that received the operator's call: the library
+    // would read a proposed one with its own decoder.
     let is_command =
         |entry: &RaftEntry| kind != MessageType::MsgPropose || entry.kind == EntryType::EntryNormal as i32;
-    if !sent.entries.iter().all(is_command) {
+    if !encoded.entries.iter().all(is_command) {
         return None;
     }
-    message.entries = sent.entries.into_iter().map(decode_entry).collect::<Option<Vec<_>>>()?.into();
-    if let Some(sent) = sent.snapshot {
-        let mut snapshot = Snapshot { data: sent.data.into(), ..Snapshot::default() };
+    message.entries = encoded.entries.into_iter().map(decode_entry).collect::<Option<Vec<_>>>()?.into();
+    if let Some(encoded) = encoded.snapshot {
+        let mut snapshot = Snapshot { data: encoded.data.into(), ..Snapshot::default() };
         let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (sent.index, sent.term);
-        meta.set_conf_state(decode_membership(sent.members?));
+        (meta.index, meta.term) = (encoded.index, encoded.term);
+        meta.set_conf_state(decode_membership(encoded.members?));
         message.set_snapshot(snapshot);
     }
     Some(message)
--- a/crates/control-plane/src/raft/driver/apply.rs
+++ b/crates/control-plane/src/raft/driver/apply.rs
@@ -1,4 +1,4 @@
-//! Applies committed entries and snapshots to the replicated state, and notes what must be written of it.
+//! Applies committed entries and snapshots to the replicated state, and adds the resulting writes to a batch.
 
 use gaugestep_config::schema::act::What;
 use gaugestep_config::schema::{Charter, Member, RaftChange};
@@ -14,7 +14,7 @@
 use crate::raft::storage::LogPosition;
 use crate::raft::stored_values;
 
-/// The result of an entry, and what it has changed.
+/// The result of an applied entry, and the changes that it made.
 type Applied = (Outcome, Vec<StateChange>);
 
 impl RaftDriver<'_> {
@@ -62,7 +62,7 @@
     fn apply_command(&self, command: &Command) -> Applied {
         let mut state = self.replica.lock_state();
         let (outcome, changes) = state.group.apply(command);
-        // An assignment that was proposed twice is stale the second time, and nobody's mistake.
+        // Assignments may be proposed twice. The second one is stale, which is no error.
         let is_assignment = matches!(command.what, Some(What::Assign(_)));
         if let Outcome::StaleTerm { term, current } = outcome {
             if !is_assignment {
@@ -112,7 +112,7 @@
         Ok((Outcome::Applied, changes))
     }
 
-    /// Replaces the replicated state by the one of a member that is further.
+    /// Replaces the replicated state by a snapshot of a member that is ahead.
     pub(super) fn install_snapshot(
         &mut self,
         snapshot: &Snapshot,
@@ -139,11 +139,11 @@
 }
 
 fn decode_change_kind(kind: i32) -> Option<ConfChangeType> {
-    let known = [ConfChangeType::AddNode, ConfChangeType::RemoveNode, ConfChangeType::AddLearnerNode];
-    known.into_iter().find(|known| *known as i32 == kind)
+    let supported = [ConfChangeType::AddNode, ConfChangeType::RemoveNode, ConfChangeType::AddLearnerNode];
+    supported.into_iter().find(|supported_kind| *supported_kind as i32 == kind)
 }
 
-/// Notes what must be written after these changes.
+/// Adds the writes for these changes to the batch.
 fn put_changes(batch: &mut WriteBatch, group: &GroupState, changes: &[StateChange]) {
     if !changes.is_empty() {
         stored_values::put_group_state(batch, group);
@@ -175,7 +175,8 @@
     batch.entries.push((number, stored.entry.encode_to_vec()));
 }
 
-/// Notes what must be written to replace one replicated state by another. The log before `position` is dropped.
+/// Adds the writes that replace one replicated state by another to the batch. The log up to `position` is
+/// discarded.
 fn put_snapshot(batch: &mut WriteBatch, old: &GroupState, new: &GroupState, position: LogPosition) {
     batch.removed_versions = old.versions.keys().copied().collect();
     for (number, stored) in &new.versions {
@@ -189,7 +190,7 @@
     batch.sync = true;
 }
 
-/// What changes when one replicated state replaces another.
+/// The changes to report when one replicated state replaces another.
 fn snapshot_changes(old: &GroupState, new: &GroupState) -> Vec<StateChange> {
     let dropped = old.versions.keys().filter(|number| !new.versions.contains_key(number));
     let mut changes: Vec<StateChange> = dropped.map(|number| StateChange::VersionDropped(*number)).collect();
--- a/crates/control-plane/src/raft/driver/leadership.rs
+++ b/crates/control-plane/src/raft/driver/leadership.rs
@@ -1,4 +1,4 @@
-//! Leases, and what the Raft leader does for the group.
+//! Leases, and the tasks of the Raft leader.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_config::schema::act::What;
@@ -15,10 +15,11 @@
 use crate::raft::state::ReplicaState;
 
 impl RaftDriver<'_> {
-    /// Looks at the clock: proposals, this member's lease, and the leader's duties.
+    /// Does the work that depends on the time: due proposals, this member's lease, and the leader's tasks.
     ///
-    /// `all_roles`: also looks at each role, who should hold it and whose hand-over has stalled. That is done at ticks
-    /// and after changes only, as otherwise every message of an idle group would go through a thousand roles.
+    /// With `all_roles` it also checks the holder of each role and looks for stalled hand-overs. That is done
+    /// only at ticks and after changes, because otherwise each message of an idle group would iterate over up
+    /// to a thousand roles.
     pub(super) fn maintain_leases(&mut self, all_roles: bool) {
         let now = clock::now();
         self.propose_due(now);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Requests this member's lease from the leader, if a request is due.
+    /// Requests this member's lease from the leader if a request is due.
     fn request_lease(&mut self, now: Timestamp) {
         let (leader, own) = (self.raw_node.raft.leader_id, self.replica.own_member.number);
         if leader == NO_MEMBER {
@@ -61,18 +62,19 @@
         if leader == own {
             self.grantor.on_request(now, own, number);
         } else {
-            // A request that is lost is followed by the next one.
+            // A lost request is replaced by the next one.
             self.replica.links.send(leader, Said::Renew(Renew { member: own, number }));
         }
     }
 
-    /// Continues under a higher term where a hand-over was not committed: the one under the old term may be yet.
+    /// Raises the terms of roles whose hand-over was not committed in time, so that this member continues
+    /// under a higher term: the hand-over under the old term may still be committed.
     fn raise_stalled_terms(&self, now: Timestamp) {
         let stalled = {
             let mut state = self.replica.lock_state();
             let ReplicaState { lease, group, .. } = &mut *state;
-            let held = group.roles_of(self.replica.own_member.number);
-            lease.stalled_handovers(now, held.map(|role| (role.name.as_str(), role.term)))
+            let roles = group.roles_of(self.replica.own_member.number);
+            lease.stalled_handovers(now, roles.map(|role| (role.name.as_str(), role.term)))
         };
         for (role, term) in stalled {
             tracing::warn!(role, term, "a hand-over was not committed: continuing under a higher term");
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Proposes the addresses of members that have started again since.
+    /// Proposes the new descriptions, with addresses, of members that have restarted since the last one was
+    /// committed.
     fn propose_restarted_members(&mut self) {
         let members = {
             let state = self.replica.lock_state();
@@ -96,7 +99,7 @@
         }
     }
 
-    /// What the leader has to do for the leases of all members. A member that does not lead has nothing to do.
+    /// The actions that the leader must take for the leases of all members; none on other members.
     fn lease_actions(&mut self, now: Timestamp, is_leader: bool) -> Vec<LeaseAction> {
         if !is_leader {
             return Vec::new();
--- a/crates/control-plane/src/raft/driver/log_bridge.rs
+++ b/crates/control-plane/src/raft/driver/log_bridge.rs
@@ -1,4 +1,4 @@
-//! Passes the log lines of the Raft library on to `tracing`.
+//! Forwards the log lines of the Raft library to `tracing`.
 
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
@@ -18,7 +18,8 @@
     }
 }
 
-/// The logger for the library. Its warnings are frequent and of interest to developers only.
+/// Creates the logger for the library. Its warnings are logged at debug level, because they are frequent and
+/// only of interest to developers.
 pub(super) fn logger() -> Logger {
     Logger::root(TracingDrain, o!())
 }
--- a/crates/control-plane/src/raft/driver/mod.rs
+++ b/crates/control-plane/src/raft/driver/mod.rs
@@ -1,8 +1,9 @@
-//! One turn with the Raft library and the store, on the replica's thread: it ends when the store fails.
+//! The driver of the Raft library and the store, on the replica's thread. A run of it ends when the store
+//! fails.
 //!
-//! Each round of [`RaftDriver::run`] takes requests, ticks the library's clock, persists and sends what the library has
-//! ready ([`persistence`]), applies what is committed ([`apply`]), does the duties of leases and leadership
-//! ([`leadership`]), and answers the proposals that were committed ([`proposals`]).
+//! Each iteration of [`RaftDriver::run`] handles requests, ticks the library's clock, persists and sends what
+//! the library has ready ([`persistence`]), applies committed entries ([`apply`]), maintains leases and does
+//! the leader's tasks ([`leadership`]), and responds to the proposals that were committed ([`proposals`]).
 
 mod apply;
 mod leadership;
@@ -31,20 +32,22 @@
 
 /// The interval of the library's clock.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// An election begins after one to two times this many ticks without a message of the leader.
+/// An election starts after one to two times this many ticks without a message from the leader.
 const ELECTION_TICKS: usize = 10;
-/// A leader sends heartbeats at this many ticks.
+/// The number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// The most bytes of entries in one message.
+/// The maximum size of the entries in one message.
 const MAX_BYTES_PER_MESSAGE: u64 = 256 * 1024;
-/// The most messages with entries that a member has not acknowledged.
+/// The maximum number of unacknowledged messages with entries per member.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
-/// The most requests that are taken before what they lead to is persisted.
+/// The maximum number of queued requests that are handled, after the first one, before their effects are
+/// persisted.
 const MAX_REQUESTS_PER_BATCH: usize = 256;
-/// How often the files of the keys are looked at.
+/// The interval at which the TLS key files are checked for changes.
 const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Is called with what has changed; with nothing when a lease may have.
+/// A callback for changes of the replicated state. It is called with an empty slice if only a lease may have
+/// changed.
 pub type OnChange = Box<dyn Fn(&[StateChange]) + Send>;
 
 /// A proposal of this process that was committed.
@@ -53,7 +56,7 @@
     outcome: Outcome,
 }
 
-/// One turn with the library and the store.
+/// One run of the Raft library with the store.
 pub(crate) struct RaftDriver<'a> {
     replica: &'a Arc<Replica>,
     on_change: &'a OnChange,
@@ -62,18 +65,18 @@
     store: ControlStore,
     grantor: LeaseGrantor,
     proposals: PendingProposals,
-    /// Who waits for each proposal, by its number.
+    /// The responders of pending proposals, by proposal number.
     responders: BTreeMap<u64, Responder>,
-    /// What has changed in this round.
+    /// The changes of the replicated state in this iteration.
     changes: Vec<StateChange>,
-    /// The proposals of this process that were committed in this round.
+    /// The proposals of this process that were committed in this iteration.
     committed: Vec<CommittedProposal>,
     next_tick: Instant,
     keys_checked_at: Instant,
 }
 
 impl<'a> RaftDriver<'a> {
-    /// Begins a turn from the content of the store. `turn` counts the turns of this process.
+    /// Starts a run from the contents of the store. `run_number` counts the runs of this process from 0.
     pub(crate) fn start(
         replica: &'a Arc<Replica>,
         recovered: RecoveredState,
@@ -99,7 +102,8 @@
             log,
             store,
             grantor: LeaseGrantor::new(LeaseTiming::default()),
-            // A proposal of an earlier turn may be committed yet, and must not be taken for one of this turn.
+            // The run number is part of the proposal numbers: a proposal of an earlier run may still be
+            // committed, and must not be mistaken for one of this run.
             proposals: PendingProposals::new(run_number << 32),
             responders: BTreeMap::new(),
             changes: Vec::new(),
@@ -108,13 +112,13 @@
             keys_checked_at: now,
         };
         if is_single_voter {
-            // Nobody else can lead: no need to wait for a message of a leader.
+            // No other member can lead, so there is no need to wait for an election timeout.
             driver.raw_node.campaign()?;
         }
         Ok(driver)
     }
 
-    /// Serves requests until the store fails, or until nobody can send any.
+    /// Serves requests until the store fails or all senders of requests are gone.
     pub(crate) fn run(mut self, requests: &Receiver<Request>) -> Result<(), ReplicaError> {
         let result = self.serve(requests);
         for responder in std::mem::take(&mut self.responders).into_values() {
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Takes a request, and those that wait behind it.
+    /// Handles a request and those that are queued after it.
     fn handle_batch(&mut self, first: Request, requests: &Receiver<Request>) {
         self.handle(first);
         for request in requests.try_iter().take(MAX_REQUESTS_PER_BATCH) {
@@ -148,8 +152,8 @@
         }
     }
 
-    /// Ticks the library's clock once if that is due, however long the process was suspended: it must receive messages
-    /// of the other members before it starts an election.
+    /// Ticks the library's clock if a tick is due. After a suspension it ticks only once, so that this member
+    /// receives the messages of the other members before it starts an election.
     fn tick_if_due(&mut self) -> bool {
         let now = Instant::now();
         if now < self.next_tick {
@@ -167,7 +171,7 @@
         true
     }
 
-    /// Tells the server what has changed in this round; connects to new members.
+    /// Passes the changes of this iteration to the server, and connects to new members.
     fn notify_changes(&mut self) {
         let changes = std::mem::take(&mut self.changes);
         if changes.contains(&StateChange::MembersChanged) {
@@ -181,7 +185,7 @@
     }
 }
 
-/// Opens the library on a log.
+/// Creates the library's node from the contents of a log.
 fn open_raft(
     replica: &Arc<Replica>,
     log: LogContents,
@@ -197,7 +201,7 @@
         pre_vote: true,
         ..Config::default()
     };
-    // The log must not keep the replica alive.
+    // A strong reference from the log would keep the replica alive.
     let weak = Arc::downgrade(replica);
     let encode_snapshot = move || {
         let encode = |replica: Arc<Replica>| replica.with_state(|group| group.to_snapshot().encode_to_vec());
--- a/crates/control-plane/src/raft/driver/persistence.rs
+++ b/crates/control-plane/src/raft/driver/persistence.rs
@@ -1,4 +1,5 @@
-//! Persists and sends what the library has ready. What is persisted is on disk before another member learns of it.
+//! Persists and sends what the library has ready. Messages that depend on persisted state are sent after it
+//! is on disk.
 
 use gaugestep_storage::control_store::WriteBatch;
 use prost::Message as _;
@@ -12,13 +13,13 @@
 use crate::raft::{codec, stored_values};
 use gaugestep_config::schema::peer::Said;
 
-/// Entries that are kept behind the last applied one, for members that are a little behind.
-const KEPT_ENTRIES: u64 = 256;
-/// The log is compacted once this many entries can be dropped.
+/// The number of applied entries that are retained for members that are slightly behind.
+const RETAINED_ENTRIES: u64 = 256;
+/// The log is compacted when at least this many entries can be discarded.
 const MIN_COMPACTED_ENTRIES: u64 = 1_024;
 
 impl RaftDriver<'_> {
-    /// Persists, sends and applies all that the library has ready.
+    /// Persists, sends and applies everything that the library has ready.
     pub(super) fn process_ready(&mut self) -> Result<(), ReplicaError> {
         while self.raw_node.has_ready() {
             let mut ready = self.raw_node.ready();
@@ -35,7 +36,7 @@
         Ok(())
     }
 
-    /// Writes the new entries with the effect of those that are committed.
+    /// Writes new entries, and applies committed ones, in one batch.
     fn persist(&mut self, ready: &mut Ready) -> Result<(), ReplicaError> {
         self.send(ready.take_messages());
         let mut batch = WriteBatch { sync: ready.must_sync(), ..WriteBatch::default() };
@@ -56,7 +57,7 @@
         Ok(())
     }
 
-    /// Handles what became ready as soon as the entries were persisted.
+    /// Handles what became ready because the entries were persisted.
     fn process_light_ready(&mut self, mut light: LightReady) -> Result<(), ReplicaError> {
         let mut batch = WriteBatch::default();
         if let Some(commit) = light.commit_index() {
@@ -72,8 +73,10 @@
     }
 
     fn compact_log(&mut self) -> Result<(), ReplicaError> {
-        let Some(compacted) = self.log.compact(KEPT_ENTRIES, MIN_COMPACTED_ENTRIES) else { return Ok(()) };
-        // Synced: the effect of the entries must be on disk before they are dropped.
+        let Some(compacted) = self.log.compact(RETAINED_ENTRIES, MIN_COMPACTED_ENTRIES) else {
+            return Ok(());
+        };
+        // Synced, because the effects of the entries must be on disk before the entries are discarded.
         let mut batch =
             WriteBatch { compact_log_below: Some(compacted.index + 1), sync: true, ..WriteBatch::default() };
         stored_values::put_compacted(&mut batch, compacted);
@@ -81,7 +84,7 @@
         Ok(())
     }
 
-    /// Majorities have confirmed that this member leads.
+    /// Grants the leases that waited for a majority to confirm that this member is the leader.
     fn on_leadership_confirmed(&mut self, reads: Vec<ReadState>) {
         for read in reads {
             if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
@@ -97,7 +100,8 @@
             let is_snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
             let sent = self.replica.links.send(member, Said::Raft(codec::encode_message(&message)));
             if is_snapshot {
-                // A snapshot that is lost later is sent again once the member says what it lacks.
+                // A snapshot that is lost later is sent again when the member reports the entries that it
+                // lacks.
                 self.replica.submit(Request::ReportSnapshot { member, sent });
             }
         }
--- a/crates/control-plane/src/raft/driver/proposals.rs
+++ b/crates/control-plane/src/raft/driver/proposals.rs
@@ -1,4 +1,5 @@
-//! Requests to the replica's thread: proposals, changes of membership, and messages of other members.
+//! Handling of requests to the replica's thread: proposals, membership changes, and messages of other
+//! members.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_config::schema::{Member, Yield};
@@ -12,9 +13,9 @@
 use crate::clock;
 use crate::raft::request::{Request, Responder, Unavailable, ignore_result, reject};
 
-/// Bytes of a proposal's context: three numbers.
+/// The length of a proposal's context: three 8-byte numbers.
 const CONTEXT_BYTES: usize = 24;
-/// Bytes of the part of it that names the process.
+/// The length of the part of the context that identifies the process.
 const PROCESS_CONTEXT_BYTES: usize = 16;
 
 impl RaftDriver<'_> {
@@ -50,11 +51,11 @@
         }
     }
 
-    /// Proposes what is due, and answers what has timed out.
+    /// Proposes the commands that are due, and responds to those that have timed out.
     pub(super) fn propose_due(&mut self, now: Timestamp) {
         let due = self.proposals.due(now);
         for Proposal { number, command } in due.propose {
-            // Without a leader the library drops it; it is proposed again.
+            // Without a leader the library drops the proposal; it is retried later.
             let _ = self.raw_node.propose(self.context(number), command.encode_to_vec());
         }
         for number in due.timed_out {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Answers the proposals of this process that were committed in this round.
+    /// Responds to the proposals of this process that were committed in this iteration.
     pub(super) fn respond_to_committed(&mut self) {
         for CommittedProposal { number, outcome } in std::mem::take(&mut self.committed) {
             let Some(responder) = self.responders.remove(&number) else { continue };
@@ -78,7 +79,7 @@
         if let Err(rejected) = self.replica.with_state(|group| group.check_join(member)) {
             return reject(responder, rejected);
         }
-        // A learner first: a majority must not depend on a member that has nothing yet.
+        // A new member starts as a learner: a majority must not depend on a member whose log is empty.
         let mut change = membership_change(ConfChangeType::AddLearnerNode, member.number);
         change.context = member.encode_to_vec().into();
         self.propose_membership_change(change, responder);
@@ -94,12 +95,16 @@
         self.propose_membership_change(membership_change(ConfChangeType::RemoveNode, member), responder);
     }
 
-    /// Makes a voter of a learner that has caught up.
+    /// Proposes to make a voter of a learner that has caught up.
     pub(super) fn promote_learner(&mut self) {
         let committed = self.raw_node.raft.raft_log.committed;
-        let progress = self.raw_node.raft.prs();
-        let has_caught_up = |member: &&u64| progress.get(**member).is_some_and(|it| it.matched >= committed);
-        let Some(member) = progress.conf().learners().iter().find(has_caught_up).copied() else { return };
+        let progress_tracker = self.raw_node.raft.prs();
+        let has_caught_up = |member: &&u64| {
+            progress_tracker.get(**member).is_some_and(|progress| progress.matched >= committed)
+        };
+        let Some(member) = progress_tracker.conf().learners().iter().find(has_caught_up).copied() else {
+            return;
+        };
         tracing::info!(member, "a member has caught up");
         self.propose_membership_change(membership_change(ConfChangeType::AddNode, member), ignore_result());
     }
@@ -123,12 +128,12 @@
     fn on_message(&mut self, message: Message) {
         let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
         if is_heartbeat && message.commit > self.raw_node.raft.raft_log.last_index() {
-            // The library panics where a member has lost entries that it acknowledged.
+            // This member has lost entries that it acknowledged. The library would panic.
             self.replica.abort_process(
-                "the store has lost what it acknowledged: remove this member, and add a new one",
+                "the store has lost acknowledged log entries: remove this member, and add a new one",
             );
         }
-        // An error says that the message is of no use, such as one of a former member.
+        // An error means that the message can be ignored, for example one of a former member.
         let _ = self.raw_node.step(message);
     }
 
@@ -138,13 +143,13 @@
         }
     }
 
-    /// The context of a proposal: it names the process and the proposal.
+    /// The context of a proposal, which identifies the process and the proposal.
     fn context(&self, number: u64) -> Vec<u8> {
         let own = &self.replica.own_member;
         [own.number, own.nonce, number].map(u64::to_be_bytes).concat()
     }
 
-    /// The number of a proposal, if this process proposed it.
+    /// The number of a proposal, if this process proposed it; `None` otherwise.
     pub(super) fn own_proposal_number(&self, context: &[u8]) -> Option<u64> {
         if context.len() != CONTEXT_BYTES {
             return None;
--- a/crates/control-plane/src/raft/error.rs
+++ b/crates/control-plane/src/raft/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica cannot run.
+//! Errors of opening and running a replica.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,10 +9,10 @@
 
 use crate::transport::tls::TlsError;
 
-/// Why a replica cannot be opened, or why its store cannot be used any more. The message is one line.
+/// The reason why a replica cannot be opened or can no longer use its store. The message is one line.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
-    /// The keys cannot be used.
+    /// The TLS keys cannot be loaded.
     #[error(transparent)]
     Keys(#[from] TlsError),
     /// The store cannot be read or written.
@@ -21,31 +21,31 @@
     /// The store was rolled back or copied.
     #[error("{}: {source}; {remedy}", .path.display())]
     StoreRejected {
-        /// The file of the store.
+        /// The path of the store file.
         path: PathBuf,
-        /// Why it is refused.
+        /// The reason for the rejection.
         source: StoreRejected,
-        /// What the operator can do.
+        /// The action that the operator can take.
         remedy: &'static str,
     },
     /// A message in the store, or in what another member sent, cannot be decoded.
     #[error("{what} cannot be read: {source}")]
     Undecodable {
-        /// The message.
+        /// A description of the message, such as `a version`.
         what: &'static str,
-        /// What is wrong with it.
+        /// The decoding error.
         source: prost::DecodeError,
     },
-    /// A committed change of membership is of a kind that this build does not know.
+    /// A committed membership change has a kind that this build does not support.
     #[error("a change of members cannot be read: it is of an unknown kind")]
     UnknownMembershipChange,
-    /// The store does not say where its log begins.
+    /// The store has no record of the position at which its log begins.
     #[error("the log has no beginning")]
     MissingLogStart,
-    /// An entry of the log is missing.
+    /// An entry is missing in the log, or its kind is not supported.
     #[error("the log has a gap")]
     LogGap,
-    /// The Raft library refused what it was given.
+    /// The Raft library has rejected an operation.
     #[error(transparent)]
     Raft(#[from] raft::Error),
     /// The replica's thread cannot be started.
@@ -54,7 +54,7 @@
 }
 
 impl ReplicaError {
-    /// Says which message an error of decoding belongs to.
+    /// Returns a function that wraps a decoding error with a description of the message.
     pub(crate) fn undecodable(what: &'static str) -> impl Fn(prost::DecodeError) -> Self {
         move |source| ReplicaError::Undecodable { what, source }
     }
--- a/crates/control-plane/src/raft/mod.rs
+++ b/crates/control-plane/src/raft/mod.rs
@@ -1,21 +1,21 @@
-//! The state of a group of control services, replicated by Raft. A service that is alone is a group of one.
+//! The state of a group of control servers, replicated by Raft. A single server is a group of one member.
 //!
-//! Coroutines use a [`replica::Replica`]: it reads the state and sends requests to the replica's thread, which owns the
-//! Raft library and the store, as both block. From the bottom up:
+//! Coroutines use a [`replica::Replica`], which reads the state and sends requests to the replica's thread.
+//! That thread owns the Raft library and the store, because both block. The modules, from the bottom up:
 //!
-//! | module | concern |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`settings`], [`error`], [`request`] | how a replica runs, why it cannot, what its thread is asked for |
-//! | `codec` | messages of the Raft library in the project's own schema |
-//! | `storage` | the Raft log as the library reads it, in memory |
-//! | `stored_values` | names and encoding of the values in the store |
-//! | `state` | what coroutines and the thread share |
-//! | [`peer_links`] | messages that wait for each member |
+//! | [`settings`], [`error`], [`request`] | settings of a replica, its errors, and requests to its thread |
+//! | `codec` | conversion of the Raft library's messages to the project's own schema |
+//! | `storage` | the Raft log in memory, as the library reads it |
+//! | `stored_values` | the names and encoding of the values in the store |
+//! | `state` | the state that coroutines and the thread share |
+//! | [`peer_links`] | the queue of messages to each member |
 //! | [`replica`] | the handle for coroutines |
 //! | [`transport`] | streams to and from the other members |
-//! | `recovery` | opens the store, or refuses it |
-//! | `driver` | one turn with the library and the store |
-//! | [`replica_thread`] | starts the thread, and another turn after the store has failed |
+//! | `recovery` | opens the store or rejects it, and loads its contents |
+//! | `driver` | runs the library with the store until the store fails |
+//! | [`replica_thread`] | starts the thread, and restarts the driver after a store failure |
 
 pub(crate) mod codec;
 pub(crate) mod driver;
--- a/crates/control-plane/src/raft/peer_links.rs
+++ b/crates/control-plane/src/raft/peer_links.rs
@@ -1,4 +1,4 @@
-//! Messages that wait for the stream to each member.
+//! The queues of messages to the other members.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
@@ -9,18 +9,21 @@
 use gaugestep_coroutine_io::stream::Waker;
 use prost::Message as _;
 
-/// The most messages that wait for one member, and their bytes. The oldest are dropped, as messages may be lost anyway.
-const MAX_QUEUED: usize = 512;
+/// The maximum number of queued messages per member. The oldest are discarded: senders tolerate lost
+/// messages.
+const MAX_QUEUED_MESSAGES: usize = 512;
+/// The maximum encoded size of the queued messages per member. A single longer message is queued
+/// nevertheless.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
 
-/// What waits for one member.
+/// The queue of messages to one member, and the state of the stream that sends them.
 #[derive(Default)]
 struct Link {
     queue: VecDeque<Peer>,
     queued_bytes: usize,
-    /// Wakes the coroutine of the stream, once there is one.
+    /// Wakes the coroutine of the stream; `None` while no stream is open.
     waker: Option<Waker>,
-    /// The member has accepted the stream.
+    /// Whether the member has accepted the stream.
     accepted: bool,
 }
 
@@ -34,18 +37,22 @@
     fn push(&mut self, message: Peer) {
         self.queued_bytes += message.encoded_len();
         self.queue.push_back(message);
-        while self.queue.len() > MAX_QUEUED || self.queue.len() > 1 && self.queued_bytes > MAX_QUEUED_BYTES {
+        while self.queue.len() > MAX_QUEUED_MESSAGES
+            || self.queue.len() > 1 && self.queued_bytes > MAX_QUEUED_BYTES
+        {
             self.pop();
         }
     }
 }
 
-/// The links to all other members. The lock is held for moments only, and no other is taken meanwhile.
+/// The links to all other members. The lock is held only briefly, and no other lock is acquired while it is
+/// held.
 #[derive(Default)]
 pub struct PeerLinks(Mutex<BTreeMap<u64, Link>>);
 
 impl PeerLinks {
-    /// Queues a message for a member; false if there is no stream to it that it has accepted.
+    /// Queues a message for a member. Returns false, without queueing it, if the member has accepted no
+    /// stream.
     pub fn send(&self, member: u64, message: Said) -> bool {
         let mut links = lock(&self.0);
         let Some(link) = links.get_mut(&member).filter(|link| link.accepted) else { return false };
@@ -56,12 +63,12 @@
         true
     }
 
-    /// Wakes the coroutines of all streams, so that they look at their deadlines.
+    /// Wakes the coroutines of all streams, so that they check their deadlines.
     pub fn wake_all(&self) {
         lock(&self.0).values().filter_map(|link| link.waker.as_ref()).for_each(Waker::wakeup);
     }
 
-    /// Sets which members there are to be links to; returns those that had none.
+    /// Sets the members to keep links to, and returns those that had no link before.
     pub(crate) fn set_members(&self, members: &[u64]) -> Vec<u64> {
         let mut links = lock(&self.0);
         links.retain(|member, _| members.contains(member));
@@ -71,27 +78,27 @@
         missing
     }
 
-    /// Whether there is to be a link to a member.
+    /// Whether there is a link to a member. A stream without a link must close.
     pub(crate) fn contains(&self, member: u64) -> bool {
         lock(&self.0).contains_key(&member)
     }
 
-    /// A stream to a member is being opened.
+    /// Records that a stream to a member is open, and how to wake its coroutine.
     pub(crate) fn on_opened(&self, member: u64, waker: Waker) {
         self.update(member, |link| link.waker = Some(waker));
     }
 
-    /// The member has accepted the stream.
+    /// Records that the member has accepted the stream.
     pub(crate) fn on_accepted(&self, member: u64) {
         self.update(member, |link| link.accepted = true);
     }
 
-    /// The stream to a member has ended; what waited for it is dropped.
+    /// Records that the stream to a member has closed, and discards the queued messages.
     pub(crate) fn on_closed(&self, member: u64) {
         self.update(member, |link| *link = Link::default());
     }
 
-    /// The next message for a member.
+    /// Removes and returns the next message for a member.
     pub(crate) fn pop(&self, member: u64) -> Option<Peer> {
         lock(&self.0).get_mut(&member).and_then(Link::pop)
     }
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -1,4 +1,4 @@
-//! What a replica finds in its store when it starts, and whether it may use the store.
+//! Opens the store of a replica: checks that the store may be used, and loads its contents.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -18,27 +18,28 @@
 use crate::raft::storage::{LogContents, LogPosition};
 use crate::raft::{codec, stored_values};
 
-/// The log of a new group begins behind an entry at this position, which stands for what an older build left.
+/// The log of a new group begins after this position, which represents the state that an older build without
+/// groups left in the store.
 const FIRST_POSITION: LogPosition = LogPosition { index: 1, term: 1 };
 
-/// A store that was opened, with its contents.
+/// An open store with its contents.
 pub(crate) struct RecoveredState {
     pub(crate) store: ControlStore,
-    /// The number of this start of the process.
+    /// The number of process starts with this store, including this one.
     pub(crate) boot: u64,
     pub(crate) group: GroupState,
     pub(crate) log: LogContents,
 }
 
 impl RecoveredState {
-    /// Opens the store for the first time in this process, and counts the start.
+    /// Opens the store for the first time in this process and counts the process start.
     pub(crate) fn open(settings: &ReplicaSettings) -> Result<Self, ReplicaError> {
         let store = ControlStore::open(&settings.store)?;
         let boot = record_process_start(&store, settings)?;
         Self::load(store, boot, settings)
     }
 
-    /// Opens the store again, after it has failed. `boot` is the number of this start of the process.
+    /// Reopens the store after a failure. `boot` is the number of this process start.
     pub(crate) fn reopen(settings: &ReplicaSettings, boot: u64) -> Result<Self, ReplicaError> {
         Self::load(ControlStore::open(&settings.store)?, boot, settings)
     }
@@ -52,7 +53,8 @@
         Ok(RecoveredState { store, boot, group: GroupState { versions, ..group }, log })
     }
 
-    /// Writes the first state into a store without one: empty for a member that joins a group, otherwise a group of one.
+    /// Writes the initial state into a store that has none: empty for a member that joins a group, otherwise
+    /// that of a group of one.
     fn initialize(
         store: ControlStore,
         boot: u64,
@@ -83,12 +85,13 @@
     }
 }
 
-/// This process as a member of its group.
+/// The description of this process as a member of its group.
 pub(crate) fn process_member(settings: &ReplicaSettings, boot: u64) -> Member {
     Member { boot, nonce: settings.seed | 1, ..settings.member.clone() }
 }
 
-/// The log of a group of one, in which this member has voted for itself and committed the first entry.
+/// The initial log of a group of one, in which this member has voted for itself and committed the first
+/// entry.
 fn single_member_log(settings: &ReplicaSettings) -> LogContents {
     let mut log = LogContents {
         compacted: FIRST_POSITION,
@@ -102,7 +105,7 @@
     log
 }
 
-/// Checks that the store is neither rolled back nor a copy, and counts this start in it.
+/// Checks that the store was neither rolled back nor copied, and counts this process start in it.
 fn record_process_start(store: &ControlStore, settings: &ReplicaSettings) -> Result<u64, ReplicaError> {
     let path = &settings.store;
     let has_peers = load_group_state(store)?.is_some_and(|group| group.members.len() > 1);
@@ -122,7 +125,8 @@
     };
     let boot = rollback_guard::next_boot(found, policy)
         .map_err(|rejected| store_rejected(path, rejected, has_peers))?;
-    // The store first: a process that is killed between the two writes leaves the store one ahead, never behind.
+    // The store is written before the generation file: a process that is killed between the two writes leaves
+    // the store one start ahead of the file, never behind it.
     let mut batch = WriteBatch { sync: true, ..WriteBatch::default() };
     stored_values::put_boots(&mut batch, boot);
     store.write(&batch)?;
@@ -142,7 +146,7 @@
     Ok(store.value(name)?.map_or(0, stored_values::decode_number))
 }
 
-/// A message from the store; the default if it is not there.
+/// Loads a message from the store; the default if there is none.
 fn load_message<M: Message + Default>(
     store: &ControlStore,
     name: &str,
@@ -156,7 +160,8 @@
     M::decode(bytes).map_err(ReplicaError::undecodable(what))
 }
 
-/// The replicated state without the versions; `None` if the store is new or was written by a build without groups.
+/// Loads the replicated state without the versions; `None` if the store is new or was written by a build
+/// without groups.
 fn load_group_state(store: &ControlStore) -> Result<Option<GroupState>, ReplicaError> {
     let Some(bytes) = store.value(stored_values::GROUP_STATE)? else { return Ok(None) };
     let stored: Charter = decode(&bytes, "what is agreed")?;
@@ -188,13 +193,13 @@
     })
 }
 
-/// The entries behind a position, each at the index that follows the one before.
+/// Loads the log entries after a position and checks that their indexes are consecutive.
 fn load_entries(store: &ControlStore, compacted: LogPosition) -> Result<Vec<eraftpb::Entry>, ReplicaError> {
     let mut entries = Vec::new();
-    let kept = store.log()?.into_iter().filter(|(index, _)| *index > compacted.index);
-    for (expected, (index, bytes)) in (compacted.index + 1..).zip(kept) {
-        let stored: RaftEntry = decode(&bytes, "the log")?;
-        let entry = codec::decode_entry(stored).filter(|_| index == expected);
+    let stored = store.log()?.into_iter().filter(|(index, _)| *index > compacted.index);
+    for (expected, (index, bytes)) in (compacted.index + 1..).zip(stored) {
+        let entry: RaftEntry = decode(&bytes, "the log")?;
+        let entry = codec::decode_entry(entry).filter(|_| index == expected);
         entries.push(entry.ok_or(ReplicaError::LogGap)?);
     }
     Ok(entries)
--- a/crates/control-plane/src/raft/replica.rs
+++ b/crates/control-plane/src/raft/replica.rs
@@ -1,4 +1,5 @@
-//! One member of a group, as coroutines see it: they read the replicated state, and send requests to the replica's thread.
+//! The handle through which coroutines use the replica: they read the replicated state and send requests to
+//! the replica's thread.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
@@ -18,28 +19,30 @@
 use crate::transport::tls::ClientTls;
 use crate::{clock, failpoints};
 
-/// The most reports of other members that wait. One that is dropped is made up for by the next of the same member.
+/// The maximum number of queued presence reports. Further ones are discarded; the next report of the same
+/// member replaces them.
 const MAX_PRESENCE_REPORTS: usize = 64;
 
-/// Keys with which this member connects to others.
+/// The TLS configuration with which this member connects to other members.
 pub(crate) struct PeerTls {
     pub(crate) keys: ClientTls,
     /// The name that the other members' certificates carry.
     pub(crate) service_name: String,
 }
 
-/// One member of a group.
+/// The replica of the group's state on this member.
 ///
-/// Each lock here is held for moments, and none while another is taken.
+/// Each lock is held only briefly, and no other lock is acquired while it is held.
 pub struct Replica {
     pub(crate) own_member: Member,
     pub(crate) settings: ReplicaSettings,
     state: Mutex<ReplicaState>,
     requests: Mutex<Sender<Request>>,
-    /// Messages for the other members.
+    /// The queues of messages to the other members.
     pub links: PeerLinks,
     tls: Option<PeerTls>,
-    /// Which proxies other members hear, until the holder of the ordinals role takes it.
+    /// Reports of the proxies that are connected to the members, until the holder of the ordinals role
+    /// processes them.
     presence_reports: Mutex<Vec<Present>>,
 }
 
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Ends the process, as it must not continue, and logs the reason.
+    /// Logs the reason and ends the process, because it must not continue.
     pub(crate) fn abort_process(&self, reason: &str) {
         tracing::error!(member = self.own_member.number, "the process ends: {reason}");
         eprintln!("gaugestep-control: {reason}");
@@ -74,7 +77,7 @@
     }
 
     pub(crate) fn submit(&self, request: Request) {
-        // The thread lives as long as the process.
+        // Sending cannot fail: the thread runs until the process ends.
         let _ = lock(&self.requests).send(request);
     }
 
@@ -93,40 +96,40 @@
         read(&self.lock_state().group)
     }
 
-    /// Whether this member is the only one that votes.
+    /// Whether this member is the only voter.
     pub fn is_single_voter(&self) -> bool {
         self.lock_state().voters.len() == 1
     }
 
-    /// The Raft leader; [`NO_MEMBER`] if none is known.
+    /// The number of the Raft leader; [`NO_MEMBER`] if none is known.
     pub fn leader(&self) -> u64 {
         self.lock_state().leader
     }
 
-    /// A member as of its latest known start.
+    /// A member with the addresses of its latest known start; `None` for an unknown number.
     pub fn member(&self, number: u64) -> Option<Member> {
         let state = self.lock_state();
         state.peers.member(&state.group, number)
     }
 
-    /// What the command `members` shows.
+    /// The report for the command `members`.
     pub fn members(&self) -> schema::Members {
         self.lock_state().member_report(self.own_member.number, clock::now())
     }
 
-    /// What the command `duties` shows.
+    /// The report for the command `duties`.
     pub fn roles(&self) -> schema::Duties {
         self.lock_state().role_report(clock::now())
     }
 
-    /// The name that other members' certificates carry, where there are keys.
+    /// The server name that the certificates of other members must carry; `None` without TLS.
     pub fn peer_name(&self) -> Option<&str> {
         self.tls.as_ref().map(|tls| tls.service_name.as_str())
     }
 
     // Leases.
 
-    /// The term under which this member may act for a role at this very moment.
+    /// The term under which this member may act for a role at this moment; `None` if it may not.
     pub fn acting_term(&self, role: &str) -> Option<u64> {
         let state = self.lock_state();
         let RoleHolder { member, term } = state.group.holder(role);
@@ -134,19 +137,20 @@
         (member == self.own_member.number && has_lease).then_some(term)
     }
 
-    /// Whether this member has its lease, and so knows the replicated state but for the last moments.
+    /// Whether this member has its lease, which means that its replicated state is at most one lease duration
+    /// behind.
     pub fn has_lease(&self) -> bool {
         self.lock_state().has_lease(clock::now())
     }
 
-    /// Hands a role over: this member does not act for it any more, before another member can learn of it.
+    /// Hands a role over. This member stops acting for the role before the hand-over is proposed.
     pub fn hand_over(&self, role: &str, term: u64, to: u64, responder: Responder) {
         self.lock_state().lease.resign(clock::now(), role, term);
         let what = Some(schema::act::What::HandOver(to));
         self.propose(Command { duty: role.into(), term, what, ..Command::default() }, responder);
     }
 
-    /// Why no member acts for a role at present.
+    /// The reason why no member acts for a role at present.
     pub fn unavailable_reason(&self) -> Unavailable {
         let (state, member) = (self.lock_state(), self.own_member.number);
         if let Some(reason) = &state.store_failure {
@@ -163,25 +167,26 @@
 
     // Commands.
 
-    /// Proposes a command in the name of this member. `responder` is called within some seconds.
+    /// Proposes a command on behalf of this member. `responder` is called with the result or, after a few
+    /// seconds, with a timeout.
     pub fn propose(&self, command: Command, responder: Responder) {
         let command = Box::new(Command { by: self.own_member.number, ..command });
         self.submit(Request::Propose { command, responder });
     }
 
-    /// Proposes that a member joins.
+    /// Proposes to add a member.
     pub fn add_member(&self, member: Member, responder: Responder) {
         self.submit(Request::AddMember { member, responder });
     }
 
-    /// Proposes that a member is removed for good.
+    /// Proposes to remove a member. A removed member's number is never used again.
     pub fn remove_member(&self, member: u64, responder: Responder) {
         self.submit(Request::RemoveMember { member, responder });
     }
 
-    // Which proxies the members hear.
+    // Presence of proxies.
 
-    /// Takes the report of a member: which proxies it hears.
+    /// Queues a member's report of the proxies that are connected to it.
     pub fn report_presence(&self, report: Present) {
         let mut reports = lock(&self.presence_reports);
         if reports.len() < MAX_PRESENCE_REPORTS {
@@ -189,12 +194,12 @@
         }
     }
 
-    /// The reports since this was called last.
+    /// Removes and returns the queued reports.
     pub fn take_presence_reports(&self) -> Vec<Present> {
         std::mem::take(&mut *lock(&self.presence_reports))
     }
 
-    // For the streams between members.
+    // Streams between members.
 
     pub(crate) fn tls(&self) -> Option<&PeerTls> {
         self.tls.as_ref()
@@ -209,7 +214,7 @@
         self.member(member)?.listen.parse().ok()
     }
 
-    /// The answer to a peer that is accepted.
+    /// The response to a peer that is accepted.
     pub(crate) fn welcome(&self) -> PeerWelcome {
         let state = self.lock_state();
         let members = state.peers.all_members(&state.group);
@@ -226,7 +231,7 @@
         state.peers.check_membership(&state.group, member)
     }
 
-    /// Records members as a peer reports them. The caller connects to those that are new.
+    /// Records the members that a peer has reported. The caller must connect to new ones.
     pub(crate) fn record_members(&self, members: &[Member]) {
         let mut state = self.lock_state();
         let ReplicaState { peers, group, .. } = &mut *state;
--- a/crates/control-plane/src/raft/replica_thread.rs
+++ b/crates/control-plane/src/raft/replica_thread.rs
@@ -1,6 +1,7 @@
 //! The thread of a replica, which owns the Raft library and the store.
 //!
-//! A store that fails ends a turn of the thread, not the process: this member is silent then, and opens the store again.
+//! A store failure ends a run of the driver, not the process: this member stops participating, then reopens
+//! the store and starts the next run.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
@@ -22,26 +23,28 @@
 use crate::raft::transport::outbound;
 use crate::transport::tls::{ClientTls, TlsError, TlsIdentity};
 
-/// A store that has failed is opened again after this time.
+/// The delay before a failed store is reopened.
 const REOPEN_DELAY: Duration = Duration::from_secs(1);
 
-/// A replica whose thread was not started yet.
+/// A replica whose thread has not been started yet.
 pub struct ReplicaThread {
     replica: Arc<Replica>,
     recovered: RecoveredState,
     requests: Receiver<Request>,
 }
 
-/// Opens the store of a replica. The thread is started apart, once the receiver of changes exists.
+/// Opens the store of a replica. The thread is started separately, because the receiver of its changes needs
+/// the replica.
 ///
 /// # Errors
 ///
-/// If the keys or the store cannot be used.
+/// If the TLS keys or the store cannot be used.
 pub fn open(settings: ReplicaSettings) -> Result<(Arc<Replica>, ReplicaThread), ReplicaError> {
     let tls = settings.keys.as_ref().map(load_keys).transpose()?;
     let recovered = RecoveredState::open(&settings)?;
     let own = process_member(&settings, recovered.boot);
-    // The numbers of lease requests follow the start's, so that none is used again after a restart.
+    // Lease request numbers start from the number of this process start, so that none is reused after a
+    // restart.
     let mut state = ReplicaState::new(own.clone(), recovered.group.clone(), recovered.boot << 32);
     state.applied_index = recovered.log.applied_index;
     state.voters = recovered.log.membership.voters.iter().copied().collect();
@@ -66,14 +69,14 @@
         let run = move || {
             let replica = Arc::clone(&self.replica);
             if catch_unwind(AssertUnwindSafe(|| self.run(&on_change))).is_err() {
-                replica.abort_process("the thread that agrees with the other members has panicked");
+                replica.abort_process("the thread of the replica has panicked");
             }
         };
         let thread = std::thread::Builder::new().name("group".into()).spawn(run);
         thread.map(drop).map_err(ReplicaError::Thread)
     }
 
-    /// One turn after the other: each lasts until the store fails.
+    /// Runs the driver again and again: each run lasts until the store fails.
     fn run(self, on_change: &OnChange) {
         let ReplicaThread { replica, recovered, requests } = self;
         let mut recovered = Some(recovered);
@@ -93,7 +96,7 @@
     }
 }
 
-/// This member does not act for any role until the store has worked for a while.
+/// Records the failure. This member acts for no role until the store has worked again for some time.
 fn on_store_failure(replica: &Replica, error: &ReplicaError) {
     tracing::error!(member = replica.own_member.number, "the store cannot be used: {error}");
     let mut state = replica.lock_state();
@@ -102,10 +105,11 @@
     state.lease.store_failed(clock::now());
 }
 
-/// Answers requests for some time that there is no store.
+/// Rejects all requests during the given time, because there is no usable store.
 fn reject_requests(replica: &Replica, requests: &Receiver<Request>, duration: Duration) {
     let deadline = Instant::now() + duration;
-    while let Ok(request) = requests.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
+    let remaining = || deadline.saturating_duration_since(Instant::now());
+    while let Ok(request) = requests.recv_timeout(remaining()) {
         if let Some(responder) = request.into_responder() {
             responder(Err(replica.unavailable_reason()));
         }
--- a/crates/control-plane/src/raft/request.rs
+++ b/crates/control-plane/src/raft/request.rs
@@ -1,4 +1,4 @@
-//! What the thread of a replica is asked for, and how it answers.
+//! The requests to the thread of a replica, and their results.
 
 use gaugestep_config::schema::{Member, Yield};
 use gaugestep_leadership::group_state::{Command, CommandRejected, Outcome};
@@ -6,48 +6,50 @@
 use raft::eraftpb::Message;
 use thiserror::Error;
 
-/// Why a command was not committed, as far as this member knows. The text is the reply to the operator.
+/// The reason why a command has no result. The command may be committed later nevertheless. The text is sent
+/// to the operator.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Unavailable {
-    /// The store failed while the command waited.
+    /// The store failed before the command had a result.
     #[error("the store of this member has failed")]
     StoreFailed,
     /// The store cannot be used at present.
     #[error("the store of member {member} cannot be used: {reason}")]
     StoreUnusable {
-        /// This member.
+        /// The number of this member.
         member: u64,
-        /// Why.
+        /// The error of the store.
         reason: String,
     },
-    /// This member waits to be added to a group.
+    /// This member is waiting to be added to a group.
     #[error("member {0} has not joined its group yet")]
     NotJoined(u64),
-    /// There is no leader, or it reaches no majority.
+    /// There is no leader, or the leader cannot reach a majority.
     #[error("no majority of the control services answers")]
     NoMajority,
-    /// There is a leader, and no member holds the role.
+    /// There is a leader, but no member holds the role.
     #[error("nobody owns it at this moment")]
     NoHolder,
-    /// Membership is changed at the leader, and the change before must be applied.
+    /// This member is not the leader, or the previous membership change is not applied yet.
     #[error("members are changed at the leader, one at a time")]
     MembershipChangeRejected,
-    /// Too many proposals wait.
+    /// The limit of pending proposals is reached.
     #[error(transparent)]
     TooManyProposals(#[from] TooManyProposals),
 }
 
-/// The result of a command, or why there is none. A command without result may be committed yet.
+/// The result of a command, or the reason why there is none. A command without a result may still be
+/// committed.
 pub type CommandResult = Result<Outcome, Unavailable>;
-/// Is called once with the result of a command.
+/// A callback that is called once with the result of a command.
 pub type Responder = Box<dyn FnOnce(CommandResult) + Send>;
 
-/// A responder for commands whose result nobody waits for.
+/// A responder for commands whose result is ignored.
 pub(crate) fn ignore_result() -> Responder {
     Box::new(|_| {})
 }
 
-/// Answers with a rejection.
+/// Calls a responder with a rejection.
 pub(crate) fn reject(responder: Responder, rejected: CommandRejected) {
     responder(Ok(Outcome::Rejected(rejected)));
 }
@@ -62,18 +64,18 @@
     RemoveMember { member: u64, responder: Responder },
     /// Process a Raft message of another member.
     Step(Box<Message>),
-    /// Another member requests its lease.
+    /// Grant another member the lease that it requests.
     GrantLease { member: u64, number: u64 },
-    /// The leader asks this member to hand a role over.
+    /// Hand a role over, as the leader requests.
     HandOver(Yield),
-    /// The stream to a member has ended.
+    /// Record that the stream to a member has closed.
     ReportUnreachable { member: u64 },
-    /// A snapshot was handed to the stream of a member, or could not be.
+    /// Record whether a snapshot was queued for the stream to a member.
     ReportSnapshot { member: u64, sent: bool },
 }
 
 impl Request {
-    /// The responder, if somebody waits for the result.
+    /// Returns the responder of requests that have one.
     pub(crate) fn into_responder(self) -> Option<Responder> {
         match self {
             Request::Propose { responder, .. }
--- a/crates/control-plane/src/raft/settings.rs
+++ b/crates/control-plane/src/raft/settings.rs
@@ -1,4 +1,4 @@
-//! How a replica runs.
+//! The settings of a replica.
 
 use std::path::PathBuf;
 
@@ -6,20 +6,20 @@
 
 use crate::transport::tls::TlsIdentity;
 
-/// How a replica runs.
+/// The settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// The member's number, and where others reach it.
+    /// This member: its number, and the addresses at which others reach it.
     pub member: Member,
-    /// It has an empty store and waits to be added to a group.
+    /// Whether this member starts with an empty store and waits to be added to a group.
     pub joins: bool,
-    /// The file of the store.
+    /// The path of the store file.
     pub store: PathBuf,
-    /// The store is used although it is a copy or older than its generation file: the operator says that whoever used
-    /// it before is gone for good.
+    /// Whether to use the store even if it is a copy or older than its generation file. With it the operator
+    /// confirms that the previous user of the store will not return.
     pub restored: bool,
-    /// Keys with which it connects to other members; `None`: without TLS.
+    /// The TLS identity for connections to other members; `None` connects without TLS.
     pub keys: Option<TlsIdentity>,
-    /// For random draws; must differ between processes.
+    /// The seed of random draws and of this process's nonce; must differ between processes.
     pub seed: u64,
 }
--- a/crates/control-plane/src/raft/state.rs
+++ b/crates/control-plane/src/raft/state.rs
@@ -1,4 +1,4 @@
-//! What the coroutines and the thread of a replica share.
+//! The state that the coroutines and the thread of a replica share.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,20 +19,20 @@
     pub(crate) lease: LeaseSession,
     /// The Raft leader; [`NO_MEMBER`] if none is known.
     pub(crate) leader: u64,
-    /// Members that vote. The others are catching up.
+    /// The members that vote. The remaining members are learners that are catching up.
     pub(crate) voters: BTreeSet<u64>,
-    /// The other members, as they are known beyond the replicated state.
+    /// Information about the other members that is not replicated, such as their latest starts.
     pub(crate) peers: PeerDirectory,
-    /// When this member applied the last change of holder of each role.
+    /// The time at which this member applied the latest change of holder, by role.
     pub(crate) holder_since: BTreeMap<String, Timestamp>,
-    /// Commands rejected for a stale term, by role.
+    /// The number of commands rejected for a stale term, by role.
     pub(crate) stale_commands: BTreeMap<String, u64>,
-    /// Why the store cannot be used at present.
+    /// The reason why the store cannot be used at present; `None` while it works.
     pub(crate) store_failure: Option<String>,
 }
 
 impl ReplicaState {
-    /// The state of a member that starts. Numbers of its lease requests follow `last_request`.
+    /// The state of a starting member. The numbers of its lease requests follow `last_request`.
     pub(crate) fn new(own: Member, group: GroupState, last_request: u64) -> Self {
         ReplicaState {
             group,
@@ -62,7 +62,7 @@
         self.group.roles.keys().map(|role| (role.clone(), self.group.holder(role))).collect()
     }
 
-    /// What the command `members` shows.
+    /// The report for the command `members`.
     pub(crate) fn member_report(&self, own: u64, now: Timestamp) -> Members {
         let mut members = self.peers.all_members(&self.group);
         members.retain(|member| self.group.members.contains_key(&member.number));
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What the command `duties` shows.
+    /// The report for the command `duties`.
     pub(crate) fn role_report(&self, now: Timestamp) -> Duties {
         let report = |role: &Duty| {
             let holder_since = self.holder_since.get(&role.name);
--- a/crates/control-plane/src/raft/storage.rs
+++ b/crates/control-plane/src/raft/storage.rs
@@ -1,6 +1,6 @@
-//! The Raft log as the library reads it: in memory what the store holds on disk.
+//! The Raft log as the library reads it: an in-memory copy of the log in the store.
 //!
-//! The library wants a value that can be shared, so the log lies behind a lock. Only the thread of the replica uses it.
+//! The library requires shared access, so the log is behind a lock. Only the thread of the replica uses it.
 
 use std::sync::{Arc, Mutex};
 
@@ -15,16 +15,16 @@
     pub(crate) term: u64,
 }
 
-/// What a log begins with.
+/// The contents of a log with Raft's persistent state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LogContents {
     /// Term, vote and commit index.
     pub(crate) hard_state: HardState,
     /// The members as of the last applied entry.
     pub(crate) membership: ConfState,
-    /// The last entry that is not kept any more.
+    /// The position of the last entry that was compacted.
     pub(crate) compacted: LogPosition,
-    /// The entries behind `compacted`, without a gap.
+    /// The entries after `compacted`, without a gap.
     pub(crate) entries: Vec<Entry>,
     /// The index of the last entry that was applied.
     pub(crate) applied_index: u64,
@@ -33,7 +33,7 @@
 /// Encodes the replicated state as of the last applied entry.
 type EncodeSnapshot = Box<dyn Fn() -> Vec<u8> + Send>;
 
-/// The log.
+/// The log behind its lock; clones share it.
 #[derive(Clone)]
 pub(crate) struct RaftStorage(Arc<Mutex<Inner>>);
 
@@ -58,24 +58,24 @@
         entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
-    /// Where an entry behind `compacted` lies in `entries`.
+    /// The offset in `entries` of an entry after `compacted`.
     fn offset(&self, index: u64) -> usize {
         index.saturating_sub(self.compacted.index + 1) as usize
     }
 }
 
 impl RaftStorage {
-    /// A log with these contents.
+    /// Creates a log from its contents and the function that encodes snapshots.
     pub(crate) fn new(log: LogContents, encode_snapshot: EncodeSnapshot) -> Self {
         RaftStorage(Arc::new(Mutex::new(Inner { log, encode_snapshot })))
     }
 
-    /// Appends entries, in place of those at and behind the index of the first.
+    /// Appends entries. Existing entries from the index of the first new one on are replaced.
     pub(crate) fn append(&self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let log = &mut lock(&self.0).log;
-        let keep = log.offset(first.index);
-        log.entries.truncate(keep);
+        let retained = log.offset(first.index);
+        log.entries.truncate(retained);
         log.entries.extend_from_slice(entries);
     }
 
@@ -84,7 +84,7 @@
         lock(&self.0).log.hard_state = hard_state;
     }
 
-    /// Sets the commit index; the hard state with it.
+    /// Sets the commit index and returns the resulting hard state.
     pub(crate) fn set_commit(&self, commit: u64) -> HardState {
         let log = &mut lock(&self.0).log;
         log.hard_state.commit = commit;
@@ -101,7 +101,7 @@
         lock(&self.0).log.applied_index = index;
     }
 
-    /// Drops all entries, as a snapshot up to this position was installed.
+    /// Discards all entries after a snapshot up to this position was installed.
     pub(crate) fn reset_to_snapshot(&self, position: LogPosition, membership: ConfState) {
         let log = &mut lock(&self.0).log;
         log.entries.clear();
@@ -111,17 +111,17 @@
         log.hard_state.commit = log.hard_state.commit.max(position.index);
     }
 
-    /// Drops entries that lie `keep` or more behind the applied one, if there are `at_least` of them; the last entry
-    /// that was dropped.
-    pub(crate) fn compact(&self, keep: u64, at_least: u64) -> Option<LogPosition> {
+    /// Discards all entries except the last `retained` applied ones and those after them, if that discards at
+    /// least `min_discarded` entries. Returns the position of the last discarded entry.
+    pub(crate) fn compact(&self, retained: u64, min_discarded: u64) -> Option<LogPosition> {
         let log = &mut lock(&self.0).log;
-        let index = log.applied_index.saturating_sub(keep);
-        let dropped = index.saturating_sub(log.compacted.index);
-        if dropped < at_least {
+        let index = log.applied_index.saturating_sub(retained);
+        let discarded = index.saturating_sub(log.compacted.index);
+        if discarded < min_discarded {
             return None;
         }
         let term = log.term(index).ok()?;
-        log.entries.drain(..dropped as usize);
+        log.entries.drain(..discarded as usize);
         log.compacted = LogPosition { index, term };
         Some(log.compacted)
     }
@@ -144,12 +144,12 @@
         if low <= log.compacted.index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let Some(found) = log.entries.get(log.offset(low)..log.offset(high)) else {
+        let Some(range) = log.entries.get(log.offset(low)..log.offset(high)) else {
             return Err(Error::Store(StorageError::Unavailable));
         };
-        let mut found = found.to_vec();
-        raft::util::limit_size(&mut found, max_size.into());
-        Ok(found)
+        let mut entries = range.to_vec();
+        raft::util::limit_size(&mut entries, max_size.into());
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
--- a/crates/control-plane/src/raft/stored_values.rs
+++ b/crates/control-plane/src/raft/stored_values.rs
@@ -1,5 +1,5 @@
-//! The values that a replica keeps in its store beside versions and log entries: their names and encoding, which are
-//! fixed.
+//! The values that a replica keeps in its store beside versions and log entries: their names and encoding,
+//! which are fixed.
 
 use gaugestep_leadership::group_state::GroupState;
 use gaugestep_storage::control_store::WriteBatch;
@@ -9,15 +9,15 @@
 use crate::raft::codec;
 use crate::raft::storage::LogPosition;
 
-/// Starts of the process on this store.
+/// The number of process starts with this store.
 pub(crate) const BOOTS: &str = "boots";
 /// The replicated state without the versions.
 pub(crate) const GROUP_STATE: &str = "charter";
 /// Raft's term, vote and commit index.
 pub(crate) const HARD_STATE: &str = "hard";
-/// The members as Raft knows them.
+/// Raft's membership: voters and learners.
 pub(crate) const MEMBERSHIP: &str = "members";
-/// The last log entry that is not kept any more.
+/// The position of the last log entry that was compacted.
 pub(crate) const COMPACTED: &str = "base";
 /// The index of the last log entry that was applied.
 pub(crate) const APPLIED: &str = "applied";
@@ -51,12 +51,12 @@
     number.to_be_bytes().to_vec()
 }
 
-/// Decodes a number; 0 if the bytes are none.
+/// Decodes a number; 0 if the length is not 8 bytes.
 pub(crate) fn decode_number(bytes: Vec<u8>) -> u64 {
     bytes.try_into().map(u64::from_be_bytes).unwrap_or(0)
 }
 
-/// Decodes a position in the log; `None` if the bytes are none.
+/// Decodes a log position; `None` if the length is not 16 bytes.
 pub(crate) fn decode_position(bytes: &[u8]) -> Option<LogPosition> {
     let (index, term) = bytes.split_first_chunk::<8>()?;
     Some(LogPosition { index: u64::from_be_bytes(*index), term: u64::from_be_bytes(term.try_into().ok()?) })
--- a/crates/control-plane/src/raft/transport/inbound.rs
+++ b/crates/control-plane/src/raft/transport/inbound.rs
@@ -1,4 +1,4 @@
-//! Receives from the members that have connected to this one.
+//! Receives messages from the members that have connected to this one.
 
 use std::sync::Arc;
 
@@ -13,32 +13,32 @@
 use crate::raft::codec;
 use crate::raft::replica::Replica;
 
-/// Why the stream of a peer is closed.
+/// The reason why the stream of a peer is closed.
 #[derive(Debug, Error)]
 pub enum InboundError {
-    /// A message in pieces is too long.
-    #[error("a message of too many pieces")]
+    /// A message in pieces exceeds the maximum size.
+    #[error("a message in pieces exceeds the maximum size")]
     MessageTooLong,
     /// A message in pieces cannot be decoded.
     #[error("a message in pieces cannot be read: {0}")]
     Undecodable(#[from] prost::DecodeError),
-    /// A Raft message names another sender or receiver.
-    #[error("a message of another member, or for one")]
+    /// A Raft message has a different sender than the peer, or a different receiver than this member.
+    #[error("a Raft message with another sender or receiver")]
     WrongMember,
-    /// This build does not know a Raft message, or a peer must not send it.
-    #[error("a message that this build does not know")]
+    /// A Raft message has a kind that this build does not support or that a peer must not send.
+    #[error("an unsupported Raft message")]
     UnknownMessage,
 }
 
-/// A peer that opened a stream and was accepted.
+/// A peer that has opened a stream and was accepted.
 pub struct InboundPeer {
     member: u64,
-    /// The bytes of a message in pieces that have arrived so far.
+    /// The bytes received so far of a message in pieces.
     pieces: Vec<u8>,
 }
 
 impl InboundPeer {
-    /// Accepts a peer or rejects it; the answer to it, and the peer if it was accepted.
+    /// Accepts or rejects a peer. Returns the response, and the peer if it was accepted.
     pub fn accept(replica: &Arc<Replica>, hello: &PeerHello) -> (PeerWelcome, Option<Self>) {
         let from: Member = hello.from.clone().unwrap_or_default();
         let (member, boot) = (from.number, from.boot);
@@ -53,7 +53,7 @@
         (welcome, Some(InboundPeer { member, pieces: Vec::new() }))
     }
 
-    /// Processes a message of the peer; the answer, if one is due.
+    /// Handles a message of the peer. Returns the response, if the message requires one.
     ///
     /// # Errors
     ///
@@ -108,7 +108,8 @@
         if message.from != self.member || message.to != replica.member_number() {
             return Err(InboundError::WrongMember);
         }
-        replica.step(codec::decode_message(message).ok_or(InboundError::UnknownMessage)?);
+        let message = codec::decode_message(message).ok_or(InboundError::UnknownMessage)?;
+        replica.step(message);
         Ok(())
     }
 }
--- a/crates/control-plane/src/raft/transport/mod.rs
+++ b/crates/control-plane/src/raft/transport/mod.rs
@@ -1,14 +1,16 @@
 //! Streams between the members of a group.
 //!
-//! Each member connects to each other one and sends on the stream that it opened ([`outbound`]); it receives on the
-//! streams that others opened ([`InboundPeer`]). Messages may be lost: what matters is sent again.
+//! Each member connects to every other member. It sends on the streams that it opened ([`outbound`]) and
+//! receives on the streams that other members opened ([`InboundPeer`]). Messages may be lost; senders repeat
+//! those that are still needed.
 
 pub mod inbound;
 pub mod outbound;
 
 pub use inbound::InboundPeer;
 
-/// The most bytes of a message that is sent in one piece.
+/// The maximum size of a message that is sent in one piece. Longer messages are split into pieces of this
+/// size.
 const MAX_PIECE_BYTES: usize = 512 * 1024;
-/// The most bytes of all pieces of a message.
+/// The maximum size of a message that is received in pieces.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024 * 1024;
--- a/crates/control-plane/src/raft/transport/outbound.rs
+++ b/crates/control-plane/src/raft/transport/outbound.rs
@@ -1,4 +1,4 @@
-//! Connects to the other members, and sends what waits for each.
+//! Connects to the other members and sends the messages that are queued for them.
 
 use std::collections::VecDeque;
 use std::io;
@@ -22,39 +22,39 @@
 use crate::transport::connection::{ConnectionError, FramedConnection, STACK_WORDS};
 use crate::transport::tls::ClientTls;
 
-/// How long a connection may take to be opened.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a member may be silent.
+/// The longest time without a message from a member before the stream is closed.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often a ping shows that this member is alive.
+/// The interval of pings, which show that this member is alive and request a response.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest wait before another connection to a member.
+/// The longest delay before reconnecting to a member.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
 
-/// Why a stream to a member has ended.
+/// The reason why a stream to a member has ended.
 #[derive(Debug, Error)]
 enum OutboundError {
-    #[error("its address is not known")]
+    #[error("the member's address is unknown or invalid")]
     UnknownAddress,
     #[error(transparent)]
     Connect(#[from] io::Error),
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    #[error("it has closed")]
+    #[error("the member has closed the connection")]
     Closed,
-    #[error("it is silent")]
+    #[error("the member has sent no message within the deadline")]
     Silent,
-    #[error("it is no member any more")]
+    #[error("the member was removed from the group")]
     Removed,
-    #[error("a message that is not due")]
+    #[error("unexpected message")]
     UnexpectedMessage,
-    #[error("member {found} is there, not member {expected}")]
-    WrongMember { found: u64, expected: u64 },
+    #[error("the address belongs to member {actual}, not to member {expected}")]
+    WrongMember { actual: u64, expected: u64 },
     #[error("{0}")]
     Rejected(String),
 }
 
-/// Connects to the members that there is no stream to; streams to former members end by themselves.
+/// Starts a stream to each member that has none. Streams to former members end by themselves.
 pub fn connect_missing(replica: &Arc<Replica>) {
     for member in replica.links.set_members(&replica.other_members()) {
         let replica = Arc::clone(replica);
@@ -65,7 +65,7 @@
     }
 }
 
-/// Connects to a member again and again, as long as it is one.
+/// Keeps a stream to a member open, reconnecting after failures, until the member is removed from the group.
 fn keep_connected(replica: &Arc<Replica>, member: u64) {
     let mut backoff = Backoff::new(replica.own_member.nonce ^ member);
     let mut last_reason = String::new();
@@ -74,7 +74,7 @@
         let reason = PeerStream::run(replica, member).to_string();
         replica.links.on_closed(member);
         replica.report_unreachable(member);
-        // The same reason after each attempt is logged once.
+        // A reason that repeats after each connection attempt is logged only once.
         if reason != last_reason {
             tracing::info!(member, "the stream to a member ended: {reason}");
             last_reason = reason;
@@ -83,22 +83,22 @@
     }
 }
 
-/// A stream to a member.
+/// An open stream to a member.
 struct PeerStream<'a> {
     replica: &'a Arc<Replica>,
     member: u64,
     address: SocketAddr,
     connection: FramedConnection,
-    /// The member has accepted this one.
+    /// Whether the remote member has accepted this member.
     accepted: bool,
     last_message_at: Instant,
     last_ping_at: Instant,
-    /// The rest of a long message.
+    /// The remaining pieces of a long message that is being sent.
     pieces: VecDeque<Piece>,
 }
 
 impl<'a> PeerStream<'a> {
-    /// Opens a stream and serves it until it ends; why it has.
+    /// Opens a stream, serves it until it ends, and returns the reason.
     fn run(replica: &'a Arc<Replica>, member: u64) -> OutboundError {
         match Self::open(replica, member).and_then(|mut stream| stream.serve()) {
             Ok(()) => OutboundError::Closed,
@@ -171,10 +171,10 @@
     fn on_welcome(&self, welcome: &PeerWelcome) -> Result<(), OutboundError> {
         if welcome.fatal && welcome.member == self.member {
             let (member, reason) = (self.member, &welcome.refused);
-            self.replica.abort_process(&format!("member {member} does not let this one in: {reason}"));
+            self.replica.abort_process(&format!("member {member} has rejected this member: {reason}"));
         }
         if welcome.member != self.member {
-            return Err(OutboundError::WrongMember { found: welcome.member, expected: self.member });
+            return Err(OutboundError::WrongMember { actual: welcome.member, expected: self.member });
         }
         if !welcome.refused.is_empty() {
             return Err(OutboundError::Rejected(welcome.refused.clone()));
@@ -192,8 +192,8 @@
         Ok(())
     }
 
-    /// Sends what waits, as long as the kernel takes it: for a member that does not read, messages wait in its link, where
-    /// the oldest are dropped.
+    /// Sends queued messages while the kernel accepts all their bytes. For a member that does not read,
+    /// messages stay in the queue of its link, which discards the oldest.
     fn send_queued(&mut self) -> Result<(), OutboundError> {
         while self.connection.is_flushed() {
             if let Some(piece) = self.pieces.pop_front() {
@@ -215,7 +215,7 @@
     }
 }
 
-/// Splits the bytes of a long message.
+/// Splits the encoded bytes of a long message into pieces.
 fn split(bytes: &[u8]) -> VecDeque<Piece> {
     let count = bytes.len().div_ceil(MAX_PIECE_BYTES);
     let piece = |(index, part): (usize, &[u8])| Piece { part: part.to_vec(), last: index + 1 == count };
--- a/crates/control-plane/src/server/maintenance.rs
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -43,8 +43,8 @@
         state.sessions.wake_all();
     }
 
-    /// Checks whether the process was suspended. Called at each tick and before a publication, as either may run
-    /// first after a suspension.
+    /// Checks whether the process was suspended. Called at each tick and before a publication, as either may
+    /// run first after a suspension.
     pub(crate) fn check_suspension(&self, state: &mut ServerState, now: Timestamp) {
         if !self.lock_pause_detector().observe(now, MAX_SUSPENSION, !state.identities.is_empty()) {
             return;
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -103,9 +103,9 @@
 
     /// Clears the suspension if the proxy of this session follows this server.
     ///
-    /// A proxy that sends figures has read this server's welcome. If it has seen no later term, no other server
-    /// has superseded this one during the suspension. A hello does not prove that, as it may have been queued
-    /// while the process was suspended.
+    /// A proxy that sends figures has read this server's welcome. If it has seen no later term, no other
+    /// server has superseded this one during the suspension. A hello does not prove that, as it may have been
+    /// queued while the process was suspended.
     fn clear_suspension_if_followed(&self, state: &ServerState, id: SessionId) {
         let term = self.replica.with_state(|group| group.holder(CONFIGURATION_ROLE)).term;
         let follows = state
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Claims names again for superseded processes that are still connected. A claim is granted once the process
-    /// that superseded them has been disconnected for long enough.
+    /// Claims names again for superseded processes that are still connected. A claim is granted once the
+    /// process that superseded them has been disconnected for long enough.
     pub(crate) fn reclaim_identities(&self, state: &mut ServerState, now: Timestamp) {
         let superseded: Vec<SessionId> =
             state.identities.superseded().map(|process| process.stream).collect();
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -137,8 +137,8 @@
     }
 
     /// Handles a proxy's response to an offer: it has acknowledged or rejected the version.
-    pub(crate) fn on_offer_response(&self, proxy: &str, id: SessionId, answer: Answer) {
-        let Answer { nonce, number, refusal } = answer;
+    pub(crate) fn on_offer_response(&self, proxy: &str, id: SessionId, response: Answer) {
+        let Answer { nonce, number, refusal } = response;
         let mut state = self.lock_state();
         match &refusal {
             None => {
@@ -179,9 +179,9 @@
             hello.in_force = version;
         }
         // The proxy has stored the term of the offer that it acknowledged.
-        let seen = hello.seen.iter_mut().find(|seen| seen.duty == CONFIGURATION_ROLE);
-        if let (Some(seen), Some(term)) = (seen, term) {
-            seen.term = seen.term.max(term);
+        let seen_term = hello.seen.iter_mut().find(|seen| seen.duty == CONFIGURATION_ROLE);
+        if let (Some(seen_term), Some(term)) = (seen_term, term) {
+            seen_term.term = seen_term.term.max(term);
         }
     }
 
--- a/crates/control-plane/tests/settings.rs
+++ b/crates/control-plane/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the server: what its file must say, and what is said of a file that does not.
+//! Settings of the server: defaults, required fields, and the errors for invalid files.
 
 use gaugestep_config::schema;
 use gaugestep_control_plane::server::Settings;
@@ -16,12 +16,12 @@
     schema::Keys { certificate: "certificate".into(), key: "key".into(), authority: "authority".into() }
 }
 
-fn fault(config: &schema::Service) -> String {
-    Settings::from_schema(config).expect_err("the settings have a fault").to_string()
+fn error_text(config: &schema::Service) -> String {
+    Settings::from_schema(config).expect_err("the settings are invalid").to_string()
 }
 
 #[test]
-fn what_a_file_does_not_say_has_a_default() {
+fn absent_fields_have_defaults() {
     let settings = Settings::from_schema(&service()).unwrap();
     assert_eq!((settings.retained_versions, settings.max_streams), (100, 4_096));
     assert_eq!((settings.joins, settings.restored, settings.keys.is_none()), (false, false, true));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_member_is_reached_where_its_file_says() {
+fn advertised_addresses_are_those_of_the_file() {
     let group = schema::Group {
         member: 3,
         listen_as: "127.0.0.1:7000".into(),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn operators_are_checked_by_their_own_authority() {
+fn operator_certificates_are_verified_by_their_own_authority() {
     let config = schema::Service { keys: Some(keys()), operators_authority: "other".into(), ..service() };
     let keys = Settings::from_schema(&config).unwrap().keys.expect("the file names keys");
     assert_eq!(keys.proxies.authority.to_str(), Some("authority"));
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn a_fault_is_named_with_its_field_and_value() {
+fn errors_name_the_invalid_field_and_its_value() {
     let group = |listen_as: &str| schema::Group { listen_as: listen_as.into(), ..schema::Group::default() };
     let with_keys = |keys| schema::Service { keys: Some(keys), operators_authority: "o".into(), ..service() };
-    let faults = [
+    let invalid_configs = [
         (schema::Service { store: String::new(), ..service() }, "'store' is missing"),
         (schema::Service { listen: "here".into(), ..service() }, "'listen' is 'here', no address"),
         (schema::Service { operators: String::new(), ..service() }, "'operators' is '', no address"),
@@ -69,7 +69,7 @@
         (with_keys(schema::Keys { key: String::new(), ..keys() }), "'keys.key' is missing"),
         (schema::Service { group: Some(group("")), ..with_keys(keys()) }, "'group.service_name' is missing"),
     ];
-    for (config, expected) in faults {
-        assert_eq!(fault(&config), expected);
+    for (config, expected) in invalid_configs {
+        assert_eq!(error_text(&config), expected);
     }
 }
