--- a/crates/control-plane/src/raft/driver/apply.rs
+++ b/crates/control-plane/src/raft/driver/apply.rs
@@ -18,7 +18,7 @@
 type Applied = (Outcome, Vec<StateChange>);
 
 impl RaftDriver<'_> {
-    /// Applies committed entries.
+    /// Applies committed entries, and records the results of those that this process proposed.
     pub(super) fn apply(&mut self, entries: Vec<Entry>, batch: &mut WriteBatch) -> Result<(), ReplicaError> {
         let Some(last_index) = entries.last().map(|entry| entry.index) else { return Ok(()) };
         let mut changes = Vec::new();
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Applies an entry; `None` if it is the empty one with which a leader begins its term.
+    /// Applies an entry. Returns `None` for the empty entry with which a leader begins its term.
     fn apply_entry(
         &mut self,
         entry: &Entry,
--- a/crates/control-plane/src/raft/error.rs
+++ b/crates/control-plane/src/raft/error.rs
@@ -28,7 +28,7 @@
         /// The action that the operator can take.
         remedy: &'static str,
     },
-    /// A message in the store, or in what another member sent, cannot be decoded.
+    /// A message that is stored or was received from another member cannot be decoded.
     #[error("{what} cannot be read: {source}")]
     Undecodable {
         /// A description of the message, such as `a version`.
--- a/crates/control-plane/src/raft/state.rs
+++ b/crates/control-plane/src/raft/state.rs
@@ -15,7 +15,7 @@
     pub(crate) group: GroupState,
     /// The index of the last log entry that was applied.
     pub(crate) applied_index: u64,
-    /// This member's lease.
+    /// The lease of this member, which covers all its roles.
     pub(crate) lease: LeaseSession,
     /// The Raft leader; [`NO_MEMBER`] if none is known.
     pub(crate) leader: u64,
--- a/crates/control-plane/src/raft/storage.rs
+++ b/crates/control-plane/src/raft/storage.rs
@@ -8,7 +8,7 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, StorageError};
 
-/// Position of a log entry.
+/// The position of a log entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LogPosition {
     pub(crate) index: u64,
@@ -91,7 +91,6 @@
         log.hard_state.clone()
     }
 
-    /// Sets the members.
     pub(crate) fn set_membership(&self, membership: ConfState) {
         lock(&self.0).log.membership = membership;
     }
--- a/crates/control-plane/src/server/listener.rs
+++ b/crates/control-plane/src/server/listener.rs
@@ -64,7 +64,7 @@
         thread.map(drop).map_err(|source| StartError::Spawn { what: "a thread", source })
     }
 
-    fn of(&self, audience: Audience) -> Option<Arc<ServerTls>> {
+    fn for_audience(&self, audience: Audience) -> Option<Arc<ServerTls>> {
         match audience {
             Audience::ProxiesAndMembers => self.proxies_and_members.clone(),
             Audience::Operators => self.operators.clone(),
@@ -87,10 +87,10 @@
     audience: Audience,
     tls: &ListenerTls,
 ) -> Result<(), StartError> {
-    let failed = |source| StartError::Listen { address, source };
-    let socket = TcpListener::bind(address).map_err(failed)?;
-    let listener = Listener { context: Arc::clone(context), audience, tls: tls.of(audience) };
-    task::spawn("listener", move || listener.accept_all(&socket)).map_err(failed)
+    let listen_error = |source| StartError::Listen { address, source };
+    let socket = TcpListener::bind(address).map_err(listen_error)?;
+    let listener = Listener { context: Arc::clone(context), audience, tls: tls.for_audience(audience) };
+    task::spawn("listener", move || listener.accept_all(&socket)).map_err(listen_error)
 }
 
 impl Listener {
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -58,8 +58,8 @@
         let tls = ListenerTls::load(settings.keys)?;
         listener::spawn(&context, settings.listen, Audience::ProxiesAndMembers, &tls)?;
         listener::spawn(&context, settings.operators, Audience::Operators, &tls)?;
-        let notified = Arc::clone(&context);
-        replica_thread.start(Box::new(move |changes| notified.on_state_change(changes)))?;
+        let callback_context = Arc::clone(&context);
+        replica_thread.start(Box::new(move |changes| callback_context.on_state_change(changes)))?;
         maintenance::spawn(&context)?;
         tls.spawn_reload_thread()?;
         Ok(ControlServer { context })
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -99,11 +99,12 @@
     /// Adds a proxy to the rollout if its process holds its name and it has seen no later term.
     pub(crate) fn register_proxy(&self, state: &mut ServerState, id: SessionId) {
         let Some(proxy) = state.identified_proxy(id) else { return };
-        let (hello, updated_at, seen) = (proxy.hello.clone(), proxy.updated_at, proxy.highest_term_seen());
-        let newer = state.rollout_lease.acting_term.filter(|term| seen > *term);
-        if let Some(term) = newer.filter(|_| !crate::failpoints::is_check_disabled("owner")) {
-            tracing::warn!(proxy = hello.proxy, seen, term, "the proxy has seen a newer term");
-            self.raise_term_of_restored_store(seen, term);
+        let (hello, updated_at) = (proxy.hello.clone(), proxy.updated_at);
+        let highest_seen = proxy.highest_term_seen();
+        let superseded_term = state.rollout_lease.acting_term.filter(|term| highest_seen > *term);
+        if let Some(term) = superseded_term.filter(|_| !crate::failpoints::is_check_disabled("owner")) {
+            tracing::warn!(proxy = hello.proxy, seen = highest_seen, term, "the proxy has seen a newer term");
+            self.raise_term_of_restored_store(highest_seen, term);
             return;
         }
         let in_force = self.reported_version(&hello);
@@ -130,9 +131,9 @@
 
     /// With a store that an operator declared restored, raises the term above the one that a proxy has seen:
     /// the operator has confirmed that the previous user of the store will not return.
-    fn raise_term_of_restored_store(&self, seen: u64, term: u64) {
-        if self.store_restored && seen - term <= MAX_TERM_RAISE {
-            self.propose(CONFIGURATION_ROLE, term, What::Raise(seen), Box::new(|_| {}));
+    fn raise_term_of_restored_store(&self, highest_seen: u64, term: u64) {
+        if self.store_restored && highest_seen - term <= MAX_TERM_RAISE {
+            self.propose(CONFIGURATION_ROLE, term, What::Raise(highest_seen), Box::new(|_| {}));
         }
     }
 
--- a/crates/control-plane/src/server/settings.rs
+++ b/crates/control-plane/src/server/settings.rs
@@ -25,7 +25,7 @@
     InvalidAddress {
         /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The rejected value of the field.
         value: String,
     },
     /// The TLS key files are incomplete.
@@ -114,11 +114,11 @@
 }
 
 fn listener_keys(config: &schema::Service) -> Result<Option<ListenerKeys>, SettingsError> {
-    let Some(files) = &config.keys else { return Ok(None) };
+    let Some(key_files) = &config.keys else { return Ok(None) };
     if config.operators_authority.is_empty() {
         return Err(SettingsError::Missing("operators_authority"));
     }
-    let proxies = TlsFiles::from_config(files).map_err(SettingsError::Keys)?;
+    let proxies = TlsFiles::from_config(key_files).map_err(SettingsError::Keys)?;
     let operators = TlsFiles { authority: PathBuf::from(&config.operators_authority), ..proxies.clone() };
     Ok(Some(ListenerKeys { proxies, operators }))
 }
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// All open sessions.
+/// The open sessions of a server, by identifier.
 #[derive(Default)]
 pub(crate) struct SessionTable {
     sessions: BTreeMap<SessionId, Session>,
