--- a/crates/control-plane/src/raft/state.rs
+++ b/crates/control-plane/src/raft/state.rs
@@ -1,4 +1,4 @@
-//! What the coroutines and the thread of a replica share.
+//! The state that the coroutines and the thread of a replica share.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,24 +15,24 @@
     pub(crate) group: GroupState,
     /// The index of the last log entry that was applied.
     pub(crate) applied_index: u64,
-    /// This member's lease.
+    /// The lease of this member, which covers all its roles.
     pub(crate) lease: LeaseSession,
     /// The Raft leader; [`NO_MEMBER`] if none is known.
     pub(crate) leader: u64,
-    /// Members that vote. The others are catching up.
+    /// The members that vote. The remaining members are learners that are catching up.
     pub(crate) voters: BTreeSet<u64>,
-    /// The other members, as they are known beyond the replicated state.
+    /// Information about the other members that is not replicated, such as their latest starts.
     pub(crate) peers: PeerDirectory,
-    /// When this member applied the last change of holder of each role.
-    pub(crate) held_since: BTreeMap<String, Timestamp>,
-    /// Commands rejected for a stale term, by role.
+    /// The time at which this member applied the latest change of holder, by role.
+    pub(crate) holder_since: BTreeMap<String, Timestamp>,
+    /// The number of commands rejected for a stale term, by role.
     pub(crate) stale_commands: BTreeMap<String, u64>,
-    /// Why the store cannot be used at present.
+    /// The reason why the store cannot be used at present; `None` while it works.
     pub(crate) store_failure: Option<String>,
 }
 
 impl ReplicaState {
-    /// The state of a member that starts. Numbers of its lease requests follow `last_request`.
+    /// The state of a starting member. The numbers of its lease requests follow `last_request`.
     pub(crate) fn new(own: Member, group: GroupState, last_request: u64) -> Self {
         ReplicaState {
             group,
@@ -41,7 +41,7 @@
             leader: NO_MEMBER,
             voters: BTreeSet::new(),
             peers: PeerDirectory::new(own),
-            held_since: BTreeMap::new(),
+            holder_since: BTreeMap::new(),
             stale_commands: BTreeMap::new(),
             store_failure: None,
         }
@@ -62,7 +62,7 @@
         self.group.roles.keys().map(|role| (role.clone(), self.group.holder(role))).collect()
     }
 
-    /// What the command `members` shows.
+    /// The report for the command `members`.
     pub(crate) fn member_report(&self, own: u64, now: Timestamp) -> Members {
         let mut members = self.peers.all_members(&self.group);
         members.retain(|member| self.group.members.contains_key(&member.number));
@@ -75,16 +75,16 @@
         }
     }
 
-    /// What the command `duties` shows.
+    /// The report for the command `duties`.
     pub(crate) fn role_report(&self, now: Timestamp) -> Duties {
         let report = |role: &Duty| {
-            let held_since = self.held_since.get(&role.name);
+            let holder_since = self.holder_since.get(&role.name);
             DutyState {
                 name: role.name.clone(),
                 owner: role.owner,
                 term: role.term,
                 changes: role.changes,
-                held_ms: held_since.map_or(0, |since| now.duration_since(*since).as_millis() as u64),
+                held_ms: holder_since.map_or(0, |since| now.duration_since(*since).as_millis() as u64),
                 stale: self.stale_commands.get(&role.name).copied().unwrap_or(0),
             }
         };
--- a/crates/control-plane/src/server/admin/mod.rs
+++ b/crates/control-plane/src/server/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: one on each connection, one reply.
+//! Operator calls: each connection carries one call and its response.
 
 mod fleet;
 mod group;
@@ -18,13 +18,13 @@
 use crate::server::state::{ServerContext, SessionId};
 use crate::transport::connection::FramedConnection;
 
-/// Operators' calls that may be open together.
+/// The maximum number of concurrent operator calls.
 const MAX_OPEN_CALLS: usize = 64;
 
 /// Serves the connection of an operator until it ends.
 pub(crate) fn serve(context: &ServerContext, mut connection: FramedConnection) -> Result<(), SessionError> {
     let id = open_call(context, &connection)?;
-    let result = answer_one(context, &mut connection);
+    let result = serve_call(context, &mut connection);
     context.lock_state().open_calls -= 1;
     context.on_session_closed(id);
     result
@@ -36,17 +36,17 @@
         return Err(SessionError::TooManyCalls);
     }
     state.open_calls += 1;
-    // As a session it is woken regularly, and so looks at its deadline.
+    // Sessions are woken periodically, which lets this call check its deadline.
     Ok(state.sessions.open(connection.waker()))
 }
 
-fn answer_one(context: &ServerContext, connection: &mut FramedConnection) -> Result<(), SessionError> {
+fn serve_call(context: &ServerContext, connection: &mut FramedConnection) -> Result<(), SessionError> {
     let opened_at = Instant::now();
-    let mut answered = false;
+    let mut responded = false;
     loop {
         let closed = connection.pump()?;
-        if !answered {
-            answered = answer_next(context, connection)?;
+        if !responded {
+            responded = respond_to_next_call(context, connection)?;
         }
         if closed {
             return Ok(());
@@ -58,20 +58,23 @@
     }
 }
 
-/// Answers the call, if it has come.
-fn answer_next(context: &ServerContext, connection: &mut FramedConnection) -> Result<bool, SessionError> {
+/// Executes the call and sends the response; returns false if no complete call has been received yet.
+fn respond_to_next_call(
+    context: &ServerContext,
+    connection: &mut FramedConnection,
+) -> Result<bool, SessionError> {
     let Some(message) = connection.next_message::<FromClient>()? else { return Ok(false) };
     let Some(from_client::Said::Call(call)) = message.said else {
         return Err(SessionError::UnexpectedMessage);
     };
-    let reply = Reply { what: Some(context.reply_to(call)) };
+    let reply = Reply { what: Some(context.response_to(call)) };
     connection.send(&FromService { said: Some(from_service::Said::Reply(reply)) })?;
     connection.pump()?;
     Ok(true)
 }
 
 impl ServerContext {
-    fn reply_to(&self, call: Call) -> reply::What {
+    fn response_to(&self, call: Call) -> reply::What {
         let result = match call.what {
             Some(request) => self.execute(request),
             None => Err(CallFailure::rejected("a call that this build does not know")),
@@ -79,7 +82,7 @@
         result.unwrap_or_else(reply::What::from)
     }
 
-    /// Carries out a call; the coroutine waits while it is decided.
+    /// Executes a call. Calls that propose a command block the coroutine until its result is known.
     fn execute(&self, request: call::What) -> CallResult {
         match request {
             call::What::Publish(publish) => self.publish(publish),
