--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -60,7 +60,7 @@
 /// Publish to acknowledged by all, in milliseconds; from the moment at which the call is made.
 fn published(listen: SocketAddr, operators: SocketAddr, count: usize) -> (f64, f64) {
     let heard = subscribers(listen, count);
-    let service = AdminClient { addresses: vec![operators], keys: None };
+    let service = AdminClient { addresses: vec![operators], tls: None };
     let mut spans = Vec::new();
     for round in 0..20u64 {
         let publish = Publish {
@@ -93,7 +93,7 @@
     let mut command = Command::new(program);
     command.args(["serve", "--config"]).arg(&config).stdout(Stdio::null()).stderr(Stdio::null());
     let _process = Process::start(&mut command).unwrap();
-    let service = AdminClient { addresses: vec![operators], keys: None };
+    let service = AdminClient { addresses: vec![operators], tls: None };
     wait_until("the earlier build starts", || {
         service.call(&call::What::List(List { most: 1 }), Delivery::AtLeastOnce).is_ok()
     });
--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -112,7 +112,7 @@
     /// The members' addresses for operators, tried in turn.
     pub addresses: Vec<SocketAddr>,
     /// The operator's keys, and the name that the members' certificates carry; none without TLS.
-    pub keys: Option<TlsIdentity>,
+    pub tls: Option<TlsIdentity>,
 }
 
 /// A connection with or without TLS.
@@ -128,7 +128,7 @@
     /// `delivery` does not allow to send it again.
     pub fn call(&self, request: &call::What, delivery: Delivery) -> Result<reply::What, CallError> {
         for address in &self.addresses {
-            tls::check_address_allowed(*address, self.keys.is_some()).map_err(CallError::InsecureAddress)?;
+            tls::check_address_allowed(*address, self.tls.is_some()).map_err(CallError::InsecureAddress)?;
         }
         let started = Instant::now();
         let mut rotation = self.addresses.iter().cycle().copied();
@@ -186,7 +186,7 @@
             Some(reply::What::Error(reason)) => Err(CallError::Rejected(reason)),
             Some(reply::What::Later(reason)) => Err(CallError::Unavailable(reason)),
             Some(reply::What::Owner(holder))
-                if tls::is_address_allowed(&holder.operators, self.keys.is_some()) =>
+                if tls::is_address_allowed(&holder.operators, self.tls.is_some()) =>
             {
                 Err(CallError::HolderUnreachable { member: holder.member, address: holder.operators })
             }
@@ -201,7 +201,7 @@
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(timeout))?;
         socket.set_write_timeout(Some(timeout))?;
-        let Some(identity) = &self.keys else { return Ok(Box::new(socket)) };
+        let Some(identity) = &self.tls else { return Ok(Box::new(socket)) };
         let config = ClientTls::load(identity.files.clone()).map_err(io::Error::other)?.current();
         let name = ServerName::try_from(identity.server_name.clone()).map_err(invalid_data)?;
         let tls = ClientConnection::new(Arc::clone(&config), name).map_err(invalid_data)?;
--- a/crates/control-plane/src/cli/connection.rs
+++ b/crates/control-plane/src/cli/connection.rs
@@ -53,7 +53,7 @@
 
     /// Carries out a call.
     pub(crate) fn call(&self, request: &call::What) -> Result<reply::What, CallError> {
-        let client = AdminClient { addresses: self.service.clone(), keys: self.tls_identity() };
+        let client = AdminClient { addresses: self.service.clone(), tls: self.tls_identity() };
         client.call(request, delivery_of(request))
     }
 
--- a/crates/control-plane/tests/admin_client.rs
+++ b/crates/control-plane/tests/admin_client.rs
@@ -65,7 +65,7 @@
 }
 
 fn call(addresses: &[SocketAddr], delivery: Delivery) -> Result<reply::What, CallError> {
-    let client = AdminClient { addresses: addresses.to_vec(), keys: None };
+    let client = AdminClient { addresses: addresses.to_vec(), tls: None };
     client.call(&call::What::Members(ListMembers {}), delivery)
 }
 
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -110,7 +110,7 @@
     pub fn service(&self, numbers: &[u64]) -> AdminClient {
         AdminClient {
             addresses: numbers.iter().map(|number| self.node(*number).operators).collect(),
-            keys: None,
+            tls: None,
         }
     }
 
--- a/tests/common/group/node.rs
+++ b/tests/common/group/node.rs
@@ -88,7 +88,7 @@
 
     /// Calls this one, and whomever it names.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
-        call_service(&AdminClient { addresses: vec![self.operators], keys: None }, &what)
+        call_service(&AdminClient { addresses: vec![self.operators], tls: None }, &what)
     }
 
     /// Names by ordinal, as it knows them; none while no roster is managed.
