--- a/crates/control-plane/src/client/fencing.rs
+++ b/crates/control-plane/src/client/fencing.rs
@@ -1,4 +1,4 @@
-//! Which messages take effect: those of the latest lease holder only.
+//! Fencing of received messages: only those of the latest lease holder take effect.
 
 use std::sync::atomic::Ordering;
 
@@ -11,37 +11,39 @@
 
 use crate::{failpoints, lock};
 
-use super::ordinal::OrdinalCheck;
+use super::ordinal::OrdinalUpdateCause;
 use super::state::FencedMessage;
 use super::storage_queue::StorageRequest;
 use super::subscriber::ConfigSubscriber;
 
-/// A lease that is counted from this reading never expires.
-const END_OF_TIME: Timestamp = Timestamp::from_millis(u64::MAX);
+/// The latest reading of the clock; a lease that begins at it never expires.
+const MAX_TIMESTAMP: Timestamp = Timestamp::from_millis(u64::MAX);
 
 impl ConfigSubscriber {
-    /// Has a message take effect unless it was sent under a former term of the role.
+    /// Applies a message, or rejects it if it was sent under a term of the role lower than the highest seen.
+    /// If its term must be stored first, the message is applied after that.
     pub(super) fn check_fencing(&self, role: &str, term: u64, message: FencedMessage) {
         let actions = lock(&self.state).fencing.check(role, term, message);
-        self.carry_out_fencing(actions);
+        self.execute_fencing_actions(actions);
     }
 
-    pub(super) fn carry_out_fencing(&self, actions: Vec<FencingAction<FencedMessage>>) {
+    /// Stores terms, and applies or rejects messages, as the fencing guard decided.
+    pub(super) fn execute_fencing_actions(&self, actions: Vec<FencingAction<FencedMessage>>) {
         for action in actions {
             match action {
                 FencingAction::Persist(terms) => self.storage.submit(StorageRequest::StoreTerms(terms)),
-                FencingAction::Accept(message) => self.accept(message),
+                FencingAction::Accept(message) => self.apply_message(message),
                 FencingAction::Reject(message, FencingRejected::StaleTerm { .. })
                     if failpoints::is_check_disabled("receiver") =>
                 {
-                    self.accept(message);
+                    self.apply_message(message);
                 }
-                FencingAction::Reject(message, reason) => self.reject(message, reason),
+                FencingAction::Reject(message, reason) => self.reject_message(message, reason),
             }
         }
     }
 
-    fn accept(&self, message: FencedMessage) {
+    fn apply_message(&self, message: FencedMessage) {
         match message {
             FencedMessage::LeaseHolder { stream } => {
                 if lock(&self.state).stream.id == stream {
@@ -49,22 +51,23 @@
                 }
             }
             FencedMessage::Offer { stream, offer } => {
-                let (version, nonce, term) = (offered_number(&offer), offer.nonce, offer.term);
+                let version = offered_version(&offer);
+                let (nonce, term) = (offer.nonce, offer.term);
                 tracing::info!(version, nonce, role = CONFIGURATION_ROLE, term, "version offered");
                 self.handle_version_event(Event::Offered { stream, offer });
             }
             FencedMessage::Ordinal { requested_at, grant } => {
                 let never_expires = failpoints::is_check_disabled("seat");
-                let requested_at = if never_expires { END_OF_TIME } else { requested_at };
+                let requested_at = if never_expires { MAX_TIMESTAMP } else { requested_at };
                 let is_confirmed = lock(&self.state).ordinal.lease.confirm(requested_at, grant);
                 if is_confirmed {
-                    self.update_ordinal(OrdinalCheck::Confirmation);
+                    self.update_ordinal(OrdinalUpdateCause::Confirmed);
                 }
             }
         }
     }
 
-    fn reject(&self, message: FencedMessage, reason: FencingRejected) {
+    fn reject_message(&self, message: FencedMessage, reason: FencingRejected) {
         match message {
             FencedMessage::LeaseHolder { .. } => {
                 tracing::warn!(role = CONFIGURATION_ROLE, "announced lease holder rejected: {reason}");
@@ -72,7 +75,7 @@
             FencedMessage::Offer { stream, offer } => {
                 let id = OfferId { stream, nonce: offer.nonce };
                 let outcome = Err(reject_reason(reason));
-                self.answer(&mut lock(&self.state), id, offered_number(&offer), outcome);
+                self.respond_to_offer(&mut lock(&self.state), id, offered_version(&offer), outcome);
             }
             FencedMessage::Ordinal { grant, .. } => {
                 let (term, epoch) = (grant.term, grant.epoch);
@@ -82,12 +85,12 @@
     }
 }
 
-/// The version that is offered; 0: the offer names none.
-fn offered_number(offer: &Offer) -> u64 {
+/// The configuration version that an offer names; 0 if it names none.
+fn offered_version(offer: &Offer) -> u64 {
     offer.version.as_ref().map_or(0, |version| version.number)
 }
 
-/// The answer to an offer that was rejected for its term.
+/// The reject reason that is sent for an offer which fencing rejected.
 fn reject_reason(reason: FencingRejected) -> RejectReason {
     match reason {
         FencingRejected::StaleTerm { term, highest } => RejectReason::StaleTerm { term, seen: highest },
--- a/crates/control-plane/src/client/ordinal.rs
+++ b/crates/control-plane/src/client/ordinal.rs
@@ -1,4 +1,4 @@
-//! The ordinal that the proxy holds a lease on.
+//! The proxy's ordinal, which it uses while it holds a lease on it.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_leadership::ORDINALS_ROLE;
@@ -10,40 +10,43 @@
 use super::proxy_handle::PositionLease;
 use super::subscriber::ConfigSubscriber;
 
-/// Why the ordinal is looked at.
+/// The cause of an update of the ordinal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum OrdinalCheck {
-    /// The leader has confirmed it, which renews the lease.
-    Confirmation,
-    /// Time has passed, and the lease may have expired.
-    Clock,
+pub(super) enum OrdinalUpdateCause {
+    /// A control server confirmed the ordinal, which renews the lease.
+    Confirmed,
+    /// The periodic check, which finds expired leases.
+    Timer,
 }
 
 impl ConfigSubscriber {
-    /// Assigns the proxy its ordinal, if it has changed, was confirmed or its lease has expired.
-    pub(super) fn update_ordinal(&self, check: OrdinalCheck) {
+    /// Passes the leased position to the proxy if the lease was renewed, or the position changed or expired.
+    pub(super) fn update_ordinal(&self, cause: OrdinalUpdateCause) {
         let now = clock::now();
         let mut state = lock(&self.state);
-        let (held, term) = (state.ordinal.lease.position(now), state.fencing.term(ORDINALS_ROLE));
-        let position = held.map(|leased| leased.position);
-        let has_changed = std::mem::replace(&mut state.ordinal.assigned, position) != position;
-        let is_renewed = check == OrdinalCheck::Confirmation && held.is_some();
+        let leased = state.ordinal.lease.position(now);
+        let term = state.fencing.term(ORDINALS_ROLE);
+        let position = leased.map(|leased| leased.position);
+        let previous = std::mem::replace(&mut state.ordinal.assigned, position);
+        let has_changed = previous != position;
+        let is_renewed = cause == OrdinalUpdateCause::Confirmed && leased.is_some();
         if !has_changed && !is_renewed {
             return;
         }
         let epoch = state.ordinal.lease.last_grant().map_or(0, |grant| grant.epoch);
         drop(state);
-        log_ordinal(held, has_changed, now, term, epoch);
-        self.proxy.assign_position(held.map(|leased| PositionLease {
+        log_ordinal(leased, has_changed, now, term, epoch);
+        self.proxy.assign_position(leased.map(|leased| PositionLease {
             position: leased.position,
             valid_for: leased.expires_at.duration_since(now),
         }));
     }
 }
 
-fn log_ordinal(held: Option<LeasedPosition>, has_changed: bool, now: Timestamp, term: u64, epoch: u64) {
+fn log_ordinal(leased: Option<LeasedPosition>, has_changed: bool, now: Timestamp, term: u64, epoch: u64) {
     let role = ORDINALS_ROLE;
-    let Some(LeasedPosition { position: FleetPosition::Ordinal { ordinal, fleet_size }, expires_at }) = held
+    let Some(LeasedPosition { position: FleetPosition::Ordinal { ordinal, fleet_size }, expires_at }) =
+        leased
     else {
         tracing::warn!(role, term, epoch, "ordinal lost");
         return;
--- a/crates/control-plane/src/client/persistence.rs
+++ b/crates/control-plane/src/client/persistence.rs
@@ -1,7 +1,7 @@
-//! The last good version and the highest terms on disk, and the thread that writes them.
+//! Storage of the last good version and of the highest terms, and the thread that writes them to disk.
 //!
-//! The directory of a proxy belongs to one process at a time. A successor starts on what its predecessor has stored, and
-//! stores itself once the predecessor has ended.
+//! One process at a time may write to the directory of a proxy. During a hand-over the new process starts
+//! with what its predecessor stored, and writes only after the predecessor has ended.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,45 +22,45 @@
 use super::storage_queue::StorageRequest;
 use super::subscriber::{ConfigSubscriber, POLL_INTERVAL};
 
-/// The most bytes of a stored version: a document, and what is stored along with it.
-const MAX_VERSION_LENGTH: usize = MAX_DOCUMENT_LENGTH + 1024;
-/// The most bytes of all terms.
-const MAX_TERMS_LENGTH: usize = 1024 * 1024;
-/// The directory of the terms within that of the proxy.
+/// The largest stored version: a document, and up to 1 KiB of metadata.
+const MAX_VERSION_BYTES: usize = MAX_DOCUMENT_LENGTH + 1024;
+/// The largest stored set of terms.
+const MAX_TERMS_BYTES: usize = 1024 * 1024;
+/// The subdirectory of the proxy's state directory that holds the terms.
 const TERMS_DIRECTORY: &str = "terms";
 
-/// Why something cannot be stored.
+/// Why a version or the terms cannot be stored. The text is sent to the control server as the reject reason.
 #[derive(Debug, thiserror::Error)]
 enum PersistenceError {
-    /// A predecessor has not ended yet.
+    /// The predecessor of this process has not ended yet.
     #[error("another process holds the store")]
     Locked,
-    /// The directory of the terms is held by another process, or cannot be made.
+    /// The directory of the terms is locked by another process, or cannot be created.
     #[error("the folder for terms cannot be used")]
     TermsUnavailable,
     #[error(transparent)]
     Storage(#[from] StorageError),
 }
 
-/// Opens the slots of versions; `None` while another process holds them.
+/// Opens the stored versions for writing; `None` while another process has them locked.
 pub(super) fn open_versions(directory: &Path) -> Result<Option<SnapshotSlots>, StorageError> {
-    match SnapshotSlots::open(directory, MAX_VERSION_LENGTH) {
+    match SnapshotSlots::open(directory, MAX_VERSION_BYTES) {
         Ok(slots) => Ok(Some(slots)),
         Err(StorageError::Locked { .. }) => Ok(None),
         Err(error) => Err(error),
     }
 }
 
-/// Reads the stored versions, the newest first, also while another process holds them.
+/// Reads the stored versions, newest first. Works also while another process has them locked.
 pub(super) fn read_versions(directory: &Path) -> Vec<Result<Vec<u8>, StorageFailure>> {
-    let stored = read_unlocked(directory, MAX_VERSION_LENGTH).into_iter();
-    stored.map(|found| found.map_err(StorageFailure::new)).collect()
+    let values = read_unlocked(directory, MAX_VERSION_BYTES).into_iter();
+    values.map(|value| value.map_err(StorageFailure::new)).collect()
 }
 
-/// Reads the highest terms that were seen, by role.
+/// Reads the highest stored term of each role; empty if none can be read.
 pub(super) fn read_terms(directory: &Path) -> BTreeMap<String, u64> {
-    for found in read_unlocked(&directory.join(TERMS_DIRECTORY), MAX_TERMS_LENGTH) {
-        let decoded = found
+    for value in read_unlocked(&directory.join(TERMS_DIRECTORY), MAX_TERMS_BYTES) {
+        let decoded = value
             .map_err(StorageFailure::new)
             .and_then(|bytes| Charter::decode(bytes.as_slice()).map_err(StorageFailure::new));
         match decoded {
@@ -72,21 +72,24 @@
 }
 
 fn encode_terms(terms: &BTreeMap<String, u64>) -> Vec<u8> {
-    let role = |(name, term): (&String, &u64)| Duty { name: name.clone(), term: *term, ..Duty::default() };
-    let message = Charter { duties: terms.iter().map(role).collect(), ..Charter::default() };
+    let roles = terms.iter().map(|(name, term)| Duty { name: name.clone(), term: *term, ..Duty::default() });
+    let message = Charter { duties: roles.collect(), ..Charter::default() };
     message.encode_to_vec()
 }
 
-/// The thread that writes to disk.
+/// The thread that writes versions and terms to disk, and reloads changed TLS keys.
 pub(super) struct StorageThread {
     subscriber: Arc<ConfigSubscriber>,
     requests: Receiver<StorageRequest>,
+    /// The stored versions; `None` while another process has them locked.
     versions: Option<SnapshotSlots>,
+    /// The stored terms; opened when the first are written.
     terms: Option<SnapshotSlots>,
 }
 
 impl StorageThread {
-    /// Starts the thread. `versions` are the slots of versions, if no other process holds them.
+    /// Starts the thread. `versions` is `None` if another process has the stored versions locked; the thread
+    /// then retries to open them.
     pub(super) fn spawn(
         subscriber: Arc<ConfigSubscriber>,
         versions: Option<SnapshotSlots>,
@@ -109,15 +112,15 @@
             }
             if self.versions.is_none() {
                 let directory = &self.subscriber.settings.state_directory;
-                self.versions = SnapshotSlots::open(directory, MAX_VERSION_LENGTH).ok();
+                self.versions = SnapshotSlots::open(directory, MAX_VERSION_BYTES).ok();
             }
             if let Some(request) = request {
-                self.carry_out(request);
+                self.execute(request);
             }
         }
     }
 
-    fn carry_out(&mut self, request: StorageRequest) {
+    fn execute(&mut self, request: StorageRequest) {
         match request {
             StorageRequest::StageVersion { number, bytes } => {
                 let result = self.stage_version(&bytes).map_err(StorageFailure::new);
@@ -136,7 +139,7 @@
                 }
                 let result = result.map_err(PersistError::new);
                 let actions = lock(&self.subscriber.state).fencing.on_persisted(result);
-                self.subscriber.carry_out_fencing(actions);
+                self.subscriber.execute_fencing_actions(actions);
             }
         }
     }
@@ -153,12 +156,12 @@
         Ok(self.versions()?.commit()?)
     }
 
-    /// Stores the terms; only the process that holds the slots of versions may.
+    /// Stores the terms. Only the process that has locked the stored versions may write them.
     fn store_terms(&mut self, terms: &BTreeMap<String, u64>) -> Result<(), PersistenceError> {
         self.versions()?;
         if self.terms.is_none() {
             let directory = self.subscriber.settings.state_directory.join(TERMS_DIRECTORY);
-            self.terms = SnapshotSlots::open(&directory, MAX_TERMS_LENGTH).ok();
+            self.terms = SnapshotSlots::open(&directory, MAX_TERMS_BYTES).ok();
         }
         let slots = self.terms.as_ref().ok_or(PersistenceError::TermsUnavailable)?;
         slots.stage(&encode_terms(terms))?;
--- a/crates/control-plane/src/client/proxy_handle.rs
+++ b/crates/control-plane/src/client/proxy_handle.rs
@@ -1,4 +1,4 @@
-//! What the subscriber needs of the proxy that it runs in.
+//! The interface of the proxy that the subscriber uses.
 
 use std::time::Duration;
 
@@ -6,23 +6,24 @@
 use gaugestep_config::proxy_state::ProxyState;
 use gaugestep_subsetting::position::FleetPosition;
 
-/// The proxy as the subscriber sees it.
+/// The proxy in which a subscriber runs.
 pub trait ProxyHandle: Send + Sync + 'static {
-    /// Calls `then` with the proxy as it runs, which does not change before that has returned: neither the list of engines
-    /// nor the settings. Requests may come and go.
-    fn with_state(&self, then: &mut dyn FnMut(&ProxyState));
-    /// Puts the document in force. Called from within [`with_state`](Self::with_state).
+    /// Calls `callback` with the state of the proxy. The list of engines and the settings do not change until
+    /// `callback` returns; requests may start and end meanwhile.
+    fn with_state(&self, callback: &mut dyn FnMut(&ProxyState));
+    /// Puts the document in force. Called from a callback of [`with_state`](Self::with_state).
     fn apply(&self, document: &Document);
-    /// What became of requests since the proxy's start.
+    /// The number of requests since the proxy's start, by outcome.
     fn request_totals(&self) -> RequestTotals;
-    /// The proxy holds a lease on this position from now on; `None`: on none, so that its position follows from its name.
+    /// Sets the position that the proxy has a lease on. `None` ends the lease: the proxy then derives its
+    /// position from its name.
     fn assign_position(&self, lease: Option<PositionLease>);
 }
 
 /// Requests since the proxy's start, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// Requests served.
+    /// Requests that were served.
     pub succeeded: u64,
     /// Requests that were rejected.
     pub rejected: u64,
@@ -35,6 +36,6 @@
 pub struct PositionLease {
     /// The position.
     pub position: FleetPosition,
-    /// For how long the lease holds from now on.
+    /// The time from now until the lease expires.
     pub valid_for: Duration,
 }
--- a/crates/control-plane/src/client/session.rs
+++ b/crates/control-plane/src/client/session.rs
@@ -1,4 +1,4 @@
-//! The messages on one stream: hello and welcome, offers and answers, and reports at intervals.
+//! The messages on one stream: hello and welcome, offers and responses to them, and periodic reports.
 
 use std::convert::Infallible;
 use std::io;
@@ -24,13 +24,13 @@
 use super::state::{FencedMessage, SubscriberState};
 use super::subscriber::ConfigSubscriber;
 
-/// A server that cannot be connected to within this time is given up for now.
+/// The timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A server that has not sent its welcome within this time is given up.
+/// The time within which a server must send its welcome, or the stream is closed.
 const WELCOME_TIMEOUT: Duration = Duration::from_secs(5);
-/// A server that has sent nothing for this long is given up.
+/// The time after which a stream is closed if the server sends nothing.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How often the proxy reports the outcomes of its requests, which is its heartbeat too.
+/// The interval at which the proxy reports the outcomes of its requests. The report is also its heartbeat.
 const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Why a stream has ended.
@@ -40,28 +40,28 @@
     Connect(#[from] io::Error),
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    #[error("the server has closed")]
+    #[error("the server has closed the connection")]
     Closed,
-    #[error("the server is silent")]
-    Silent,
-    #[error("the server speaks protocol {0}, this build speaks {PROTOCOL}")]
+    #[error("no message from the server within the timeout")]
+    TimedOut,
+    #[error("the server uses protocol version {0}, this build uses {PROTOCOL}")]
     UnsupportedProtocol(u32),
-    #[error("the server offers a version before its welcome")]
+    #[error("the server sent an offer before its welcome")]
     OfferBeforeWelcome,
-    #[error("member {} holds the lease on the configuration, under term {}", .0.member, .0.term)]
+    #[error("the server names member {} as holder of the configuration role, under term {}", .0.member, .0.term)]
     OtherLeaseHolder(RoleHolder),
-    #[error("the server names no holder of the lease on the configuration")]
+    #[error("the server names no holder of the configuration role")]
     NoLeaseHolder,
 }
 
-/// How far a session has come.
+/// The phase of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     AwaitingWelcome,
     Established,
 }
 
-/// One stream to a server.
+/// One stream to a control server.
 pub(super) struct Session<'a> {
     subscriber: &'a ConfigSubscriber,
     server: SocketAddr,
@@ -115,9 +115,9 @@
                 return Err(StreamError::Closed);
             }
             self.check_timeouts()?;
-            let has_answered = self.send_answers()?;
+            let has_responded = self.send_responses()?;
             let has_reported = self.send_report()?;
-            if has_answered || has_reported {
+            if has_responded || has_reported {
                 self.connection.pump()?;
             }
             self.connection.wait();
@@ -136,7 +136,8 @@
             }
             Some(from_service::Said::Offer(_)) => return Err(StreamError::OfferBeforeWelcome),
             Some(from_service::Said::Seated(ordinal)) if is_established => self.on_ordinal(ordinal),
-            // Meant for other clients, or known to later builds only.
+            // Ignored: an ordinal before the welcome, messages for other kinds of clients, and those of later
+            // builds.
             Some(
                 from_service::Said::Seated(_)
                 | from_service::Said::Reply(_)
@@ -161,7 +162,8 @@
 
     fn on_ordinal(&self, ordinal: Seated) {
         let Seated { term, epoch, asked_ms, seat, seats } = ordinal;
-        // Before the first report nothing was requested: the answer to that report counts.
+        // 0 means that the proxy has not sent a report yet. Only the response to a report can renew the
+        // lease.
         if asked_ms > 0 {
             let assignment = seat.map(|ordinal| OrdinalAssignment { ordinal, fleet_size: seats });
             let grant = OrdinalGrant { term, epoch, assignment };
@@ -171,22 +173,22 @@
     }
 
     fn check_timeouts(&self) -> Result<(), StreamError> {
-        let has_no_welcome =
+        let is_welcome_overdue =
             self.phase == Phase::AwaitingWelcome && self.opened_at.elapsed() >= WELCOME_TIMEOUT;
-        if has_no_welcome || self.last_received.elapsed() >= SILENCE_TIMEOUT {
-            return Err(StreamError::Silent);
+        if is_welcome_overdue || self.last_received.elapsed() >= SILENCE_TIMEOUT {
+            return Err(StreamError::TimedOut);
         }
         Ok(())
     }
 
-    /// Sends the answers that wait. Returns whether there were any.
-    fn send_answers(&mut self) -> Result<bool, StreamError> {
-        let answers = std::mem::take(&mut lock(&self.subscriber.state).stream.answers);
-        let has_answers = !answers.is_empty();
-        for answer in answers {
-            send(&mut self.connection, from_client::Said::Answer(answer))?;
+    /// Sends the pending responses to offers. Returns whether there were any.
+    fn send_responses(&mut self) -> Result<bool, StreamError> {
+        let responses = std::mem::take(&mut lock(&self.subscriber.state).stream.pending_responses);
+        let has_responses = !responses.is_empty();
+        for response in responses {
+            send(&mut self.connection, from_client::Said::Answer(response))?;
         }
-        Ok(has_answers)
+        Ok(has_responses)
     }
 
     /// Sends a report if one is due. Returns whether it was.
@@ -207,7 +209,7 @@
 
 impl ConfigSubscriber {
     fn hello(&self, state: &SubscriberState) -> Hello {
-        let seen = state.fencing.terms().iter();
+        let highest_terms = state.fencing.terms().iter();
         let in_force_for = self.now().duration_since(state.tracker.in_force_since());
         Hello {
             protocol: PROTOCOL,
@@ -217,38 +219,46 @@
             age_ms: in_force_for.as_millis() as u64,
             incarnation: self.incarnation,
             name_term: state.identity.term,
-            seen: seen.map(|(role, term)| Seen { duty: role.clone(), term: *term }).collect(),
+            seen: highest_terms.map(|(role, term)| Seen { duty: role.clone(), term: *term }).collect(),
         }
     }
 
-    /// What became of requests so far, which also requests that the ordinal be confirmed.
+    /// The report: the outcomes of requests since the start. It also requests a confirmation of the ordinal.
     fn report(&self) -> Figures {
         let totals = self.proxy.request_totals();
-        let number = lock(&self.state).tracker.in_force().map_or(0, |accepted| accepted.version.number);
+        let version = lock(&self.state).tracker.in_force().map_or(0, |accepted| accepted.version.number);
         Figures {
             succeeded: totals.succeeded,
             declined: totals.rejected,
             aborted: totals.failed,
-            number,
+            number: version,
             asked_ms: clock::now().as_millis_f64() as u64,
         }
     }
 
-    /// Another process has the proxy's name from now on.
+    /// Handles the message that another process was granted the proxy's name.
     fn on_superseded(&self, message: &Displaced) {
         let (name_term, by) = (message.name_term, format!("{:016x}", message.by));
-        tracing::error!(name_term, by, "another process has this proxy's name: nothing is offered here");
+        tracing::error!(
+            name_term,
+            by,
+            "another process was granted this proxy's name; this process receives no more versions"
+        );
         lock(&self.state).identity.is_superseded = true;
     }
 
-    /// A server says who it is and who the leader is. An error if another server is to be tried.
+    /// Handles a server's welcome, which names the server and the holder of the configuration role.
+    ///
+    /// # Errors
+    ///
+    /// [`StreamError`] if the stream must be closed, to try another server.
     fn on_welcome(&self, stream: u64, welcome: &Welcome) -> Result<(), StreamError> {
-        let holder = lease_holder(welcome);
+        let holder = announced_holder(welcome);
         let decision = {
             let mut state = lock(&self.state);
             state.identity.on_name_granted(welcome.name_term);
-            let is_unfenced = failpoints::is_check_disabled("receiver");
-            let highest_term = if is_unfenced { 0 } else { state.fencing.term(CONFIGURATION_ROLE) };
+            let is_fencing_disabled = failpoints::is_check_disabled("receiver");
+            let highest_term = if is_fencing_disabled { 0 } else { state.fencing.term(CONFIGURATION_ROLE) };
             state.discovery.on_welcome(self.now(), welcome.member, holder, highest_term)
         };
         if decision == StreamDecision::Close {
@@ -264,8 +274,8 @@
     }
 }
 
-/// The member that holds the lease on the configuration, and its term, as a server says.
-fn lease_holder(welcome: &Welcome) -> Option<RoleHolder> {
+/// The holder of the configuration role that a welcome names, and its term; `None` if it names none.
+fn announced_holder(welcome: &Welcome) -> Option<RoleHolder> {
     let owner = welcome.owner.as_ref().filter(|owner| owner.duty == CONFIGURATION_ROLE)?;
     Some(RoleHolder { member: owner.member, term: owner.term })
 }
--- a/crates/control-plane/src/client/settings.rs
+++ b/crates/control-plane/src/client/settings.rs
@@ -1,4 +1,4 @@
-//! How a proxy follows the control plane.
+//! Settings of a proxy's connection to the control servers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,20 +7,20 @@
 
 use crate::transport::tls::{self, TlsError, TlsFiles, TlsIdentity};
 
-/// How a proxy follows the control plane.
+/// Settings of a proxy's connection to the control servers.
 #[derive(Clone, Debug)]
 pub struct SubscriberSettings {
     /// The proxy's name.
     pub proxy: String,
-    /// Its build.
+    /// The proxy's build, which operators see.
     pub build: String,
-    /// The servers' addresses, tried in turn.
+    /// The addresses of the control servers, tried in turn.
     pub servers: Vec<SocketAddr>,
     /// The directory of the last good version and of the highest terms.
     pub state_directory: PathBuf,
-    /// Keys; `None` without TLS.
+    /// The proxy's TLS certificate and key, and the name expected of the servers; `None` without TLS.
     pub tls: Option<TlsIdentity>,
-    /// The seed of the waits between connection attempts.
+    /// The seed of the random delays between connection attempts.
     pub seed: u64,
 }
 
@@ -33,23 +33,23 @@
         /// The field.
         field: &'static str,
     },
-    /// A server is not named by an address.
+    /// An entry of the list of servers is not an IP address with a port.
     #[error("'control.services' names '{text}', no address")]
     InvalidAddress {
-        /// What it is named by.
+        /// The entry.
         text: String,
     },
-    /// The keys, or their absence, cannot be used.
+    /// The TLS keys cannot be used, or are missing where they are required.
     #[error(transparent)]
     Tls(#[from] TlsError),
 }
 
 impl SubscriberSettings {
-    /// The settings in an operator's file. `seed` should differ from proxy to proxy.
+    /// Validates the `control` section of an operator's file. `seed` should differ from proxy to proxy.
     ///
     /// # Errors
     ///
-    /// [`SubscriberSettingsError`] for the first field that cannot be used.
+    /// [`SubscriberSettingsError`] for the first invalid field.
     pub fn from_config(
         config: &schema::Control,
         proxy: &str,
--- a/crates/control-plane/src/client/start.rs
+++ b/crates/control-plane/src/client/start.rs
@@ -1,4 +1,4 @@
-//! The start of a subscriber: what it finds on disk, and the thread and the coroutines that run it.
+//! The start of a subscriber: recovers the stored state, and starts the thread and the coroutines.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64};
@@ -12,7 +12,7 @@
 use crate::transport::connection::STACK_WORDS;
 use crate::transport::tls::{ClientTls, TlsError};
 
-use super::ordinal::OrdinalCheck;
+use super::ordinal::OrdinalUpdateCause;
 use super::persistence::{self, StorageThread};
 use super::proxy_handle::ProxyHandle;
 use super::settings::SubscriberSettings;
@@ -21,36 +21,37 @@
 use super::subscriber::{ConfigSubscriber, POLL_INTERVAL};
 use super::versions;
 
-/// Why a proxy cannot follow the control plane.
+/// Why a subscriber cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its keys cannot be used.
+    /// The TLS keys cannot be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
     /// The directory of the last good version cannot be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The system does not allow another thread.
+    /// The storage thread cannot be started.
     #[error("cannot start a thread: {0}")]
     Thread(#[source] io::Error),
-    /// The system does not allow another coroutine.
+    /// A coroutine cannot be started.
     #[error("cannot start a coroutine: {0}")]
     Coroutine(#[source] io::Error),
 }
 
 impl ConfigSubscriber {
-    /// Applies the last good version, if there is one, and begins to follow.
+    /// Applies the last good version, if one is stored, and starts to connect to the control servers.
     ///
     /// # Errors
     ///
-    /// [`StartError`] if the keys or the directory cannot be used, or a thread or coroutine cannot be started.
+    /// [`StartError`] if the keys or the directory cannot be used, or a thread or coroutine cannot be
+    /// started.
     pub fn start(settings: SubscriberSettings, proxy: Arc<dyn ProxyHandle>) -> Result<Arc<Self>, StartError> {
         let tls = settings.tls.as_ref().map(|tls| ClientTls::load(tls.files.clone())).transpose()?;
-        let slots = persistence::open_versions(&settings.state_directory)?;
+        let version_slots = persistence::open_versions(&settings.state_directory)?;
         let terms = persistence::read_terms(&settings.state_directory);
-        let incarnation = draw_incarnation(settings.seed);
-        let stored = persistence::read_versions(&settings.state_directory);
-        let tracker = versions::recover(stored, &*proxy);
+        let incarnation = random_incarnation(settings.seed);
+        let stored_versions = persistence::read_versions(&settings.state_directory);
+        let tracker = versions::recover(stored_versions, &*proxy);
         let state = SubscriberState::new(tracker, terms, settings.servers.len());
         let (storage, requests) = StorageQueue::new();
         let subscriber = Arc::new(ConfigSubscriber {
@@ -64,28 +65,29 @@
             rejected: AtomicU64::new(0),
             incarnation,
         });
-        StorageThread::spawn(subscriber.clone(), slots, requests).map_err(StartError::Thread)?;
-        let following = subscriber.clone();
-        task::spawn_with_large_stack("versions", STACK_WORDS, move || following.follow_servers())
+        StorageThread::spawn(subscriber.clone(), version_slots, requests).map_err(StartError::Thread)?;
+        let stream_owner = subscriber.clone();
+        task::spawn_with_large_stack("versions", STACK_WORDS, move || stream_owner.follow_servers())
             .map_err(StartError::Coroutine)?;
-        let polling = subscriber.clone();
-        task::spawn("version clocks", move || polling.poll_clocks()).map_err(StartError::Coroutine)?;
+        let timer_owner = subscriber.clone();
+        task::spawn("version clocks", move || timer_owner.run_timer()).map_err(StartError::Coroutine)?;
         Ok(subscriber)
     }
 
-    /// Looks at clocks for as long as the process runs.
-    fn poll_clocks(&self) {
+    /// Checks the ordinal's lease periodically, and wakes the stream's coroutine to check its timeouts. Does
+    /// not return.
+    fn run_timer(&self) {
         loop {
             task::sleep(POLL_INTERVAL);
-            self.update_ordinal(OrdinalCheck::Clock);
+            self.update_ordinal(OrdinalUpdateCause::Timer);
             lock(&self.state).stream.wake();
         }
     }
 }
 
-/// A number that no other process of the fleet should have drawn; not 0.
-fn draw_incarnation(seed: u64) -> u64 {
+/// Returns a random number that identifies this process within the fleet; never 0.
+fn random_incarnation(seed: u64) -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let drawn = seed ^ since_epoch.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
-    drawn.max(1)
+    let incarnation = seed ^ since_epoch.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
+    incarnation.max(1)
 }
--- a/crates/control-plane/src/client/state.rs
+++ b/crates/control-plane/src/client/state.rs
@@ -1,4 +1,4 @@
-//! The state that the coroutine of the stream, the coroutine of the clocks and the storage thread share.
+//! The state that the coroutines of the stream and of the timer share with the storage thread.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +11,7 @@
 use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
 use gaugestep_subsetting::position::FleetPosition;
 
-/// The state of a subscriber; see the [module](super) for who locks it when.
+/// The state of a subscriber. The [module](super) documents the order of its lock among others.
 pub(super) struct SubscriberState {
     pub(super) tracker: VersionTracker,
     pub(super) stream: CurrentStream,
@@ -27,40 +27,41 @@
     LeaseHolder { stream: u64 },
     /// A version is offered on a stream.
     Offer { stream: u64, offer: Box<Offer> },
-    /// The proxy's ordinal, confirmed for a report of that time on the proxy's [`clock`](crate::clock).
+    /// The proxy's ordinal, confirmed in response to the report that was sent at `requested_at` on the
+    /// proxy's [`clock`](crate::clock).
     Ordinal { requested_at: Timestamp, grant: OrdinalGrant },
 }
 
-/// The stream that is open.
+/// The current stream to a control server.
 #[derive(Default)]
 pub(super) struct CurrentStream {
-    /// Its number; the numbers of streams rise.
+    /// The number of the stream, from 1; each new stream has the next one.
     pub(super) id: u64,
-    /// Answers that are to be sent on it.
-    pub(super) answers: VecDeque<Answer>,
-    /// Wakes the coroutine that owns it, while it is connected.
+    /// Responses to offers that are still to be sent on it.
+    pub(super) pending_responses: VecDeque<Answer>,
+    /// Wakes the coroutine that owns the stream; `None` while not connected.
     pub(super) waker: Option<Waker>,
 }
 
-/// The ordinal that the proxy holds a lease on.
+/// The lease on the proxy's ordinal, and the position in use.
 #[derive(Default)]
 pub(super) struct OrdinalState {
     pub(super) lease: OrdinalLease,
-    /// The position that the proxy was assigned last.
+    /// The position that was last passed to the proxy; `None` if it has no lease.
     pub(super) assigned: Option<FleetPosition>,
 }
 
-/// Whether this process has the proxy's name.
+/// Whether the control servers know this process under the proxy's name.
 #[derive(Default)]
 pub(super) struct IdentityState {
-    /// The term under which it was granted the name; 0: it never was.
+    /// The term under which this process was granted the name; 0 if it never was.
     pub(super) term: u64,
-    /// Another process has the name now.
+    /// Whether another process was granted the name since.
     pub(super) is_superseded: bool,
 }
 
 impl SubscriberState {
-    /// The state at the start, with what was found on disk.
+    /// The initial state, with the recovered versions and terms.
     pub(super) fn new(tracker: VersionTracker, terms: BTreeMap<String, u64>, servers: usize) -> Self {
         SubscriberState {
             tracker,
@@ -74,7 +75,7 @@
 }
 
 impl IdentityState {
-    /// A server granted this process the proxy's name under a term; 0: it did not.
+    /// Handles a welcome that grants this process the proxy's name under `term`; 0 if it grants nothing.
     pub(super) fn on_name_granted(&mut self, term: u64) {
         if term == 0 {
             return;
@@ -87,7 +88,7 @@
 }
 
 impl CurrentStream {
-    /// Wakes the coroutine that owns the stream, to send what waits or to look at its clocks.
+    /// Wakes the coroutine that owns the stream, to send pending responses or to check its timeouts.
     pub(super) fn wake(&self) {
         if let Some(waker) = &self.waker {
             waker.wakeup();
--- a/crates/control-plane/src/client/status.rs
+++ b/crates/control-plane/src/client/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of a subscriber.
+//! The status of a subscriber, as operators see it.
 
 use std::sync::atomic::Ordering;
 
@@ -16,57 +16,57 @@
 /// The status of a subscriber, as the proxy's admin API shows it under `configuration`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SubscriberStatus {
-    /// The version in force; 0: none.
+    /// The version in force; 0 if there is none.
     pub version: u64,
-    /// The start of its digest; empty: none.
+    /// The first digits of the digest of the version in force; empty if there is none.
     pub digest: String,
-    /// For how many seconds it has been in force.
+    /// Seconds since the version in force was applied; `None` if there is none.
     #[serde(rename = "age_s")]
     pub in_force_seconds: Option<f64>,
-    /// The open stream is to the leader.
+    /// Whether the proxy is connected to the holder of the configuration role.
     #[serde(rename = "connected")]
     pub is_following: bool,
-    /// Versions rejected since the start.
+    /// The number of versions rejected since the start.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// The highest term seen for the configuration.
+    /// The highest term of the configuration role that was stored.
     pub term: u64,
-    /// Messages rejected for their former term since the start.
+    /// The number of messages rejected for a stale term since the start.
     #[serde(rename = "stale_refused")]
     pub stale_rejected: u64,
-    /// Identifies this process, in hexadecimal.
+    /// The random number that identifies this process, in hexadecimal.
     #[serde(rename = "process")]
     pub incarnation: String,
-    /// The term under which this process was granted the proxy's name; 0: it never was.
+    /// The term under which this process was granted the proxy's name; 0 if it never was.
     pub name_term: u64,
-    /// Another process has the proxy's name.
+    /// Whether another process was granted the proxy's name since.
     #[serde(rename = "displaced")]
     pub name_is_superseded: bool,
-    /// The ordinal that the proxy holds.
+    /// The ordinal that the proxy has a lease on; `None` without a lease.
     #[serde(rename = "seat")]
     pub ordinal: Option<OrdinalStatus>,
-    /// The version that was rejected last.
+    /// The version that was rejected last; `None` if none was.
     #[serde(rename = "last_refusal")]
     pub last_rejection: Option<RejectionStatus>,
-    /// The routes in force that have no engine which takes work, by name.
+    /// The names of the routes in force that have no engine which accepts requests.
     #[serde(rename = "weak_routes")]
     pub routes_without_engines: Vec<String>,
 }
 
-/// The ordinal that a proxy holds a lease on.
+/// The ordinal that a proxy has a lease on.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OrdinalStatus {
     /// The ordinal, from 0.
     #[serde(rename = "seat")]
     pub ordinal: u32,
-    /// The ordinals of the fleet.
+    /// The number of ordinals in the fleet.
     #[serde(rename = "seats")]
     pub fleet_size: u32,
-    /// The epoch of the roster.
+    /// The epoch of the roster that assigned the ordinal.
     pub epoch: Option<u64>,
-    /// The term of the roster.
+    /// The highest stored term of the role that manages the roster.
     pub term: u64,
-    /// Milliseconds for which the lease still holds.
+    /// Milliseconds until the lease expires.
     #[serde(rename = "left_ms")]
     pub remaining_ms: f64,
 }
@@ -74,18 +74,18 @@
 /// A version that was rejected.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RejectionStatus {
-    /// The version.
+    /// The version's number.
     pub version: u64,
-    /// The code of the reason.
+    /// The code of the reject reason.
     pub code: &'static str,
-    /// The field at fault; empty: none.
+    /// The path of the invalid field; empty if the reason concerns no field.
     pub path: String,
-    /// The reason.
+    /// The reject reason as text.
     pub reason: String,
 }
 
 impl ConfigSubscriber {
-    /// The status at this moment.
+    /// Returns the current status.
     pub fn status(&self) -> SubscriberStatus {
         let mut routes_without_engines = Vec::new();
         self.proxy.with_state(&mut |proxy| {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The version in force, for how long, and whether the leader is followed, in a few words.
+    /// Returns the version in force, its age, and whether the proxy follows the leader, as one line.
     pub fn status_line(&self) -> String {
         let state = lock(&self.state);
         let following = if self.is_following.load(Ordering::Relaxed) { "following" } else { "no service" };
--- a/crates/control-plane/src/client/storage_queue.rs
+++ b/crates/control-plane/src/client/storage_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of work for the storage thread.
+//! The queue of requests to the storage thread.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -6,13 +6,13 @@
 
 use crate::lock;
 
-/// What the storage thread has to do.
+/// A request to the storage thread.
 pub(super) enum StorageRequest {
-    /// Store a version where a start does not look yet.
+    /// Writes a version to disk, where a restart ignores it until it is committed.
     StageVersion { number: u64, bytes: Vec<u8> },
-    /// Make the staged version the one that a start finds.
+    /// Makes the staged version the one that a restart recovers.
     CommitVersion { number: u64 },
-    /// Store the highest terms, by role.
+    /// Stores the highest term of each role.
     StoreTerms(BTreeMap<String, u64>),
 }
 
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn submit(&self, request: StorageRequest) {
-        // Only fails once the storage thread has ended, which runs as long as the process.
+        // Sending fails only after the storage thread has ended, and that thread runs as long as the process.
         let _ = lock(&self.requests).send(request);
     }
 }
--- a/crates/control-plane/src/client/stream.rs
+++ b/crates/control-plane/src/client/stream.rs
@@ -1,4 +1,4 @@
-//! Connects to one server after the other, for as long as the process runs.
+//! Connects to the control servers in turn, for as long as the process runs.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -15,24 +15,27 @@
 use super::subscriber::ConfigSubscriber;
 
 impl ConfigSubscriber {
-    /// Follows the control plane, whichever server is the leader.
+    /// Keeps a stream to the lease holder open: connects to the servers in turn, with backoff. Does not
+    /// return.
     pub(super) fn follow_servers(&self) {
         let mut backoff = Backoff::new(self.settings.seed ^ self.incarnation);
         loop {
             let server = self.next_server();
-            let began = Instant::now();
+            let started_at = Instant::now();
             let stream = self.begin_stream();
             let Err(error) = Session::open(self, server, stream).and_then(Session::run);
             let was_following = self.end_stream(stream);
-            let useful_for = if lock(&self.state).discovery.on_disconnect() == Reconnect::Promptly {
-                // The lease holder is known and was not tried yet: the delay only spreads the load of many proxies.
+            let reconnect = lock(&self.state).discovery.on_disconnect();
+            let healthy_for = if reconnect == Reconnect::Promptly {
+                // The lease holder is known and was not tried yet, so the backoff is reset. The first delay
+                // is still random, so that many proxies do not connect at the same moment.
                 Duration::MAX
             } else if was_following {
-                began.elapsed()
+                started_at.elapsed()
             } else {
                 Duration::ZERO
             };
-            let delay = backoff.next_delay(useful_for);
+            let delay = backoff.next_delay(healthy_for);
             let wait_ms = delay.as_millis() as u64;
             tracing::info!(%server, wait_ms, "configuration stream ended: {error}");
             task::sleep(delay);
@@ -45,15 +48,15 @@
         servers[endpoint % servers.len()]
     }
 
-    /// Begins a stream and returns its number. Answers to offers on earlier ones are dropped.
+    /// Begins a stream and returns its number. Pending responses to offers on earlier streams are discarded.
     fn begin_stream(&self) -> u64 {
         let mut state = lock(&self.state);
         state.stream.id += 1;
-        state.stream.answers.clear();
+        state.stream.pending_responses.clear();
         state.stream.id
     }
 
-    /// Notes that a stream has ended. Returns whether it was to the leader.
+    /// Updates the state after a stream has ended. Returns whether it was a stream to the lease holder.
     fn end_stream(&self, stream: u64) -> bool {
         let was_following = self.is_following.swap(false, Ordering::Relaxed);
         lock(&self.state).stream.waker = None;
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -1,4 +1,4 @@
-//! The subscriber itself: what its thread and its coroutines share.
+//! The subscriber, which its thread and its coroutines share.
 
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, Mutex};
@@ -14,10 +14,11 @@
 use super::state::SubscriberState;
 use super::storage_queue::StorageQueue;
 
-/// How often clocks, keys and a store that another process holds are looked at.
+/// The interval at which timeouts, the files of the TLS keys and the lock of the store are checked.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A proxy that follows the control plane.
+/// A proxy's client of the control servers: receives configuration versions and the proxy's ordinal, and
+/// reports back.
 pub struct ConfigSubscriber {
     pub(super) settings: SubscriberSettings,
     pub(super) tls: Option<ClientTls>,
@@ -25,21 +26,22 @@
     pub(super) state: Mutex<SubscriberState>,
     pub(super) storage: StorageQueue,
     pub(super) started_at: Instant,
-    /// The open stream is to the leader.
+    /// Whether the current stream is to the holder of the configuration role.
     pub(super) is_following: AtomicBool,
-    /// Versions rejected so far.
+    /// The number of versions rejected since the start.
     pub(super) rejected: AtomicU64,
-    /// Identifies this process among those that had the proxy's name.
+    /// A random number that identifies this process among those that run under the proxy's name.
     pub(super) incarnation: u64,
 }
 
 impl ConfigSubscriber {
-    /// Whether another process has the proxy's name: nothing is offered to this one any more.
+    /// Whether another process was granted the proxy's name. The control servers offer no versions to this
+    /// one then.
     pub fn name_is_superseded(&self) -> bool {
         lock(&self.state).identity.is_superseded
     }
 
-    /// The time since the start.
+    /// Returns the time since the subscriber started.
     pub(super) fn now(&self) -> Timestamp {
         Timestamp::default() + self.started_at.elapsed()
     }
--- a/crates/control-plane/src/client/versions.rs
+++ b/crates/control-plane/src/client/versions.rs
@@ -1,4 +1,4 @@
-//! Versions are applied to the proxy, stored and answered, as the version tracker decides.
+//! Applies versions to the proxy, stores them and responds to offers, as the version tracker decides.
 
 use std::sync::atomic::Ordering;
 
@@ -15,16 +15,16 @@
 use super::storage_queue::StorageRequest;
 use super::subscriber::ConfigSubscriber;
 
-/// Applies the newest stored version that can be used, and returns the tracker that begins with it.
+/// Applies the newest usable stored version, and returns a version tracker with that version in force.
 pub(super) fn recover(
-    stored: Vec<Result<Vec<u8>, StorageFailure>>,
+    stored_versions: Vec<Result<Vec<u8>, StorageFailure>>,
     proxy: &dyn ProxyHandle,
 ) -> VersionTracker {
-    let mut stored = Some(stored);
+    let mut stored_versions = Some(stored_versions);
     let mut tracker = VersionTracker::new();
     proxy.with_state(&mut |state| {
-        let Some(stored) = stored.take() else { return };
-        let recovery = VersionTracker::recover(Timestamp::default(), stored, state);
+        let Some(stored_versions) = stored_versions.take() else { return };
+        let recovery = VersionTracker::recover(Timestamp::default(), stored_versions, state);
         tracker = apply_recovered(recovery, proxy);
     });
     tracker
@@ -44,31 +44,33 @@
 }
 
 impl ConfigSubscriber {
-    /// Reports an event to the version tracker, and carries out what it decides while the proxy does not change.
+    /// Passes an event to the version tracker and executes its actions, all while the state of the proxy is
+    /// locked.
     pub(super) fn handle_version_event(&self, event: Event) {
         let mut event = Some(event);
         self.proxy.with_state(&mut |proxy| {
             let Some(event) = event.take() else { return };
             let mut state = lock(&self.state);
             for action in state.tracker.handle(self.now(), event, proxy) {
-                self.carry_out_version_action(&mut state, action);
+                self.execute_version_action(&mut state, action);
             }
         });
     }
 
-    fn carry_out_version_action(&self, state: &mut SubscriberState, action: Action) {
+    fn execute_version_action(&self, state: &mut SubscriberState, action: Action) {
         match action {
             Action::Apply(document) => self.proxy.apply(&document),
             Action::Stage { number, bytes } => {
                 self.storage.submit(StorageRequest::StageVersion { number, bytes });
             }
             Action::Commit { number } => self.storage.submit(StorageRequest::CommitVersion { number }),
-            Action::Answer { offer, number, outcome } => self.answer(state, offer, number, outcome),
+            Action::Answer { offer, number, outcome } => self.respond_to_offer(state, offer, number, outcome),
         }
     }
 
-    /// Answers an offer, if its stream is still open. Otherwise the hello of the next stream tells the version in force.
-    pub(super) fn answer(
+    /// Acknowledges or rejects an offer, if it was received on the current stream. Otherwise the hello of the
+    /// next stream contains the version in force.
+    pub(super) fn respond_to_offer(
         &self,
         state: &mut SubscriberState,
         offer: OfferId,
@@ -88,7 +90,8 @@
         }
         if offer.stream == state.stream.id {
             let refusal = outcome.err().map(|reason| reason.to_message());
-            state.stream.answers.push_back(Answer { nonce: offer.nonce, number: version, refusal });
+            let response = Answer { nonce: offer.nonce, number: version, refusal };
+            state.stream.pending_responses.push_back(response);
             state.stream.wake();
         }
     }
