--- a/crates/control-plane/src/client/session.rs
+++ b/crates/control-plane/src/client/session.rs
@@ -48,7 +48,7 @@
     UnsupportedProtocol(u32),
     #[error("the server sent an offer before its welcome")]
     OfferBeforeWelcome,
-    #[error("the server names member {} as holder of the configuration role, under term {}", .0.member, .0.term)]
+    #[error("the server names member {} as holder of the configuration role (term {})", .0.member, .0.term)]
     OtherLeaseHolder(RoleHolder),
     #[error("the server names no holder of the configuration role")]
     NoLeaseHolder,
--- a/crates/control-plane/src/text_file.rs
+++ b/crates/control-plane/src/text_file.rs
@@ -1,4 +1,4 @@
-//! Files that operators write: messages of the schema as protobuf text format.
+//! Reads files in protobuf text format that operators write.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,32 +6,34 @@
 use gaugestep_config::text::{self, TextError};
 use prost::Message;
 
-/// Why a file cannot be read.
+/// Why a file cannot be read or parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum TextFileError {
-    /// The file is not there, or its content is no text.
+    /// The file cannot be read, or is not valid UTF-8.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The cause.
         source: io::Error,
     },
-    /// The text is no such message.
+    /// The text is not a valid message of the expected type.
     #[error("{}: {source}", path.display())]
     Parse {
         /// The file.
         path: PathBuf,
-        /// What is wrong, and where in the text.
+        /// The cause, with its position in the text.
         source: TextError,
     },
 }
 
-/// Reads a message of the schema, such as `Document`, from a file of protobuf text format.
+/// Reads a message of the schema from a file in protobuf text format. `message` is the name of its type, such
+/// as `Document`.
 ///
 /// # Errors
 ///
-/// If the file cannot be read, or is no such message; fields that the schema does not have are errors.
+/// [`TextFileError`] if the file cannot be read, or if its content is not a valid message of this type.
+/// Unknown fields are errors.
 pub fn read_text_file<M: Message + Default>(message: &str, path: &Path) -> Result<M, TextFileError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| TextFileError::Read { path: path.to_owned(), source })?;
--- a/crates/control-plane/src/transport/connection.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! A connection that carries messages both ways, over TLS where keys are configured.
+//! A bidirectional connection for framed messages, over TLS if keys are configured.
 
 use std::io::{self, Read as _, Write as _};
 use std::net;
@@ -13,43 +13,44 @@
 
 use crate::transport::framing::{self, FrameBuffer, FrameError};
 
-/// Bytes that may wait for a peer that does not read: a message, and what else is due meanwhile.
-const MAX_UNSENT: usize = 2 * framing::MAX_MESSAGE_LENGTH;
-/// Words of the stack of a connection's coroutine (512 KB): the TLS handshake runs on it.
+/// The limit of buffered output: one message of the largest size, and as much again for further messages.
+const MAX_UNSENT_BYTES: usize = 2 * framing::MAX_MESSAGE_LENGTH;
+/// The stack size of a connection's coroutine in words (512 KiB in total), as the TLS handshake runs on it.
 pub const STACK_WORDS: usize = 64 * 1024;
 
-/// Why a connection cannot be used any more.
+/// Why a connection failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The socket failed.
+    /// An operation on the socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The peer broke the TLS protocol, or is not trusted.
+    /// The peer violated the TLS protocol, or its certificate is not trusted.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
-    /// The name that the server's certificate should carry cannot be a server's name.
+    /// The name that the server's certificate must contain is not a valid DNS name.
     #[error(transparent)]
     ServerName(#[from] InvalidDnsNameError),
-    /// The peer sent something that is no message.
+    /// The peer sent an invalid message.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The peer does not read: as many bytes wait for it as may.
+    /// The buffer of output is full, as the peer does not read.
     #[error("the peer does not read")]
     PeerNotReading,
 }
 
-/// What lies between the messages and the socket.
+/// The layer between the framed messages and the socket.
 enum Layer {
-    /// Nothing; the bytes that are to be written.
+    /// No encryption; the buffer holds bytes that are still to be written.
     Plain(WriteBuffer),
-    /// TLS, which keeps the bytes that are to be written itself.
+    /// TLS, which buffers the bytes that are still to be written itself.
     Tls(Box<Connection>),
 }
 
-/// A connection that carries messages both ways.
+/// A bidirectional connection for framed messages.
 ///
-/// One coroutine owns it: that coroutine alone reads and writes, without blocking, and waits for either in [`wait`].
-/// Others only wake it with its [`waker`]. The socket is closed when the connection is dropped, and nowhere else.
+/// One coroutine owns it: only that coroutine reads and writes, without blocking, and it waits for the socket
+/// in [`wait`]. Other threads and coroutines can wake it with the [`waker`]. The socket is closed only when
+/// the connection is dropped.
 ///
 /// [`wait`]: FramedConnection::wait
 /// [`waker`]: FramedConnection::waker
@@ -60,7 +61,7 @@
 }
 
 impl FramedConnection {
-    /// A connection over a socket that was accepted.
+    /// Creates the server's end of a connection from an accepted socket.
     ///
     /// # Errors
     ///
@@ -70,11 +71,11 @@
         config: Option<Arc<ServerConfig>>,
     ) -> Result<Self, ConnectionError> {
         let tls = config.map(ServerConnection::new).transpose()?;
-        Self::over(stream, tls.map(Connection::from))
+        Self::new(stream, tls.map(Connection::from))
     }
 
-    /// A connection over a socket that was connected to a server, whose certificate must carry the name beside the
-    /// configuration.
+    /// Creates the client's end of a connection from a socket connected to a server. The server's certificate
+    /// must contain the name in `config`.
     ///
     /// # Errors
     ///
@@ -83,30 +84,30 @@
         stream: TcpStream,
         config: Option<(Arc<ClientConfig>, &str)>,
     ) -> Result<Self, ConnectionError> {
-        let Some((config, name)) = config else { return Self::over(stream, None) };
+        let Some((config, name)) = config else { return Self::new(stream, None) };
         let name = ServerName::try_from(name.to_owned())?;
         let tls = ClientConnection::new(config, name)?;
-        Self::over(stream, Some(tls.into()))
+        Self::new(stream, Some(tls.into()))
     }
 
-    fn over(stream: TcpStream, tls: Option<Connection>) -> Result<Self, ConnectionError> {
+    fn new(stream: TcpStream, tls: Option<Connection>) -> Result<Self, ConnectionError> {
         stream.set_nodelay(true)?;
         let layer = match tls {
             None => Layer::Plain(WriteBuffer::default()),
             Some(mut tls) => {
-                tls.set_buffer_limit(Some(MAX_UNSENT));
+                tls.set_buffer_limit(Some(MAX_UNSENT_BYTES));
                 Layer::Tls(Box::new(tls))
             }
         };
         Ok(FramedConnection { stream, layer, input: FrameBuffer::default() })
     }
 
-    /// Wakes the coroutine that waits for the connection.
+    /// Returns a handle that wakes the coroutine which waits for the connection.
     pub fn waker(&self) -> Waker {
         self.stream.waker()
     }
 
-    /// The certificate that the peer has shown, once the TLS handshake is over.
+    /// The certificate that the peer presented; `None` before the end of the TLS handshake, and without TLS.
     pub fn peer_certificate(&self) -> Option<&CertificateDer<'static>> {
         match &self.layer {
             Layer::Plain(_) => None,
@@ -114,16 +115,16 @@
         }
     }
 
-    /// Adds a message to what is to be written.
+    /// Appends a message to the buffered output, which [`pump`](Self::pump) writes.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::PeerNotReading`] if too much waits for the peer already.
+    /// [`ConnectionError::PeerNotReading`] if the buffered output would exceed its limit.
     pub fn send(&mut self, message: &impl Message) -> Result<(), ConnectionError> {
         let bytes = framing::encode(message);
         match &mut self.layer {
             Layer::Plain(unsent) => {
-                if unsent.pending() + bytes.len() > MAX_UNSENT {
+                if unsent.pending() + bytes.len() > MAX_UNSENT_BYTES {
                     return Err(ConnectionError::PeerNotReading);
                 }
                 unsent.buffer().extend_from_slice(&bytes);
@@ -137,7 +138,7 @@
         Ok(())
     }
 
-    /// Whether everything that was sent has been written to the socket.
+    /// Whether all buffered output has been written to the socket.
     pub fn is_flushed(&self) -> bool {
         match &self.layer {
             Layer::Plain(unsent) => unsent.pending() == 0,
@@ -145,11 +146,11 @@
         }
     }
 
-    /// Reads and writes what is possible without blocking. Returns true if the peer has closed its side.
+    /// Reads and writes as much as possible without blocking. Returns true if the peer has closed its side.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError`] if the connection is broken.
+    /// [`ConnectionError`] if the connection failed.
     pub fn pump(&mut self) -> Result<bool, ConnectionError> {
         let socket = self.stream.socket();
         match &mut self.layer {
@@ -166,25 +167,25 @@
         }
     }
 
-    /// Takes the next message, if one has been received completely.
+    /// Removes the next message from the input; `None` if none has been received completely.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::Frame`] if the peer sent something that is no message of this type.
+    /// [`ConnectionError::Frame`] if the peer sent an invalid message.
     pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, ConnectionError> {
         Ok(self.input.next_message()?)
     }
 
-    /// Waits until the socket can be read or written, or somebody wakes the coroutine.
+    /// Waits until the socket is readable or writable, or until the coroutine is woken by its waker.
     pub fn wait(&self) {
         self.stream.wait_io();
     }
 }
 
-/// Reads what has arrived; true if the peer has closed.
+/// Reads all available bytes, up to the capacity of `input`. Returns true if the peer has closed its side.
 fn read_plain(socket: &net::TcpStream, input: &mut FrameBuffer) -> Result<bool, ConnectionError> {
     while input.has_capacity() {
-        match read_into(socket, input.received())? {
+        match read_into(socket, input.buffer_mut())? {
             ReadOutcome::Data => {}
             ReadOutcome::WouldBlock => return Ok(false),
             ReadOutcome::Closed => return Ok(true),
@@ -193,7 +194,8 @@
     Ok(false)
 }
 
-/// Reads and decrypts what has arrived; true if the peer has closed.
+/// Reads and decrypts all available bytes, up to the capacity of `input`. Returns true if the peer has closed
+/// its side.
 fn read_tls(
     mut socket: &net::TcpStream,
     tls: &mut Connection,
@@ -210,15 +212,15 @@
         let state = match tls.process_new_packets() {
             Ok(state) => state,
             Err(error) => {
-                // The peer learns why from the alert, if it still reads.
+                // Sends the TLS alert, which tells the peer the reason, if the peer still reads.
                 let _ = tls.write_tls(&mut socket);
                 return Err(error.into());
             }
         };
-        let received = input.received();
-        let before = received.len();
-        received.resize(before + state.plaintext_bytes_to_read(), 0);
-        tls.reader().read_exact(&mut received[before..])?;
+        let buffer = input.buffer_mut();
+        let previous_len = buffer.len();
+        buffer.resize(previous_len + state.plaintext_bytes_to_read(), 0);
+        tls.reader().read_exact(&mut buffer[previous_len..])?;
         if state.peer_has_closed() {
             return Ok(true);
         }
@@ -226,7 +228,7 @@
     Ok(false)
 }
 
-/// Writes what the socket takes.
+/// Encrypts and writes buffered output, as much as the socket accepts without blocking.
 fn write_tls(mut socket: &net::TcpStream, tls: &mut Connection) -> Result<(), ConnectionError> {
     while tls.wants_write() {
         match tls.write_tls(&mut socket) {
--- a/crates/control-plane/src/transport/framing.rs
+++ b/crates/control-plane/src/transport/framing.rs
@@ -1,78 +1,80 @@
-//! Protobuf messages behind their length: four bytes, big end first. Bounded, whatever the peer sends.
+//! Framing of protobuf messages: each is preceded by its length, as four bytes in big-endian order. Longer
+//! messages than allowed are rejected as soon as their length is received.
 
 use prost::Message;
 
-/// The longest message in bytes: a document, and what is sent along with it.
+/// The largest message in bytes: a document, and up to 64 KiB for the fields around it.
 pub const MAX_MESSAGE_LENGTH: usize = gaugestep_config::MAX_DOCUMENT_LENGTH + 64 * 1024;
-const LENGTH_PREFIX: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why the bytes of a peer are no messages.
+/// Why received bytes are not a valid message.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum FrameError {
-    /// The length of a message is more than [`MAX_MESSAGE_LENGTH`].
+    /// The length prefix is greater than [`MAX_MESSAGE_LENGTH`].
     #[error("a message of {0} bytes, {MAX_MESSAGE_LENGTH} are allowed")]
     TooLong(usize),
-    /// The body of a message is none of this type.
+    /// The body of the message cannot be decoded.
     #[error(transparent)]
     Decode(#[from] prost::DecodeError),
 }
 
-/// A message at the start of some input.
+/// A complete message at the start of the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// The message without its length.
+    /// The encoded message, without the length prefix.
     pub body: &'a [u8],
-    /// The bytes that it takes up, with its length.
+    /// The size of the frame in bytes, with the length prefix.
     pub length: usize,
 }
 
-/// The first message in `input`, if it is complete.
+/// Returns the first message in `input`; `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// [`FrameError::TooLong`] as soon as the length of the message has been read: none of its body needs to be kept.
+/// [`FrameError::TooLong`] as soon as `input` contains a length prefix that is too large, before the body
+/// arrives.
 pub fn split_first(input: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
-    let Some((prefix, rest)) = input.split_first_chunk::<LENGTH_PREFIX>() else { return Ok(None) };
+    let Some((prefix, rest)) = input.split_first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*prefix) as usize;
     if length > MAX_MESSAGE_LENGTH {
         return Err(FrameError::TooLong(length));
     }
-    Ok(rest.get(..length).map(|body| Frame { body, length: LENGTH_PREFIX + length }))
+    Ok(rest.get(..length).map(|body| Frame { body, length: LENGTH_PREFIX_BYTES + length }))
 }
 
-/// A message behind its length.
+/// Encodes a message with its length prefix.
 pub fn encode(message: &impl Message) -> Vec<u8> {
     let length = message.encoded_len();
-    let mut bytes = Vec::with_capacity(LENGTH_PREFIX + length);
+    let mut bytes = Vec::with_capacity(LENGTH_PREFIX_BYTES + length);
     bytes.extend_from_slice(&(length as u32).to_be_bytes());
     message.encode_raw(&mut bytes);
     bytes
 }
 
-/// Bytes that were received, and the messages in them.
+/// A buffer of received bytes, from which messages are decoded.
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the start that belong to messages which were taken.
+    /// The number of bytes at the start that belong to messages already decoded.
     consumed: usize,
 }
 
 impl FrameBuffer {
-    /// Whether more may be received before a message must be taken.
+    /// Whether more bytes may be received before the next message must be decoded.
     pub fn has_capacity(&self) -> bool {
         self.bytes.len() - self.consumed <= MAX_MESSAGE_LENGTH
     }
 
-    /// The bytes to append received ones to. What is there already must not be changed.
-    pub fn received(&mut self) -> &mut Vec<u8> {
+    /// The buffer to which received bytes are appended. Its existing content must not be changed.
+    pub fn buffer_mut(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Takes the next message, if it is complete.
+    /// Removes the next message from the buffer and decodes it; `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`FrameError`] if the next bytes are no message of this type.
+    /// [`FrameError`] if the message is too long or cannot be decoded.
     pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         let Some(frame) = split_first(&self.bytes[self.consumed..])? else {
             self.discard_consumed();
@@ -87,7 +89,7 @@
         self.bytes.drain(..self.consumed);
         self.consumed = 0;
         if self.bytes.is_empty() {
-            // Of hundreds of streams most are idle: an empty vector of some capacity for each would add up.
+            // Frees the memory: most of hundreds of streams are idle, and their empty buffers would add up.
             self.bytes = Vec::new();
         }
     }
--- a/crates/control-plane/src/transport/mod.rs
+++ b/crates/control-plane/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Connections between servers, proxies and commands: length-prefixed protobuf messages, over TLS where keys are
-//! configured.
+//! Connections between control servers, proxies and operator commands: length-prefixed protobuf messages,
+//! over TLS if keys are configured.
 
 pub mod backoff;
 pub mod connection;
--- a/crates/control-plane/src/transport/tls/files.rs
+++ b/crates/control-plane/src/transport/tls/files.rs
@@ -1,4 +1,4 @@
-//! The files that hold a certificate, its key and the authority of the peers' certificates.
+//! The PEM files of a certificate, its private key and the authority that signs the peers' certificates.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,21 +12,22 @@
 
 use super::TlsError;
 
-/// Keys as files in PEM form.
+/// The paths of the PEM files for TLS.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// The certificate, with those that lead to its authority.
+    /// The certificate, followed by its intermediate certificates.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The private key of the certificate.
     pub key: PathBuf,
-    /// The authority of the peers' certificates.
+    /// The certificates of the authority that signs the peers' certificates.
     pub authority: PathBuf,
 }
 
-/// When each of the files was last changed; a file that is not there has no time.
+/// The modification times of the certificate, key and authority files; `None` for a file that cannot be
+/// accessed.
 pub(super) type ChangeTimes = [Option<SystemTime>; 3];
 
-/// The content of the files.
+/// The parsed content of the files.
 pub(super) struct LoadedKeys {
     pub(super) certificates: Vec<CertificateDer<'static>>,
     pub(super) key: PrivateKeyDer<'static>,
@@ -34,11 +35,11 @@
 }
 
 impl TlsFiles {
-    /// The files that an operator's configuration names.
+    /// Returns the files that an operator's configuration names.
     ///
     /// # Errors
     ///
-    /// [`TlsError::MissingField`] if one is not named.
+    /// [`TlsError::MissingField`] if a path is empty.
     pub fn from_config(keys: &schema::Keys) -> Result<Self, TlsError> {
         let path = |field: &'static str, text: &str| match text {
             "" => Err(TlsError::MissingField { field }),
@@ -82,11 +83,11 @@
     Ok(roots)
 }
 
-/// The keys of one end of a connection, and the name that it expects of the server at the other end.
+/// The TLS files of a client, and the name that it expects in the server's certificate.
 #[derive(Clone, Debug)]
 pub struct TlsIdentity {
-    /// The files of the keys.
+    /// The certificate, key and authority.
     pub files: TlsFiles,
-    /// The name that the servers' certificates carry.
+    /// The name that the servers' certificates must contain.
     pub server_name: String,
 }
--- a/crates/control-plane/src/transport/tls/mod.rs
+++ b/crates/control-plane/src/transport/tls/mod.rs
@@ -1,6 +1,7 @@
-//! TLS on both sides: keys in files, the configurations made of them, and who is trusted.
+//! Mutual TLS: key files, the configurations built from them, and the verification of peers.
 //!
-//! Both sides show a certificate. Without keys everybody is trusted, so only loopback addresses are allowed.
+//! Both sides present a certificate. Without keys there is no authentication, so only loopback addresses are
+//! allowed.
 
 mod files;
 mod reloading;
@@ -14,44 +15,44 @@
 pub use files::{TlsFiles, TlsIdentity};
 pub use reloading::{ClientTls, ReloadingConfig, ServerTls};
 
-/// Why TLS, or the lack of it, cannot be used as configured.
+/// Why the TLS settings, or their absence, are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// A file of the keys is not named.
+    /// The path of a file is empty.
     #[error("'keys.{field}' is missing")]
     MissingField {
-        /// The field.
+        /// The field that contains the path.
         field: &'static str,
     },
-    /// A file cannot be read, or is no PEM file of the kind that is needed.
+    /// A file cannot be read, or does not contain the required PEM section.
     #[error("{}: {source}", .path.display())]
     Pem {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: pem::Error,
     },
-    /// A certificate of an authority cannot be trusted.
+    /// A certificate in the authority file cannot be used as a trust anchor.
     #[error("{}: {source}", .path.display())]
     Authority {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: rustls::Error,
     },
-    /// The file of the authority holds no certificate.
+    /// The authority file contains no certificate.
     #[error("{}: holds no certificate", .path.display())]
     NoAuthority {
         /// The file.
         path: PathBuf,
     },
-    /// The peers' certificates cannot be verified with what the authority's file holds.
+    /// The verifier of client certificates cannot be built from the authority file.
     #[error(transparent)]
     Verifier(#[from] VerifierBuilderError),
-    /// The certificate and its key do not go together.
+    /// The TLS library rejected the configuration, for example as the key does not match the certificate.
     #[error(transparent)]
     Configuration(#[from] rustls::Error),
-    /// An address that is not loopback is to be used without keys.
+    /// An address other than a loopback address is used without keys.
     #[error("{address}: without keys only loopback addresses are allowed")]
     PlaintextNotAllowed {
         /// The address.
@@ -59,24 +60,25 @@
     },
 }
 
-/// Whether an address may be used. Without keys everybody is trusted, so only the machine itself may be connected.
+/// Checks whether an address may be used. Without keys there is no authentication, so only loopback addresses
+/// are allowed.
 ///
 /// # Errors
 ///
-/// [`TlsError::PlaintextNotAllowed`] if it may not.
-pub fn check_address_allowed(address: SocketAddr, has_keys: bool) -> Result<(), TlsError> {
-    if has_keys || address.ip().is_loopback() {
+/// [`TlsError::PlaintextNotAllowed`] if the address may not be used.
+pub fn check_address_allowed(address: SocketAddr, uses_tls: bool) -> Result<(), TlsError> {
+    if uses_tls || address.ip().is_loopback() {
         return Ok(());
     }
     Err(TlsError::PlaintextNotAllowed { address })
 }
 
-/// Whether `address`, which a peer has sent, is an address that may be used.
-pub fn is_address_allowed(address: &str, has_keys: bool) -> bool {
-    address.parse().is_ok_and(|address| check_address_allowed(address, has_keys).is_ok())
+/// Whether `address`, a text received from a peer, is a valid address that may be used.
+pub fn is_address_allowed(address: &str, uses_tls: bool) -> bool {
+    address.parse().is_ok_and(|address| check_address_allowed(address, uses_tls).is_ok())
 }
 
-/// Whether a peer's certificate carries this name.
+/// Whether a peer's certificate contains this name.
 pub fn certificate_is_valid_for(certificate: &CertificateDer<'_>, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else { return false };
     webpki::EndEntityCert::try_from(certificate)
--- a/crates/control-plane/src/transport/tls/reloading.rs
+++ b/crates/control-plane/src/transport/tls/reloading.rs
@@ -1,4 +1,4 @@
-//! TLS configurations that follow the files of their keys.
+//! TLS configurations that are reloaded when their key files change.
 
 use std::sync::{Arc, Mutex};
 
@@ -11,15 +11,15 @@
 use super::TlsError;
 use super::files::{ChangeTimes, LoadedKeys, TlsFiles};
 
-/// A TLS configuration that is made again when the files of its keys change. Connections that are open keep the one with
-/// which they were opened.
+/// A TLS configuration that is rebuilt when its key files change. Open connections keep the configuration
+/// with which they were opened.
 pub struct ReloadingConfig<T> {
     files: TlsFiles,
     build: fn(LoadedKeys) -> Result<T, TlsError>,
     current: Mutex<BuiltConfig<T>>,
 }
 
-/// A configuration, and when the files had been changed of which it was made.
+/// A configuration, and the modification times of the files from which it was built.
 struct BuiltConfig<T> {
     config: Arc<T>,
     change_times: ChangeTimes,
@@ -27,11 +27,12 @@
 
 /// The TLS configuration of a server.
 pub type ServerTls = ReloadingConfig<ServerConfig>;
-/// The TLS configuration of a proxy, of a member that connects to another or of an operator's command.
+/// The TLS configuration of a client: a proxy, a member that connects to another member, or an operator
+/// command.
 pub type ClientTls = ReloadingConfig<ClientConfig>;
 
 impl ServerTls {
-    /// Loads the keys of a server, which asks its peers for theirs.
+    /// Loads the keys of a server, which requires client certificates.
     ///
     /// # Errors
     ///
@@ -54,15 +55,16 @@
 
 impl<T> ReloadingConfig<T> {
     fn start(files: TlsFiles, build: fn(LoadedKeys) -> Result<T, TlsError>) -> Result<Self, TlsError> {
-        // Asked first: a change while the files are read is found by the next look.
+        // Read before the files, so that the next check notices a change made while they are read.
         let change_times = files.change_times();
         let config = Arc::new(files.load().and_then(build)?);
         Ok(ReloadingConfig { files, build, current: Mutex::new(BuiltConfig { config, change_times }) })
     }
 
-    /// Loads the keys again if their files have changed. If they cannot be used, that is logged and the earlier ones stay.
+    /// Reloads the keys if their files have changed. If the new keys are invalid, logs that and keeps the
+    /// previous ones.
     ///
-    /// Reads files, which blocks: not for coroutines.
+    /// Reads files, which blocks, so it must not be called from a coroutine.
     pub fn reload_if_changed(&self) {
         let change_times = self.files.change_times();
         if lock(&self.current).change_times == change_times {
@@ -73,8 +75,10 @@
                 *lock(&self.current) = BuiltConfig { config: Arc::new(config), change_times };
                 tracing::info!(certificate = %self.files.certificate.display(), "keys reloaded");
             }
-            // Certificate and key are replaced one after the other: the next look finds both.
-            Err(error) => tracing::warn!("the changed keys cannot be used, the earlier ones stay: {error}"),
+            // An operator may have replaced only one of certificate and key yet; the next check retries.
+            Err(error) => {
+                tracing::warn!("the changed keys are invalid, the previous ones stay in use: {error}")
+            }
         }
     }
 
--- a/crates/control-plane/tests/framing.rs
+++ b/crates/control-plane/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Messages behind their length.
+//! Encoding and decoding of length-prefixed messages.
 
 use gaugestep_config::schema::Hello;
 use gaugestep_control_plane::transport::framing::{Frame, FrameBuffer, FrameError, encode, split_first};
@@ -32,11 +32,11 @@
     let second = Hello { proxy: "n1".into(), ..Hello::default() };
     let (first_bytes, second_bytes) = (encode(&hello()), encode(&second));
     let (start, rest) = second_bytes.split_at(3);
-    buffer.received().extend_from_slice(&first_bytes);
-    buffer.received().extend_from_slice(start);
+    buffer.buffer_mut().extend_from_slice(&first_bytes);
+    buffer.buffer_mut().extend_from_slice(start);
     assert_eq!(buffer.next_message(), Ok(Some(hello())));
     assert_eq!(buffer.next_message::<Hello>(), Ok(None));
-    buffer.received().extend_from_slice(rest);
+    buffer.buffer_mut().extend_from_slice(rest);
     assert_eq!(buffer.next_message(), Ok(Some(second)));
     assert_eq!(buffer.next_message::<Hello>(), Ok(None));
 }
