--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -147,7 +147,8 @@
                 break;
             }
             attempts += 1;
-            let error = match self.attempt(request, address, self.attempt_timeout(remaining), delivery) {
+            let timeout = self.attempt_timeout(remaining);
+            let error = match self.attempt(request, address, timeout, delivery) {
                 Ok(response) => return Ok(response),
                 Err(error) => error,
             };
@@ -166,6 +167,7 @@
         Err(last_error)
     }
 
+    /// The timeout of the next attempt, if the call has this much time left.
     fn attempt_timeout(&self, remaining: Duration) -> Duration {
         if self.addresses.len() > 1 { remaining.min(ATTEMPT_TIMEOUT) } else { remaining }
     }
--- a/crates/control-plane/src/cli/args.rs
+++ b/crates/control-plane/src/cli/args.rs
@@ -106,8 +106,8 @@
         #[command(subcommand)]
         change: Option<MembersCommand>,
     },
-    /// Shows the fleet's roles with their lease holders, terms and durations. Exit code 1 if a role has no
-    /// lease holder.
+    /// Shows the lease holder and the term of each role of the fleet, and for how long the lease holder has
+    /// held it. Exit code 1 if a role has no lease holder.
     Duties {
         #[command(flatten)]
         connection: ConnectionArgs,
--- a/crates/control-plane/src/client/session.rs
+++ b/crates/control-plane/src/client/session.rs
@@ -69,8 +69,8 @@
     connection: FramedConnection,
     phase: Phase,
     opened_at: Instant,
-    last_received: Instant,
-    last_report: Instant,
+    last_received_at: Instant,
+    last_report_at: Instant,
 }
 
 impl<'a> Session<'a> {
@@ -98,8 +98,8 @@
             connection,
             phase: Phase::AwaitingWelcome,
             opened_at: now,
-            last_received: now,
-            last_report: now,
+            last_received_at: now,
+            last_report_at: now,
         })
     }
 
@@ -108,7 +108,7 @@
         loop {
             let has_closed = self.connection.pump()?;
             while let Some(message) = self.connection.next_message::<FromService>()? {
-                self.last_received = Instant::now();
+                self.last_received_at = Instant::now();
                 self.on_message(message)?;
             }
             if has_closed {
@@ -162,8 +162,8 @@
 
     fn on_ordinal(&self, ordinal: Seated) {
         let Seated { term, epoch, asked_ms, seat, seats } = ordinal;
-        // 0 means that the proxy has not sent a report yet. Only the response to a report can renew the
-        // lease.
+        // 0 means that the server has received no report on this stream yet. Only the response to a report
+        // can renew the lease.
         if asked_ms > 0 {
             let assignment = seat.map(|ordinal| OrdinalAssignment { ordinal, fleet_size: seats });
             let grant = OrdinalGrant { term, epoch, assignment };
@@ -175,7 +175,7 @@
     fn check_timeouts(&self) -> Result<(), StreamError> {
         let is_welcome_overdue =
             self.phase == Phase::AwaitingWelcome && self.opened_at.elapsed() >= WELCOME_TIMEOUT;
-        if is_welcome_overdue || self.last_received.elapsed() >= SILENCE_TIMEOUT {
+        if is_welcome_overdue || self.last_received_at.elapsed() >= SILENCE_TIMEOUT {
             return Err(StreamError::TimedOut);
         }
         Ok(())
@@ -193,10 +193,10 @@
 
     /// Sends a report if one is due. Returns whether it was.
     fn send_report(&mut self) -> Result<bool, StreamError> {
-        if self.phase != Phase::Established || self.last_report.elapsed() < REPORT_INTERVAL {
+        if self.phase != Phase::Established || self.last_report_at.elapsed() < REPORT_INTERVAL {
             return Ok(false);
         }
-        self.last_report = Instant::now();
+        self.last_report_at = Instant::now();
         let report = self.subscriber.report();
         send(&mut self.connection, from_client::Said::Figures(report))?;
         Ok(true)
--- a/crates/control-plane/src/client/start.rs
+++ b/crates/control-plane/src/client/start.rs
@@ -62,7 +62,7 @@
             storage,
             started_at: Instant::now(),
             is_following: AtomicBool::new(false),
-            rejected: AtomicU64::new(0),
+            rejected_count: AtomicU64::new(0),
             incarnation,
         });
         StorageThread::spawn(subscriber.clone(), version_slots, requests).map_err(StartError::Thread)?;
--- a/crates/control-plane/src/client/state.rs
+++ b/crates/control-plane/src/client/state.rs
@@ -23,9 +23,9 @@
 
 /// A message that was sent under a term.
 pub(super) enum FencedMessage {
-    /// The server on this stream holds the lease on the configuration.
+    /// The server on this stream holds the configuration role.
     LeaseHolder { stream: u64 },
-    /// A version is offered on a stream.
+    /// An offer of a version, received on this stream.
     Offer { stream: u64, offer: Box<Offer> },
     /// The proxy's ordinal, confirmed in response to the report that was sent at `requested_at` on the
     /// proxy's [`clock`](crate::clock).
--- a/crates/control-plane/src/client/status.rs
+++ b/crates/control-plane/src/client/status.rs
@@ -98,7 +98,7 @@
             digest: in_force.map_or_else(String::new, |accepted| short_digest(&accepted.version.digest)),
             in_force_seconds: in_force.map(|_| self.in_force_seconds(&state).round()),
             is_following: self.is_following.load(Ordering::Relaxed),
-            rejected: self.rejected.load(Ordering::Relaxed),
+            rejected: self.rejected_count.load(Ordering::Relaxed),
             term: state.fencing.term(CONFIGURATION_ROLE),
             stale_rejected: state.fencing.stale_count(),
             incarnation: format!("{:016x}", self.incarnation),
--- a/crates/control-plane/src/client/subscriber.rs
+++ b/crates/control-plane/src/client/subscriber.rs
@@ -29,7 +29,7 @@
     /// Whether the current stream is to the holder of the configuration role.
     pub(super) is_following: AtomicBool,
     /// The number of versions rejected since the start.
-    pub(super) rejected: AtomicU64,
+    pub(super) rejected_count: AtomicU64,
     /// A random number that identifies this process among those that run under the proxy's name.
     pub(super) incarnation: u64,
 }
--- a/crates/control-plane/src/client/versions.rs
+++ b/crates/control-plane/src/client/versions.rs
@@ -83,7 +83,7 @@
                 tracing::info!(version, digest, nonce = offer.nonce, "version in force");
             }
             Err(reason) => {
-                self.rejected.fetch_add(1, Ordering::Relaxed);
+                self.rejected_count.fetch_add(1, Ordering::Relaxed);
                 let (code, path) = (reason.code(), reason.path());
                 tracing::warn!(version, nonce = offer.nonce, code, path, "version rejected: {reason}");
             }
--- a/crates/control-plane/src/transport/connection.rs
+++ b/crates/control-plane/src/transport/connection.rs
@@ -33,7 +33,7 @@
     /// The peer sent an invalid message.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The buffer of output is full, as the peer does not read.
+    /// The buffered output has reached its limit, as the peer does not read.
     #[error("the peer does not read")]
     PeerNotReading,
 }
--- a/crates/control-plane/src/transport/tls/files.rs
+++ b/crates/control-plane/src/transport/tls/files.rs
@@ -25,7 +25,7 @@
 
 /// The modification times of the certificate, key and authority files; `None` for a file that cannot be
 /// accessed.
-pub(super) type ChangeTimes = [Option<SystemTime>; 3];
+pub(super) type ModificationTimes = [Option<SystemTime>; 3];
 
 /// The parsed content of the files.
 pub(super) struct LoadedKeys {
@@ -52,7 +52,7 @@
         })
     }
 
-    pub(super) fn change_times(&self) -> ChangeTimes {
+    pub(super) fn modification_times(&self) -> ModificationTimes {
         [&self.certificate, &self.key, &self.authority]
             .map(|path| fs::metadata(path).and_then(|metadata| metadata.modified()).ok())
     }
--- a/crates/control-plane/src/transport/tls/reloading.rs
+++ b/crates/control-plane/src/transport/tls/reloading.rs
@@ -9,7 +9,7 @@
 use crate::lock;
 
 use super::TlsError;
-use super::files::{ChangeTimes, LoadedKeys, TlsFiles};
+use super::files::{LoadedKeys, ModificationTimes, TlsFiles};
 
 /// A TLS configuration that is rebuilt when its key files change. Open connections keep the configuration
 /// with which they were opened.
@@ -22,7 +22,7 @@
 /// A configuration, and the modification times of the files from which it was built.
 struct BuiltConfig<T> {
     config: Arc<T>,
-    change_times: ChangeTimes,
+    modification_times: ModificationTimes,
 }
 
 /// The TLS configuration of a server.
@@ -38,7 +38,7 @@
     ///
     /// [`TlsError`] if the keys cannot be used.
     pub fn load(files: TlsFiles) -> Result<Self, TlsError> {
-        ReloadingConfig::start(files, build_server_config)
+        ReloadingConfig::new(files, build_server_config)
     }
 }
 
@@ -49,16 +49,16 @@
     ///
     /// [`TlsError`] if the keys cannot be used.
     pub fn load(files: TlsFiles) -> Result<Self, TlsError> {
-        ReloadingConfig::start(files, build_client_config)
+        ReloadingConfig::new(files, build_client_config)
     }
 }
 
 impl<T> ReloadingConfig<T> {
-    fn start(files: TlsFiles, build: fn(LoadedKeys) -> Result<T, TlsError>) -> Result<Self, TlsError> {
+    fn new(files: TlsFiles, build: fn(LoadedKeys) -> Result<T, TlsError>) -> Result<Self, TlsError> {
         // Read before the files, so that the next check notices a change made while they are read.
-        let change_times = files.change_times();
+        let modification_times = files.modification_times();
         let config = Arc::new(files.load().and_then(build)?);
-        Ok(ReloadingConfig { files, build, current: Mutex::new(BuiltConfig { config, change_times }) })
+        Ok(ReloadingConfig { files, build, current: Mutex::new(BuiltConfig { config, modification_times }) })
     }
 
     /// Reloads the keys if their files have changed. If the new keys are invalid, logs that and keeps the
@@ -66,18 +66,18 @@
     ///
     /// Reads files, which blocks, so it must not be called from a coroutine.
     pub fn reload_if_changed(&self) {
-        let change_times = self.files.change_times();
-        if lock(&self.current).change_times == change_times {
+        let modification_times = self.files.modification_times();
+        if lock(&self.current).modification_times == modification_times {
             return;
         }
         match self.files.load().and_then(self.build) {
             Ok(config) => {
-                *lock(&self.current) = BuiltConfig { config: Arc::new(config), change_times };
+                *lock(&self.current) = BuiltConfig { config: Arc::new(config), modification_times };
                 tracing::info!(certificate = %self.files.certificate.display(), "keys reloaded");
             }
             // An operator may have replaced only one of certificate and key yet; the next check retries.
             Err(error) => {
-                tracing::warn!("the changed keys are invalid, the previous ones stay in use: {error}")
+                tracing::warn!("the changed keys are invalid, the previous ones stay in use: {error}");
             }
         }
     }
