--- a/crates/control-plane/src/cli/proxies.rs
+++ b/crates/control-plane/src/cli/proxies.rs
@@ -31,7 +31,8 @@
 #[derive(Serialize)]
 struct ProxyReport {
     proxy: String,
-    connected: bool,
+    #[serde(rename = "connected")]
+    is_connected: bool,
     build: String,
     /// The version in force; 0 if there is none.
     in_force: u64,
@@ -41,9 +42,11 @@
     #[serde(rename = "refused")]
     rejected: u64,
     /// Whether the proxy has a version in force that the control server never published.
-    ahead: bool,
+    #[serde(rename = "ahead")]
+    is_ahead: bool,
     /// Milliseconds since the proxy sent its last message.
-    heard_ms: u64,
+    #[serde(rename = "heard_ms")]
+    last_message_age_ms: u64,
     #[serde(rename = "refusal")]
     rejection: Option<RejectionReport>,
     process: String,
@@ -61,13 +64,13 @@
     fn from(proxy: Proxy) -> Self {
         ProxyReport {
             proxy: proxy.name,
-            connected: proxy.connected,
+            is_connected: proxy.connected,
             build: proxy.build,
             in_force: proxy.in_force,
             offered: proxy.offered,
             rejected: proxy.refused,
-            ahead: proxy.ahead,
-            heard_ms: proxy.heard_ms,
+            is_ahead: proxy.ahead,
+            last_message_age_ms: proxy.heard_ms,
             rejection: proxy.refusal.map(RejectionReport::from),
             process: format!("{:016x}", proxy.incarnation),
             name_term: proxy.name_term,
@@ -79,7 +82,7 @@
 
 impl ProxyReport {
     fn line(&self) -> String {
-        let presence = if self.connected { "here" } else { "away" };
+        let presence = if self.is_connected { "here" } else { "away" };
         let mut line = format!("{:<24}  {presence}  in force {:>6}", self.proxy, self.in_force);
         for remark in self.remarks() {
             // Writing to a string cannot fail.
@@ -94,7 +97,7 @@
         if self.offered > 0 {
             remarks.push(format!("offered {}", self.offered));
         }
-        if self.ahead {
+        if self.is_ahead {
             remarks.push("ahead of this control server".into());
         }
         if self.is_superseded {
@@ -113,7 +116,8 @@
 
 #[derive(Serialize)]
 struct FleetReport {
-    newest: u64,
+    #[serde(rename = "newest")]
+    newest_version: u64,
     proxies: Vec<ProxyReport>,
 }
 
@@ -121,10 +125,11 @@
 pub(crate) fn status(output: Output, connection: &ConnectionArgs, name: Option<&str>) -> CommandResult {
     let fleet = connection.fleet()?;
     let selected = fleet.proxies.into_iter().filter(|proxy| name.is_none_or(|name| proxy.name == name));
-    let report = FleetReport { newest: fleet.newest, proxies: selected.map(ProxyReport::from).collect() };
+    let report =
+        FleetReport { newest_version: fleet.newest, proxies: selected.map(ProxyReport::from).collect() };
     output.print(&report, || {
         let lines: String = report.proxies.iter().map(ProxyReport::line).collect();
-        format!("newest version: {}\n{lines}", report.newest)
+        format!("newest version: {}\n{lines}", report.newest_version)
     });
     Ok(ExitStatus::negative_if(name.is_some() && report.proxies.is_empty()))
 }
