--- a/crates/control-plane/tests/framing.rs
+++ b/crates/control-plane/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Messages behind their length.
+//! Encoding and decoding of length-prefixed messages.
 
 use gaugestep_config::schema::Hello;
 use gaugestep_control_plane::transport::framing::{Frame, FrameBuffer, FrameError, encode, split_first};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_message_is_found_only_once_it_is_complete() {
+fn a_message_is_returned_only_once_it_is_complete() {
     let mut bytes = encode(&hello());
     for end in 0..bytes.len() {
         assert_eq!(split_first(&bytes[..end]), Ok(None));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_length_that_claims_too_much_is_an_error_at_once() {
+fn a_length_above_the_limit_is_rejected_before_the_body_arrives() {
     assert_eq!(split_first(&u32::MAX.to_be_bytes()), Err(FrameError::TooLong(u32::MAX as usize)));
 }
 
@@ -32,11 +32,11 @@
     let second = Hello { proxy: "n1".into(), ..Hello::default() };
     let (first_bytes, second_bytes) = (encode(&hello()), encode(&second));
     let (start, rest) = second_bytes.split_at(3);
-    buffer.received().extend_from_slice(&first_bytes);
-    buffer.received().extend_from_slice(start);
+    buffer.buffer_mut().extend_from_slice(&first_bytes);
+    buffer.buffer_mut().extend_from_slice(start);
     assert_eq!(buffer.next_message(), Ok(Some(hello())));
     assert_eq!(buffer.next_message::<Hello>(), Ok(None));
-    buffer.received().extend_from_slice(rest);
+    buffer.buffer_mut().extend_from_slice(rest);
     assert_eq!(buffer.next_message(), Ok(Some(second)));
     assert_eq!(buffer.next_message::<Hello>(), Ok(None));
 }
