--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -118,7 +118,7 @@
     };
     let policy = match settings.restored && !has_peers {
         true => RestorePolicy::Accept,
-        false => RestorePolicy::Refuse,
+        false => RestorePolicy::Reject,
     };
     let boot = rollback_guard::next_boot(found, policy)
         .map_err(|rejected| store_rejected(path, rejected, has_peers))?;
--- a/crates/leadership/src/rollback_guard.rs
+++ b/crates/leadership/src/rollback_guard.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestorePolicy {
     /// It is refused.
-    Refuse,
+    Reject,
     /// It is used: the operator says that whoever used it before is gone for good.
     Accept,
 }
@@ -60,7 +60,7 @@
 ///
 /// [`StoreRejected`] if the store fails the check, unless `policy` accepts that.
 pub fn next_boot(found: FoundStore, policy: RestorePolicy) -> Result<u64, StoreRejected> {
-    if policy == RestorePolicy::Refuse {
+    if policy == RestorePolicy::Reject {
         check(found)?;
     }
     let recorded = found.generation.map_or(0, |generation| generation.boots);
--- a/crates/leadership/tests/rollback_guard.rs
+++ b/crates/leadership/tests/rollback_guard.rs
@@ -10,7 +10,7 @@
         let generation = generation.map(|(boots, file)| Generation { boots, file });
         FoundStore { boots, file, generation }
     };
-    let check = |found| next_boot(found, RestorePolicy::Refuse);
+    let check = |found| next_boot(found, RestorePolicy::Reject);
     let restore = |found| next_boot(found, RestorePolicy::Accept);
     assert_eq!(check(found(0, 1, None)), Ok(1), "new, or of an older build");
     assert_eq!(check(found(3, 1, Some((3, 1)))), Ok(4));
