--- a/crates/clock/tests/timestamp.rs
+++ b/crates/clock/tests/timestamp.rs
@@ -1,11 +1,11 @@
-//! Arithmetic of readings.
+//! Arithmetic and conversion of timestamps.
 
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
 
 #[test]
-fn durations_are_added_subtracted_and_never_negative() {
+fn durations_are_added_and_subtracted_and_never_negative() {
     let start = Timestamp::from_millis(1_000);
     let later = start + Duration::from_millis(250);
     assert_eq!(later, Timestamp::from_millis(1_250));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn readings_may_lie_before_the_origin_and_arithmetic_saturates() {
+fn timestamps_may_precede_the_origin_and_arithmetic_saturates() {
     let before = Timestamp::ORIGIN - Duration::from_millis(5);
     assert_eq!(before, Timestamp::from_millis_f64(-5.0));
     assert_eq!(before.as_millis_f64(), -5.0);
@@ -27,7 +27,7 @@
 
 #[test]
 fn milliseconds_are_converted_both_ways() {
-    let reading = Timestamp::from_millis_f64(123_456.789);
-    assert_eq!(reading.as_millis_f64(), 123_456.789);
+    let timestamp = Timestamp::from_millis_f64(123_456.789);
+    assert_eq!(timestamp.as_millis_f64(), 123_456.789);
     assert_eq!(Timestamp::from_millis(7).as_millis_f64(), 7.0);
 }
