--- a/crates/storage/src/control_store.rs
+++ b/crates/storage/src/control_store.rs
@@ -1,5 +1,5 @@
-//! The durable state of a control server, in an embedded database (redb): configuration versions by number, the Raft log by
-//! index, and single values by name. Each change is one transaction.
+//! The durable state of a control server in an embedded database (redb): configuration versions by number,
+//! the Raft log by index, and single values by name. Each change is one transaction.
 
 use std::path::{Path, PathBuf};
 
@@ -9,32 +9,32 @@
 
 /// Documents by version number.
 const DOCUMENTS: TableDefinition<u64, &[u8]> = TableDefinition::new("documents");
-/// What is known of each version besides its document, by version number.
+/// Encoded metadata of each version, such as the state of its rollout, by version number.
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
-/// Numbers by name; holds the lineage only.
+/// Numbers by name; contains only the lineage.
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("values");
 /// Entries of the Raft log by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Values by name.
+/// Opaque values by name.
 const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("kept");
 
-/// Key of the lineage in [`NUMBERS`].
+/// The key of the lineage in [`NUMBERS`].
 const LINEAGE: &str = "lineage";
 
-/// The database of one control server. Only one process at a time can hold it.
+/// The database of one control server. Only one process at a time can open it.
 pub struct ControlStore {
     database: Database,
     path: PathBuf,
 }
 
-/// Changes that are written together. They are applied in the order of the fields.
+/// Changes that are written in one transaction, in the order of the fields.
 #[derive(Debug, Default)]
 pub struct WriteBatch {
-    /// Versions to remove.
+    /// Numbers of the versions to remove.
     pub removed_versions: Vec<u64>,
     /// Documents to write, by version number.
     pub documents: Vec<(u64, Vec<u8>)>,
-    /// What else is known of versions, by version number.
+    /// Encoded metadata of versions to write, by version number.
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Removes the log entries from this index on.
     pub truncate_log_from: Option<u64>,
@@ -44,27 +44,28 @@
     pub log_entries: Vec<(u64, Vec<u8>)>,
     /// Values to write, by name.
     pub values: Vec<(&'static str, Vec<u8>)>,
-    /// Whether the batch must be on disk when the call returns. Without it a crash may lose this batch, but nothing that was
-    /// synced before.
+    /// Whether the batch must be on disk when the write returns. If false, a crash may lose this batch, but
+    /// no batch that was synced before.
     pub sync: bool,
 }
 
-/// One stored version.
+/// A stored configuration version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionRow {
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
-    /// What is known of it besides the document; empty if nothing was written.
+    /// Encoded metadata of the version; empty if none was written.
     pub entry: Vec<u8>,
-    /// The document.
+    /// Encoded document of the version.
     pub document: Vec<u8>,
 }
 
 impl ControlStore {
-    /// Opens the database in this file, which is created if it does not exist.
+    /// Opens the database in this file, and creates it if it does not exist.
     ///
     /// # Errors
-    /// [`StorageError::Database`] if the file cannot be opened, belongs to another process, or is not such a database.
+    /// [`StorageError::Database`] if the file cannot be opened, is in use by another process, or is not such
+    /// a database.
     pub fn open(path: &Path) -> Result<Self, StorageError> {
         const OPERATION: &str = "open the store";
         let database =
@@ -81,7 +82,8 @@
         Ok(store)
     }
 
-    /// The number that distinguishes this store's history from others: the stored one, or `fresh`, which is stored then.
+    /// The number that distinguishes the history of this store from that of any other store. If none is
+    /// stored yet, `fresh` is stored and returned.
     ///
     /// # Errors
     /// [`StorageError::Database`] if the database fails.
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Writes all of a batch, or nothing of it.
+    /// Writes a batch atomically.
     ///
     /// # Errors
     /// [`StorageError::Database`] if the database fails.
@@ -114,7 +116,7 @@
         })
     }
 
-    /// Reads a value by name.
+    /// Reads a value by name; `None` if none is stored under it.
     ///
     /// # Errors
     /// [`StorageError::Database`] if the database fails.
@@ -125,7 +127,7 @@
         })
     }
 
-    /// Reads the log: index and entry, in the order of the indices.
+    /// Reads the Raft log as pairs of index and entry, in the order of the indices.
     ///
     /// # Errors
     /// [`StorageError::Database`] if the database fails.
@@ -140,7 +142,7 @@
         })
     }
 
-    /// Reads all stored versions, in the order of their numbers.
+    /// Reads all stored versions in the order of their numbers.
     ///
     /// # Errors
     /// [`StorageError::Database`] if the database fails.
@@ -162,7 +164,7 @@
         })
     }
 
-    /// Runs `read` in a transaction of its own.
+    /// Runs `read` in a read transaction. `operation` completes the sentence "cannot ..." in the error.
     fn read_with<T>(
         &self,
         operation: &'static str,
@@ -172,7 +174,8 @@
         transact().map_err(|error| error.context(&self.path, operation))
     }
 
-    /// Runs `change` in a transaction of its own and commits it; an error rolls it back.
+    /// Runs `change` in a write transaction and commits it, or rolls it back on an error. `operation`
+    /// completes the sentence "cannot ..." in the error.
     fn write_with<T>(
         &self,
         operation: &'static str,
@@ -190,7 +193,8 @@
     }
 }
 
-/// An error of the database, boxed because it is large, before its path and operation are added.
+/// An error of the database to which the path and the operation are not added yet. It is boxed because it is
+/// large.
 struct DatabaseError(Box<redb::Error>);
 
 impl<E: Into<redb::Error>> From<E> for DatabaseError {
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -4,15 +4,15 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why durable state could not be read or written. The message is one line that names the file and what was attempted.
+/// An error of reading or writing durable state. The message is one line with the file and the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
     /// A call to the file system failed.
     #[error("{}: cannot {operation}: {source}", .path.display())]
     Io {
-        /// The file or directory.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// What was attempted, as a verb and its object.
+        /// The attempted operation, which completes the sentence "cannot ...".
         operation: &'static str,
         /// The error of the operating system.
         source: io::Error,
@@ -20,57 +20,57 @@
     /// The embedded database failed.
     #[error("{}: cannot {operation}: {source}", .path.display())]
     Database {
-        /// The database file.
+        /// Path of the database file.
         path: PathBuf,
-        /// What was attempted, as a verb and its object.
+        /// The attempted operation, which completes the sentence "cannot ...".
         operation: &'static str,
         /// The error of the database.
         source: Box<redb::Error>,
     },
-    /// Another process holds the lock of a directory.
+    /// Another process holds the lock on the directory.
     #[error("{}: another process holds the lock: {source}", .path.display())]
     Locked {
-        /// The directory.
+        /// Path of the directory.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// A file was read, but its contents are not what was written.
+    /// The file can be read, but its contents are not a complete value as it was written.
     #[error("{}: {source}", .path.display())]
     Corrupt {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The fault in the contents.
         source: Corruption,
     },
     /// A value is larger than its slot allows.
     #[error("{}: cannot stage a value of {len} bytes, at most {max_len} are allowed", .path.display())]
     TooLarge {
-        /// The file that the value was meant for.
+        /// Path of the file to which the value would be written.
         path: PathBuf,
         /// Length of the value in bytes.
         len: usize,
-        /// Largest length allowed, in bytes.
+        /// The maximum length in bytes.
         max_len: usize,
     },
 }
 
-/// What is wrong with the contents of a file.
+/// A fault in the contents of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
     /// The file is shorter than its header.
     #[error("it is truncated within its header")]
     TruncatedHeader,
-    /// The header does not begin with the expected mark.
+    /// The header does not start with the expected magic bytes.
     #[error("it has another format")]
     UnknownFormat,
-    /// The file has fewer or more bytes than its header states.
+    /// The length of the value differs from the one in the header.
     #[error("its length differs from the one in its header")]
     LengthMismatch,
-    /// The bytes do not match the checksum.
+    /// The checksum of the value differs from the one in the header.
     #[error("its checksum does not match")]
     ChecksumMismatch,
-    /// A generation file does not consist of two decimal numbers.
+    /// The generation file does not consist of two decimal numbers.
     #[error("it does not hold two numbers")]
     InvalidGeneration,
 }
--- a/crates/storage/src/generation_file.rs
+++ b/crates/storage/src/generation_file.rs
@@ -1,7 +1,8 @@
-//! The generation file beside a store: how often the store was started, and which file it was at that time.
+//! The generation file next to a store: the number of starts of the store, and the identity of its file at
+//! the last start.
 //!
-//! A store that was copied or restored from a backup has another inode or an older start count than its generation file
-//! states. What follows from that is decided by the caller.
+//! A store that was copied or restored from a backup has another inode or a lower start count than its
+//! generation file. The embedder decides whether such a store may be used.
 
 use std::fs::{self, File};
 use std::io::{self, Write as _};
@@ -10,23 +11,24 @@
 
 use crate::error::{Corruption, IoContext as _, StorageError, sync_directory};
 
-/// Appended to the name of the store.
+/// Suffix that is appended to the name of the store.
 const SUFFIX: &str = ".seal";
-/// Appended to the name of the generation file while its successor is written.
+/// Suffix that is appended to the name of the generation file while a new one is written.
 const STAGED_SUFFIX: &str = ".staged";
-/// Bits by which the device number is rotated, so that it does not overlap the usual range of inode numbers.
+/// The number of bits by which the device number is rotated, so that it does not overlap the usual range of
+/// inode numbers.
 const DEVICE_ROTATION: u32 = 40;
 
 /// The contents of a generation file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Generation {
-    /// How often a process was started on the store.
+    /// The number of process starts with this store.
     pub starts: u64,
-    /// The store's [`file_id`] at its last start.
+    /// The [`file_id`] of the store at its last start.
     pub file_id: u64,
 }
 
-/// Identifies a file on this machine by its inode and device; a copy has another id.
+/// Identifies the file of a store on this machine by its inode and device. A copy of the file has another id.
 ///
 /// # Errors
 /// [`StorageError::Io`] if the metadata cannot be read.
@@ -35,10 +37,11 @@
     Ok(metadata.ino() ^ metadata.dev().rotate_left(DEVICE_ROTATION))
 }
 
-/// Reads the generation file of this store; `None` if there is none.
+/// Reads the generation file of this store; `None` if the file does not exist.
 ///
 /// # Errors
-/// [`StorageError::Io`] if it cannot be read, [`StorageError::Corrupt`] if it does not hold two numbers.
+/// [`StorageError::Io`] if the file cannot be read, [`StorageError::Corrupt`] if it does not contain two
+/// numbers.
 pub fn read(store: &Path) -> Result<Option<Generation>, StorageError> {
     let path = generation_path(store);
     let text = match fs::read_to_string(&path) {
@@ -52,10 +55,11 @@
     }
 }
 
-/// Replaces the generation file of this store atomically and syncs it.
+/// Atomically replaces the generation file of this store, and syncs it.
 ///
 /// # Errors
-/// [`StorageError::Io`] if it cannot be written, renamed or synced; the earlier file is then still there or already replaced.
+/// [`StorageError::Io`] if the file cannot be written, renamed or synced. The earlier file may have been
+/// replaced then.
 pub fn write(store: &Path, generation: Generation) -> Result<(), StorageError> {
     let path = generation_path(store);
     let staged = with_suffix(&path, STAGED_SUFFIX);
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,12 +1,15 @@
 #![forbid(unsafe_code)]
-//! Crash-safe durable state. Whenever the process is killed, a restart finds either the old or the new value, never a mix.
+//! Crash-safe durable state. If the process is killed at any time, a restart finds either the old or the new
+//! value, never a mix of both.
 //!
-//! - [`snapshot_slots`]: the current and the previous value of one owner, as checksummed files. A proxy keeps its last good
-//!   configuration there.
-//! - [`control_store`]: the versions, the Raft log and further values of a control server, in an embedded database.
-//! - [`generation_file`]: a small file beside that database which detects that the database was copied or restored.
+//! - [`snapshot_slots`]: the current and the previous value of one owner, as checksummed files. A proxy
+//!   stores its last good configuration in them.
+//! - [`control_store`]: the configuration versions, the Raft log and further values of a control server, in
+//!   an embedded database.
+//! - [`generation_file`]: a small file next to that database, by which a copied or restored database is
+//!   detected.
 //!
-//! Values are opaque bytes here; their owners encode and decode them.
+//! Values are opaque bytes in this crate; their owners encode and decode them.
 
 pub mod control_store;
 mod error;
