--- a/crates/leadership/src/checkpoint.rs
+++ b/crates/leadership/src/checkpoint.rs
@@ -1,7 +1,8 @@
-//! Commits the progress of a rollout before its effect.
+//! Commits the progress of a rollout before it takes effect.
 //!
-//! A holder must do nothing that its successor could not know of: how far a rollout has come is replicated before any
-//! proxy is offered the step, and offers are held back meanwhile.
+//! The next holder of the role must know everything that its predecessor has done. A step of a rollout is
+//! therefore replicated before any proxy is offered the version under it, and offers are deferred until the
+//! commit.
 
 use std::time::Duration;
 
@@ -9,31 +10,31 @@
 use gaugestep_config::schema::{Keep, Progress};
 use prost::Message as _;
 
-/// Request counts that have grown are checkpointed at this interval; a change of anything else is at once.
-pub const COUNTS_INTERVAL: Duration = Duration::from_secs(5);
+/// The interval at which changed request counts are checkpointed. Any other change is checkpointed at once.
+pub const COUNTS_CHECKPOINT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A checkpoint that was proposed.
+/// The last checkpoint that was proposed.
 #[derive(Debug)]
-struct Proposed {
+struct ProposedCheckpoint {
     progress: Progress,
-    /// `None` if it was taken over from the previous holder.
-    at: Option<Timestamp>,
+    /// `None` if the previous holder proposed the checkpoint.
+    proposed_at: Option<Timestamp>,
 }
 
-/// Holds back the actions `A` of a holder until the progress that they follow from is committed.
+/// Defers the actions `A` of a holder until the rollout progress that they depend on is committed.
 #[derive(Debug)]
 pub struct CheckpointBarrier<A> {
-    proposed: Option<Proposed>,
+    last_proposed: Option<ProposedCheckpoint>,
     /// Order of the last checkpoint under this term.
-    order: u64,
+    last_order: u64,
     /// Order of the checkpoint that is not committed yet.
-    pending: Option<u64>,
-    held_back: Vec<A>,
+    pending_order: Option<u64>,
+    deferred: Vec<A>,
 }
 
 impl<A> Default for CheckpointBarrier<A> {
     fn default() -> Self {
-        CheckpointBarrier { proposed: None, order: 0, pending: None, held_back: Vec::new() }
+        CheckpointBarrier { last_proposed: None, last_order: 0, pending_order: None, deferred: Vec::new() }
     }
 }
 
@@ -42,53 +43,58 @@
 }
 
 impl<A> CheckpointBarrier<A> {
-    /// The barrier of a holder that resumes from this progress, which the role's state had under this order.
+    /// Creates the barrier of a holder that resumes from the progress in the state of its role. `order` is
+    /// the order under which that state was stored.
     pub fn resume(order: u64, progress: Progress) -> Self {
-        CheckpointBarrier { proposed: Some(Proposed { progress, at: None }), order, ..Self::default() }
+        let last_proposed = Some(ProposedCheckpoint { progress, proposed_at: None });
+        CheckpointBarrier { last_proposed, last_order: order, ..Self::default() }
     }
 
-    /// Compares the rollout's progress with the last checkpoint; returns the next one to propose, if one is due.
+    /// Compares the progress of the rollout with the last checkpoint, and returns the next checkpoint to
+    /// propose if one is due.
     pub fn checkpoint(&mut self, now: Timestamp, progress: Option<Progress>) -> Option<Keep> {
         let progress = progress?;
-        if self.proposed.as_ref().is_some_and(|proposed| !proposed.is_outdated(now, &progress)) {
+        if self.last_proposed.as_ref().is_some_and(|last| !last.is_outdated(now, &progress)) {
             return None;
         }
-        self.order += 1;
-        self.pending = Some(self.order);
+        self.last_order += 1;
+        self.pending_order = Some(self.last_order);
         let state = progress.encode_to_vec();
-        self.proposed = Some(Proposed { progress, at: Some(now) });
-        Some(Keep { state, order: self.order })
+        self.last_proposed = Some(ProposedCheckpoint { progress, proposed_at: Some(now) });
+        Some(Keep { state, order: self.last_order })
     }
 
-    /// Submits an action: it is returned if it may be carried out now, and held back otherwise.
+    /// Submits an action. Returns it if it may be carried out now; otherwise defers it.
     pub fn submit(&mut self, action: A) -> Option<A> {
-        if self.pending.is_none() {
+        if self.pending_order.is_none() {
             return Some(action);
         }
-        self.held_back.push(action);
+        self.deferred.push(action);
         None
     }
 
-    /// The checkpoint of this order was committed, or could not be; returns the actions that may be carried out now.
+    /// Handles the result of the checkpoint with this order. Returns the actions that may be carried out now.
     ///
-    /// What could not be committed is proposed again by the next [`CheckpointBarrier::checkpoint`], and actions stay
-    /// held back until then.
+    /// If the checkpoint could not be committed, the next [`CheckpointBarrier::checkpoint`] proposes another
+    /// one, and actions stay deferred until that one is committed.
     pub fn on_commit(&mut self, order: u64, committed: bool) -> Vec<A> {
-        if self.pending != Some(order) {
+        if self.pending_order != Some(order) {
             return Vec::new();
         }
         if !committed {
-            self.proposed = None;
+            self.last_proposed = None;
             return Vec::new();
         }
-        self.pending = None;
-        std::mem::take(&mut self.held_back)
+        self.pending_order = None;
+        std::mem::take(&mut self.deferred)
     }
 }
 
-impl Proposed {
+impl ProposedCheckpoint {
     fn is_outdated(&self, now: Timestamp, progress: &Progress) -> bool {
-        let interval_over = self.at.is_none_or(|at| now.duration_since(at) >= COUNTS_INTERVAL);
+        let interval_over = self
+            .proposed_at
+            .is_none_or(|proposed_at| now.duration_since(proposed_at) >= COUNTS_CHECKPOINT_INTERVAL);
         let counts_due = self.progress.counts != progress.counts && interval_over;
         counts_due || without_counts(&self.progress) != without_counts(progress)
     }
--- a/crates/leadership/src/group_state/members.rs
+++ b/crates/leadership/src/group_state/members.rs
@@ -1,4 +1,4 @@
-//! Members: who joins and leaves, and where each is reached.
+//! Members of the group: joining, removal and addresses.
 
 use gaugestep_config::schema::Member;
 
@@ -6,33 +6,35 @@
 use crate::NO_MEMBER;
 
 impl GroupState {
-    /// Adds a member, once the change of membership is committed.
+    /// Adds a member. Called when the change of membership is committed.
     pub fn add_member(&mut self, member: Member) -> Vec<StateChange> {
         self.members.insert(member.number, member);
         vec![StateChange::MembersChanged]
     }
 
-    /// Removes a member for good, once the change of membership is committed. Nobody holds its roles then.
+    /// Removes a member permanently, and leaves its roles without a holder. Called when the change of
+    /// membership is committed.
     pub fn remove_member(&mut self, member: u64) -> Vec<StateChange> {
         let mut changes = Vec::new();
         if self.members.remove(&member).is_some() {
             self.removed.insert(member);
             changes.push(StateChange::MembersChanged);
         }
-        let held: Vec<(String, u64)> =
+        let roles_of_member: Vec<(String, u64)> =
             self.roles_of(member).map(|role| (role.name.clone(), role.term)).collect();
-        for (role, term) in held {
-            // A role whose terms are exhausted keeps its holder, for which nobody acts any more.
+        for (role, term) in roles_of_member {
+            // A role whose terms are exhausted keeps the removed member as its holder; no member acts for it
+            // then.
             let _ = self.assign_role(&role, NO_MEMBER, term, &mut changes);
         }
         changes
     }
 
-    /// Checks whether a member may join.
+    /// Checks whether a member may join the group.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// [`CommandRejected`] if the number is in use or was used before, or if the group has [`MAX_MEMBERS`].
     pub fn check_join(&self, member: &Member) -> Result<(), CommandRejected> {
         if member.number == NO_MEMBER || self.members.contains_key(&member.number) {
             return Err(CommandRejected::MemberExists(member.number));
@@ -46,22 +48,23 @@
         Ok(())
     }
 
-    /// Records where a member is reached. A later start replaces an earlier one; nothing replaces a later one.
+    /// Stores the addresses of a member as of one start of its process. A later start replaces an earlier
+    /// one, and an earlier start is rejected.
     pub(super) fn update_member(
         &mut self,
         member: &Member,
         changes: &mut Vec<StateChange>,
     ) -> Result<(), CommandRejected> {
-        let Some(known) = self.members.get_mut(&member.number) else {
+        let Some(stored) = self.members.get_mut(&member.number) else {
             return Err(CommandRejected::UnknownMember(member.number));
         };
-        if (known.boot, known.nonce) == (member.boot, member.nonce) {
+        if (stored.boot, stored.nonce) == (member.boot, member.nonce) {
             return Ok(());
         }
-        if known.boot >= member.boot {
+        if stored.boot >= member.boot {
             return Err(CommandRejected::StaleMember(member.number));
         }
-        *known = member.clone();
+        *stored = member.clone();
         changes.push(StateChange::MembersChanged);
         Ok(())
     }
--- a/crates/leadership/src/group_state/mod.rs
+++ b/crates/leadership/src/group_state/mod.rs
@@ -1,8 +1,9 @@
-//! The replicated state machine of the control services: their members, the roles with holders and terms, and the
-//! configuration versions that the holder of [`CONFIGURATION_ROLE`] published.
+//! The replicated state machine of the control servers: the members of the group, the roles with their
+//! holders and terms, and the configuration versions that the holder of [`CONFIGURATION_ROLE`] published.
 //!
-//! Every member applies the same commands in the same order and comes to the same state. A command under a stale term is
-//! rejected here by all members alike, whatever its proposer believed about its lease.
+//! Every member applies the same commands in the same order and therefore reaches the same state. Every
+//! member rejects a command with a stale term, whether or not its proposer still believed that it had a
+//! lease.
 
 mod members;
 mod rejection;
@@ -22,77 +23,79 @@
 
 use crate::{CONFIGURATION_ROLE, NO_MEMBER, RoleHolder};
 
-/// The most roles of a group.
+/// The maximum number of roles of a group.
 pub const MAX_ROLES: usize = 4_096;
-/// The most bytes that a role keeps for its next holder.
+/// The maximum length of the state that a role stores for its next holder.
 pub const MAX_ROLE_STATE_BYTES: usize = 256 * 1024;
-/// The most members of a group.
+/// The maximum number of members of a group.
 pub const MAX_MEMBERS: usize = 7;
-/// The most bytes of a role's name and of a publication's key.
+/// The maximum length of the name of a role and of the key of a publication.
 const MAX_NAME_BYTES: usize = 128;
-/// How far a term may be raised at once. A receiver that reports a higher one is corrupt, and must not use terms up.
+/// The largest increase of a term by one command. A receiver that reports a term further ahead is taken to be
+/// corrupt, and must not exhaust the terms of the role.
 pub const MAX_TERM_RAISE: u64 = 1 << 32;
 
-/// The result of a command.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The command has taken effect.
+    /// The command took effect.
     Applied,
     /// The version is published, by this command or by an earlier one under the same key.
     Published(Version),
     /// The proposer does not hold the role under the command's term.
     StaleTerm {
-        /// The command's term.
+        /// Term of the command.
         term: u64,
-        /// The role's term.
+        /// Term of the role.
         current: u64,
     },
     /// The command cannot take effect.
     Rejected(CommandRejected),
 }
 
-/// What a command has changed.
+/// A change of the state by a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateChange {
     /// A version was published.
     VersionPublished(u64),
-    /// The record of a version has changed.
+    /// The entry of a version changed.
     VersionUpdated(u64),
-    /// A version was dropped, as newer ones are kept in its place.
+    /// A version was dropped because there are enough newer ones.
     VersionDropped(u64),
-    /// A role has a new holder or term.
+    /// The holder or the term of a role changed.
     HolderChanged(String),
-    /// A role was declared, or its state has changed.
+    /// A role was declared, or the state for its next holder changed.
     RoleChanged(String),
-    /// A member joined, left, or has a new address.
+    /// A member joined, was removed, or restarted, possibly with another address.
     MembersChanged,
 }
 
-/// A version with its content.
+/// A configuration version with its document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredVersion {
-    /// Its record: number, digest, author and state of the rollout.
+    /// Number, digest, author and rollout state of the version.
     pub entry: Entry,
-    /// Its content.
+    /// Content of the version.
     pub document: Arc<Document>,
 }
 
 impl StoredVersion {
-    /// Its number.
+    /// Number of the version.
     pub fn number(&self) -> u64 {
         version_number(&self.entry)
     }
 }
 
-/// The number in a version's record; 0 if the record names no version.
+/// The number of the version that an entry describes; 0 if the entry contains no version.
 pub fn version_number(entry: &Entry) -> u64 {
     entry.version.as_ref().map_or(0, |version| version.number)
 }
 
-/// The replicated state.
+/// The replicated state of a group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupState {
-    /// Identifies the group: one that is set up from nothing has another lineage, as version numbers begin again.
+    /// Identifies the group; 0 while this member has not joined one. A group that is set up with an empty
+    /// store gets a new lineage, because its version numbers start again.
     pub lineage: u64,
     /// The members, by number.
     pub members: BTreeMap<u64, Member>,
@@ -105,7 +108,7 @@
 }
 
 impl GroupState {
-    /// The state of a group of one member, with the versions that a build without groups left.
+    /// Creates the state of a group of one member. `versions` are those that a build without groups stored.
     pub fn single_member(lineage: u64, member: Member, versions: BTreeMap<u64, StoredVersion>) -> Self {
         let role = Role { name: CONFIGURATION_ROLE.into(), ..Role::default() };
         GroupState {
@@ -117,11 +120,11 @@
         }
     }
 
-    /// Applies a command; returns its result and what it has changed. A command that is rejected changes nothing.
+    /// Applies a command, and returns its result and the changes. A rejected command changes nothing.
     pub fn apply(&mut self, command: &Command) -> (Outcome, Vec<StateChange>) {
         let mut changes = Vec::new();
         let outcome = self.try_apply(command, &mut changes).unwrap_or_else(|rejected| {
-            debug_assert!(changes.is_empty(), "a command that is rejected changes nothing");
+            debug_assert!(changes.is_empty(), "a rejected command changes nothing");
             Outcome::Rejected(rejected)
         });
         (outcome, changes)
@@ -136,7 +139,8 @@
         let RoleHolder { member: holder, term: current } = self.holder(&command.duty);
         let is_current = match what {
             What::Declare(_) | What::Member(_) => true,
-            // The command names the term that it replaces: two leaders, or one that repeats it, replace it once.
+            // The command contains the term that it replaces, so that it takes effect once even if two
+            // leaders propose it or one leader repeats it.
             What::Assign(_) => command.term == current,
             _ => command.term == current && command.by == holder && holder != NO_MEMBER,
         };
--- a/crates/leadership/src/group_state/rejection.rs
+++ b/crates/leadership/src/group_state/rejection.rs
@@ -1,11 +1,11 @@
-//! Why a command is rejected.
+//! Reasons to reject a command.
 
 use gaugestep_config::RejectReason;
 use thiserror::Error;
 
 use super::{MAX_MEMBERS, MAX_ROLES};
 
-/// Why a command cannot take effect; the text is the reply to the operator.
+/// The reason why a command cannot take effect. Its text is the response to the operator.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum CommandRejected {
     /// A later build proposed a command that this build does not know.
@@ -24,29 +24,29 @@
     /// No role has this name.
     #[error("there is no duty '{0}'")]
     UnknownRole(String),
-    /// The role has had the highest term that there is.
+    /// The role has reached the highest possible term.
     #[error("the terms of '{0}' are used up")]
     TermsExhausted(String),
-    /// The term to go above is further away than [`MAX_TERM_RAISE`](super::MAX_TERM_RAISE).
+    /// The term to exceed is more than [`MAX_TERM_RAISE`](super::MAX_TERM_RAISE) above the current one.
     #[error("the term to go above is further off than any owner can have come")]
     TermOutOfReach,
-    /// The state is longer than [`MAX_ROLE_STATE_BYTES`](super::MAX_ROLE_STATE_BYTES).
+    /// The state for the next holder is longer than [`MAX_ROLE_STATE_BYTES`](super::MAX_ROLE_STATE_BYTES).
     #[error("{bytes} bytes are too many to keep for the next owner")]
     RoleStateTooLong {
-        /// Its length.
+        /// Length of the state in bytes.
         bytes: usize,
     },
 
     /// No member has this number.
     #[error("there is no member {0}")]
     UnknownMember(u64),
-    /// A later start of the member's process is known.
+    /// A later start of the process of the member is stored.
     #[error("a later start of member {0} is known")]
     StaleMember(u64),
-    /// A member has this number already.
+    /// Another member of the group has this number, or the number is 0.
     #[error("member {0} is there already")]
     MemberExists(u64),
-    /// The number was a former member's.
+    /// The number belonged to a member that was removed, and cannot be used again.
     #[error("number {0} was a member's that is gone: take another")]
     MemberNumberUsed(u64),
     /// There are [`MAX_MEMBERS`] members already.
@@ -56,27 +56,27 @@
     #[error("the last member cannot be removed")]
     LastMember,
 
-    /// The publication's key is too long.
+    /// The key of the publication is too long.
     #[error("the key is too long")]
     KeyTooLong,
-    /// A version with another content was published under the same key.
+    /// A version with a different document was published under the same key.
     #[error("version {number} was published under this key, with another content")]
     KeyReused {
-        /// That version.
+        /// Number of the version published under the key.
         number: u64,
     },
     /// The document is invalid.
     #[error(transparent)]
     InvalidDocument(#[from] RejectReason),
-    /// Another version is the newest than the operator expected.
+    /// The newest version is not the one that the operator expected.
     #[error("version {newest} is the newest, not version {expected}")]
     UnexpectedNewest {
-        /// The newest version.
+        /// Number of the newest version.
         newest: u64,
-        /// The version that the operator expected.
+        /// Number of the version that the operator expected.
         expected: u64,
     },
-    /// The newest version has the highest number that there is.
+    /// The newest version has the highest possible number.
     #[error("the numbers of versions are used up")]
     VersionNumbersExhausted,
     /// No version has this number.
--- a/crates/leadership/src/group_state/roles.rs
+++ b/crates/leadership/src/group_state/roles.rs
@@ -1,4 +1,4 @@
-//! Roles: declaration, change of holder and the state for the next holder.
+//! Roles: declaration, change of the holder, and the state that is stored for the next holder.
 
 use gaugestep_config::schema::{Duty as Role, Keep};
 
@@ -8,10 +8,10 @@
 use crate::{NO_MEMBER, RoleHolder};
 
 impl GroupState {
-    /// The holder of a role and its term; the default for a role that was not declared.
+    /// The holder and the term of a role; no holder and term 0 if the role was not declared.
     pub fn holder(&self, role: &str) -> RoleHolder {
-        let holder = |role: &Role| RoleHolder { member: role.owner, term: role.term };
-        self.roles.get(role).map(holder).unwrap_or_default()
+        let to_holder = |role: &Role| RoleHolder { member: role.owner, term: role.term };
+        self.roles.get(role).map(to_holder).unwrap_or_default()
     }
 
     /// The roles that a member holds.
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// Assigns a role to a member, or to nobody, under the term that follows `previous`.
+    /// Assigns a role to a member, or to none with [`NO_MEMBER`]. The new term is `previous` plus 1.
     pub(super) fn assign_role(
         &mut self,
         name: &str,
@@ -54,7 +54,7 @@
         if !is_assignable {
             return Err(CommandRejected::UnknownMember(to));
         }
-        // The highest term is never used: its holder could not be followed by another.
+        // The highest term is never used, because a holder under it could not be replaced.
         let Some(term) = previous.checked_add(1).filter(|term| *term < u64::MAX) else {
             return Err(CommandRejected::TermsExhausted(name.into()));
         };
@@ -64,7 +64,8 @@
         Ok(())
     }
 
-    /// The holder of a role stays, under a term above one that a receiver has seen.
+    /// Raises the term of a role above `above`, the highest term that a receiver reported. The holder stays
+    /// the same.
     pub(super) fn raise_term(
         &mut self,
         name: &str,
@@ -78,7 +79,8 @@
         self.assign_role(name, member, term.max(above), changes)
     }
 
-    /// Stores what the next holder of a role needs. A command that comes twice does not undo a later one.
+    /// Stores the state of a role for its next holder. A command whose order is not above the stored one has
+    /// no effect, so that a command that is committed twice does not undo a later one.
     pub(super) fn store_role_state(
         &mut self,
         name: &str,
--- a/crates/leadership/src/group_state/snapshot.rs
+++ b/crates/leadership/src/group_state/snapshot.rs
@@ -1,4 +1,4 @@
-//! Conversion from and to the message in which the state is stored and sent.
+//! Conversion between the state and the protobuf message in which it is stored and sent.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use super::{GroupState, StoredVersion, version_number};
 
 impl GroupState {
-    /// The message as it is stored: without the versions, which are stored beside it.
+    /// The message to store. It omits the versions, which are stored separately.
     pub fn to_stored(&self) -> Charter {
         Charter {
             lineage: self.lineage,
@@ -18,19 +18,20 @@
         }
     }
 
-    /// The message as it is sent to a member that has fallen behind: with the versions.
+    /// The message to send to a member whose log is too far behind. It contains the versions.
     pub fn to_snapshot(&self) -> Charter {
-        let held = |stored: &StoredVersion| Held {
+        let to_message = |stored: &StoredVersion| Held {
             entry: Some(stored.entry.clone()),
             document: Some((*stored.document).clone()),
         };
-        Charter { versions: self.versions.values().map(held).collect(), ..self.to_stored() }
+        Charter { versions: self.versions.values().map(to_message).collect(), ..self.to_stored() }
     }
 
-    /// The state that a message holds, stored or sent.
+    /// Decodes the state from a message that was stored or received.
     pub fn from_schema(message: Charter) -> Self {
-        let stored = |held: Held| {
-            let (entry, document) = (held.entry.unwrap_or_default(), held.document.unwrap_or_default());
+        let to_stored_version = |message: Held| {
+            let entry = message.entry.unwrap_or_default();
+            let document = message.document.unwrap_or_default();
             (version_number(&entry), StoredVersion { entry, document: Arc::new(document) })
         };
         GroupState {
@@ -38,7 +39,7 @@
             members: message.members.into_iter().map(|member| (member.number, member)).collect(),
             removed: message.removed.into_iter().collect(),
             roles: message.duties.into_iter().map(|role| (role.name.clone(), role)).collect(),
-            versions: message.versions.into_iter().map(stored).collect(),
+            versions: message.versions.into_iter().map(to_stored_version).collect(),
         }
     }
 }
--- a/crates/leadership/src/group_state/versions.rs
+++ b/crates/leadership/src/group_state/versions.rs
@@ -1,4 +1,4 @@
-//! Configuration versions: publication, state of the rollout, and which versions are kept.
+//! Configuration versions: publication, rollout state and retention.
 
 use std::sync::Arc;
 
@@ -9,12 +9,13 @@
 use super::{CommandRejected, GroupState, MAX_NAME_BYTES, StateChange, StoredVersion};
 
 impl GroupState {
-    /// The number of the newest version; 0 if there is none.
+    /// The number of the newest version; 0 if there are no versions.
     pub fn newest_version(&self) -> u64 {
         self.versions.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Publishes a version. A second publication under the same key is the first one.
+    /// Publishes a version. A publication under a key that was used before, with the same document, returns
+    /// the version that was published first and changes nothing.
     pub(super) fn publish(
         &mut self,
         new: &NewVersion,
@@ -41,7 +42,7 @@
         Ok(version)
     }
 
-    /// Sets the state of a version's rollout. A rollout that has ended stays as it ended.
+    /// Sets the rollout state of a version. Has no effect if the rollout has ended.
     pub(super) fn set_version_state(
         &mut self,
         new: &NewState,
@@ -73,7 +74,7 @@
         Ok(next.max(new.at_least))
     }
 
-    /// A new version supersedes every rollout that is under way.
+    /// Marks every rollout that is under way as superseded by a new version.
     fn supersede_rollouts(&mut self, changes: &mut Vec<StateChange>) {
         for (number, stored) in &mut self.versions {
             if stored.entry.state() == State::Rolling {
@@ -100,7 +101,7 @@
         version
     }
 
-    /// Drops the oldest versions above the number that is kept, but those that are needed.
+    /// Drops the oldest versions so that at most `new.keep` remain, except for those listed in `new.needed`.
     fn drop_old_versions(&mut self, new: &NewVersion, changes: &mut Vec<StateChange>) {
         let surplus = self.versions.len().saturating_sub(new.keep.max(1) as usize);
         let oldest: Vec<u64> = self.versions.keys().copied().take(surplus).collect();
--- a/crates/leadership/src/identity.rs
+++ b/crates/leadership/src/identity.rs
@@ -1,76 +1,77 @@
-//! Which process has a proxy's name.
+//! Ownership of proxy names by processes.
 //!
-//! A name has one holder under a rising term, like a role. A process that claims the name of another takes it with a
-//! higher term; the earlier process is notified, and does not take the name back while the later one is connected.
+//! Like a role, a name has one holder and a rising term. A process that claims a name which another process
+//! holds becomes its holder under a higher term. The superseded process is notified, and cannot reclaim the
+//! name while the later one is connected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
 
-/// A process that lost its name may take it back once the later process has been disconnected for this long.
+/// A superseded process may reclaim its name once the later process has been disconnected for this time.
 pub const RECLAIM_AFTER: Duration = Duration::from_secs(10);
-/// Names remembered while their process is disconnected.
-const MAX_DISCONNECTED: usize = 10_000;
+/// The limit of registered names whose process is disconnected; the oldest one is removed beyond it.
+const MAX_DISCONNECTED_NAMES: usize = 10_000;
 
-/// A process that opens a stream under a name.
+/// The claim of a process that opens a stream under a name.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRequest<'a> {
-    /// The name.
+    /// Name of the proxy.
     pub name: &'a str,
-    /// The process.
+    /// Identifies the process.
     pub incarnation: u64,
-    /// The term under which the process was granted the name before; 0: it never was.
+    /// The term under which the process was granted the name before; 0 if it never was.
     pub term: u64,
-    /// The stream.
+    /// Identifies the stream.
     pub stream: u64,
 }
 
-/// The answer to a claim.
+/// The result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// The process has the name.
+    /// The process holds the name from now on.
     Granted {
-        /// The name's term.
+        /// Term of the name.
         term: u64,
-        /// The stream of the process that had the name and must be notified.
+        /// The stream of the process that held the name and must be notified; `None` if there is none.
         superseded: Option<u64>,
     },
-    /// A later process has the name.
+    /// A later process holds the name.
     Superseded {
-        /// The name's term.
+        /// Term of the name.
         term: u64,
-        /// That process.
+        /// Incarnation of the later process.
         by: u64,
     },
 }
 
-/// The process that has a name.
+/// The process that holds a name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NameHolder {
-    /// The process.
+    /// Identifies the process.
     pub incarnation: u64,
-    /// The name's term.
+    /// Term of the name.
     pub term: u64,
 }
 
-/// A connected process whose name is another's.
+/// A connected process whose name is held by a later process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SupersededProcess<'a> {
-    /// Its stream.
+    /// The stream on which the process is connected.
     pub stream: u64,
-    /// The name.
+    /// Name of the proxy.
     pub name: &'a str,
-    /// The process.
+    /// Identifies the process.
     pub incarnation: u64,
 }
 
-/// Whether the process that has a name is connected.
+/// Whether the process that holds a name is connected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Connection {
-    /// On this stream.
+    /// The process is connected on this stream.
     Open(u64),
-    /// Since this time it is not.
+    /// The process disconnected at this time.
     ClosedAt(Timestamp),
 }
 
@@ -85,18 +86,19 @@
 #[derive(Debug, Default)]
 pub struct IdentityRegistry {
     registrations: BTreeMap<String, Registration>,
-    /// By stream, the name and the process of those whose name is another's; they stay connected, to be shown.
+    /// Name and incarnation, by stream, of connected processes whose name is held by a later process. They
+    /// stay connected so that operators can list them.
     superseded: BTreeMap<u64, (String, u64)>,
 }
 
 impl IdentityRegistry {
-    /// A process claims a name.
+    /// Decides the claim of a process to a name.
     pub fn claim(&mut self, now: Timestamp, request: ClaimRequest<'_>) -> Claim {
         let ClaimRequest { name, incarnation, term, stream } = request;
         self.superseded.remove(&stream);
         let connection = Connection::Open(stream);
         let Some(registration) = self.registrations.get_mut(name) else {
-            // A term above 0 was granted by another service: terms continue from it.
+            // A term above 0 was granted by another control server; terms continue from it.
             let term = term.max(1);
             self.registrations.insert(name.to_owned(), Registration { term, incarnation, connection });
             self.evict_oldest();
@@ -107,8 +109,8 @@
             registration.connection = connection;
             return Claim::Granted { term: registration.term, superseded: None };
         }
-        // A process that had the name under a lower term is the earlier one. A process with a higher term was granted
-        // the name by another service, after this one granted it.
+        // A process whose term is not above the registered one held the name earlier. A process with a higher
+        // term was granted the name by another control server, after the registered process.
         let is_earlier = term > 0 && term <= registration.term;
         if is_earlier && !registration.may_be_reclaimed(now) {
             let (term, by) = (registration.term, registration.incarnation);
@@ -124,33 +126,35 @@
         Claim::Granted { term, superseded }
     }
 
-    /// A stream was closed.
+    /// Records that a stream was closed.
     pub fn disconnected(&mut self, now: Timestamp, stream: u64) {
         self.superseded.remove(&stream);
         let open = Connection::Open(stream);
-        if let Some(registration) = self.registrations.values_mut().find(|it| it.connection == open) {
+        if let Some(registration) =
+            self.registrations.values_mut().find(|registration| registration.connection == open)
+        {
             registration.connection = Connection::ClosedAt(now);
         }
     }
 
-    /// Whether the process on this stream has the name.
+    /// Whether the process on this stream holds the name.
     pub fn is_holder(&self, name: &str, stream: u64) -> bool {
         let open = Connection::Open(stream);
         self.registrations.get(name).is_some_and(|registration| registration.connection == open)
     }
 
-    /// Whether no process ever claimed a name.
+    /// Whether no name is registered.
     pub fn is_empty(&self) -> bool {
         self.registrations.is_empty()
     }
 
-    /// The process that has a name, connected or not.
+    /// The process that holds a name, whether connected or not.
     pub fn holder(&self, name: &str) -> Option<NameHolder> {
         let Registration { incarnation, term, .. } = *self.registrations.get(name)?;
         Some(NameHolder { incarnation, term })
     }
 
-    /// Connected processes whose name is another's.
+    /// Connected processes whose name is held by a later process.
     pub fn superseded(&self) -> impl Iterator<Item = SupersededProcess<'_>> {
         self.superseded.iter().map(|(stream, (name, incarnation))| SupersededProcess {
             stream: *stream,
@@ -159,15 +163,17 @@
         })
     }
 
-    /// Bounds the memory that names take which never connect again.
+    /// Removes the name that has been disconnected longest if there are too many, to bound the memory of
+    /// names whose process never connects again.
     fn evict_oldest(&mut self) {
-        let closed = |(name, registration): (&String, &Registration)| match registration.connection {
+        let closed_at = |(name, registration): (&String, &Registration)| match registration.connection {
             Connection::Open(_) => None,
             Connection::ClosedAt(at) => Some((at, name.clone())),
         };
-        let disconnected = self.registrations.values().filter(|it| it.open_stream().is_none()).count();
-        if disconnected > MAX_DISCONNECTED {
-            if let Some((_, oldest)) = self.registrations.iter().filter_map(closed).min() {
+        let disconnected =
+            self.registrations.values().filter(|registration| registration.open_stream().is_none()).count();
+        if disconnected > MAX_DISCONNECTED_NAMES {
+            if let Some((_, oldest)) = self.registrations.iter().filter_map(closed_at).min() {
                 self.registrations.remove(&oldest);
             }
         }
--- a/crates/leadership/src/leader_discovery.rs
+++ b/crates/leadership/src/leader_discovery.rs
@@ -1,7 +1,8 @@
-//! Which control service a proxy connects to: the holder of the configuration role, wherever it is.
+//! The choice of the control server that a proxy connects to: the holder of the configuration role.
 //!
-//! A proxy knows the services only by its own list of endpoints, and learns which member is behind which endpoint. It
-//! stays with the holder, leaves a service that announces another one, and leaves after a while where none is announced.
+//! A proxy has a list of endpoints and learns which member serves each endpoint when it connects. It stays
+//! connected to the holder, disconnects at once from a server that announces another holder, and disconnects
+//! after [`NO_HOLDER_TIMEOUT`] from a server that announces none.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,52 +11,54 @@
 
 use crate::RoleHolder;
 
-/// A service that announces no holder is left after this time.
+/// A proxy disconnects from a server that has announced no holder for this time.
 pub const NO_HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What to do with a stream after the service's welcome.
+/// The decision about a stream after the welcome of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamDecision {
-    /// Stay with this service.
+    /// Stay connected to this server.
     Keep,
-    /// Close the stream, and connect to the next endpoint.
+    /// Close the stream and connect to another endpoint.
     Close,
 }
 
 /// How soon to connect to the next endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reconnect {
-    /// Without backoff: another service announced a holder that was not tried yet.
+    /// Without backoff, because the last server announced a holder that was not tried yet.
     Promptly,
-    /// After the backoff of a failed connection.
+    /// After the backoff that follows a failed connection.
     AfterBackoff,
 }
 
-/// The search for the holder.
+/// The state of the search for the holder.
 #[derive(Debug)]
 pub struct LeaderDiscovery {
-    endpoints: usize,
-    /// The member that was found at each endpoint.
-    found: BTreeMap<usize, u64>,
+    endpoint_count: usize,
+    /// The member that last sent a welcome at each endpoint, by index of the endpoint.
+    member_at: BTreeMap<usize, u64>,
+    /// Index of the endpoint to connect to.
     current: usize,
-    /// The holder that was announced last and is another member than the one at the current endpoint.
+    /// The holder that the server at the current endpoint announced, if it is another member.
     announced: Option<RoleHolder>,
-    /// Since when the current endpoint announces no holder.
+    /// The time since which the server at the current endpoint announces no holder.
     no_holder_since: Option<Timestamp>,
-    /// The announced member whose endpoint was tried since, to no avail.
-    tried: Option<u64>,
+    /// The announced member whose endpoint was tried last; `None` once a holder is found or the search moves
+    /// on.
+    tried_member: Option<u64>,
 }
 
 impl LeaderDiscovery {
-    /// A search over this many endpoints, which begins at the first.
-    pub fn new(endpoints: usize) -> Self {
+    /// Creates a search over this number of endpoints, which starts at the first one.
+    pub fn new(endpoint_count: usize) -> Self {
         LeaderDiscovery {
-            endpoints: endpoints.max(1),
-            found: BTreeMap::new(),
+            endpoint_count: endpoint_count.max(1),
+            member_at: BTreeMap::new(),
             current: 0,
             announced: None,
             no_holder_since: None,
-            tried: None,
+            tried_member: None,
         }
     }
 
@@ -64,8 +67,9 @@
         self.current
     }
 
-    /// The service at the current endpoint says which member it is and which holder it knows. `highest_term` is the
-    /// highest term that the proxy has seen: an announced holder of a lower term counts as none.
+    /// Handles the welcome of the server at the current endpoint: its member number, and the holder that it
+    /// announces. `highest_term` is the highest term that the proxy has received; an announced holder with a
+    /// lower term is ignored.
     pub fn on_welcome(
         &mut self,
         now: Timestamp,
@@ -73,10 +77,11 @@
         announced: Option<RoleHolder>,
         highest_term: u64,
     ) -> StreamDecision {
-        self.found.insert(self.current, member);
+        self.member_at.insert(self.current, member);
         match announced.filter(|holder| holder.term >= highest_term) {
             Some(holder) if holder.member == member => {
-                (self.no_holder_since, self.tried) = (None, None);
+                self.no_holder_since = None;
+                self.tried_member = None;
                 StreamDecision::Keep
             }
             Some(holder) => {
@@ -93,32 +98,33 @@
         }
     }
 
-    /// The stream to the current endpoint has ended, or could not be opened: moves to the next endpoint.
+    /// Selects the next endpoint after the stream to the current one ended or could not be opened.
     pub fn on_disconnect(&mut self) -> Reconnect {
         self.no_holder_since = None;
-        let here = self.found.get(&self.current).copied();
+        let current_member = self.member_at.get(&self.current).copied();
         let announced = self.announced.take().map(|holder| holder.member);
-        let Some(member) = announced.filter(|_| announced != here && announced != self.tried) else {
-            self.tried = None;
+        let is_untried = announced != current_member && announced != self.tried_member;
+        let Some(member) = announced.filter(|_| is_untried) else {
+            self.tried_member = None;
             self.move_to_next();
             return Reconnect::AfterBackoff;
         };
         match self.endpoint_of(member) {
             Some(endpoint) => {
                 self.current = endpoint;
-                self.tried = Some(member);
+                self.tried_member = Some(member);
             }
-            // The member was not found yet: it is at one of the other endpoints.
+            // The endpoint of the member is not known yet; it is one of the others.
             None => self.move_to_next(),
         }
         Reconnect::Promptly
     }
 
     fn endpoint_of(&self, member: u64) -> Option<usize> {
-        self.found.iter().find(|(_, found)| **found == member).map(|(endpoint, _)| *endpoint)
+        self.member_at.iter().find(|(_, at)| **at == member).map(|(endpoint, _)| *endpoint)
     }
 
     fn move_to_next(&mut self) {
-        self.current = (self.current + 1) % self.endpoints;
+        self.current = (self.current + 1) % self.endpoint_count;
     }
 }
--- a/crates/leadership/src/lease/mod.rs
+++ b/crates/leadership/src/lease/mod.rs
@@ -1,10 +1,11 @@
-//! Leases: who may act until when.
+//! Leases, which limit the time for which a member may act for its roles.
 //!
-//! One lease of a member covers all its roles, so that a thousand roles cost no more than one. A member requests it from
-//! the leader ([`LeaseSession`]), which grants it once a majority has confirmed that it still leads ([`LeaseGrantor`]).
-//! The member's lease runs from the moment of its request, the leader's expiry grace from the moment the request
-//! arrived: with clocks whose rates differ by no more than [`LeaseTiming::drift`], a holder has stopped before anybody
-//! else is assigned its roles.
+//! One lease covers all roles of a member, so that the cost does not depend on the number of roles. A member
+//! requests its lease from the leader ([`LeaseSession`]), which grants it once a majority has confirmed the
+//! leadership ([`LeaseGrantor`]). The lease runs from the time at which the member sent its request, and the
+//! expiry grace of the leader from the later time at which the request arrived. While no clock rate is off by
+//! more than [`LeaseTiming::drift`], a holder therefore stops before its roles are assigned to another
+//! member.
 
 mod grantor;
 mod session;
@@ -14,19 +15,19 @@
 pub use grantor::{LeaseAction, LeaseGrantor};
 pub use session::LeaseSession;
 
-/// The times of leases.
+/// The durations that govern leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTiming {
-    /// How long a lease lasts from the moment at which it was requested.
+    /// The duration of a lease from the time of its request.
     pub duration: Duration,
-    /// The largest error of the rate of any clock, as a fraction of 1.
+    /// The largest relative error of the rate of a clock, as a fraction of 1.
     pub drift: f64,
-    /// The interval of a member's requests.
+    /// The interval between the lease requests of a member.
     pub renew_interval: Duration,
-    /// What had no effect after this time is proposed again.
+    /// The time after which a confirmation or a change of holder that had no effect is proposed again.
     pub retry_interval: Duration,
-    /// A member whose store failed requests no lease before the store has worked for this time. Without it a member
-    /// whose store works for a moment each time would keep its roles and do nothing for them.
+    /// The time for which the store of a member must work after a failure before the member requests a lease
+    /// again. Without it, a member whose store fails repeatedly would keep its roles without acting for them.
     pub probation: Duration,
 }
 
@@ -43,8 +44,9 @@
 }
 
 impl LeaseTiming {
-    /// How long a leader waits for a silent member before it assigns the member's roles to others: the lease's
-    /// duration on a slow clock, measured on a fast one.
+    /// The time that a leader waits after the last request of a member before it assigns the roles of that
+    /// member to others: the duration of a lease on the slowest allowed clock, as measured by the fastest
+    /// allowed clock.
     pub fn expiry_grace(&self) -> Duration {
         self.duration.mul_f64((1.0 + self.drift) / (1.0 - self.drift))
     }
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -1,29 +1,31 @@
 #![forbid(unsafe_code)]
-//! Singleton roles of the fleet: who holds each one, until when, and which messages of an earlier holder are refused.
+//! Singleton roles of the fleet: which member holds each role, how long it may act, and which messages of a
+//! former holder are rejected.
 //!
-//! A *role* has a name, one holder or none, and a *term*: the fencing token, which rises with each change of holder and
-//! is never used twice. The control services replicate roles, members and configuration versions as a
-//! [`group_state::GroupState`].
+//! A *role* has a name, at most one holder, and a *term*: the fencing token, which rises with each change of
+//! holder and is never used twice. The control servers replicate roles, members and configuration versions as
+//! a [`group_state::GroupState`].
 //!
-//! Two mechanisms keep a role with one holder. [`lease`] is the efficient one: a holder acts only while its lease lasts,
-//! and nobody else is assigned the role before that lease has expired on any clock within the drift bound;
-//! [`assignment`] decides who is assigned what. [`fencing`] is the safe one and needs no clock: a receiver persists the
-//! highest term that it has seen before it acts, and rejects lower ones.
+//! Two mechanisms ensure that only one member acts for a role. With a [`lease`], a holder acts only until the
+//! lease expires, and the role is assigned to another member only after the lease has expired on every clock
+//! within the drift bound; [`assignment`] computes which member should hold which role. [`fencing`] does not
+//! depend on clocks: a receiver persists the highest term that it has received before it acts on it, and
+//! rejects messages with a lower term.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | [`group_state`] | the replicated state machine |
-//! | [`pending_proposals`] | commands that are proposed and not committed yet |
-//! | [`lease`], [`assignment`] | leases of members, and which member is to hold which role |
-//! | [`checkpoint`] | progress of a holder is committed before its effect |
+//! | [`pending_proposals`] | commands that are proposed but not committed yet |
+//! | [`lease`], [`assignment`] | leases of members, and the assignment of roles to members |
+//! | [`checkpoint`] | progress of a rollout is committed before it takes effect |
 //! | [`fencing`] | receivers reject messages of an old term |
-//! | [`identity`] | one process at a time has a proxy's name |
-//! | [`leader_discovery`] | a proxy finds the holder of the configuration |
-//! | [`peer_directory`], [`rollback_guard`] | which member may take part, and with which store |
-//! | [`pause_detector`] | a service that is alone fences itself after a suspension |
+//! | [`identity`] | at most one process owns the name of a proxy |
+//! | [`leader_discovery`] | a proxy finds the holder of the configuration role |
+//! | [`peer_directory`], [`rollback_guard`] | which members may join the group, and with which store |
+//! | [`pause_detector`] | a control server without peers stops publishing after a suspension |
 //!
-//! The crate does no I/O, reads no clock and starts no thread. Every method that depends on time takes a
-//! [`Timestamp`](gaugestep_clock::Timestamp) from the embedder.
+//! The crate does no I/O, reads no clock and starts no thread. The embedder passes a
+//! [`Timestamp`](gaugestep_clock::Timestamp) to every method that depends on time.
 
 pub mod assignment;
 pub mod checkpoint;
--- a/crates/leadership/src/pause_detector.rs
+++ b/crates/leadership/src/pause_detector.rs
@@ -1,45 +1,52 @@
-//! Whether a service that is alone may still consider itself the holder of its roles after a suspension.
+//! Detects suspensions of a control server without peers, after which it may no longer be the holder of its
+//! roles.
 //!
-//! Such a service has no majority to ask: only the proxies can tell whether another service took its place meanwhile.
+//! Such a server has no majority that could confirm its roles. Only the proxies can report whether another
+//! server replaced it in the meantime.
 
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
 
-/// Detects that this process was suspended for longer than a lease, and remembers it until a proxy clears it.
+/// Detects that this process was suspended for at least the duration of a lease. A suspension stays recorded
+/// until [`PauseDetector::clear`] is called.
 #[derive(Debug)]
 pub struct PauseDetector {
     last_observed: Timestamp,
-    suspended: Option<Duration>,
+    longest_suspension: Option<Duration>,
 }
 
 impl PauseDetector {
-    /// A detector of a service that starts now. It begins cleared, as the store says what the service holds.
+    /// Creates the detector of a server that starts now. No suspension is recorded at first, because the
+    /// store contains the roles of the server.
     pub fn new(now: Timestamp) -> Self {
-        PauseDetector { last_observed: now, suspended: None }
+        PauseDetector { last_observed: now, longest_suspension: None }
     }
 
-    /// Observes the clock. `has_followers`: proxies follow this service, and could have followed another meanwhile.
+    /// Compares the clock with the previous call. `has_followers` is set if proxies follow this server, which
+    /// may have followed another one during a suspension.
     ///
-    /// Returns true if the process was suspended for `lease` or longer; connected proxies must then connect again, as
-    /// what they have seen meanwhile is reported when they do.
+    /// Returns true if the process was suspended for `lease` or longer. Connected proxies must then connect
+    /// again, because they report the terms that they have received only when they connect.
     pub fn observe(&mut self, now: Timestamp, lease: Duration, has_followers: bool) -> bool {
         let elapsed = now.duration_since(self.last_observed);
         self.last_observed = now;
         if elapsed < lease || !has_followers {
             return false;
         }
-        self.suspended = Some(elapsed.max(self.suspended.unwrap_or_default()));
+        self.longest_suspension = Some(elapsed.max(self.longest_suspension.unwrap_or_default()));
         true
     }
 
-    /// A proxy that connected since has seen no holder of a higher term, or an operator says that there is none.
+    /// Clears the recorded suspension. Called when a proxy that connected since then has received no higher
+    /// term, or when an operator confirms that there is no other holder.
     pub fn clear(&mut self) {
-        self.suspended = None;
+        self.longest_suspension = None;
     }
 
-    /// The longest suspension since the detector was cleared; while there is one, nothing may be published.
+    /// The longest suspension since the detector was cleared; `None` if there was none. While it is `Some`,
+    /// the server must not publish versions.
     pub fn suspended_for(&self) -> Option<Duration> {
-        self.suspended
+        self.longest_suspension
     }
 }
--- a/crates/leadership/src/rollback_guard.rs
+++ b/crates/leadership/src/rollback_guard.rs
@@ -1,64 +1,66 @@
-//! Whether a store may be used: a member that has forgotten its vote must not vote again.
+//! Decides whether a store may be used. A member whose store has lost its vote must not vote again.
 //!
-//! Each start counts up in the store and then in a generation file beside it, which also names the file that holds the
-//! store (its device and inode). A store that was restored from a backup is behind its generation file, a copy is
-//! another file, and if both files were restored together the other members know of a later start. Each case is refused.
+//! Each start increments a counter in the store and then in a generation file next to it, which also
+//! identifies the file of the store by device and inode. A store that was restored from a backup has a lower
+//! count than its generation file, and a copy is another file. If both files were restored together, the
+//! other members have recorded a later start. Each of these cases is rejected.
 
 use thiserror::Error;
 
-/// What the generation file beside a store holds.
+/// The content of the generation file of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Generation {
-    /// Starts that were counted.
+    /// The number of starts.
     pub boots: u64,
-    /// The identity of the file that held the store.
+    /// Identifies the file that contained the store at its last start.
     pub file: u64,
 }
 
-/// A store and its generation file, before the store is used.
+/// The state of a store and its generation file before the store is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FoundStore {
-    /// Starts that the store has counted; 0: it is new, or was written by a build that did not count.
+    /// The number of starts according to the store; 0 if it is new or was written by a build that did not
+    /// count starts.
     pub boots: u64,
-    /// The identity of the file that holds the store.
+    /// Identifies the file that contains the store.
     pub file: u64,
-    /// The content of the generation file, if there is one.
+    /// The content of the generation file; `None` if there is no such file.
     pub generation: Option<Generation>,
 }
 
-/// Why a store may not be used.
+/// The reason why a store must not be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum StoreRejected {
-    /// It is older than its generation file.
+    /// The store is older than its generation file.
     #[error("the store is older than its seal ({boots} starts, the seal counts {recorded})")]
     RolledBack {
-        /// Starts that the store counts.
+        /// The number of starts according to the store.
         boots: u64,
-        /// Starts that the generation file counts.
+        /// The number of starts according to the generation file.
         recorded: u64,
     },
-    /// It was used before, and has no generation file.
+    /// The store was used before but has no generation file.
     #[error("the store has no seal beside it")]
     GenerationMissing,
-    /// Its generation file names another file.
+    /// The generation file identifies another file.
     #[error("the store is a copy: its seal names another file")]
     Copied,
 }
 
-/// Whether a store that fails the check is used all the same.
+/// The handling of a store that fails the check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestorePolicy {
-    /// It is refused.
+    /// The store is rejected.
     Reject,
-    /// It is used: the operator says that whoever used it before is gone for good.
+    /// The store is used, because the operator has confirmed that its former user never runs again.
     Accept,
 }
 
-/// The number of this start.
+/// Checks the store and returns the number of this start, which is above all earlier ones.
 ///
 /// # Errors
 ///
-/// [`StoreRejected`] if the store fails the check, unless `policy` accepts that.
+/// [`StoreRejected`] if the store fails the check and `policy` is [`RestorePolicy::Reject`].
 pub fn next_boot(found: FoundStore, policy: RestorePolicy) -> Result<u64, StoreRejected> {
     if policy == RestorePolicy::Reject {
         check(found)?;
@@ -74,7 +76,7 @@
     if generation.file != found.file {
         return Err(StoreRejected::Copied);
     }
-    // A start that was killed between the two writes leaves the store one ahead.
+    // If a process is killed between the two writes, the store is one start ahead.
     let recorded = generation.boots;
     if found.boots == recorded || Some(found.boots) == recorded.checked_add(1) {
         return Ok(());
@@ -82,16 +84,16 @@
     Err(StoreRejected::RolledBack { boots: found.boots, recorded })
 }
 
-/// One start of a member's process, as other members know it.
+/// Identifies one start of the process of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessStart {
     /// The number of the start.
     pub boot: u64,
-    /// Drawn at the start: two processes that count the same number differ in it.
+    /// A random number that distinguishes two processes with the same number of the start.
     pub nonce: u64,
 }
 
-/// Whether a member that announces a start has forgotten a later one that is known of it.
+/// Whether the announced start of a member is older than, or conflicts with, its latest recorded start.
 pub fn is_stale_start(known: ProcessStart, announced: ProcessStart) -> bool {
     announced.boot < known.boot || announced.boot == known.boot && announced.nonce != known.nonce
 }
--- a/crates/leadership/tests/checkpoint.rs
+++ b/crates/leadership/tests/checkpoint.rs
@@ -2,7 +2,7 @@
 
 use gaugestep_clock::Timestamp;
 use gaugestep_config::schema::Progress;
-use gaugestep_leadership::checkpoint::{COUNTS_INTERVAL, CheckpointBarrier};
+use gaugestep_leadership::checkpoint::{COUNTS_CHECKPOINT_INTERVAL, CheckpointBarrier};
 use prost::Message as _;
 
 fn at(millis: u64) -> Timestamp {
@@ -26,7 +26,7 @@
     let again = barrier.checkpoint(at(2), progress(0, 9)).unwrap();
     assert_eq!(barrier.on_commit(again.order, true), ['b']);
     assert_eq!(barrier.submit('c'), Some('c'));
-    assert!(barrier.checkpoint(at(2) + COUNTS_INTERVAL, progress(0, 20)).is_some());
+    assert!(barrier.checkpoint(at(2) + COUNTS_CHECKPOINT_INTERVAL, progress(0, 20)).is_some());
     assert_eq!(barrier.checkpoint(at(9_000), None), None);
 }
 
--- a/crates/leadership/tests/peer_directory.rs
+++ b/crates/leadership/tests/peer_directory.rs
@@ -28,7 +28,7 @@
     let verdict = |hello: PeerHello| directory.check_hello(&state, &hello);
     assert_eq!(verdict(hello(member(2, 3), 1)), Ok(()));
     assert_eq!(verdict(hello(member(2, 4), 1)), Ok(()), "a later start");
-    let is_stale_start = PeerRejected::StaleStart { member: 2, known: 3, announced: 2 };
+    let is_stale_start = PeerRejected::StaleStart { member: 2, known_boot: 3, announced_boot: 2 };
     assert_eq!(verdict(hello(member(2, 2), 1)), Err(is_stale_start.clone()));
     assert!(
         is_stale_start.is_fatal()
