--- a/crates/leadership/tests/assignment.rs
+++ b/crates/leadership/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Roles are spread evenly, with as few moves as possible.
+//! Rebalancing spreads roles evenly over the live members with as few moves as possible.
 
 use gaugestep_leadership::assignment::{Reassignment, rebalance};
 use proptest::prelude::*;
@@ -12,29 +12,38 @@
 
 proptest! {
     #[test]
-    fn shares_are_even_and_moves_are_minimal(
-        given in proptest::collection::vec(proptest::option::of(1..7u64), 0..60),
+    fn roles_are_spread_evenly_with_as_few_moves_as_possible(
+        initial_holders in proptest::collection::vec(proptest::option::of(1..7u64), 0..60),
         live in proptest::collection::btree_set(1..7u64, 1..6),
     ) {
+        let with_name = |(index, holder): (usize, &Option<u64>)| (format!("role-{index}"), *holder);
         let mut holders: BTreeMap<String, Option<u64>> =
-            given.iter().enumerate().map(|(at, holder)| (format!("role-{at}"), *holder)).collect();
+            initial_holders.iter().enumerate().map(with_name).collect();
         let before = holders.clone();
-        let planned = rebalance(&holders, &live);
-        apply(&mut holders, &planned);
+        let moves = rebalance(&holders, &live);
+        apply(&mut holders, &moves);
         let count = |holders: &BTreeMap<String, Option<u64>>, member| {
             holders.values().filter(|holder| **holder == Some(member)).count()
         };
-        let (floor, larger) = (holders.len() / live.len(), holders.len() % live.len());
+        let floor = holders.len() / live.len();
+        let members_above_floor = holders.len() % live.len();
         for member in &live {
-            let has = count(&holders, *member);
-            prop_assert!(has == floor || has == floor + 1, "{has} of {}", holders.len());
+            let role_count = count(&holders, *member);
+            let is_even = role_count == floor || role_count == floor + 1;
+            prop_assert!(is_even, "{role_count} of {}", holders.len());
         }
-        // The least that any plan must move: roles without a live holder, and what is above the larger shares.
-        let dead = before.values().filter(|holder| holder.is_none_or(|it| !live.contains(&it))).count();
-        let mut had: Vec<usize> = live.iter().map(|member| count(&before, *member)).collect();
-        had.sort_unstable_by(|a, b| b.cmp(a));
-        let above = had.iter().enumerate().map(|(at, has)| has.saturating_sub(floor + usize::from(at < larger)));
-        prop_assert_eq!(planned.len(), dead + above.sum::<usize>());
-        prop_assert!(rebalance(&holders, &live).is_empty(), "an even spread stays");
+        // Any plan must move the roles without a live holder, and the roles of each member above its target
+        // count.
+        let is_live = |holder: Option<u64>| holder.is_some_and(|holder| live.contains(&holder));
+        let without_live_holder = before.values().filter(|holder| !is_live(**holder)).count();
+        let mut counts_before: Vec<usize> = live.iter().map(|member| count(&before, *member)).collect();
+        counts_before.sort_unstable_by(|a, b| b.cmp(a));
+        let surplus = |(position, role_count): (usize, &usize)| {
+            let target = floor + usize::from(position < members_above_floor);
+            role_count.saturating_sub(target)
+        };
+        let total_surplus: usize = counts_before.iter().enumerate().map(surplus).sum();
+        prop_assert_eq!(moves.len(), without_live_holder + total_surplus);
+        prop_assert!(rebalance(&holders, &live).is_empty(), "balanced roles stay with their holders");
     }
 }
--- a/crates/leadership/tests/fleet.rs
+++ b/crates/leadership/tests/fleet.rs
@@ -1,6 +1,7 @@
-//! A simulation of members, role holders and receivers from seeds: suspensions at any point, clocks of different rates,
-//! links that lose, delay and cut messages, changes of leader. The replicated log is one list that a majority must reach;
-//! the Raft library itself is tested with processes.
+//! A seeded simulation of members, role holders and receivers with these faults: processes are suspended at
+//! any point, clocks run at different rates, links lose and delay messages or are cut, and the leader
+//! changes. The replicated log is a single list, which grows only while the leader reaches a majority; other
+//! tests cover the Raft library with processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,23 +17,23 @@
 
 const MEMBERS: u64 = 3;
 const RECEIVERS: usize = 3;
-/// Simulated milliseconds of one step.
-const STEP: f64 = 20.0;
+/// The simulated duration of one step.
+const STEP_MS: f64 = 20.0;
 const ROLES: [&str; 2] = [CONFIGURATION_ROLE, ORDINALS_ROLE];
 
-/// A fault that the properties must detect.
+/// A fault in the program, which the properties of the simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Bug {
     None,
     /// A holder acts without a lease.
     NoHolderCheck,
-    /// The same, and receivers accept every message.
+    /// A holder acts without a lease, and receivers accept every message.
     NoChecks,
-    /// Clocks differ by far more than the bound.
+    /// The rates of clocks differ by far more than the drift bound.
     ExcessiveDrift,
     /// A leader reassigns roles before the holder's lease has expired.
     NoExpiryGrace,
-    /// A holder that hands over acts until it learns that another holds the role.
+    /// A holder that hands a role over acts until it applies the change of holder.
     LateResignation,
 }
 
@@ -45,10 +46,10 @@
     GrantLease {
         member: u64,
         number: u64,
-        committed: u64,
+        committed_index: u64,
     },
-    /// From a holder to a receiver.
-    Act {
+    /// A message of a role holder to a receiver.
+    FromHolder {
         from: u64,
         receiver: usize,
         role: &'static str,
@@ -60,38 +61,44 @@
     session: LeaseSession,
     grantor: LeaseGrantor,
     group_state: GroupState,
+    /// The number of log entries that are applied.
     applied: usize,
-    /// The rate of its clock.
+    /// The rate of the clock of this member relative to simulated time.
     clock_rate: f64,
-    suspended_until: f64,
+    /// The simulated time in milliseconds at which the member resumes.
+    suspended_until_ms: f64,
 }
 
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Seen {
-    /// Moments at which two members could act for one role.
+struct Counters {
+    /// Steps after which more than one member could act for the same role.
     two_holders: u64,
-    /// Messages accepted under a term below one that the receiver had accepted before.
+    /// Messages that were accepted with a term below one that the receiver had accepted before.
     stale_accepted: u64,
-    stale_rejected: u64,
+    /// Messages that were rejected for any reason.
+    rejected: u64,
     accepted: u64,
-    changes: u64,
+    /// State changes by commands that member 1 applied as the last entry of the log.
+    state_changes: u64,
 }
 
 struct Fleet {
     random: Rand64,
-    now: f64,
+    /// Simulated time in milliseconds.
+    now_ms: f64,
     bug: Bug,
     nodes: Vec<Node>,
     /// The committed commands.
     log: Vec<Command>,
     leader: Option<usize>,
-    cut: BTreeSet<(usize, usize)>,
-    /// Messages under way, with the time of arrival.
-    messages: Vec<(f64, Message)>,
+    /// Links that lose every message, as pairs of sender and recipient.
+    cut_links: BTreeSet<(usize, usize)>,
+    /// Messages in flight, with the time of arrival in milliseconds.
+    messages_in_flight: Vec<(f64, Message)>,
     receivers: Vec<FencingGuard<u64>>,
-    /// The highest term of each role that a receiver has accepted.
-    accepted: Vec<BTreeMap<&'static str, u64>>,
-    seen: Seen,
+    /// The highest accepted term of each role at each receiver.
+    highest_accepted: Vec<BTreeMap<&'static str, u64>>,
+    counters: Counters,
 }
 
 impl Fleet {
@@ -99,7 +106,9 @@
         let mut random = Rand64::new(seed.into());
         let member = |number| Member { number, ..Member::default() };
         let mut group_state = GroupState::single_member(1, member(1), BTreeMap::new());
-        (2..=MEMBERS).for_each(|number| drop(group_state.add_member(member(number))));
+        for number in 2..=MEMBERS {
+            group_state.add_member(member(number));
+        }
         for role in ROLES {
             group_state.apply(&Command {
                 duty: role.into(),
@@ -119,55 +128,56 @@
             group_state: group_state.clone(),
             applied: 0,
             clock_rate: 1.0 + drift * (2.0 * random.rand_float() - 1.0),
-            suspended_until: 0.0,
+            suspended_until_ms: 0.0,
         };
         Fleet {
             nodes: (0..MEMBERS).map(node).collect(),
             random,
-            now: 0.0,
+            now_ms: 0.0,
             bug,
             log: Vec::new(),
             leader: None,
-            cut: BTreeSet::new(),
-            messages: Vec::new(),
+            cut_links: BTreeSet::new(),
+            messages_in_flight: Vec::new(),
             receivers: (0..RECEIVERS).map(|_| FencingGuard::new(BTreeMap::new())).collect(),
-            accepted: vec![BTreeMap::new(); RECEIVERS],
-            seen: Seen::default(),
+            highest_accepted: vec![BTreeMap::new(); RECEIVERS],
+            counters: Counters::default(),
         }
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        self.random.rand_range(0..most)
+    /// A random number below `bound`.
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.random.rand_range(0..bound)
     }
 
     fn clock(&self, node: usize) -> Timestamp {
-        let millis = self.now * self.nodes[node].clock_rate;
+        let millis = self.now_ms * self.nodes[node].clock_rate;
         Timestamp::from_millis_f64(millis)
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        from == to || !self.cut.contains(&(from, to))
+        from == to || !self.cut_links.contains(&(from, to))
     }
 
     /// Whether a member exchanges messages with a majority.
     fn reaches_majority(&self, node: usize) -> bool {
-        let both = |other: &usize| {
-            self.nodes[*other].suspended_until <= self.now
+        let exchanges_messages = |other: &usize| {
+            self.nodes[*other].suspended_until_ms <= self.now_ms
                 && self.reaches(node, *other)
                 && self.reaches(*other, node)
         };
-        (0..self.nodes.len()).filter(both).count() > self.nodes.len() / 2
+        (0..self.nodes.len()).filter(exchanges_messages).count() > self.nodes.len() / 2
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let late = if self.below(20) == 0 { 3_000.0 } else { 200.0 };
-        let after = self.random.rand_float() * late;
-        if self.reaches(from, to) && self.below(50) > 0 {
-            self.messages.push((self.now + after, message));
+        let max_delay_ms = if self.random_below(20) == 0 { 3_000.0 } else { 200.0 };
+        let delay_ms = self.random.rand_float() * max_delay_ms;
+        if self.reaches(from, to) && self.random_below(50) > 0 {
+            self.messages_in_flight.push((self.now_ms + delay_ms, message));
         }
     }
 
-    /// Commits a command, if its proposer reaches the leader and the leader a majority.
+    /// Commits a command if its proposer reaches the leader and the leader reaches a majority.
     fn propose(&mut self, from: usize, command: Command) {
         if self.leader.is_some_and(|leader| self.reaches_majority(leader) && self.reaches(from, leader)) {
             self.log.push(Command { by: from as u64 + 1, ..command });
@@ -175,57 +185,67 @@
     }
 
     fn inject_fault(&mut self) {
-        let (one, other) = (self.below(MEMBERS) as usize, self.below(MEMBERS) as usize);
-        match self.below(600) {
-            0..3 => self.nodes[one].suspended_until = self.now + 200.0 + self.random.rand_float() * 9_000.0,
-            3..6 if one != other => drop(self.cut.insert((one, other))),
-            6 | 7 if one != other => self.cut.extend([(one, other), (other, one)]),
-            8..12 => self.cut.clear(),
+        let node = self.random_below(MEMBERS) as usize;
+        let other = self.random_below(MEMBERS) as usize;
+        match self.random_below(600) {
+            0..3 => {
+                let resume_ms = self.now_ms + 200.0 + self.random.rand_float() * 9_000.0;
+                self.nodes[node].suspended_until_ms = resume_ms;
+            }
+            3..6 if node != other => {
+                self.cut_links.insert((node, other));
+            }
+            6 | 7 if node != other => self.cut_links.extend([(node, other), (other, node)]),
+            8..12 => self.cut_links.clear(),
             12 => {
                 // A receiver restarts with the terms that it persisted.
-                let which = self.below(RECEIVERS as u64) as usize;
-                self.receivers[which] = FencingGuard::new(self.receivers[which].terms().clone());
+                let receiver = self.random_below(RECEIVERS as u64) as usize;
+                let persisted_terms = self.receivers[receiver].terms().clone();
+                self.receivers[receiver] = FencingGuard::new(persisted_terms);
             }
             13 => {
-                let holder = self.nodes[one].group_state.holder(ROLES[0]);
-                if holder.member == one as u64 + 1 {
-                    self.hand_over(one, ROLES[0], holder.term, other as u64 + 1);
+                let holder = self.nodes[node].group_state.holder(ROLES[0]);
+                if holder.member == node as u64 + 1 {
+                    self.hand_over(node, ROLES[0], holder.term, other as u64 + 1);
                 }
             }
             _ => {}
         }
-        // An election, once the leader reaches no majority or is suspended.
-        let leaderless = self.leader.is_none_or(|leader| {
-            !self.reaches_majority(leader) || self.nodes[leader].suspended_until > self.now
+        // A new leader may be elected once the leader does not reach a majority or is suspended.
+        let needs_election = self.leader.is_none_or(|leader| {
+            !self.reaches_majority(leader) || self.nodes[leader].suspended_until_ms > self.now_ms
         });
-        if leaderless && self.below(40) == 0 {
-            self.leader = (0..self.nodes.len())
-                .find(|node| self.reaches_majority(*node) && self.nodes[*node].suspended_until <= self.now);
+        if needs_election && self.random_below(40) == 0 {
+            self.leader = (0..self.nodes.len()).find(|node| {
+                self.reaches_majority(*node) && self.nodes[*node].suspended_until_ms <= self.now_ms
+            });
         }
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now_ms += STEP_MS;
         self.inject_fault();
-        let messages = std::mem::take(&mut self.messages);
-        let (due, later): (Vec<_>, Vec<_>) = messages.into_iter().partition(|(at, _)| *at <= self.now);
-        self.messages = later;
+        let messages = std::mem::take(&mut self.messages_in_flight);
+        let (due, later): (Vec<_>, Vec<_>) =
+            messages.into_iter().partition(|(arrival_ms, _)| *arrival_ms <= self.now_ms);
+        self.messages_in_flight = later;
         for (_, message) in due {
             self.deliver(message);
         }
         for node in 0..self.nodes.len() {
-            if self.nodes[node].suspended_until <= self.now {
+            if self.nodes[node].suspended_until_ms <= self.now_ms {
                 self.run_node(node);
             }
         }
         for role in ROLES {
             let acting = (0..self.nodes.len()).filter(|node| {
-                let (now, one) = (self.clock(*node), &self.nodes[*node]);
-                let holder = one.group_state.holder(role);
-                holder.member == *node as u64 + 1
-                    && one.session.may_act(now, one.applied as u64, role, holder.term)
+                let now = self.clock(*node);
+                let Node { session, group_state, applied, .. } = &self.nodes[*node];
+                let holder = group_state.holder(role);
+                let is_holder = holder.member == *node as u64 + 1;
+                is_holder && session.may_act(now, *applied as u64, role, holder.term)
             });
-            self.seen.two_holders += u64::from(acting.count() > 1);
+            self.counters.two_holders += u64::from(acting.count() > 1);
         }
     }
 
@@ -233,28 +253,28 @@
         match message {
             Message::RequestLease { member, number } => {
                 let Some(leader) =
-                    self.leader.filter(|leader| self.nodes[*leader].suspended_until <= self.now)
+                    self.leader.filter(|leader| self.nodes[*leader].suspended_until_ms <= self.now_ms)
                 else {
                     return;
                 };
                 let clock = self.clock(leader);
                 self.nodes[leader].grantor.on_request(clock, member, number);
             }
-            Message::GrantLease { member, number, committed } => {
-                self.nodes[member as usize - 1].session.on_granted(number, committed);
+            Message::GrantLease { member, number, committed_index } => {
+                self.nodes[member as usize - 1].session.on_granted(number, committed_index);
             }
-            Message::Act { from, receiver: to, role, term } => {
+            Message::FromHolder { from, receiver: to, role, term } => {
                 let mut actions = self.receivers[to].check(role, term, from);
                 while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
                     match action {
                         FencingAction::Persist(_) => {
-                            let stored =
-                                if self.below(30) > 0 { Ok(()) } else { Err(PersistError::new("full")) };
-                            actions.extend(self.receivers[to].on_persisted(stored));
+                            let succeeds = self.random_below(30) > 0;
+                            let result = if succeeds { Ok(()) } else { Err(PersistError::new("full")) };
+                            actions.extend(self.receivers[to].on_persisted(result));
                         }
                         FencingAction::Accept(_) => self.accept(to, role, term),
                         FencingAction::Reject(..) if self.bug == Bug::NoChecks => self.accept(to, role, term),
-                        FencingAction::Reject(..) => self.seen.stale_rejected += 1,
+                        FencingAction::Reject(..) => self.counters.rejected += 1,
                     }
                 }
             }
@@ -262,21 +282,21 @@
     }
 
     fn accept(&mut self, to: usize, role: &'static str, term: u64) {
-        let highest = self.accepted[to].entry(role).or_default();
-        self.seen.stale_accepted += u64::from(term < *highest);
+        let highest = self.highest_accepted[to].entry(role).or_default();
+        self.counters.stale_accepted += u64::from(term < *highest);
         *highest = (*highest).max(term);
-        self.seen.accepted += 1;
+        self.counters.accepted += 1;
     }
 
     fn run_node(&mut self, node: usize) {
-        // It applies what is committed, if the leader reaches it.
+        // The member applies the committed entries if the leader reaches it.
         if self.leader.is_some_and(|leader| self.reaches(leader, node)) {
-            for at in self.nodes[node].applied..self.log.len() {
-                let command = self.log[at].clone();
+            for index in self.nodes[node].applied..self.log.len() {
+                let command = self.log[index].clone();
                 let (outcome, changes) = self.nodes[node].group_state.apply(&command);
-                let first = at + 1 == self.log.len() && node == 0;
-                if first && outcome == Outcome::Applied {
-                    self.seen.changes += changes.len() as u64;
+                let is_counted = index + 1 == self.log.len() && node == 0;
+                if is_counted && outcome == Outcome::Applied {
+                    self.counters.state_changes += changes.len() as u64;
                 }
             }
             self.nodes[node].applied = self.log.len();
@@ -292,29 +312,29 @@
         let members: BTreeSet<u64> = (1..=MEMBERS).collect();
         let actions = self.nodes[node].grantor.tick(clock, &roles, &members);
         self.carry_out(node, actions);
-        let own = node as u64 + 1;
+        let own_number = node as u64 + 1;
         let Node { session, group_state, .. } = &mut self.nodes[node];
-        let held = group_state.roles_of(own).map(|role| (role.name.as_str(), role.term));
-        for (role, term) in session.stalled_handovers(clock, held) {
+        let held_roles = group_state.roles_of(own_number).map(|role| (role.name.as_str(), role.term));
+        for (role, term) in session.stalled_handovers(clock, held_roles) {
             self.propose(
                 node,
                 Command { duty: role, term, what: Some(What::Raise(term)), ..Command::default() },
             );
         }
         for role in ROLES {
-            let one = &self.nodes[node];
-            let holder = one.group_state.holder(role);
-            let leased = one.session.may_act(clock, one.applied as u64, role, holder.term);
-            let unchecked = matches!(self.bug, Bug::NoHolderCheck | Bug::NoChecks);
-            if holder.member == own && (leased || unchecked) && self.below(10) == 0 {
-                let to = self.below(RECEIVERS as u64) as usize;
-                // Anything may happen after the check: the message may be late by seconds.
+            let Node { session, group_state, applied, .. } = &self.nodes[node];
+            let holder = group_state.holder(role);
+            let has_lease = session.may_act(clock, *applied as u64, role, holder.term);
+            let ignores_lease = matches!(self.bug, Bug::NoHolderCheck | Bug::NoChecks);
+            if holder.member == own_number && (has_lease || ignores_lease) && self.random_below(10) == 0 {
+                let to = self.random_below(RECEIVERS as u64) as usize;
+                // The lease may expire after the check, because the message may be delayed by seconds.
                 self.send(
                     node,
                     node,
-                    Message::Act { from: holder.member, receiver: to, role, term: holder.term },
+                    Message::FromHolder { from: holder.member, receiver: to, role, term: holder.term },
                 );
-                let keep = Keep { state: vec![1], order: self.now as u64 };
+                let keep = Keep { state: vec![1], order: self.now_ms as u64 };
                 self.propose(
                     node,
                     Command {
@@ -348,8 +368,12 @@
                 }
                 LeaseAction::ConfirmLeadership(_) => {}
                 LeaseAction::Grant { member, number } => {
-                    let committed = self.log.len() as u64;
-                    self.send(node, member as usize - 1, Message::GrantLease { member, number, committed });
+                    let committed_index = self.log.len() as u64;
+                    self.send(
+                        node,
+                        member as usize - 1,
+                        Message::GrantLease { member, number, committed_index },
+                    );
                 }
                 LeaseAction::Assign { role, term, to } => {
                     self.propose(
@@ -370,50 +394,54 @@
     }
 }
 
-fn play(seed: u64, bug: Bug) -> Seen {
+/// Runs the simulation for 4000 steps, which are 80 simulated seconds.
+fn simulate(seed: u64, bug: Bug) -> Counters {
     let mut fleet = Fleet::new(seed, bug);
     for _ in 0..4_000 {
         fleet.step();
     }
-    fleet.seen
+    fleet.counters
 }
 
-/// Eighty seconds each of a fleet whose parts fail: never two holders, no message of an old term is accepted.
+/// Without a bug, no fault lets two members act for one role or lets a receiver accept a message with a stale
+/// term.
 #[test]
-fn hundreds_of_seeds_have_one_holder_at_a_time() {
-    let mut all = Seen::default();
+fn faults_never_cause_two_holders_or_an_accepted_stale_message() {
+    let mut total = Counters::default();
     for seed in 0..200 {
-        let seen = play(seed, Bug::None);
-        assert_eq!((seen.two_holders, seen.stale_accepted), (0, 0), "seed {seed}: {seen:?}");
-        all.accepted += seen.accepted;
-        all.stale_rejected += seen.stale_rejected;
-        all.changes += seen.changes;
+        let counters = simulate(seed, Bug::None);
+        assert_eq!((counters.two_holders, counters.stale_accepted), (0, 0), "seed {seed}: {counters:?}");
+        total.accepted += counters.accepted;
+        total.rejected += counters.rejected;
+        total.state_changes += counters.state_changes;
     }
-    assert!(all.accepted > 50_000 && all.stale_rejected > 100 && all.changes > 1_000, "{all:?}");
-    assert_eq!(play(7, Bug::None), play(7, Bug::None), "a seed replays");
+    assert!(total.accepted > 50_000 && total.rejected > 100 && total.state_changes > 1_000, "{total:?}");
+    assert_eq!(simulate(7, Bug::None), simulate(7, Bug::None), "a run with the same seed is identical");
 }
 
-/// The fence alone: holders that ignore their leases, and clocks far beyond the bound, do no harm.
+/// Fencing does not depend on leases: no stale message is accepted if holders ignore their leases or clocks
+/// exceed the drift bound.
 #[test]
 fn without_lease_checks_and_with_excessive_drift_no_stale_message_is_accepted() {
     for bug in [Bug::NoHolderCheck, Bug::ExcessiveDrift] {
         let (mut rejected, mut two_holders) = (0, 0);
         for seed in 0..60 {
-            let seen = play(seed, bug);
-            assert_eq!(seen.stale_accepted, 0, "seed {seed} {bug:?}: {seen:?}");
-            rejected += seen.stale_rejected;
-            two_holders += seen.two_holders;
+            let counters = simulate(seed, bug);
+            assert_eq!(counters.stale_accepted, 0, "seed {seed} {bug:?}: {counters:?}");
+            rejected += counters.rejected;
+            two_holders += counters.two_holders;
         }
         assert!(rejected > 0, "{bug:?}");
-        assert!(bug != Bug::ExcessiveDrift || two_holders > 0, "clocks beyond the bound do defeat leases");
+        assert!(bug != Bug::ExcessiveDrift || two_holders > 0, "clocks beyond the bound lead to two holders");
     }
 }
 
-/// Each missing check is detected within a few seeds.
+/// The properties detect a missing check within 20 seeds.
 #[test]
 fn each_missing_check_is_detected() {
-    let detected = |bug, broken: fn(&Seen) -> bool| (0..20).any(|seed| broken(&play(seed, bug)));
-    assert!(detected(Bug::NoChecks, |seen| seen.stale_accepted > 0));
-    assert!(detected(Bug::NoExpiryGrace, |seen| seen.two_holders > 0));
-    assert!(detected(Bug::LateResignation, |seen| seen.two_holders > 0));
+    let detected =
+        |bug, is_violated: fn(&Counters) -> bool| (0..20).any(|seed| is_violated(&simulate(seed, bug)));
+    assert!(detected(Bug::NoChecks, |counters| counters.stale_accepted > 0));
+    assert!(detected(Bug::NoExpiryGrace, |counters| counters.two_holders > 0));
+    assert!(detected(Bug::LateResignation, |counters| counters.two_holders > 0));
 }
--- a/crates/leadership/tests/group_state.rs
+++ b/crates/leadership/tests/group_state.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine, command by command: in whatever order they are committed, terms rise, version numbers are
-//! given once, and former holders change nothing.
+//! The replicated state machine: in whatever order commands are committed, terms rise, each version number is
+//! assigned once, and commands of former holders change nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,21 +41,21 @@
     RoleHolder { member, term }
 }
 
-/// The text with which a command was rejected.
-fn rejection(outcome: &Outcome) -> String {
+/// The text of the reason for which a command was rejected.
+fn reject_text(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Rejected(rejected) => rejected.to_string(),
         other => panic!("{other:?}"),
     }
 }
 
-/// The text with which a member is refused.
+/// The text of the reason for which a member is not allowed to join.
 fn join_error(state: &GroupState, number: u64) -> String {
-    state.check_join(&member(number)).expect_err("it may not join").to_string()
+    state.check_join(&member(number)).expect_err("the member may not join").to_string()
 }
 
 #[test]
-fn a_former_holder_publishes_stores_and_hands_over_nothing() {
+fn commands_of_a_former_holder_change_nothing() {
     let mut state = group_state();
     assert_eq!(state.apply(&command(1, 1, What::HandOver(2))).0, Outcome::Applied);
     assert_eq!(state.holder(CONFIGURATION_ROLE), holder(2, 2));
@@ -75,7 +75,7 @@
         assert_eq!(
             state.apply(&command(1, 2, what)).0,
             Outcome::StaleTerm { term: 2, current: 2 },
-            "not its holder"
+            "the proposer does not hold the role"
         );
     }
     assert_eq!(state.apply(&command(1, 1, What::Assign(1))).0, Outcome::StaleTerm { term: 1, current: 2 });
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_key_publishes_once_and_never_two_contents() {
+fn a_key_publishes_one_version_with_one_document() {
     let mut state = group_state();
     let first = state.apply(&command(1, 1, What::Version(version(11, "a")))).0;
     let Outcome::Published(published) = &first else { panic!("{first:?}") };
@@ -93,13 +93,13 @@
     assert_eq!(
         state.apply(&command(2, 2, What::Version(version(11, "a")))),
         (first, vec![]),
-        "by the next holder too"
+        "a publication of the next holder under the same key returns the first version"
     );
-    let other = state.apply(&command(2, 2, What::Version(version(12, "a")))).0;
-    assert!(rejection(&other).contains("another content"));
-    let expected = NewVersion { expected_newest: 7, ..version(12, "b") };
+    let other_document = state.apply(&command(2, 2, What::Version(version(12, "a")))).0;
+    assert!(reject_text(&other_document).contains("another content"));
+    let unexpected = NewVersion { expected_newest: 7, ..version(12, "b") };
     assert!(
-        rejection(&state.apply(&command(2, 2, What::Version(expected))).0)
+        reject_text(&state.apply(&command(2, 2, What::Version(unexpected))).0)
             .contains("version 1 is the newest")
     );
     let above = NewVersion { at_least: 40, ..version(12, "b") };
@@ -108,22 +108,22 @@
     assert_eq!(
         changes,
         [StateChange::VersionUpdated(1), StateChange::VersionPublished(40)],
-        "the same command supersedes a rollout under way"
+        "a publication supersedes the rollout under way"
     );
-    let late = NewState { number: 1, state: State::Complete as i32, halted_for: String::new() };
-    state.apply(&command(2, 2, What::State(late)));
+    let late_state = NewState { number: 1, state: State::Complete as i32, halted_for: String::new() };
+    state.apply(&command(2, 2, What::State(late_state)));
     assert_eq!(
         state.versions[&1].entry.state(),
         State::Overtaken,
-        "a rollout that has ended stays as it ended"
+        "the state of a rollout that has ended does not change"
     );
     let last = NewVersion { at_least: u64::MAX, ..version(13, "c") };
     state.apply(&command(2, 2, What::Version(last)));
-    assert!(rejection(&state.apply(&command(2, 2, What::Version(version(14, "d")))).0).contains("used up"));
+    assert!(reject_text(&state.apply(&command(2, 2, What::Version(version(14, "d")))).0).contains("used up"));
 }
 
 #[test]
-fn old_versions_are_dropped_but_those_that_are_needed() {
+fn old_versions_are_dropped_unless_they_are_needed() {
     let mut state = group_state();
     for number in 1..=6 {
         let new = NewVersion { keep: 3, needed: vec![1], ..version(10 + number, &number.to_string()) };
@@ -135,8 +135,8 @@
 #[test]
 fn the_highest_terms_have_no_successor_and_a_term_out_of_reach_is_rejected() {
     let mut state = group_state();
-    let far = state.apply(&command(1, 1, What::Raise(2 + MAX_TERM_RAISE))).0;
-    assert!(rejection(&far).contains("further off"));
+    let too_high = state.apply(&command(1, 1, What::Raise(2 + MAX_TERM_RAISE))).0;
+    assert!(reject_text(&too_high).contains("further off"));
     assert_eq!(state.apply(&command(1, 1, What::Raise(1 + MAX_TERM_RAISE))).0, Outcome::Applied);
     assert_eq!(state.holder(CONFIGURATION_ROLE), holder(1, 2 + MAX_TERM_RAISE));
     let exhausted = CommandRejected::TermsExhausted(CONFIGURATION_ROLE.into());
@@ -152,14 +152,16 @@
                     (Outcome::Applied, holder(2, u64::MAX - 1))
                 )
             }
-            _ => assert!(rejection(&state.apply(&command(2, term, What::HandOver(1))).0).contains("used up")),
+            _ => {
+                assert!(reject_text(&state.apply(&command(2, term, What::HandOver(1))).0).contains("used up"))
+            }
         }
     }
     state.remove_member(2);
     assert_eq!(
         state.holder(CONFIGURATION_ROLE),
         holder(2, u64::MAX - 1),
-        "no term can follow, and nobody acts for a member that left"
+        "no term can follow, so that the removed member stays the holder"
     );
 }
 
@@ -168,7 +170,11 @@
     let mut state = group_state();
     state.apply(&command(1, 1, What::HandOver(2)));
     state.remove_member(2);
-    assert_eq!(state.holder(CONFIGURATION_ROLE), holder(0, 3), "nobody holds its roles");
+    assert_eq!(
+        state.holder(CONFIGURATION_ROLE),
+        holder(0, 3),
+        "the roles of a removed member have no holder"
+    );
     assert!(join_error(&state, 2).contains("is gone"));
     assert!(join_error(&state, 1).contains("there already"));
     assert_eq!(state.check_join(&member(3)), Ok(()));
@@ -177,19 +183,19 @@
         state.apply(&command(1, 4, What::Keep(Keep { state: bytes, order })));
     }
     assert_eq!(state.roles[CONFIGURATION_ROLE].state, [2]);
-    let moved = Member { boot: 2, listen: "x".into(), ..member(1) };
-    state.apply(&command(1, 0, What::Member(moved.clone())));
+    let later_start = Member { boot: 2, listen: "x".into(), ..member(1) };
+    state.apply(&command(1, 0, What::Member(later_start.clone())));
     assert!(
         matches!(state.apply(&command(1, 0, What::Member(member(1)))).0, Outcome::Rejected(_)),
-        "an earlier start"
+        "an earlier start is rejected"
     );
-    assert_eq!(state.members[&1], moved);
-    let copy = GroupState::from_schema(state.to_snapshot());
-    assert_eq!(copy, state, "a snapshot has all of the state");
+    assert_eq!(state.members[&1], later_start);
+    let restored = GroupState::from_schema(state.to_snapshot());
+    assert_eq!(restored, state, "a snapshot contains the complete state");
     for name in ["", "a b", &"n".repeat(200)] {
         let declare =
             Command { duty: name.into(), what: Some(What::Declare(Declare {})), ..Command::default() };
-        assert!(rejection(&state.apply(&declare).0).contains("no name"));
+        assert!(reject_text(&state.apply(&declare).0).contains("no name"));
     }
 }
 
@@ -219,37 +225,40 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any commands, most of them stale; half are made to fit the current holder, so that many take effect.
+    /// Applies random commands. About half of them get the current holder and term, so that many take effect;
+    /// most others are stale.
     #[test]
-    fn for_any_commands_terms_rise_and_version_numbers_are_given_once(
+    fn for_any_commands_terms_rise_and_version_numbers_are_assigned_once(
         commands in prop::collection::vec((any_command(), any::<bool>()), 1..120),
     ) {
-        let (mut state, mut twin) = (group_state(), group_state());
-        let mut given: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
-        for (mut command, fits) in commands {
-            if fits {
+        let (mut state, mut state_of_other_member) = (group_state(), group_state());
+        let mut digests: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
+        for (mut command, is_from_holder) in commands {
+            if is_from_holder {
                 let current = state.holder(&command.duty);
                 (command.by, command.term) = (current.member, current.term);
             }
             let before = state.clone();
             let (outcome, changes) = state.apply(&command);
-            prop_assert_eq!(&twin.apply(&command), &(outcome.clone(), changes.clone()), "all members come to the same state");
+            let result_at_other_member = state_of_other_member.apply(&command);
+            let result = (outcome.clone(), changes.clone());
+            prop_assert_eq!(&result_at_other_member, &result, "all members reach the same state");
             for (name, role) in &state.roles {
-                let (previous, current) = (before.holder(name), state.holder(name));
-                let changed = previous != current;
-                prop_assert!(!changed || role.term > previous.term, "a holder changes only with a higher term");
+                let changed = before.holder(name) != state.holder(name);
+                let term_rose = role.term > before.holder(name).term;
+                prop_assert!(!changed || term_rose, "a holder changes only with a higher term");
                 prop_assert_eq!(changed, changes.contains(&StateChange::HolderChanged(name.clone())));
             }
             match outcome {
                 Outcome::Applied => {}
                 Outcome::Published(version) => {
-                    let content = given.entry(version.number).or_insert_with(|| version.digest.clone());
-                    prop_assert_eq!(&*content, &version.digest, "one number, one content");
+                    let digest = digests.entry(version.number).or_insert_with(|| version.digest.clone());
+                    prop_assert_eq!(&*digest, &version.digest, "each version number has one document");
                 }
                 Outcome::StaleTerm { .. } | Outcome::Rejected(_) => prop_assert_eq!(&state, &before),
             }
         }
         let numbers: BTreeSet<u64> = state.versions.keys().copied().collect();
-        prop_assert!(numbers.iter().all(|number| given.contains_key(number)));
+        prop_assert!(numbers.iter().all(|number| digests.contains_key(number)));
     }
 }
--- a/crates/leadership/tests/identity.rs
+++ b/crates/leadership/tests/identity.rs
@@ -1,4 +1,4 @@
-//! One process at a time has a proxy's name, under a rising term.
+//! At most one process holds the name of a proxy, under a rising term.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_leadership::identity::{
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_later_process_wins_and_the_earlier_one_does_not_take_the_name_back() {
+fn a_superseded_process_reclaims_its_name_only_after_the_later_one_has_been_disconnected() {
     let mut registry = IdentityRegistry::default();
     assert_eq!(registry.claim(at(0), claim("n0", 7, 0, 1)), Claim::Granted { term: 1, superseded: None });
     assert_eq!(registry.claim(at(1), claim("n0", 8, 0, 2)), Claim::Granted { term: 2, superseded: Some(1) });
@@ -29,15 +29,15 @@
     assert_eq!(
         registry.claim(at(5), claim("n0", 7, 1, 4)),
         Claim::Superseded { term: 2, by: 8 },
-        "it may come back"
+        "the later process may connect again"
     );
-    let back = registry.claim(at(4) + RECLAIM_AFTER, claim("n0", 7, 1, 5));
-    assert_eq!(back, Claim::Granted { term: 3, superseded: None });
+    let reclaimed = registry.claim(at(4) + RECLAIM_AFTER, claim("n0", 7, 1, 5));
+    assert_eq!(reclaimed, Claim::Granted { term: 3, superseded: None });
     assert_eq!(registry.claim(at(20_000), claim("n0", 8, 2, 6)), Claim::Superseded { term: 3, by: 7 });
 }
 
 #[test]
-fn a_service_that_restarts_continues_from_the_terms_that_others_granted() {
+fn a_control_server_continues_from_terms_that_another_one_granted() {
     let mut registry = IdentityRegistry::default();
     assert_eq!(registry.claim(at(0), claim("n0", 7, 4, 1)), Claim::Granted { term: 4, superseded: None });
     assert_eq!(registry.claim(at(0), claim("n0", 8, 5, 2)), Claim::Granted { term: 6, superseded: Some(1) });
@@ -46,8 +46,8 @@
         Claim::Granted { term: 6, superseded: None },
         "another stream of the same process"
     );
-    let edge = registry.claim(at(0), claim("n1", 1, u64::MAX, 4));
-    assert_eq!(edge, Claim::Granted { term: u64::MAX, superseded: None });
+    let highest = registry.claim(at(0), claim("n1", 1, u64::MAX, 4));
+    assert_eq!(highest, Claim::Granted { term: u64::MAX, superseded: None });
     assert_eq!(
         registry.claim(at(0), claim("n1", 2, 0, 5)),
         Claim::Granted { term: u64::MAX, superseded: Some(4) }
--- a/crates/leadership/tests/lease.rs
+++ b/crates/leadership/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: when a member may act, and when its roles are assigned to others.
+//! Leases: when a member may act for its roles, and when the roles are assigned to other members.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_leadership::RoleHolder;
@@ -17,17 +17,18 @@
 }
 
 #[test]
-fn a_lease_runs_from_the_request_and_is_void_until_the_log_is_applied() {
+fn a_lease_runs_from_the_request_and_is_invalid_until_the_log_is_applied() {
     let mut session = LeaseSession::new(LeaseTiming::default(), 0);
     let first = session.next_request(at(0)).unwrap();
     assert_eq!(session.next_request(at(499)), None);
     let second = session.next_request(at(500)).unwrap();
     session.on_granted(second, 7);
-    assert!(session.may_act(at(2_499), 7, "d", 1) && !session.may_act(at(2_499), 6, "d", 1));
+    assert!(session.may_act(at(2_499), 7, "d", 1));
+    assert!(!session.may_act(at(2_499), 6, "d", 1), "the log is not applied up to the committed index");
     assert!(!session.may_act(at(2_500), 7, "d", 1));
     session.on_granted(first, 0);
     session.on_granted(second, 9);
-    assert!(session.may_act(at(2_499), 7, "d", 1), "a grant that arrives twice or late changes nothing");
+    assert!(session.may_act(at(2_499), 7, "d", 1), "a repeated or late grant changes nothing");
 }
 
 #[test]
@@ -36,11 +37,15 @@
     let requested = session.next_request(at(0)).unwrap();
     session.on_granted(requested, 0);
     session.resign(at(10), "d", 4);
-    assert!(!session.may_act(at(11), 0, "d", 4) && session.may_act(at(11), 0, "e", 4));
-    assert!(session.may_act(at(11), 0, "d", 5), "the role came back to it");
+    assert!(!session.may_act(at(11), 0, "d", 4));
+    assert!(session.may_act(at(11), 0, "e", 4), "another role is not affected");
+    assert!(session.may_act(at(11), 0, "d", 5), "the role was assigned to the member again");
     assert!(session.stalled_handovers(at(5_009), [("d", 4)].into_iter()).is_empty());
     assert_eq!(session.stalled_handovers(at(5_010), [("d", 4)].into_iter()), [("d".to_owned(), 4)]);
-    assert!(session.stalled_handovers(at(5_020), [("d", 4)].into_iter()).is_empty(), "returned already");
+    assert!(
+        session.stalled_handovers(at(5_020), [("d", 4)].into_iter()).is_empty(),
+        "returned once per probation"
+    );
     assert!(session.stalled_handovers(at(20_000), [("d", 5)].into_iter()).is_empty());
 }
 
@@ -50,56 +55,67 @@
     let requested = session.next_request(at(0)).unwrap();
     session.store_failed(at(100));
     session.on_granted(requested, 0);
-    assert!(!session.may_act(at(101), 0, "d", 1), "what was granted before is void");
+    assert!(!session.may_act(at(101), 0, "d", 1), "a request from before the failure is not granted");
     for failure in 1..50 {
         let now = at(100 + failure * 1_000);
         assert_eq!(session.next_request(now), None);
         session.store_failed(now);
     }
-    assert!(session.next_request(at(49_100 + 5_000)).is_some(), "the store has worked for the probation");
+    assert!(
+        session.next_request(at(49_100 + 5_000)).is_some(),
+        "the store has worked for the probation period"
+    );
 }
 
 #[test]
 fn a_silent_holder_keeps_its_roles_until_its_lease_has_expired_on_any_clock() {
     let timing = LeaseTiming::default();
-    let (expiry, tick) = (Timestamp::ORIGIN + timing.expiry_grace(), Duration::from_millis(1));
-    let (mut grantor, members) = (LeaseGrantor::new(timing), BTreeSet::from([1, 2, 3]));
+    let expiry = Timestamp::ORIGIN + timing.expiry_grace();
+    let tick = Duration::from_millis(1);
+    let mut grantor = LeaseGrantor::new(timing);
+    let members = BTreeSet::from([1, 2, 3]);
     grantor.set_leading(at(0), true);
     for member in [1, 2] {
         grantor.on_request(at(10), member, 1);
     }
-    let held = roles(&[3, 1, 2]);
-    let moves = |actions: &[LeaseAction]| {
+    let roles = roles(&[3, 1, 2]);
+    let move_count = |actions: &[LeaseAction]| {
         actions
             .iter()
-            .filter(|it| matches!(it, LeaseAction::Assign { .. } | LeaseAction::RequestHandOver { .. }))
+            .filter(|action| {
+                matches!(action, LeaseAction::Assign { .. } | LeaseAction::RequestHandOver { .. })
+            })
             .count()
     };
-    assert_eq!(grantor.tick(at(20), &held, &members), [LeaseAction::ConfirmLeadership(1)]);
+    assert_eq!(grantor.tick(at(20), &roles, &members), [LeaseAction::ConfirmLeadership(1)]);
     assert_eq!(grantor.on_confirmed(2), []);
     assert_eq!(grantor.on_confirmed(1).len(), 2);
     for member in [1, 2] {
         grantor.on_request(expiry - 20 * tick, member, 2);
     }
-    assert_eq!(moves(&grantor.tick(expiry - tick, &held, &members)), 0);
-    let given = grantor.tick(expiry, &held, &members);
-    assert!(matches!(&given[..], [LeaseAction::Assign { role, term: 1, .. }] if role == "d0"), "{given:?}");
-    assert_eq!(moves(&grantor.tick(expiry + tick, &held, &members)), 0, "proposed already");
+    assert_eq!(move_count(&grantor.tick(expiry - tick, &roles, &members)), 0);
+    let actions = grantor.tick(expiry, &roles, &members);
+    assert!(
+        matches!(&actions[..], [LeaseAction::Assign { role, term: 1, .. }] if role == "d0"),
+        "{actions:?}"
+    );
+    assert_eq!(move_count(&grantor.tick(expiry + tick, &roles, &members)), 0, "proposed already");
 }
 
 #[test]
-fn a_new_member_is_handed_its_share_and_a_leader_without_a_majority_grants_nothing() {
-    let (mut grantor, members) = (LeaseGrantor::new(LeaseTiming::default()), BTreeSet::from([1, 2]));
+fn roles_are_rebalanced_to_a_new_member_and_an_unconfirmed_leader_grants_no_lease() {
+    let mut grantor = LeaseGrantor::new(LeaseTiming::default());
+    let members = BTreeSet::from([1, 2]);
     grantor.set_leading(at(0), true);
     grantor.on_request(at(1), 1, 1);
     grantor.on_request(at(1), 2, 1);
-    let proposed = grantor.tick(at(2), &roles(&[1, 1, 1, 1]), &members);
-    let hand_overs = proposed
+    let actions = grantor.tick(at(2), &roles(&[1, 1, 1, 1]), &members);
+    let hand_overs = actions
         .iter()
-        .filter(|it| matches!(it, LeaseAction::RequestHandOver { from: 1, to: 2, .. }))
+        .filter(|action| matches!(action, LeaseAction::RequestHandOver { from: 1, to: 2, .. }))
         .count();
-    assert_eq!(hand_overs, 2, "{proposed:?}");
-    // The confirmation is lost: nothing is granted, and a later one does not cover the requests that waited for it.
+    assert_eq!(hand_overs, 2, "{actions:?}");
+    // The first confirmation is lost. Its requests are not granted, and the second one does not cover them.
     grantor.on_request(at(1_100), 2, 2);
     assert!(grantor.tick(at(1_100), &BTreeMap::new(), &members).contains(&LeaseAction::ConfirmLeadership(2)));
     assert_eq!(grantor.on_confirmed(1), []);
--- a/crates/leadership/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -1,6 +1,6 @@
-//! A stateright model of role holders, terms and a receiver: holders may be suspended at any point, also between the check
-//! of their lease and the message; messages arrive in any order and more than once; the receiver restarts, and its disk
-//! fails. The group state and the receiver's fence are the program's own.
+//! A stateright model of role holders, terms and one receiver. Holders may be suspended at any point, even
+//! between the check of their lease and the message; messages arrive in any order and more than once; the
+//! receiver restarts, and its disk fails. The group state and the fencing guard are those of the program.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -23,11 +23,11 @@
     AcceptsBeforePersisting,
     /// A new holder continues under the term of the old one.
     TermReused,
-    /// The replicated state ignores the term of a command.
+    /// The group state ignores the term of a command.
     StateIgnoresTerm,
 }
 
-/// The group state, hashed by its stored form.
+/// The group state, which is hashed by its encoded form.
 #[derive(Clone, Debug)]
 struct HashedState(GroupState);
 
@@ -46,50 +46,60 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     group_state: HashedState,
-    /// The term under which each member believed_terms that it holds the role; 0: it does not.
+    /// The term under which each member believes that it holds the role; 0 if it does not.
     believed_terms: [u64; 2],
-    /// Messages under way, by member and term. They stay, as a message may arrive twice.
+    /// Messages that were sent, as pairs of member and term. They are never removed, because a message may
+    /// arrive twice.
     sent: BTreeSet<(u64, u64)>,
     guard: FencingGuard<(u64, u64)>,
-    /// A term is being persisted.
+    /// Whether a write of terms is under way.
     persisting: bool,
-    /// Terms of the messages that were accepted, in order.
-    accepted: Vec<u64>,
-    /// Terms under which the role's state was written, in order.
-    written: Vec<u64>,
-    /// Each term with its holder.
+    /// Terms of the accepted messages, in order.
+    accepted_terms: Vec<u64>,
+    /// Terms under which the state of the role was stored, in order.
+    stored_terms: Vec<u64>,
+    /// Pairs of a term and a member that learned that it holds the role under that term.
     holders: BTreeSet<(u64, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
+    /// A leader assigns the role to a member.
     Assign(u64),
+    /// A member applies the group state and learns whether it holds the role.
     Learn(u64),
+    /// A member sends a message under the term that it believes in.
     Send(u64),
+    /// The message of a member with a term arrives.
     Deliver(u64, u64),
+    /// The write of terms ends; true if it succeeded.
     Persisted(bool),
+    /// The receiver restarts with the terms that it persisted.
     Restart,
-    Write(u64),
+    /// A member stores a state for the role.
+    StoreState(u64),
 }
 
-struct World {
+struct FencingModel {
     bug: Bug,
-    terms: u64,
+    /// The highest term that is assigned.
+    max_term: u64,
 }
 
-impl World {
+impl FencingModel {
     fn carry_out(&self, state: &mut State, actions: Vec<FencingAction<(u64, u64)>>) {
         for action in actions {
             match action {
                 FencingAction::Persist(_) => state.persisting = true,
-                FencingAction::Accept((_, term)) => state.accepted.push(term),
-                FencingAction::Reject((_, term), _) if self.bug == Bug::NoCheck => state.accepted.push(term),
+                FencingAction::Accept((_, term)) => state.accepted_terms.push(term),
+                FencingAction::Reject((_, term), _) if self.bug == Bug::NoCheck => {
+                    state.accepted_terms.push(term)
+                }
                 FencingAction::Reject(..) => {}
             }
         }
     }
 
-    /// A leader assigns the role to a member.
     fn assign(&self, state: &mut State, to: u64) {
         let term = state.group_state.0.holder(CONFIGURATION_ROLE).term;
         let command = Command {
@@ -106,24 +116,24 @@
         }
     }
 
-    /// A member writes the role's state under the term that it believes in.
-    fn write(&self, state: &mut State, member: u64) {
+    /// A member stores a state for the role under the term that it believes in.
+    fn store_state(&self, state: &mut State, member: u64) {
         let term = state.believed_terms[member as usize - 1];
-        let blind = self.bug == Bug::StateIgnoresTerm;
+        let ignores_term = self.bug == Bug::StateIgnoresTerm;
         let RoleHolder { member: holder, term: current } = state.group_state.0.holder(CONFIGURATION_ROLE);
         let command = Command {
             duty: CONFIGURATION_ROLE.into(),
-            term: if blind { current } else { term },
-            by: if blind { holder } else { member },
+            term: if ignores_term { current } else { term },
+            by: if ignores_term { holder } else { member },
             what: Some(What::Keep(Keep { state: vec![1], order: 1 })),
         };
         if state.group_state.0.apply(&command).0 == Outcome::Applied {
-            state.written.push(term);
+            state.stored_terms.push(term);
         }
     }
 }
 
-impl Model for World {
+impl Model for FencingModel {
     type State = State;
     type Action = Step;
 
@@ -137,28 +147,28 @@
             sent: BTreeSet::new(),
             guard: FencingGuard::new(BTreeMap::new()),
             persisting: false,
-            accepted: Vec::new(),
-            written: Vec::new(),
+            accepted_terms: Vec::new(),
+            stored_terms: Vec::new(),
             holders: BTreeSet::new(),
         }]
     }
 
-    fn actions(&self, state: &State, out: &mut Vec<Step>) {
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         for member in [1, 2] {
-            if state.group_state.0.holder(CONFIGURATION_ROLE).term < self.terms {
-                out.push(Step::Assign(member));
+            if state.group_state.0.holder(CONFIGURATION_ROLE).term < self.max_term {
+                steps.push(Step::Assign(member));
             }
-            out.push(Step::Learn(member));
+            steps.push(Step::Learn(member));
             if state.believed_terms[member as usize - 1] > 0 {
-                out.push(Step::Send(member));
-                out.push(Step::Write(member));
+                steps.push(Step::Send(member));
+                steps.push(Step::StoreState(member));
             }
         }
-        out.extend(state.sent.iter().map(|(member, term)| Step::Deliver(*member, *term)));
+        steps.extend(state.sent.iter().map(|(member, term)| Step::Deliver(*member, *term)));
         if state.persisting {
-            out.extend([Step::Persisted(true), Step::Persisted(false)]);
+            steps.extend([Step::Persisted(true), Step::Persisted(false)]);
         }
-        out.push(Step::Restart);
+        steps.push(Step::Restart);
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
@@ -167,7 +177,7 @@
             Step::Assign(to) => self.assign(&mut state, to),
             Step::Learn(member) => {
                 let RoleHolder { member: holder, term } = state.group_state.0.holder(CONFIGURATION_ROLE);
-                // A member that learns that it holds nothing stops; one that learns nothing continues.
+                // A member stops when it learns that it does not hold the role, and continues until then.
                 state.believed_terms[member as usize - 1] = if holder == member { term } else { 0 };
                 if holder == member {
                     state.holders.insert((term, member));
@@ -178,7 +188,7 @@
             }
             Step::Deliver(member, term) => {
                 if self.bug == Bug::AcceptsBeforePersisting && term >= state.guard.term(CONFIGURATION_ROLE) {
-                    state.accepted.push(term);
+                    state.accepted_terms.push(term);
                     let _ = state.guard.check(CONFIGURATION_ROLE, term, (member, term));
                 } else {
                     let actions = state.guard.check(CONFIGURATION_ROLE, term, (member, term));
@@ -195,67 +205,76 @@
                 state.guard = FencingGuard::new(state.guard.terms().clone());
                 state.persisting = false;
             }
-            Step::Write(member) => self.write(&mut state, member),
+            Step::StoreState(member) => self.store_state(&mut state, member),
         }
-        // Repeated terms add nothing to the properties.
-        state.accepted.dedup();
-        state.written.dedup();
+        // Repeated terms do not matter to the properties, and would only increase the number of states.
+        state.accepted_terms.dedup();
+        state.stored_terms.dedup();
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        fn rises(terms: &[u64]) -> bool {
+        fn never_falls(terms: &[u64]) -> bool {
             terms.windows(2).all(|pair| pair[0] <= pair[1])
         }
         vec![
-            Property::always("no message of an old term is accepted", |_, state: &State| {
-                rises(&state.accepted)
+            Property::always("no message with a stale term is accepted", |_, state: &State| {
+                never_falls(&state.accepted_terms)
+            }),
+            Property::always("no state is stored under a stale term", |_, state: &State| {
+                never_falls(&state.stored_terms)
             }),
-            Property::always("no state of an old term is written", |_, state: &State| rises(&state.written)),
             Property::always("a term has one holder", |_, state: &State| {
                 let terms: BTreeSet<u64> = state.holders.iter().map(|(term, _)| *term).collect();
                 terms.len() == state.holders.len()
             }),
-            Property::sometimes("a later holder is obeyed", |_, state: &State| state.accepted.len() > 1),
-            Property::sometimes("a later holder writes", |_, state: &State| state.written.len() > 1),
+            Property::sometimes("a message of a later holder is accepted", |_, state: &State| {
+                state.accepted_terms.len() > 1
+            }),
+            Property::sometimes("a later holder stores a state", |_, state: &State| {
+                state.stored_terms.len() > 1
+            }),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        state.accepted.len() <= 3 && state.written.len() <= 3
+        state.accepted_terms.len() <= 3 && state.stored_terms.len() <= 3
     }
 }
 
-fn broken(world: World, depth: usize) -> BTreeSet<&'static str> {
-    let found = world.checker().target_max_depth(depth).spawn_bfs().join();
-    let all = [
-        "no message of an old term is accepted",
-        "no state of an old term is written",
+/// The names of the properties that are violated in some state up to a depth.
+fn violated_properties(model: FencingModel, depth: usize) -> BTreeSet<&'static str> {
+    let checker = model.checker().target_max_depth(depth).spawn_bfs().join();
+    let properties = [
+        "no message with a stale term is accepted",
+        "no state is stored under a stale term",
         "a term has one holder",
     ];
-    all.into_iter().filter(|name| found.discovery(name).is_some()).collect()
+    properties.into_iter().filter(|name| checker.discovery(name).is_some()).collect()
 }
 
 #[test]
-fn old_terms_change_nothing_wherever_holders_are_suspended() {
-    // All states up to a depth: the receiver counts what it rejects, so there is no end to them.
-    let checked = World { bug: Bug::None, terms: 2 }.checker().target_max_depth(13).spawn_bfs().join();
+fn stale_terms_change_nothing_wherever_holders_are_suspended() {
+    // The depth is limited because the receiver counts rejected messages, so that the number of states is
+    // unlimited.
+    let checked =
+        FencingModel { bug: Bug::None, max_term: 2 }.checker().target_max_depth(13).spawn_bfs().join();
     println!("{} states", checked.unique_state_count());
     assert!(checked.unique_state_count() > 1_000, "{}", checked.unique_state_count());
     checked.assert_properties();
-    assert!(broken(World { bug: Bug::None, terms: 3 }, 9).is_empty());
+    assert!(violated_properties(FencingModel { bug: Bug::None, max_term: 3 }, 9).is_empty());
 }
 
 #[test]
 fn each_bug_violates_the_property_that_guards_against_it() {
-    let accepted = "no message of an old term is accepted";
+    let no_stale_message = "no message with a stale term is accepted";
     for (bug, property) in [
-        (Bug::NoCheck, accepted),
-        (Bug::AcceptsBeforePersisting, accepted),
+        (Bug::NoCheck, no_stale_message),
+        (Bug::AcceptsBeforePersisting, no_stale_message),
         (Bug::TermReused, "a term has one holder"),
-        (Bug::StateIgnoresTerm, "no state of an old term is written"),
+        (Bug::StateIgnoresTerm, "no state is stored under a stale term"),
     ] {
-        let broken = broken(World { bug, terms: 2 }, 13);
-        assert!(broken.contains(property), "{bug:?}: {broken:?}");
+        let violated = violated_properties(FencingModel { bug, max_term: 2 }, 13);
+        assert!(violated.contains(property), "{bug:?}: {violated:?}");
     }
 }
--- a/crates/leadership/tests/pause_detector.rs
+++ b/crates/leadership/tests/pause_detector.rs
@@ -1,4 +1,4 @@
-//! A service that is alone fences itself after a suspension.
+//! A control server without peers detects suspensions of its process.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 const LEASE: Duration = Duration::from_secs(2);
 
 #[test]
-fn a_suspended_service_waits_for_a_proxy_that_has_seen_no_other_holder() {
+fn a_suspension_while_proxies_follow_is_recorded_until_it_is_cleared() {
     let mut detector = PauseDetector::new(Timestamp::ORIGIN);
     assert!(!detector.observe(Timestamp::from_millis(1_999), LEASE, true));
     assert!(
         !detector.observe(Timestamp::from_millis(9_000), LEASE, false),
-        "no proxy could have followed another"
+        "no proxy could have followed another server"
     );
     assert!(detector.observe(Timestamp::from_millis(20_000), LEASE, true));
     assert!(!detector.observe(Timestamp::from_millis(20_100), LEASE, true));
--- a/crates/leadership/tests/peer_directory.rs
+++ b/crates/leadership/tests/peer_directory.rs
@@ -1,4 +1,4 @@
-//! Which peers may take part, and where each member is reached.
+//! Acceptance of peers, and the addresses of members since their last start.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_config::PROTOCOL;
@@ -22,37 +22,35 @@
 }
 
 #[test]
-fn a_peer_that_is_stale_removed_or_another_is_rejected() {
+fn stale_removed_and_unknown_peers_are_rejected() {
     let (directory, state) = (PeerDirectory::new(member(1, 1)), group_state());
     let hello = |from, to| PeerHello { protocol: PROTOCOL, lineage: 9, from: Some(from), to };
-    let verdict = |hello: PeerHello| directory.check_hello(&state, &hello);
-    assert_eq!(verdict(hello(member(2, 3), 1)), Ok(()));
-    assert_eq!(verdict(hello(member(2, 4), 1)), Ok(()), "a later start");
-    let is_stale_start = PeerRejected::StaleStart { member: 2, known_boot: 3, announced_boot: 2 };
-    assert_eq!(verdict(hello(member(2, 2), 1)), Err(is_stale_start.clone()));
-    assert!(
-        is_stale_start.is_fatal()
-            && PeerRejected::Removed(3).is_fatal()
-            && !PeerRejected::DifferentGroup.is_fatal()
-    );
-    assert_eq!(verdict(hello(member(3, 9), 1)), Err(PeerRejected::Removed(3)));
-    assert_eq!(verdict(hello(member(4, 1), 1)), Err(PeerRejected::UnknownMember(4)));
+    let check = |hello: PeerHello| directory.check_hello(&state, &hello);
+    assert_eq!(check(hello(member(2, 3), 1)), Ok(()));
+    assert_eq!(check(hello(member(2, 4), 1)), Ok(()), "a later start is accepted");
+    let stale_start = PeerRejected::StaleStart { member: 2, known_boot: 3, announced_boot: 2 };
+    assert_eq!(check(hello(member(2, 2), 1)), Err(stale_start.clone()));
+    assert!(stale_start.is_fatal());
+    assert!(PeerRejected::Removed(3).is_fatal());
+    assert!(!PeerRejected::DifferentGroup.is_fatal());
+    assert_eq!(check(hello(member(3, 9), 1)), Err(PeerRejected::Removed(3)));
+    assert_eq!(check(hello(member(4, 1), 1)), Err(PeerRejected::UnknownMember(4)));
     assert_eq!(
-        verdict(hello(member(2, 3), 2)),
+        check(hello(member(2, 3), 2)),
         Err(PeerRejected::WrongMember(1)),
-        "its address is that of another member by now"
+        "the address belongs to another member now"
     );
-    assert_eq!(verdict(hello(member(1, 3), 1)), Err(PeerRejected::DuplicateMember(1)));
+    assert_eq!(check(hello(member(1, 3), 1)), Err(PeerRejected::DuplicateMember(1)));
     assert_eq!(
         directory.check_membership(&state, 3),
         Err(PeerRejected::Removed(3)),
-        "also a peer that was accepted before"
+        "a peer that was accepted before is rejected too"
     );
     assert_eq!(directory.check_membership(&state, 2), Ok(()));
-    let other = PeerHello { lineage: 8, ..hello(member(2, 3), 1) };
-    assert_eq!(verdict(other), Err(PeerRejected::DifferentGroup));
+    let other_group = PeerHello { lineage: 8, ..hello(member(2, 3), 1) };
+    assert_eq!(check(other_group), Err(PeerRejected::DifferentGroup));
     assert_eq!(
-        verdict(PeerHello { protocol: 0, ..hello(member(2, 3), 1) }),
+        check(PeerHello { protocol: 0, ..hello(member(2, 3), 1) }),
         Err(PeerRejected::UnsupportedProtocol)
     );
 }
@@ -65,16 +63,14 @@
     assert_eq!(directory.other_members(&state), [2]);
     assert_eq!(directory.unreplicated_starts(&state), [member(2, 5), member(1, 2)]);
     directory.mark_alive(2, Timestamp::ORIGIN);
-    let end = Timestamp::ORIGIN + ALIVE_WINDOW;
-    assert_eq!(
-        (directory.alive_members(end - Duration::from_millis(1)), directory.alive_members(end)),
-        (vec![2, 1], vec![1])
-    );
-    let mut fresh = PeerDirectory::new(member(4, 1));
-    fresh.record(&GroupState::default(), &[member(1, 1)]);
+    let window_end = Timestamp::ORIGIN + ALIVE_WINDOW;
+    assert_eq!(directory.alive_members(window_end - Duration::from_millis(1)), [2, 1]);
+    assert_eq!(directory.alive_members(window_end), [1]);
+    let mut joining = PeerDirectory::new(member(4, 1));
+    joining.record(&GroupState::default(), &[member(1, 1)]);
     assert_eq!(
-        fresh.other_members(&GroupState::default()),
+        joining.other_members(&GroupState::default()),
         [1],
-        "a member that joins learns of the others from whoever connects"
+        "a member that has not joined learns of the others from the peers that connect to it"
     );
 }
