--- a/crates/storage/tests/control_store.rs
+++ b/crates/storage/tests/control_store.rs
@@ -1,4 +1,4 @@
-//! The database of a control server and the generation file beside it.
+//! The database of a control server and its generation file.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_log_is_truncated_and_compacted_and_the_lineage_is_kept() {
+fn the_log_is_truncated_and_compacted_and_the_lineage_does_not_change() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("versions");
     {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_store_in_use_is_refused_with_its_path_and_the_operation() {
+fn opening_a_store_in_use_fails_with_its_path_and_the_operation() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("versions");
     let _first = ControlStore::open(&path).unwrap();
@@ -47,7 +47,8 @@
 #[test]
 fn the_generation_file_identifies_the_store_and_a_copy_has_another_id() {
     let directory = tempfile::tempdir().unwrap();
-    let (store, copy) = (directory.path().join("store"), directory.path().join("copy"));
+    let store = directory.path().join("store");
+    let copy = directory.path().join("copy");
     std::fs::write(&store, "x").unwrap();
     assert_eq!(generation_file::read(&store).unwrap(), None);
     let generation = Generation { starts: 7, file_id: generation_file::file_id(&store).unwrap() };
@@ -64,7 +65,7 @@
     );
 }
 
-/// Stores of earlier builds must stay readable, and the file must stay readable for them.
+/// Guards the file format, because this build reads the files of earlier builds and they read its files.
 #[test]
 fn the_generation_file_is_two_decimal_numbers() {
     let directory = tempfile::tempdir().unwrap();
