--- a/crates/leadership/src/group_state/mod.rs
+++ b/crates/leadership/src/group_state/mod.rs
@@ -135,9 +135,9 @@
         command: &Command,
         changes: &mut Vec<StateChange>,
     ) -> Result<Outcome, CommandRejected> {
-        let Some(what) = &command.what else { return Err(CommandRejected::UnknownCommand) };
+        let Some(operation) = &command.what else { return Err(CommandRejected::UnknownCommand) };
         let RoleHolder { member: holder, term: current } = self.holder(&command.duty);
-        let is_current = match what {
+        let is_current = match operation {
             What::Declare(_) | What::Member(_) => true,
             // The command contains the term that it replaces, so that it takes effect once even if two
             // leaders propose it or one leader repeats it.
@@ -147,7 +147,7 @@
         if !is_current {
             return Ok(Outcome::StaleTerm { term: command.term, current });
         }
-        match what {
+        match operation {
             What::Declare(_) => self.declare_role(&command.duty, changes)?,
             What::Member(member) => self.update_member(member, changes)?,
             What::Assign(to) | What::HandOver(to) => {
--- a/crates/leadership/src/rollback_guard.rs
+++ b/crates/leadership/src/rollback_guard.rs
@@ -94,6 +94,6 @@
 }
 
 /// Whether the announced start of a member is older than, or conflicts with, its latest recorded start.
-pub fn is_stale_start(known: ProcessStart, announced: ProcessStart) -> bool {
-    announced.boot < known.boot || announced.boot == known.boot && announced.nonce != known.nonce
+pub fn is_stale_start(latest: ProcessStart, announced: ProcessStart) -> bool {
+    announced.boot < latest.boot || announced.boot == latest.boot && announced.nonce != latest.nonce
 }
--- a/crates/leadership/tests/fleet.rs
+++ b/crates/leadership/tests/fleet.rs
@@ -353,8 +353,8 @@
         if self.bug != Bug::LateResignation {
             self.nodes[from].session.resign(clock, role, term);
         }
-        let what = Some(What::HandOver(to));
-        self.propose(from, Command { duty: role.into(), term, what, ..Command::default() });
+        let operation = What::HandOver(to);
+        self.propose(from, Command { duty: role.into(), term, what: Some(operation), ..Command::default() });
     }
 
     fn carry_out(&mut self, node: usize, actions: Vec<LeaseAction>) {
--- a/crates/leadership/tests/group_state.rs
+++ b/crates/leadership/tests/group_state.rs
@@ -24,8 +24,8 @@
     state
 }
 
-fn command(by: u64, term: u64, what: What) -> Command {
-    Command { duty: CONFIGURATION_ROLE.into(), term, by, what: Some(what) }
+fn command(by: u64, term: u64, operation: What) -> Command {
+    Command { duty: CONFIGURATION_ROLE.into(), term, by, what: Some(operation) }
 }
 
 fn document(max_open: u64) -> Document {
@@ -61,7 +61,7 @@
     assert_eq!(state.holder(CONFIGURATION_ROLE), holder(2, 2));
     let before = state.clone();
     let keep = Keep { state: vec![1], order: 1 };
-    for what in [
+    for operation in [
         What::Version(version(11, "a")),
         What::Keep(keep.clone()),
         What::HandOver(1),
@@ -69,11 +69,11 @@
         What::Raise(9),
     ] {
         assert_eq!(
-            state.apply(&command(1, 1, what.clone())),
+            state.apply(&command(1, 1, operation.clone())),
             (Outcome::StaleTerm { term: 1, current: 2 }, vec![])
         );
         assert_eq!(
-            state.apply(&command(1, 2, what)).0,
+            state.apply(&command(1, 2, operation)).0,
             Outcome::StaleTerm { term: 2, current: 2 },
             "the proposer does not hold the role"
         );
@@ -200,7 +200,7 @@
 }
 
 fn any_command() -> impl Strategy<Value = Command> {
-    let what = prop_oneof![
+    let operation = prop_oneof![
         (0..4u64).prop_map(What::Assign),
         (0..4u64).prop_map(What::HandOver),
         (0..20u64, 0..6u32).prop_map(|(open, key)| What::Version(NewVersion {
@@ -216,9 +216,9 @@
         })),
         Just(What::Declare(Declare {})),
     ];
-    (what, 0..30u64, 1..4u64, 0..2usize).prop_map(|(what, term, by, role)| {
+    (operation, 0..30u64, 1..4u64, 0..2usize).prop_map(|(operation, term, by, role)| {
         let duty = [CONFIGURATION_ROLE, ORDINALS_ROLE][role].to_owned();
-        Command { duty, term, by, what: Some(what) }
+        Command { duty, term, by, what: Some(operation) }
     })
 }
 
