--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -121,7 +121,7 @@
     };
     let policy = match settings.restored && !has_peers {
         true => RestorePolicy::Accept,
-        false => RestorePolicy::Refuse,
+        false => RestorePolicy::Reject,
     };
     let boot = rollback_guard::next_boot(found, policy)
         .map_err(|rejected| store_rejected(path, rejected, has_peers))?;
