--- a/crates/coroutine-io/src/lib.rs
+++ b/crates/coroutine-io/src/lib.rs
@@ -1,5 +1,5 @@
-//! Sockets, timers and tasks for coroutines, as all programs here use them: one worker thread runs all coroutines, one
-//! coroutine owns each connection, and nothing blocks the worker.
+//! Sockets, timers and tasks for programs that run on coroutines. One worker thread runs all coroutines, one
+//! coroutine owns each connection, and no call blocks the worker thread.
 
 pub mod stream;
 pub mod task;
@@ -7,8 +7,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also one that a panicking thread has poisoned. The guard must not be held across anything that waits: it
-/// would block the one worker thread.
+/// Locks a mutex, even if it was poisoned by a thread that panicked. The guard must be dropped before the
+/// coroutine waits: another coroutine that locks the mutex meanwhile would block the worker thread.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/coroutine-io/src/stream.rs
+++ b/crates/coroutine-io/src/stream.rs
@@ -1,5 +1,5 @@
-//! Connections of coroutines. Reads and writes never block; a coroutine waits with [`WaitIo::wait_io`] until its connection
-//! is ready or another coroutine wakes it with a [`Waker`].
+//! TCP connections that are owned by coroutines. Reads and writes never block; a coroutine waits with
+//! [`WaitIo::wait_io`] until its connection is ready or another coroutine wakes it with a [`Waker`].
 
 use std::io::{self, Read};
 use std::net::TcpStream;
@@ -13,12 +13,12 @@
 /// Wakes the coroutine that owns a connection.
 pub type Waker = WaitIoWaker;
 
-/// Bytes that one read asks for.
-const READ_SIZE: usize = 8 * 1024;
-/// Reads after which [`discard_input`] gives up on a peer that keeps sending.
-const MAX_DISCARDING_READS: usize = 32;
-/// Timeout of a poll that does not wait.
-const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+/// The largest number of bytes that one read returns.
+const READ_SIZE_BYTES: usize = 8 * 1024;
+/// Reads after which [`discard_input`] stops, so that a peer that keeps sending cannot occupy it for ever.
+const MAX_DISCARD_READS: usize = 32;
+/// The timeout of a poll that returns at once.
+const ZERO_TIMEOUT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
 /// A connection that a coroutine can wait on.
 pub trait Stream: WaitIo {
@@ -38,32 +38,33 @@
     }
 }
 
-/// What a read returned.
+/// The outcome of one read from a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// At least one byte; there may be more.
+    /// At least one byte was read, and more may be available.
     Data,
-    /// Nothing for now.
+    /// No bytes are available yet.
     WouldBlock,
-    /// The peer has closed its side.
+    /// The peer has closed its side of the connection.
     Closed,
 }
 
 /// Reads once and appends the bytes to `buffer`.
 ///
 /// # Errors
-/// The error of the socket, other than an interruption, which is retried.
+/// Returns the error of the socket. An interrupted read is repeated instead.
 pub fn read_into(mut socket: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<ReadOutcome> {
-    let before = buffer.len();
-    buffer.resize(before + READ_SIZE, 0);
-    let read = loop {
-        match socket.read(&mut buffer[before..]) {
+    let previous_length = buffer.len();
+    buffer.resize(previous_length + READ_SIZE_BYTES, 0);
+    let result = loop {
+        match socket.read(&mut buffer[previous_length..]) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             other => break other,
         }
     };
-    buffer.truncate(before + *read.as_ref().unwrap_or(&0));
-    match read {
+    let read_bytes = *result.as_ref().unwrap_or(&0);
+    buffer.truncate(previous_length + read_bytes);
+    match result {
         Ok(0) => Ok(ReadOutcome::Closed),
         Ok(_) => Ok(ReadOutcome::Data),
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(ReadOutcome::WouldBlock),
@@ -71,30 +72,34 @@
     }
 }
 
-/// Whether the peer has closed its side or the connection is broken, even if earlier bytes are still unread. Reads nothing.
+/// Whether the peer has closed its side or the connection is broken, even if bytes that arrived earlier are
+/// still unread. Leaves those bytes unread.
 pub fn peer_closed(socket: &TcpStream) -> bool {
     let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR | PollFlags::NVAL;
     let mut polled = [PollFd::new(socket, PollFlags::IN | PollFlags::RDHUP)];
-    // If the poll fails, the peer counts as present: the next read reports what is wrong.
-    if !rustix::event::poll(&mut polled, Some(&NO_WAIT)).is_ok_and(|ready| ready > 0) {
+    // If the poll fails, the connection counts as open: the next read returns the error.
+    if !rustix::event::poll(&mut polled, Some(&ZERO_TIMEOUT)).is_ok_and(|ready| ready > 0) {
         return false;
     }
     let events = polled[0].revents();
-    // A system without RDHUP reports a half-closed connection as readable, with nothing to read.
-    events.intersects(closed) || events.contains(PollFlags::IN) && matches!(socket.peek(&mut [0]), Ok(0))
+    // A system without RDHUP reports a half-closed connection as readable, with no bytes to read.
+    if events.intersects(closed) {
+        return true;
+    }
+    events.contains(PollFlags::IN) && matches!(socket.peek(&mut [0]), Ok(0))
 }
 
-/// Whether bytes or the end of the stream can be read now.
+/// Whether a read would return at once, with bytes or with the end of the stream.
 pub fn readable(socket: &impl AsFd) -> bool {
     let mut polled = [PollFd::new(socket, PollFlags::IN)];
-    rustix::event::poll(&mut polled, Some(&NO_WAIT)).is_ok_and(|ready| ready > 0)
+    rustix::event::poll(&mut polled, Some(&ZERO_TIMEOUT)).is_ok_and(|ready| ready > 0)
 }
 
-/// Reads and drops the input that has arrived, before the connection is closed: closing with unread input resets the
-/// connection, and the peer may lose the last bytes that were sent to it.
+/// Reads and discards the input that has arrived. To be called before a connection is closed: closing a
+/// socket with unread input resets the connection, and the peer may lose the last bytes that were sent to it.
 pub fn discard_input(socket: &TcpStream) {
     let mut bytes = Vec::new();
-    for _ in 0..MAX_DISCARDING_READS {
+    for _ in 0..MAX_DISCARD_READS {
         if !matches!(read_into(socket, &mut bytes), Ok(ReadOutcome::Data)) {
             return;
         }
--- a/crates/coroutine-io/src/write_buffer.rs
+++ b/crates/coroutine-io/src/write_buffer.rs
@@ -1,50 +1,52 @@
-//! Output of a connection that the socket has not taken yet.
+//! Output of a connection that is not yet written to its socket.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
 
-/// Written bytes beyond which the buffer is compacted, provided that no more bytes than that are pending.
-const COMPACT_ABOVE: usize = 64 * 1024;
+/// Number of written bytes from which the buffer is compacted, provided that no more bytes than were written
+/// are pending.
+const COMPACT_THRESHOLD_BYTES: usize = 64 * 1024;
 
-/// Bytes on their way to a socket.
+/// Bytes to be written to a socket.
 ///
-/// Offsets count all bytes that were ever added, so that a caller can tell whether something it added was written.
+/// Offsets count all bytes ever added, so that a user of the buffer can tell whether the bytes that it added
+/// were written.
 #[derive(Debug, Default)]
 pub struct WriteBuffer {
     bytes: Vec<u8>,
-    /// How many of `bytes` are written.
+    /// Number of bytes at the start of `bytes` that were written.
     written: usize,
-    /// How many bytes were written and removed from `bytes`.
+    /// Number of bytes that were written and then removed from `bytes`.
     removed: u64,
 }
 
 impl WriteBuffer {
-    /// The offset of the next byte that is added.
+    /// Returns the offset that the next added byte will have.
     pub fn end_offset(&self) -> u64 {
         self.removed + self.bytes.len() as u64
     }
 
-    /// The offset up to which bytes are written.
+    /// Returns the offset up to which all bytes were written.
     pub fn written_offset(&self) -> u64 {
         self.removed + self.written as u64
     }
 
-    /// How many bytes are not written yet.
+    /// Returns the number of bytes that are not written yet.
     pub fn pending(&self) -> usize {
         self.bytes.len() - self.written
     }
 
-    /// The bytes, to append to. Nothing else may be changed.
+    /// Returns the underlying vector, to append to; bytes already in it must not be changed or removed.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Writes what the socket takes now. Returns whether it took anything.
+    /// Writes as many bytes as the socket accepts without blocking. Returns whether it accepted any.
     ///
     /// # Errors
-    /// The error of the socket, other than an interruption, which is retried.
+    /// Returns the error of the socket. An interrupted write is repeated instead.
     pub fn flush(&mut self, mut socket: &TcpStream) -> io::Result<bool> {
-        let before = self.written;
+        let previously_written = self.written;
         while self.written < self.bytes.len() {
             match socket.write(&self.bytes[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -54,17 +56,17 @@
                 Err(error) => return Err(error),
             }
         }
-        let progress = self.written > before;
+        let made_progress = self.written > previously_written;
         self.release_written();
-        Ok(progress)
+        Ok(made_progress)
     }
 
-    /// Releases the memory of written bytes: of an idle connection, and of one whose peer reads so slowly that something is
-    /// always pending.
+    /// Releases the memory of written bytes. This covers idle connections as well as those whose peer reads
+    /// so slowly that some bytes are always pending.
     fn release_written(&mut self) {
         if self.pending() == 0 {
             self.bytes = Vec::new();
-        } else if self.written >= COMPACT_ABOVE && self.written >= self.pending() {
+        } else if self.written >= COMPACT_THRESHOLD_BYTES && self.written >= self.pending() {
             self.bytes.drain(..self.written);
         } else {
             return;
--- a/crates/coroutine-io/tests/stream.rs
+++ b/crates/coroutine-io/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Reading from a non-blocking socket, and noticing that its peer has closed.
+//! Tests of reads from a non-blocking socket and of the detection that its peer has closed the connection.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -8,9 +8,10 @@
 
 use gaugestep_coroutine_io::stream::{ReadOutcome, discard_input, peer_closed, read_into, readable};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a test waits for the system to deliver bytes or the end of a connection.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// A non-blocking socket and its peer's blocking one.
+/// Connects a non-blocking socket to a peer's blocking socket, and returns both.
 fn connected() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let socket = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -19,17 +20,17 @@
     (socket, peer)
 }
 
-/// Waits for what the system delivers in its own time.
-fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+/// Polls until the condition is true; fails with `expectation` after [`MAX_WAIT`].
+fn wait_until(expectation: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + MAX_WAIT;
     while !condition() {
-        assert!(Instant::now() < deadline, "{what}");
+        assert!(Instant::now() < deadline, "{expectation}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 #[test]
-fn a_read_appends_what_has_arrived_and_tells_data_from_nothing_and_from_the_end() {
+fn a_read_appends_arrived_bytes_and_distinguishes_data_would_block_and_closed() {
     let (socket, mut peer) = connected();
     let mut buffer = b"before ".to_vec();
     assert_eq!(read_into(&socket, &mut buffer).unwrap(), ReadOutcome::WouldBlock);
@@ -45,14 +46,14 @@
 }
 
 #[test]
-fn a_closed_peer_is_noticed_behind_unread_bytes_and_nothing_is_read() {
+fn a_closed_peer_is_detected_behind_unread_bytes_which_stay_unread() {
     let (socket, mut peer) = connected();
     assert!(!peer_closed(&socket));
     peer.write_all(b"unread").unwrap();
     wait_until("the bytes arrive", || readable(&socket));
-    assert!(!peer_closed(&socket), "bytes alone are no end");
+    assert!(!peer_closed(&socket), "unread bytes do not mean that the peer has closed");
     peer.shutdown(Shutdown::Write).unwrap();
-    wait_until("the end is noticed", || peer_closed(&socket));
+    wait_until("the end is detected", || peer_closed(&socket));
     let mut buffer = Vec::new();
     assert_eq!(read_into(&socket, &mut buffer).unwrap(), ReadOutcome::Data);
     assert_eq!(buffer, b"unread");
--- a/crates/coroutine-io/tests/task.rs
+++ b/crates/coroutine-io/tests/task.rs
@@ -1,4 +1,4 @@
-//! Coroutines that sleep.
+//! Test of sleeping coroutines.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -7,10 +7,11 @@
 
 use gaugestep_coroutine_io::task;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long the test waits for a coroutine to wake.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
 #[test]
-fn every_sleeper_wakes_and_none_too_early() {
+fn every_sleeping_coroutine_wakes_and_none_wakes_early() {
     const SLEEPS: [Duration; 4] =
         [Duration::from_millis(60), Duration::from_millis(20), Duration::from_millis(40), Duration::ZERO];
     task::init_scheduler();
@@ -26,8 +27,8 @@
     }
     let mut woken = Vec::new();
     for _ in SLEEPS {
-        let (time, elapsed) = slept.recv_timeout(PATIENCE).expect("every sleeper wakes");
-        assert!(elapsed >= time, "{elapsed:?} for {time:?}");
+        let (time, elapsed) = slept.recv_timeout(MAX_WAIT).expect("every sleeper wakes");
+        assert!(elapsed >= time, "woke after {elapsed:?} instead of {time:?}");
         woken.push(time);
     }
     woken.sort();
--- a/crates/coroutine-io/tests/write_buffer.rs
+++ b/crates/coroutine-io/tests/write_buffer.rs
@@ -1,4 +1,4 @@
-//! The memory that a write buffer keeps.
+//! Test of the memory that a write buffer retains.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -8,30 +8,31 @@
 use gaugestep_coroutine_io::stream::WriteBuffer;
 
 const KIB: usize = 1024;
-/// Sizes that the system does not adapt, so that its buffers take little.
-const SOCKET_BUFFER: usize = 64 * KIB;
-/// Bytes that are pending at all times.
-const BACKLOG: usize = 512 * KIB;
-/// Far less than what is written in the whole test.
-const MAX_KEPT: usize = 4 * KIB * KIB;
+/// Size of the socket buffers. A size that is set explicitly stays fixed, so the system buffers only a
+/// little.
+const SOCKET_BUFFER_BYTES: usize = 64 * KIB;
+/// Number of bytes that are pending before the rounds begin; each round adds as many bytes as the peer reads.
+const BACKLOG_BYTES: usize = 512 * KIB;
+/// Most bytes that the buffer may retain: far fewer than the test writes in total.
+const MAX_RETAINED_BYTES: usize = 4 * KIB * KIB;
 const NUMBERS_PER_ROUND: u32 = 4_096;
 const ROUNDS: usize = 2_000;
 
-/// A non-blocking socket for the writer and the peer's blocking one.
+/// Connects a non-blocking socket for the writer to a peer's blocking socket, and returns both.
 fn connected() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let socket = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (peer, _) = listener.accept().unwrap();
     socket.set_nonblocking(true).unwrap();
-    socket2::SockRef::from(&socket).set_send_buffer_size(SOCKET_BUFFER).unwrap();
-    socket2::SockRef::from(&peer).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
+    socket2::SockRef::from(&socket).set_send_buffer_size(SOCKET_BUFFER_BYTES).unwrap();
+    socket2::SockRef::from(&peer).set_recv_buffer_size(SOCKET_BUFFER_BYTES).unwrap();
     (socket, peer)
 }
 
-/// The peer reads all the time, but something is always pending: written bytes are released all the same, and everything
-/// arrives in order.
+/// Guards against a buffer that grows without bound when it is never empty: the peer keeps reading but never
+/// catches up. Written bytes must be released meanwhile, and all bytes must arrive in order.
 #[test]
-fn written_bytes_are_released_while_something_is_always_pending() {
+fn written_bytes_are_released_while_some_bytes_are_always_pending() {
     let (socket, mut peer) = connected();
     let mut out = WriteBuffer::default();
     let (mut added, mut read) = (0u32, 0u32);
@@ -41,7 +42,7 @@
             added += 1;
         }
     };
-    while out.pending() < BACKLOG {
+    while out.pending() < BACKLOG_BYTES {
         add_round(&mut out);
         out.flush(&socket).unwrap();
     }
@@ -55,8 +56,12 @@
         }
         out.flush(&socket).unwrap();
         assert!(out.pending() > 0, "the peer has caught up");
-        let kept = out.buffer().len();
-        assert!(kept < MAX_KEPT, "{kept} bytes are kept, of which {} are pending", out.pending());
+        let retained = out.buffer().len();
+        assert!(
+            retained < MAX_RETAINED_BYTES,
+            "{retained} bytes are retained, of which {} are pending",
+            out.pending()
+        );
         assert_eq!(out.end_offset() - out.written_offset(), out.pending() as u64);
     }
 }
