--- a/crates/log-filter/src/lib.rs
+++ b/crates/log-filter/src/lib.rs
@@ -1,15 +1,16 @@
 #![forbid(unsafe_code)]
-//! Keeps the log filters of operators working when modules move.
+//! Keeps the log filters of operators working when modules are moved or renamed.
 //!
-//! `GAUGESTEP_LOG` and `logging.parts` of a published document name log targets. A target is the path of the module that
-//! writes the line, so it changes when a module is moved or renamed. [`expand`] adds to the directives that name modules by
-//! earlier paths the same directives for their present ones. Nothing else of a filter is changed.
+//! `GAUGESTEP_LOG` and `logging.parts` of a published document name log targets. A target is the path of the
+//! module that writes the line, so it changes when the module is moved or renamed. For each directive that
+//! names a module by a former path, [`expand`] adds the same directive for the module's current path. The
+//! rest of the filter is unchanged.
 
-/// A module that was moved, by the log targets it had and has.
+/// A module that was moved or renamed: its current log target and its former ones.
 struct MovedModule {
-    /// The path under which its lines are written today, or a prefix that all modules it was split into share.
+    /// The current log target. If the module was split, the common prefix of the targets of its parts.
     current: &'static str,
-    /// The paths that operators may still name.
+    /// Former log targets, which filters of operators may still name.
     former: &'static [&'static str],
 }
 
@@ -17,7 +18,7 @@
     MovedModule { current, former }
 }
 
-/// Every module whose log target has changed, in alphabetical order of the present path.
+/// Every module whose log target has changed, in alphabetical order of the current path.
 const MOVED_MODULES: &[MovedModule] = &[
     moved(
         "gaugestep_control_plane::cli",
@@ -60,28 +61,29 @@
     moved("gaugestep_proxy::upstream", &["gaugestep::net::back", "gaugestep::net::back::lines"]),
 ];
 
-/// Returns the directives of a filter, followed by those that former paths stand for under present paths.
+/// Returns the directives of a filter, preceded by a copy under the current path of each one that names a
+/// former path.
 ///
-/// `directives` is a list separated by commas, as [`EnvFilter`] takes it. There a directive holds for every target that
-/// begins with the one it names, and the most specific directive wins. Both stay true of former paths: a module is at the
-/// level that it would have had under its former path. A directive that names a module by its present path wins over one
-/// by a former path.
+/// `directives` is a comma-separated list in the syntax of [`EnvFilter`], where a directive applies to every
+/// target that begins with the one it names, and the most specific directive wins. Both rules also hold for
+/// former paths: a module has the level that it would have had under its former path. A directive that names
+/// a module by its current path wins over one that names it by a former path.
 ///
 /// [`EnvFilter`]: https://docs.rs/tracing-subscriber/latest/tracing_subscriber/filter/struct.EnvFilter.html
 #[must_use]
 pub fn expand(directives: &str) -> String {
     let given: Vec<Directive> = directives.split(',').map(Directive::parse).collect();
     let mut expanded = Vec::new();
-    // Outer modules come before the ones within them, as paths are in alphabetical order.
-    let mut renamed: Vec<&MovedModule> = Vec::new();
+    // Outer modules come before the modules inside them, as the table is in alphabetical order of paths.
+    let mut named_by_former_path: Vec<&MovedModule> = Vec::new();
     for module in MOVED_MODULES {
         let matching = most_specific_last(&given, |target| module.is_named_by_former_path(target));
-        let inner = renamed.iter().any(|outer| is_within(module.current, outer.current));
-        if matching.is_empty() && inner {
+        let is_inner = named_by_former_path.iter().any(|outer| is_within(module.current, outer.current));
+        if matching.is_empty() && is_inner {
             expanded.push(unchanged_level(module, &given));
         }
         if !matching.is_empty() {
-            renamed.push(module);
+            named_by_former_path.push(module);
         }
         expanded.extend(matching.iter().map(|directive| format!("{}{}", module.current, directive.rest)));
     }
@@ -91,9 +93,9 @@
 
 /// One directive of a filter.
 struct Directive<'a> {
-    /// What stands before a span or a level.
+    /// The target, which may be empty; for a bare level, the name of the level.
     target: &'a str,
-    /// The span, if there is one, and the level.
+    /// The rest of the directive: an optional span and an optional level, with their punctuation.
     rest: &'a str,
 }
 
@@ -103,7 +105,7 @@
         Directive { target, rest }
     }
 
-    /// Whether it is a level that holds for all targets.
+    /// Whether the directive is only a level, which applies to all targets.
     fn is_bare_level(&self) -> bool {
         const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
         self.rest.is_empty() && LEVELS.iter().any(|level| self.target.trim().eq_ignore_ascii_case(level))
@@ -111,18 +113,22 @@
 }
 
 impl MovedModule {
-    /// Whether a directive for `target` held for this module before it was moved, and does not do so by itself any more.
+    /// Whether a directive for `target` applied to this module under a former path and does not apply to its
+    /// current path.
     fn is_named_by_former_path(&self, target: &str) -> bool {
         self.former.iter().any(|path| path.starts_with(target)) && !self.current.starts_with(target)
     }
 }
 
-/// Whether `module` lies within `outer`.
+/// Whether the path `module` lies inside the module with the path `outer`.
 fn is_within(module: &str, outer: &str) -> bool {
     module.strip_prefix(outer).is_some_and(|rest| rest.starts_with("::"))
 }
 
-/// The directives whose target is accepted, so that a later one replaces the less specific ones before it.
+/// Returns the directives whose target is accepted, the most specific ones last: in [`EnvFilter`] a later
+/// directive replaces an earlier one for the same target.
+///
+/// [`EnvFilter`]: https://docs.rs/tracing-subscriber/latest/tracing_subscriber/filter/struct.EnvFilter.html
 fn most_specific_last<'a>(
     given: &'a [Directive<'a>],
     accepts: impl Fn(&str) -> bool,
@@ -133,7 +139,8 @@
     matching
 }
 
-/// A directive that keeps `module` at the level that it has without the directive for the module around it.
+/// Returns a directive that keeps `module` at the level that it would have without a directive added for an
+/// outer module.
 fn unchanged_level(module: &MovedModule, given: &[Directive]) -> String {
     let by_path =
         most_specific_last(given, |target| !target.is_empty() && module.current.starts_with(target));
--- a/crates/log-filter/tests/expand.rs
+++ b/crates/log-filter/tests/expand.rs
@@ -1,4 +1,4 @@
-//! Filters that name modules by former paths let the same lines through as before.
+//! Tests that filters which name modules by former paths still select the same log lines.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -6,7 +6,7 @@
 use gaugestep_log_filter::expand;
 use tracing_subscriber::EnvFilter;
 
-/// A writer whose bytes a test can read.
+/// A log writer that collects its bytes in a buffer shared with the test.
 #[derive(Clone, Default)]
 struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -21,7 +21,8 @@
     }
 }
 
-/// Logs a line at each level under a present path and returns what the expanded filter lets through.
+/// Logs a debug line and an info line under a current path, and returns the lines that pass the expanded
+/// filter.
 fn lines_of_task_module(filter: &str) -> String {
     let buffer = SharedBuffer::default();
     let writer = buffer.clone();
@@ -58,13 +59,13 @@
 }
 
 #[test]
-fn a_directive_for_the_present_path_wins_over_one_for_the_former() {
+fn a_directive_for_the_current_path_wins_over_one_for_the_former() {
     let filter = "gaugestep_coroutine_io::task=warn,gaugestep_coio::task=debug";
     assert!(!lines_of_task_module(filter).contains("a debug line"));
 }
 
 #[test]
-fn spans_and_missing_levels_are_kept() {
+fn spans_and_missing_levels_are_preserved() {
     assert_eq!(
         expand("gaugestep_coio::task[accept]=debug"),
         "gaugestep_coroutine_io::task[accept]=debug,gaugestep_coio::task[accept]=debug"
@@ -80,24 +81,24 @@
 }
 
 #[test]
-fn a_directive_for_a_moved_module_does_not_reach_modules_that_now_lie_within_it() {
-    let service = "gaugestep_control_plane::server";
+fn a_directive_for_a_moved_module_does_not_apply_to_modules_that_are_now_inside_it() {
+    let server = "gaugestep_control_plane::server";
     for (filter, admin_level) in [
         ("gaugestep_control::service=info", "off"),
         ("warn,gaugestep_control::service=info", "warn"),
         ("gaugestep_control=debug,gaugestep_control::service=info", "debug"),
     ] {
         let expanded = expand(filter);
-        assert!(expanded.contains(&format!("{service}=info")), "{expanded}");
-        assert!(expanded.contains(&format!("{service}::admin={admin_level}")), "{expanded}");
+        assert!(expanded.contains(&format!("{server}=info")), "{expanded}");
+        assert!(expanded.contains(&format!("{server}::admin={admin_level}")), "{expanded}");
     }
     let expanded = expand("gaugestep_control::service=info,gaugestep_control::calls=trace");
-    assert!(expanded.contains(&format!("{service}::admin=trace")), "{expanded}");
-    assert!(!expanded.contains(&format!("{service}::admin=off")), "{expanded}");
+    assert!(expanded.contains(&format!("{server}::admin=trace")), "{expanded}");
+    assert!(!expanded.contains(&format!("{server}::admin=off")), "{expanded}");
 }
 
 #[test]
-fn several_former_paths_of_one_module_are_all_accepted() {
+fn all_former_paths_of_a_module_are_expanded() {
     for former in ["gaugestep::net", "gaugestep::net::front", "gaugestep::net::front::pg"] {
         let expanded = expand(&format!("{former}=debug"));
         assert!(expanded.contains("gaugestep_proxy::downstream=debug"), "{expanded}");
