--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{Counts, Effect, Rules, Violation};
-use crate::record::{Answer, End, Record};
+use crate::record::{End, Record, RequestOutcome};
 
 /// What a client asked for.
 struct Asked {
@@ -24,7 +24,7 @@
 #[derive(Default)]
 struct Request {
     asked: Option<Asked>,
-    answer: Option<Answer>,
+    answer: Option<RequestOutcome>,
     client_gone: bool,
     attempts: Vec<Attempt>,
 }
@@ -94,11 +94,11 @@
         self.requests.entry(id.to_owned()).or_default()
     }
 
-    fn on_answer(&mut self, at: f64, id: &str, how: Answer) {
+    fn on_answer(&mut self, at: f64, id: &str, how: RequestOutcome) {
         match how {
-            Answer::Served => self.counts.served += 1,
-            Answer::Rejected => self.counts.rejected += 1,
-            Answer::Failed => self.counts.failed += 1,
+            RequestOutcome::Served => self.counts.served += 1,
+            RequestOutcome::Rejected => self.counts.rejected += 1,
+            RequestOutcome::Failed => self.counts.failed += 1,
         }
         let slack = self.rules.answer_slack + self.rules.clock_skew;
         let request = self.requests.entry(id.to_owned()).or_default();
@@ -111,10 +111,10 @@
             self.violations.push(Violation::AnsweredLate { id: id.to_owned(), by: at - due });
         }
         let served = |attempt: &Attempt| attempt.end.is_some_and(|(how, _)| how == End::Served);
-        if how == Answer::Served && !request.attempts.iter().any(served) {
+        if how == RequestOutcome::Served && !request.attempts.iter().any(served) {
             self.violations.push(Violation::ServedByNoEngine { id: id.to_owned() });
         }
-        if how == Answer::Rejected && request.must_not_repeat() && request.may_have_run() {
+        if how == RequestOutcome::Rejected && request.must_not_repeat() && request.may_have_run() {
             self.violations.push(Violation::RejectedAfterRun { id: id.to_owned() });
         }
     }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -5,7 +5,7 @@
 /// The final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Answer {
+pub enum RequestOutcome {
     /// The complete result.
     Served,
     /// A rejection: a retry by the client does no harm.
@@ -73,7 +73,7 @@
         /// The request.
         id: String,
         /// The answer.
-        how: Answer,
+        how: RequestOutcome,
     },
     /// The client closed its connection, and is owed nothing more.
     ClientGone {
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The audit of requests on runs that keep every rule, and on runs that break each.
 
 use gaugestep_testbed::audit::{Effect, RetryBudget, Rules, SlowStartRule, Violation, audit};
-use gaugestep_testbed::record::{Answer, End, Phase, Record, read, write};
+use gaugestep_testbed::record::{End, Phase, Record, RequestOutcome, read, write};
 
 fn rules() -> Rules {
     let classes = [("lookup".to_owned(), Effect::Safe), ("load".to_owned(), Effect::Unsafe)];
@@ -32,7 +32,7 @@
     Record::AttemptEnded { at, engine: engine.into(), id: id.into(), how }
 }
 
-fn answered(at: f64, id: &str, how: Answer) -> Record {
+fn answered(at: f64, id: &str, how: RequestOutcome) -> Record {
     Record::Answered { at, id: id.into(), how }
 }
 
@@ -58,13 +58,13 @@
         attempt_ended(300.0, "a", "x", End::Cancelled),
         attempt_started(301.0, "a", "y"),
         attempt_ended(400.0, "a", "y", End::Served),
-        answered(401.0, "a", Answer::Served),
+        answered(401.0, "a", RequestOutcome::Served),
         attempt_ended(500.0, "b", "y", End::Served),
-        answered(501.0, "b", Answer::Served),
-        answered(600.0, "c", Answer::Rejected),
+        answered(501.0, "b", RequestOutcome::Served),
+        answered(600.0, "c", RequestOutcome::Rejected),
         Record::ClientGone { at: 700.0, id: "d".into() },
         attempt_ended(800.0, "e", "x", End::Broken),
-        answered(801.0, "e", Answer::Failed),
+        answered(801.0, "e", RequestOutcome::Failed),
     ]
 }
 
@@ -90,7 +90,7 @@
 
 /// Retries of "z" beyond the budget, and the violation.
 fn retries_beyond_the_budget() -> (Vec<Record>, Violation) {
-    let mut records = vec![requested(5.0, "z", "lookup"), answered(900.0, "z", Answer::Failed)];
+    let mut records = vec![requested(5.0, "z", "lookup"), answered(900.0, "z", RequestOutcome::Failed)];
     for number in 0..4 {
         let at = 20.0 + 10.0 * f64::from(number);
         records.extend([attempt_started(at, "z", "y"), attempt_ended(at + 1.0, "z", "y", End::Failed)]);
@@ -109,7 +109,7 @@
             requested(at, &id, "lookup"),
             attempt_started(at, &id, engine),
             attempt_ended(at + 1.0, &id, engine, End::Served),
-            answered(at + 2.0, &id, Answer::Served),
+            answered(at + 2.0, &id, RequestOutcome::Served),
         ]);
     }
     // 100 ms of work each, and 2 times 0.3 of a core for a second can bear 600.
@@ -122,14 +122,14 @@
 fn each_broken_rule_is_reported_as_its_violation() {
     let id = |text: &str| text.to_owned();
     let mut cases: Vec<(Vec<Record>, Violation)> = vec![
-        (vec![answered(900.0, "a", Answer::Failed)], Violation::AnsweredTwice { id: id("a") }),
+        (vec![answered(900.0, "a", RequestOutcome::Failed)], Violation::AnsweredTwice { id: id("a") }),
         (vec![requested(5.0, "z", "lookup")], Violation::Unanswered { id: id("z"), due: 1_005.0 }),
         (
-            vec![requested(5.0, "z", "lookup"), answered(1_100.0, "z", Answer::Rejected)],
+            vec![requested(5.0, "z", "lookup"), answered(1_100.0, "z", RequestOutcome::Rejected)],
             Violation::AnsweredLate { id: id("z"), by: 95.0 },
         ),
         (
-            vec![requested(5.0, "z", "lookup"), answered(50.0, "z", Answer::Served)],
+            vec![requested(5.0, "z", "lookup"), answered(50.0, "z", RequestOutcome::Served)],
             Violation::ServedByNoEngine { id: id("z") },
         ),
         (
@@ -141,7 +141,7 @@
             vec![
                 requested(5.0, "z", "load"),
                 attempt_started(6.0, "z", "y"),
-                answered(50.0, "z", Answer::Rejected),
+                answered(50.0, "z", RequestOutcome::Rejected),
             ],
             Violation::RejectedAfterRun { id: id("z") },
         ),
@@ -150,7 +150,7 @@
                 requested(5.0, "z", "lookup"),
                 attempt_started(290.0, "z", "x"),
                 attempt_ended(295.0, "z", "x", End::Served),
-                answered(299.0, "z", Answer::Served),
+                answered(299.0, "z", RequestOutcome::Served),
             ],
             Violation::SentToDraining { id: id("z"), engine: id("x"), after: 280.0 },
         ),
--- a/crates/two-level/tests/fleet/forwarder.rs
+++ b/crates/two-level/tests/fleet/forwarder.rs
@@ -300,9 +300,9 @@
                 }
                 Action::Answer { id, answer } => {
                     let how = match answer {
-                        Answer::Served => record::Answer::Served,
-                        Answer::Rejected { .. } => record::Answer::Rejected,
-                        Answer::Failed => record::Answer::Failed,
+                        Answer::Served => record::RequestOutcome::Served,
+                        Answer::Rejected { .. } => record::RequestOutcome::Rejected,
+                        Answer::Failed => record::RequestOutcome::Failed,
                     };
                     self.records.push(Record::Answered { at: self.now, id, how });
                 }
