--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{Counts, Effect, Rules, Violation};
-use crate::record::{End, Record, RequestOutcome};
+use crate::record::{AttemptOutcome, Record, RequestOutcome};
 
 /// What a client asked for.
 struct Asked {
@@ -18,7 +18,7 @@
 struct Attempt {
     engine: String,
     /// How it ended there, and when.
-    end: Option<(End, f64)>,
+    end: Option<(AttemptOutcome, f64)>,
 }
 
 #[derive(Default)]
@@ -110,7 +110,7 @@
         if at > due + slack && !request.client_gone {
             self.violations.push(Violation::AnsweredLate { id: id.to_owned(), by: at - due });
         }
-        let served = |attempt: &Attempt| attempt.end.is_some_and(|(how, _)| how == End::Served);
+        let served = |attempt: &Attempt| attempt.end.is_some_and(|(how, _)| how == AttemptOutcome::Served);
         if how == RequestOutcome::Served && !request.attempts.iter().any(served) {
             self.violations.push(Violation::ServedByNoEngine { id: id.to_owned() });
         }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -17,7 +17,7 @@
 /// How an attempt ended at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum AttemptOutcome {
     /// The result was written.
     Served,
     /// An error was written; the query may have run.
@@ -30,10 +30,10 @@
     Broken,
 }
 
-impl End {
+impl AttemptOutcome {
     /// Whether it is proved that the attempt did nothing.
     pub fn never_ran(self) -> bool {
-        self == End::Rejected
+        self == AttemptOutcome::Rejected
     }
 }
 
@@ -111,7 +111,7 @@
         /// The request.
         id: String,
         /// How.
-        how: End,
+        how: AttemptOutcome,
     },
     /// A forwarder learned the state of an engine.
     EngineListed {
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The audit of requests on runs that keep every rule, and on runs that break each.
 
 use gaugestep_testbed::audit::{Effect, RetryBudget, Rules, SlowStartRule, Violation, audit};
-use gaugestep_testbed::record::{End, Phase, Record, RequestOutcome, read, write};
+use gaugestep_testbed::record::{AttemptOutcome, Phase, Record, RequestOutcome, read, write};
 
 fn rules() -> Rules {
     let classes = [("lookup".to_owned(), Effect::Safe), ("load".to_owned(), Effect::Unsafe)];
@@ -28,7 +28,7 @@
     Record::AttemptStarted { at, engine: engine.into(), via: "f".into(), id: id.into(), work: 100.0 }
 }
 
-fn attempt_ended(at: f64, id: &str, engine: &str, how: End) -> Record {
+fn attempt_ended(at: f64, id: &str, engine: &str, how: AttemptOutcome) -> Record {
     Record::AttemptEnded { at, engine: engine.into(), id: id.into(), how }
 }
 
@@ -51,19 +51,19 @@
         requested(0.0, "e", "load"),
         attempt_started(1.0, "a", "x"),
         attempt_started(1.0, "b", "x"),
-        attempt_ended(2.0, "b", "x", End::Rejected),
+        attempt_ended(2.0, "b", "x", AttemptOutcome::Rejected),
         attempt_started(3.0, "b", "y"),
         engine_listed(10.0, "x", Phase::Draining),
         attempt_started(200.0, "e", "x"),
-        attempt_ended(300.0, "a", "x", End::Cancelled),
+        attempt_ended(300.0, "a", "x", AttemptOutcome::Cancelled),
         attempt_started(301.0, "a", "y"),
-        attempt_ended(400.0, "a", "y", End::Served),
+        attempt_ended(400.0, "a", "y", AttemptOutcome::Served),
         answered(401.0, "a", RequestOutcome::Served),
-        attempt_ended(500.0, "b", "y", End::Served),
+        attempt_ended(500.0, "b", "y", AttemptOutcome::Served),
         answered(501.0, "b", RequestOutcome::Served),
         answered(600.0, "c", RequestOutcome::Rejected),
         Record::ClientGone { at: 700.0, id: "d".into() },
-        attempt_ended(800.0, "e", "x", End::Broken),
+        attempt_ended(800.0, "e", "x", AttemptOutcome::Broken),
         answered(801.0, "e", RequestOutcome::Failed),
     ]
 }
@@ -93,7 +93,10 @@
     let mut records = vec![requested(5.0, "z", "lookup"), answered(900.0, "z", RequestOutcome::Failed)];
     for number in 0..4 {
         let at = 20.0 + 10.0 * f64::from(number);
-        records.extend([attempt_started(at, "z", "y"), attempt_ended(at + 1.0, "z", "y", End::Failed)]);
+        records.extend([
+            attempt_started(at, "z", "y"),
+            attempt_ended(at + 1.0, "z", "y", AttemptOutcome::Failed),
+        ]);
     }
     // Three of "z" and those of "a" and "b" are retries: six requests allow for four.
     (records, Violation::RetryBudgetExceeded { via: "f".into(), at: 301.0, made: 5, allowed: 4.0 })
@@ -108,7 +111,7 @@
         records.extend([
             requested(at, &id, "lookup"),
             attempt_started(at, &id, engine),
-            attempt_ended(at + 1.0, &id, engine, End::Served),
+            attempt_ended(at + 1.0, &id, engine, AttemptOutcome::Served),
             answered(at + 2.0, &id, RequestOutcome::Served),
         ]);
     }
@@ -149,7 +152,7 @@
             vec![
                 requested(5.0, "z", "lookup"),
                 attempt_started(290.0, "z", "x"),
-                attempt_ended(295.0, "z", "x", End::Served),
+                attempt_ended(295.0, "z", "x", AttemptOutcome::Served),
                 answered(299.0, "z", RequestOutcome::Served),
             ],
             Violation::SentToDraining { id: id("z"), engine: id("x"), after: 280.0 },
--- a/crates/two-level/tests/fleet/engines.rs
+++ b/crates/two-level/tests/fleet/engines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gaugestep_testbed::engine_model::{EngineModel, EngineProfile, Query};
-use gaugestep_testbed::record::{End, Phase, Record};
+use gaugestep_testbed::record::{AttemptOutcome, Phase, Record};
 use gaugestep_two_level::order_guard::{AttemptEnd, EngineId};
 
 use crate::simulation::{
@@ -52,7 +52,7 @@
         self.after(delay, Event::AttemptEnds { at, attempt, end });
     }
 
-    pub fn record_end(&mut self, engine: EngineId, attempt: &AttemptKey, how: End) {
+    pub fn record_end(&mut self, engine: EngineId, attempt: &AttemptKey, how: AttemptOutcome) {
         let (at, engine, id) = (self.now, engine_name(engine), attempt.id.clone());
         self.records.push(Record::AttemptEnded { at, engine, id, how });
     }
@@ -83,7 +83,7 @@
             work,
         });
         if !accepted {
-            self.record_end(engine, &attempt, End::Rejected);
+            self.record_end(engine, &attempt, AttemptOutcome::Rejected);
             self.report(REJECTED_DELAY, from, attempt, AttemptEnd::NeverRan);
         }
         self.collect_completed(engine);
@@ -94,7 +94,7 @@
         there.change += 1;
         if there.model.cancel(self.now, attempt) {
             let from = there.running.remove(attempt).expect("a running attempt has a forwarder");
-            self.record_end(engine, attempt, End::Cancelled);
+            self.record_end(engine, attempt, AttemptOutcome::Cancelled);
             self.report(CANCELLED_DELAY, from, attempt.clone(), AttemptEnd::MayHaveRun);
         }
         self.collect_completed(engine);
@@ -111,8 +111,8 @@
             let there = self.engines.get_mut(&engine).expect("engines are removed by faults only");
             let Some(from) = there.running.remove(&attempt) else { continue };
             let (how, end) = match self.one_in(60) {
-                true => (End::Failed, AttemptEnd::MayHaveRun),
-                false => (End::Served, AttemptEnd::Served),
+                true => (AttemptOutcome::Failed, AttemptEnd::MayHaveRun),
+                false => (AttemptOutcome::Served, AttemptEnd::Served),
             };
             self.record_end(engine, &attempt, how);
             let delay = self.between(0.1, 1.0);
--- a/crates/two-level/tests/fleet/faults.rs
+++ b/crates/two-level/tests/fleet/faults.rs
@@ -1,6 +1,6 @@
 //! Faults: planners and forwarders die or are suspended, links are cut, engines drain and die.
 
-use gaugestep_testbed::record::{End, Phase, Record};
+use gaugestep_testbed::record::{AttemptOutcome, Phase, Record};
 use gaugestep_two_level::order_guard::{AttemptEnd, EngineId};
 
 use crate::forwarder::Forwarder;
@@ -55,7 +55,7 @@
             there.change += 1;
             if there.model.cancel(self.now, &attempt) {
                 there.running.remove(&attempt);
-                self.record_end(engine, &attempt, End::Cancelled);
+                self.record_end(engine, &attempt, AttemptOutcome::Cancelled);
             }
             self.collect_completed(engine);
         }
@@ -85,7 +85,7 @@
         let Some(engine) = self.engines_in(Phase::Draining).next() else { return };
         let there = self.engines.remove(&engine).expect("it was found among the engines");
         for (attempt, at) in there.running {
-            self.record_end(engine, &attempt, End::Broken);
+            self.record_end(engine, &attempt, AttemptOutcome::Broken);
             self.after(BROKEN_DELAY, Event::AttemptEnds { at, attempt, end: AttemptEnd::MayHaveRun });
         }
         self.announce(engine, Phase::Gone, false);
