--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -77,7 +77,7 @@
                 let asked = Asked { at: *at, via: via.clone(), effect, due: at + budget };
                 self.request(id).asked = Some(asked);
             }
-            Record::Answered { at, id, how } => self.on_answer(*at, id, *how),
+            Record::Responded { at, id, how } => self.on_answer(*at, id, *how),
             Record::ClientGone { id, .. } => self.on_client_gone(id),
             Record::AttemptStarted { at, engine, id, .. } => self.on_attempt(*at, engine, id),
             Record::AttemptEnded { at, engine, id, how } => {
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -67,7 +67,8 @@
         budget: f64,
     },
     /// The client has the complete final answer.
-    Answered {
+    #[serde(rename = "answered")]
+    Responded {
         /// When.
         at: f64,
         /// The request.
@@ -140,7 +141,7 @@
     pub fn at(&self) -> f64 {
         match self {
             Record::Requested { at, .. }
-            | Record::Answered { at, .. }
+            | Record::Responded { at, .. }
             | Record::ClientGone { at, .. }
             | Record::ForwarderKilled { at, .. }
             | Record::AttemptStarted { at, .. }
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -33,7 +33,7 @@
 }
 
 fn answered(at: f64, id: &str, how: RequestOutcome) -> Record {
-    Record::Answered { at, id: id.into(), how }
+    Record::Responded { at, id: id.into(), how }
 }
 
 fn engine_listed(at: f64, engine: &str, phase: Phase) -> Record {
--- a/crates/two-level/tests/fleet/forwarder.rs
+++ b/crates/two-level/tests/fleet/forwarder.rs
@@ -304,7 +304,7 @@
                         Answer::Rejected { .. } => record::RequestOutcome::Rejected,
                         Answer::Failed => record::RequestOutcome::Failed,
                     };
-                    self.records.push(Record::Answered { at: self.now, id, how });
+                    self.records.push(Record::Responded { at: self.now, id, how });
                 }
                 Action::Notify { epoch, event } => {
                     let rejected = matches!(event, PlannerEvent::OrderRejected { .. });
