--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -31,7 +31,7 @@
 
 impl Request {
     fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|attempt| !attempt.end.is_some_and(|(how, _)| how.never_ran()))
+        self.attempts.iter().any(|attempt| !attempt.end.is_some_and(|(outcome, _)| outcome.never_ran()))
     }
 
     fn must_not_repeat(&self) -> bool {
@@ -77,13 +77,13 @@
                 let asked = Asked { at: *at, via: via.clone(), effect, due: at + budget };
                 self.request(id).asked = Some(asked);
             }
-            Record::Responded { at, id, how } => self.on_answer(*at, id, *how),
+            Record::Responded { at, id, outcome } => self.on_answer(*at, id, *outcome),
             Record::ClientGone { id, .. } => self.on_client_gone(id),
             Record::AttemptStarted { at, engine, id, .. } => self.on_attempt(*at, engine, id),
-            Record::AttemptEnded { at, engine, id, how } => {
+            Record::AttemptEnded { at, engine, id, outcome } => {
                 let mut attempts = self.request(id).attempts.iter_mut();
                 if let Some(open) = attempts.find(|it| it.engine == *engine && it.end.is_none()) {
-                    open.end = Some((*how, *at));
+                    open.end = Some((*outcome, *at));
                 }
             }
             Record::ForwarderKilled { .. } | Record::EngineListed { .. } | Record::EngineStarted { .. } => {}
@@ -94,15 +94,15 @@
         self.requests.entry(id.to_owned()).or_default()
     }
 
-    fn on_answer(&mut self, at: f64, id: &str, how: RequestOutcome) {
-        match how {
+    fn on_answer(&mut self, at: f64, id: &str, outcome: RequestOutcome) {
+        match outcome {
             RequestOutcome::Served => self.counts.served += 1,
             RequestOutcome::Rejected => self.counts.rejected += 1,
             RequestOutcome::Failed => self.counts.failed += 1,
         }
         let slack = self.rules.answer_slack + self.rules.clock_skew;
         let request = self.requests.entry(id.to_owned()).or_default();
-        if request.answer.replace(how).is_some() {
+        if request.answer.replace(outcome).is_some() {
             self.violations.push(Violation::AnsweredTwice { id: id.to_owned() });
             return;
         }
@@ -110,11 +110,12 @@
         if at > due + slack && !request.client_gone {
             self.violations.push(Violation::AnsweredLate { id: id.to_owned(), by: at - due });
         }
-        let served = |attempt: &Attempt| attempt.end.is_some_and(|(how, _)| how == AttemptOutcome::Served);
-        if how == RequestOutcome::Served && !request.attempts.iter().any(served) {
+        let served =
+            |attempt: &Attempt| attempt.end.is_some_and(|(outcome, _)| outcome == AttemptOutcome::Served);
+        if outcome == RequestOutcome::Served && !request.attempts.iter().any(served) {
             self.violations.push(Violation::ServedByNoEngine { id: id.to_owned() });
         }
-        if how == RequestOutcome::Rejected && request.must_not_repeat() && request.may_have_run() {
+        if outcome == RequestOutcome::Rejected && request.must_not_repeat() && request.may_have_run() {
             self.violations.push(Violation::RejectedAfterRun { id: id.to_owned() });
         }
     }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -74,7 +74,8 @@
         /// The request.
         id: String,
         /// The answer.
-        how: RequestOutcome,
+        #[serde(rename = "how")]
+        outcome: RequestOutcome,
     },
     /// The client closed its connection, and is owed nothing more.
     ClientGone {
@@ -112,7 +113,8 @@
         /// The request.
         id: String,
         /// How.
-        how: AttemptOutcome,
+        #[serde(rename = "how")]
+        outcome: AttemptOutcome,
     },
     /// A forwarder learned the state of an engine.
     EngineListed {
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -28,12 +28,12 @@
     Record::AttemptStarted { at, engine: engine.into(), via: "f".into(), id: id.into(), work: 100.0 }
 }
 
-fn attempt_ended(at: f64, id: &str, engine: &str, how: AttemptOutcome) -> Record {
-    Record::AttemptEnded { at, engine: engine.into(), id: id.into(), how }
+fn attempt_ended(at: f64, id: &str, engine: &str, outcome: AttemptOutcome) -> Record {
+    Record::AttemptEnded { at, engine: engine.into(), id: id.into(), outcome }
 }
 
-fn answered(at: f64, id: &str, how: RequestOutcome) -> Record {
-    Record::Responded { at, id: id.into(), how }
+fn answered(at: f64, id: &str, outcome: RequestOutcome) -> Record {
+    Record::Responded { at, id: id.into(), outcome }
 }
 
 fn engine_listed(at: f64, engine: &str, phase: Phase) -> Record {
--- a/crates/two-level/tests/fleet/engines.rs
+++ b/crates/two-level/tests/fleet/engines.rs
@@ -52,9 +52,9 @@
         self.after(delay, Event::AttemptEnds { at, attempt, end });
     }
 
-    pub fn record_end(&mut self, engine: EngineId, attempt: &AttemptKey, how: AttemptOutcome) {
+    pub fn record_end(&mut self, engine: EngineId, attempt: &AttemptKey, outcome: AttemptOutcome) {
         let (at, engine, id) = (self.now, engine_name(engine), attempt.id.clone());
-        self.records.push(Record::AttemptEnded { at, engine, id, how });
+        self.records.push(Record::AttemptEnded { at, engine, id, outcome });
     }
 
     pub fn on_attempt_at_engine(
@@ -110,11 +110,11 @@
         for (_, attempt) in completed {
             let there = self.engines.get_mut(&engine).expect("engines are removed by faults only");
             let Some(from) = there.running.remove(&attempt) else { continue };
-            let (how, end) = match self.one_in(60) {
+            let (outcome, end) = match self.one_in(60) {
                 true => (AttemptOutcome::Failed, AttemptEnd::MayHaveRun),
                 false => (AttemptOutcome::Served, AttemptEnd::Served),
             };
-            self.record_end(engine, &attempt, how);
+            self.record_end(engine, &attempt, outcome);
             let delay = self.between(0.1, 1.0);
             self.report(delay, from, attempt, end);
         }
--- a/crates/two-level/tests/fleet/forwarder.rs
+++ b/crates/two-level/tests/fleet/forwarder.rs
@@ -299,12 +299,12 @@
                     }
                 }
                 Action::Answer { id, answer } => {
-                    let how = match answer {
+                    let outcome = match answer {
                         Answer::Served => record::RequestOutcome::Served,
                         Answer::Rejected { .. } => record::RequestOutcome::Rejected,
                         Answer::Failed => record::RequestOutcome::Failed,
                     };
-                    self.records.push(Record::Responded { at: self.now, id, how });
+                    self.records.push(Record::Responded { at: self.now, id, outcome });
                 }
                 Action::Notify { epoch, event } => {
                     let rejected = matches!(event, PlannerEvent::OrderRejected { .. });
