--- a/crates/testbed/src/audit/engines.rs
+++ b/crates/testbed/src/audit/engines.rs
@@ -7,7 +7,7 @@
 
 /// Finds work that was sent to engines which their forwarders knew to be draining or gone.
 pub(super) fn check_draining(ordered: &[&Record], rules: &Rules) -> Vec<Violation> {
-    let tolerance = rules.drain_grace + rules.clock_skew;
+    let tolerance = rules.drain_grace_ms + rules.clock_skew_ms;
     let mut violations = Vec::new();
     let mut draining_since: BTreeMap<(&str, &str), f64> = BTreeMap::new();
     for record in ordered {
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -30,15 +30,15 @@
     /// Classes by name.
     pub classes: BTreeMap<String, Effect>,
     /// A final answer may come this long after the client's deadline.
-    pub answer_slack: f64,
+    pub response_slack_ms: f64,
     /// New work may reach an engine this long after its forwarder learned that it drains or is gone.
-    pub drain_grace: f64,
+    pub drain_grace_ms: f64,
     /// The budget of each forwarder for attempts beyond requests' first.
     pub retry_budget: Option<RetryBudget>,
     /// What may be sent to an engine that is warming up.
     pub slow_start: Option<SlowStartRule>,
     /// The largest difference between the clocks of two processes that record.
-    pub clock_skew: f64,
+    pub clock_skew_ms: f64,
 }
 
 /// The attempts beyond requests' first that a forwarder may make in any window.
@@ -89,7 +89,7 @@
     let (mut violations, counts) = requests::check(&ordered, rules);
     violations.extend(engines::check_draining(&ordered, rules));
     if let Some(budget) = &rules.retry_budget {
-        violations.extend(retries::check(&ordered, budget, rules.clock_skew));
+        violations.extend(retries::check(&ordered, budget, rules.clock_skew_ms));
     }
     if let Some(rule) = &rules.slow_start {
         violations.extend(engines::check_slow_start(&ordered, rule));
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -100,7 +100,7 @@
             RequestOutcome::Rejected => self.counts.rejected += 1,
             RequestOutcome::Failed => self.counts.failed += 1,
         }
-        let slack = self.rules.answer_slack + self.rules.clock_skew;
+        let slack = self.rules.response_slack_ms + self.rules.clock_skew_ms;
         let request = self.requests.entry(id.to_owned()).or_default();
         if request.answer.replace(outcome).is_some() {
             self.violations.push(Violation::AnsweredTwice { id: id.to_owned() });
@@ -129,7 +129,7 @@
 
     fn on_attempt(&mut self, at: f64, engine: &str, id: &str) {
         self.counts.attempts += 1;
-        let skew = self.rules.clock_skew;
+        let skew = self.rules.clock_skew_ms;
         let request = self.requests.entry(id.to_owned()).or_default();
         // With clocks that differ a little, an attempt that has just ended may seem to be in flight.
         let seems_open = |it: &&Attempt| it.end.is_none_or(|(_, ended)| ended > at + skew);
--- a/crates/testbed/src/audit/retries.rs
+++ b/crates/testbed/src/audit/retries.rs
@@ -18,7 +18,7 @@
 }
 
 /// Finds retries beyond the budget.
-pub(super) fn check(ordered: &[&Record], budget: &RetryBudget, clock_skew: f64) -> Vec<Violation> {
+pub(super) fn check(ordered: &[&Record], budget: &RetryBudget, clock_skew_ms: f64) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut forwarders: BTreeMap<&str, Forwarder> = BTreeMap::new();
     let mut attempted = BTreeSet::new();
@@ -31,8 +31,8 @@
                 let forwarder = forwarders.entry(via).or_default();
                 forwarder.retries.push(*at);
                 // Attempts reach engines a little after they are counted, requests a little before.
-                let made = count_in_window(&forwarder.retries, *at, budget.window - clock_skew);
-                let requests = count_in_window(&forwarder.requests, *at, budget.window + clock_skew);
+                let made = count_in_window(&forwarder.retries, *at, budget.window - clock_skew_ms);
+                let requests = count_in_window(&forwarder.requests, *at, budget.window + clock_skew_ms);
                 let allowed = budget.free + budget.ratio * requests as f64;
                 if made as f64 > allowed {
                     let (via, at) = (via.clone(), *at);
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -7,8 +7,8 @@
     let classes = [("lookup".to_owned(), Effect::Safe), ("load".to_owned(), Effect::Unsafe)];
     Rules {
         classes: classes.into(),
-        answer_slack: 20.0,
-        drain_grace: 250.0,
+        response_slack_ms: 20.0,
+        drain_grace_ms: 250.0,
         retry_budget: Some(RetryBudget { free: 1.0, ratio: 0.5, window: 5_000.0 }),
         slow_start: Some(SlowStartRule {
             initial_share: 0.3,
@@ -16,7 +16,7 @@
             capacity_multiple: 2.0,
             window: 1_000.0,
         }),
-        clock_skew: 5.0,
+        clock_skew_ms: 5.0,
     }
 }
 
--- a/crates/two-level/tests/fleet/main.rs
+++ b/crates/two-level/tests/fleet/main.rs
@@ -29,12 +29,12 @@
     let RetryBudgetSettings { base, ratio, window } = retry_budget;
     Rules {
         classes: classes.map(|(name, effect)| (name.to_owned(), effect)).into(),
-        answer_slack: 20.0,
-        drain_grace: 250.0,
+        response_slack_ms: 20.0,
+        drain_grace_ms: 250.0,
         retry_budget: Some(audit::RetryBudget { free: base, ratio, window: window.as_secs_f64() * 1e3 }),
         slow_start: None,
         // The guard counts by its own clock, the engines see attempts up to a millisecond later.
-        clock_skew: 2.0,
+        clock_skew_ms: 2.0,
     }
 }
 
