--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Retries allowed in any case.
-    pub free: f64,
+    pub base: f64,
     /// Retries allowed for each request of the window.
     pub ratio: f64,
     /// The window in milliseconds.
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -9,7 +9,7 @@
         classes: classes.into(),
         response_slack_ms: 20.0,
         drain_grace_ms: 250.0,
-        retry_budget: Some(RetryBudget { free: 1.0, ratio: 0.5, window: 5_000.0 }),
+        retry_budget: Some(RetryBudget { base: 1.0, ratio: 0.5, window: 5_000.0 }),
         slow_start: Some(SlowStartRule {
             initial_share: 0.3,
             warm_up: 10_000.0,
