--- a/crates/testbed/src/audit/engines.rs
+++ b/crates/testbed/src/audit/engines.rs
@@ -54,10 +54,10 @@
             return None;
         }
         self.received.push((at, work));
-        let window = self.received.iter().filter(|(time, _)| at - time <= rule.window);
+        let window = self.received.iter().filter(|(time, _)| at - time <= rule.window_ms);
         let received = window.map(|(_, work)| work).sum();
         let share = rule.initial_share + (1.0 - rule.initial_share) * age / rule.warm_up;
-        let bearable = rule.capacity_multiple * share * self.cores * rule.window;
+        let bearable = rule.capacity_multiple * share * self.cores * rule.window_ms;
         Some(WindowLoad { received, bearable })
     }
 }
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -49,7 +49,7 @@
     /// Retries allowed for each request of the window.
     pub ratio: f64,
     /// The window in milliseconds.
-    pub window: f64,
+    pub window_ms: f64,
 }
 
 /// What may be sent to an engine that is warming up.
@@ -62,7 +62,7 @@
     /// It is overloaded by more than this multiple of its present capacity...
     pub capacity_multiple: f64,
     /// ...over a window of this many milliseconds.
-    pub window: f64,
+    pub window_ms: f64,
 }
 
 /// What the records hold, counted.
--- a/crates/testbed/src/audit/retries.rs
+++ b/crates/testbed/src/audit/retries.rs
@@ -31,8 +31,8 @@
                 let forwarder = forwarders.entry(via).or_default();
                 forwarder.retries.push(*at);
                 // Attempts reach engines a little after they are counted, requests a little before.
-                let made = count_in_window(&forwarder.retries, *at, budget.window - clock_skew_ms);
-                let requests = count_in_window(&forwarder.requests, *at, budget.window + clock_skew_ms);
+                let made = count_in_window(&forwarder.retries, *at, budget.window_ms - clock_skew_ms);
+                let requests = count_in_window(&forwarder.requests, *at, budget.window_ms + clock_skew_ms);
                 let allowed = budget.base + budget.ratio * requests as f64;
                 if made as f64 > allowed {
                     let (via, at) = (via.clone(), *at);
--- a/crates/testbed/src/fleet_audit.rs
+++ b/crates/testbed/src/fleet_audit.rs
@@ -97,7 +97,7 @@
     fn limit(&self, window_start: f64) -> f64 {
         const STEPS: u32 = 100;
         let rule = &self.rule;
-        let step = rule.window / f64::from(STEPS);
+        let step = rule.window_ms / f64::from(STEPS);
         let middles = (0..STEPS).map(|index| window_start + (f64::from(index) + 0.5) * step);
         middles.map(|age| self.at_age(age)).sum::<f64>() * step * rule.capacity_multiple
     }
@@ -136,11 +136,11 @@
     let (mut first, mut in_window, mut worst_window) = (0, 0.0, 0.0f64);
     for arrival in &received {
         in_window += arrival.work;
-        while received[first].at <= arrival.at - rule.window {
+        while received[first].at <= arrival.at - rule.window_ms {
             in_window -= received[first].work;
             first += 1;
         }
-        let window_start = (age(arrival) - rule.window).max(0.0);
+        let window_start = (age(arrival) - rule.window_ms).max(0.0);
         worst_window = worst_window.max(in_window / capacity.limit(window_start));
     }
     let proxies: BTreeSet<u64> = received.iter().map(|arrival| proxy_of(&arrival.id)).collect();
--- a/crates/two-level/tests/fleet/main.rs
+++ b/crates/two-level/tests/fleet/main.rs
@@ -31,7 +31,7 @@
         classes: classes.map(|(name, effect)| (name.to_owned(), effect)).into(),
         response_slack_ms: 20.0,
         drain_grace_ms: 250.0,
-        retry_budget: Some(audit::RetryBudget { base, ratio, window: window.as_secs_f64() * 1e3 }),
+        retry_budget: Some(audit::RetryBudget { base, ratio, window_ms: window.as_secs_f64() * 1e3 }),
         slow_start: None,
         // The guard counts by its own clock, the engines see attempts up to a millisecond later.
         clock_skew_ms: 2.0,
