--- a/crates/testbed/src/audit/engines.rs
+++ b/crates/testbed/src/audit/engines.rs
@@ -56,7 +56,7 @@
         self.received.push((at, work));
         let window = self.received.iter().filter(|(time, _)| at - time <= rule.window_ms);
         let received = window.map(|(_, work)| work).sum();
-        let share = rule.initial_share + (1.0 - rule.initial_share) * age / rule.warm_up;
+        let share = rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.warm_up;
         let bearable = rule.capacity_multiple * share * self.cores * rule.window_ms;
         Some(WindowLoad { received, bearable })
     }
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartRule {
     /// The share of its capacity at its start.
-    pub initial_share: f64,
+    pub initial_fraction: f64,
     /// Milliseconds until it has its full capacity.
     pub warm_up: f64,
     /// It is overloaded by more than this multiple of its present capacity...
--- a/crates/testbed/src/engine_model.rs
+++ b/crates/testbed/src/engine_model.rs
@@ -18,7 +18,7 @@
     /// The share of its throughput that is left at twice the knee and beyond.
     pub thrash: f64,
     /// The share of its speed with which it starts.
-    pub initial_share: f64,
+    pub initial_fraction: f64,
     /// Milliseconds from its start to its full speed.
     pub warm_up: f64,
     /// Data sets that it keeps in its cache.
@@ -34,7 +34,7 @@
             sessions: 64,
             knee: 1.7,
             thrash: 0.5,
-            initial_share: 0.34,
+            initial_fraction: 0.34,
             warm_up: 14_000.0,
             cached_sets: 4,
             cache_gain: 0.3,
@@ -128,7 +128,7 @@
     /// The share of its full speed that it has.
     pub fn warmth(&self) -> f64 {
         let age = ((self.now - self.started_at) / self.profile.warm_up).clamp(0.0, 1.0);
-        self.profile.initial_share + (1.0 - self.profile.initial_share) * age
+        self.profile.initial_fraction + (1.0 - self.profile.initial_fraction) * age
     }
 
     /// Takes a query at this time; false if it is rejected.
--- a/crates/testbed/src/fleet_audit.rs
+++ b/crates/testbed/src/fleet_audit.rs
@@ -105,7 +105,7 @@
     /// The cores that it amounts to at this age.
     fn at_age(&self, age: f64) -> f64 {
         let warm = (age / self.rule.warm_up).min(1.0);
-        self.cores * (self.rule.initial_share + (1.0 - self.rule.initial_share) * warm)
+        self.cores * (self.rule.initial_fraction + (1.0 - self.rule.initial_fraction) * warm)
     }
 }
 
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -28,7 +28,7 @@
 static ALONE: Mutex<()> = Mutex::new(());
 /// As the settings below have it.
 const RULE: SlowStartRule =
-    SlowStartRule { initial_share: 0.3, warm_up: 8_000.0, capacity_multiple: 2.5, window_ms: 1_000.0 };
+    SlowStartRule { initial_fraction: 0.3, warm_up: 8_000.0, capacity_multiple: 2.5, window_ms: 1_000.0 };
 /// Of the engines that are started here.
 const CAPACITY: EngineCapacity = EngineCapacity { cores: 8.0, rule: RULE };
 
@@ -82,7 +82,7 @@
         let list = self.lists[usize::from(number % 4 == 3)].address;
         let rules = format!(
             r#""rules": {{"cold_share": {}, "warm_within_ms": {}, "tip_multiple": {}, "overload_for_ms": {}, "#,
-            RULE.initial_share, RULE.warm_up, RULE.capacity_multiple, RULE.window_ms
+            RULE.initial_fraction, RULE.warm_up, RULE.capacity_multiple, RULE.window_ms
         );
         let text = text.replace(r#""settings":"#, &format!(r#""coordinator":"{list}","settings":"#));
         let text =
