--- a/crates/testbed/src/audit/engines.rs
+++ b/crates/testbed/src/audit/engines.rs
@@ -50,13 +50,13 @@
     /// The window that ends with this work; `None` once the engine is warm.
     fn receive(&mut self, at: f64, work: f64, rule: &SlowStartRule) -> Option<WindowLoad> {
         let age = at - self.started_at;
-        if age >= rule.warm_up {
+        if age >= rule.warm_up_ms {
             return None;
         }
         self.received.push((at, work));
         let window = self.received.iter().filter(|(time, _)| at - time <= rule.window_ms);
         let received = window.map(|(_, work)| work).sum();
-        let share = rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.warm_up;
+        let share = rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.warm_up_ms;
         let bearable = rule.capacity_multiple * share * self.cores * rule.window_ms;
         Some(WindowLoad { received, bearable })
     }
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -58,7 +58,7 @@
     /// The share of its capacity at its start.
     pub initial_fraction: f64,
     /// Milliseconds until it has its full capacity.
-    pub warm_up: f64,
+    pub warm_up_ms: f64,
     /// It is overloaded by more than this multiple of its present capacity...
     pub capacity_multiple: f64,
     /// ...over a window of this many milliseconds.
--- a/crates/testbed/src/engine_model.rs
+++ b/crates/testbed/src/engine_model.rs
@@ -20,7 +20,7 @@
     /// The share of its speed with which it starts.
     pub initial_fraction: f64,
     /// Milliseconds from its start to its full speed.
-    pub warm_up: f64,
+    pub warm_up_ms: f64,
     /// Data sets that it keeps in its cache.
     pub cached_sets: usize,
     /// The part of a query's work that a cached data set saves.
@@ -35,7 +35,7 @@
             knee: 1.7,
             thrash: 0.5,
             initial_fraction: 0.34,
-            warm_up: 14_000.0,
+            warm_up_ms: 14_000.0,
             cached_sets: 4,
             cache_gain: 0.3,
         }
@@ -103,7 +103,7 @@
 impl<Id: Ord + Clone> EngineModel<Id> {
     /// An engine that starts now. `warm` is one that has run for long.
     pub fn start(now: f64, profile: EngineProfile, warm: bool) -> Self {
-        let started_at = if warm { now - profile.warm_up } else { now };
+        let started_at = if warm { now - profile.warm_up_ms } else { now };
         EngineModel {
             profile,
             started_at,
@@ -127,7 +127,7 @@
 
     /// The share of its full speed that it has.
     pub fn warmth(&self) -> f64 {
-        let age = ((self.now - self.started_at) / self.profile.warm_up).clamp(0.0, 1.0);
+        let age = ((self.now - self.started_at) / self.profile.warm_up_ms).clamp(0.0, 1.0);
         self.profile.initial_fraction + (1.0 - self.profile.initial_fraction) * age
     }
 
--- a/crates/testbed/src/fleet_audit.rs
+++ b/crates/testbed/src/fleet_audit.rs
@@ -104,7 +104,7 @@
 
     /// The cores that it amounts to at this age.
     fn at_age(&self, age: f64) -> f64 {
-        let warm = (age / self.rule.warm_up).min(1.0);
+        let warm = (age / self.rule.warm_up_ms).min(1.0);
         self.cores * (self.rule.initial_fraction + (1.0 - self.rule.initial_fraction) * warm)
     }
 }
@@ -131,7 +131,7 @@
     let rule = &capacity.rule;
     let age = |arrival: &Arrival| arrival.at - started_at;
     let warming =
-        |arrival: &&Arrival| arrival.engine == engine && (0.0..rule.warm_up).contains(&age(arrival));
+        |arrival: &&Arrival| arrival.engine == engine && (0.0..rule.warm_up_ms).contains(&age(arrival));
     let received: Vec<&Arrival> = arrivals.iter().filter(warming).collect();
     let (mut first, mut in_window, mut worst_window) = (0, 0.0, 0.0f64);
     for arrival in &received {
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -12,7 +12,7 @@
         retry_budget: Some(RetryBudget { base: 1.0, ratio: 0.5, window_ms: 5_000.0 }),
         slow_start: Some(SlowStartRule {
             initial_fraction: 0.3,
-            warm_up: 10_000.0,
+            warm_up_ms: 10_000.0,
             capacity_multiple: 2.0,
             window_ms: 1_000.0,
         }),
--- a/crates/testbed/tests/fleet_audit.rs
+++ b/crates/testbed/tests/fleet_audit.rs
@@ -28,8 +28,12 @@
 
 #[test]
 fn work_of_a_window_is_compared_with_the_capacity_at_its_age() {
-    let rule =
-        SlowStartRule { initial_fraction: 0.5, warm_up: 1_000.0, capacity_multiple: 2.0, window_ms: 100.0 };
+    let rule = SlowStartRule {
+        initial_fraction: 0.5,
+        warm_up_ms: 1_000.0,
+        capacity_multiple: 2.0,
+        window_ms: 100.0,
+    };
     let capacity = EngineCapacity { cores: 8.0, rule };
     let arrival = |at: f64, work: f64| Arrival { engine: "e".into(), id: "01".into(), work, at };
     let measure = |arrivals: &[Arrival]| warm_up_load(arrivals, "e", 0.0, &capacity, |_| 7);
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -28,7 +28,7 @@
 static ALONE: Mutex<()> = Mutex::new(());
 /// As the settings below have it.
 const RULE: SlowStartRule =
-    SlowStartRule { initial_fraction: 0.3, warm_up: 8_000.0, capacity_multiple: 2.5, window_ms: 1_000.0 };
+    SlowStartRule { initial_fraction: 0.3, warm_up_ms: 8_000.0, capacity_multiple: 2.5, window_ms: 1_000.0 };
 /// Of the engines that are started here.
 const CAPACITY: EngineCapacity = EngineCapacity { cores: 8.0, rule: RULE };
 
@@ -82,7 +82,7 @@
         let list = self.lists[usize::from(number % 4 == 3)].address;
         let rules = format!(
             r#""rules": {{"cold_share": {}, "warm_within_ms": {}, "tip_multiple": {}, "overload_for_ms": {}, "#,
-            RULE.initial_fraction, RULE.warm_up, RULE.capacity_multiple, RULE.window_ms
+            RULE.initial_fraction, RULE.warm_up_ms, RULE.capacity_multiple, RULE.window_ms
         );
         let text = text.replace(r#""settings":"#, &format!(r#""coordinator":"{list}","settings":"#));
         let text =
@@ -287,7 +287,7 @@
     fleet.load(4, 10..20);
     group.wait_for_ordinals(&fleet.proxies.iter().collect::<Vec<_>>(), 20);
     wait_until("the replaced engines are warm", || {
-        replaced.iter().all(|(_, started, _)| fleet.log.now() > started + RULE.warm_up)
+        replaced.iter().all(|(_, started, _)| fleet.log.now() > started + RULE.warm_up_ms)
     });
     let many = drawn_now(&fleet, 8_000);
     assert!(many.len() == 12 && many.values().all(|count| (13..=14).contains(count)), "{many:?}");
@@ -325,7 +325,7 @@
         fleet.pass(300);
     }
     let last = replaced[3].1;
-    wait_until("the replaced engines are warm", || fleet.log.now() > last + RULE.warm_up);
+    wait_until("the replaced engines are warm", || fleet.log.now() > last + RULE.warm_up_ms);
     fleet.end();
     let arrivals = fleet.log.arrivals();
     for (new, started, _) in &replaced {
