--- a/crates/testbed/src/leadership_audit.rs
+++ b/crates/testbed/src/leadership_audit.rs
@@ -39,7 +39,7 @@
     /// A service acquired the lease of a role.
     LeaseAcquired {
         /// The service.
-        service: String,
+        server: String,
         /// The role.
         role: String,
         /// The term.
@@ -55,7 +55,7 @@
     /// A version that a service stores at the end.
     Stored {
         /// The service.
-        service: String,
+        server: String,
         /// The version.
         number: u64,
         /// Names the content.
@@ -192,11 +192,11 @@
                 self.contents.entry(*number).or_default().insert(digest);
                 self.add_in_force(proxy, *number, *term);
             }
-            Record::LeaseAcquired { service, role, term } => {
+            Record::LeaseAcquired { server: service, role, term } => {
                 self.lease_holders.entry((role, *term)).or_default().insert(service);
             }
             Record::StaleRejected { .. } => self.rejected += 1,
-            Record::Stored { service, number, digest, key } => {
+            Record::Stored { server: service, number, digest, key } => {
                 self.contents.entry(*number).or_default().insert(digest);
                 if !key.is_empty() {
                     self.numbers.entry(key).or_default().insert(*number);
--- a/crates/testbed/tests/leadership_audit.rs
+++ b/crates/testbed/tests/leadership_audit.rs
@@ -7,7 +7,7 @@
 }
 
 fn stored(service: &str, number: u64, digest: &str) -> Record {
-    Record::Stored { service: service.into(), number, digest: digest.into(), key: digest.into() }
+    Record::Stored { server: service.into(), number, digest: digest.into(), key: digest.into() }
 }
 
 fn in_force(number: u64, digest: &str, term: u64) -> Record {
@@ -23,8 +23,8 @@
         Record::TermSeen { proxy: "n0".into(), term: 2 },
         Record::StaleRejected { at: "n0".into(), term: 1 },
         in_force(2, "b", 2),
-        Record::LeaseAcquired { service: "1".into(), role: "versions".into(), term: 1 },
-        Record::LeaseAcquired { service: "2".into(), role: "versions".into(), term: 2 },
+        Record::LeaseAcquired { server: "1".into(), role: "versions".into(), term: 1 },
+        Record::LeaseAcquired { server: "2".into(), role: "versions".into(), term: 2 },
         stored("1", 1, "a"),
         stored("1", 2, "b"),
         stored("2", 1, "a"),
@@ -46,7 +46,7 @@
         (in_force(3, "c", 1), Violation::StaleTermApplied { proxy: "n0".into(), term: 1, seen: 2 }),
         (stored("2", 3, "a"), Violation::PublishedTwice { key: "a".into() }),
         (
-            Record::LeaseAcquired { service: "3".into(), role: "versions".into(), term: 2 },
+            Record::LeaseAcquired { server: "3".into(), role: "versions".into(), term: 2 },
             Violation::TwoLeaseHolders { role: "versions".into(), term: 2 },
         ),
         (in_force(1, "a", 2), Violation::RolledBack { proxy: "n0".into(), from: 2, to: 1 }),
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -401,7 +401,7 @@
                 match line["message"].as_str() {
                     Some("lease acquired") => {
                         let role = line["role"].as_str().unwrap_or_default().to_owned();
-                        records.push(Record::LeaseAcquired { service: service.clone(), role, term });
+                        records.push(Record::LeaseAcquired { server: service.clone(), role, term });
                     }
                     Some("stale command rejected") => {
                         records.push(Record::StaleRejected { at: service.clone(), term })
@@ -411,7 +411,7 @@
             }
             let held = if node.runs() { node.versions() } else { Vec::new() };
             records.extend(held.into_iter().map(|(number, digest, key)| Record::Stored {
-                service: service.clone(),
+                server: service.clone(),
                 number,
                 digest,
                 key,
