--- a/crates/testbed/src/leadership_audit.rs
+++ b/crates/testbed/src/leadership_audit.rs
@@ -48,7 +48,7 @@
     /// A command of a stale term was rejected.
     StaleRejected {
         /// Where.
-        at: String,
+        process: String,
         /// Its term.
         term: u64,
     },
--- a/crates/testbed/tests/leadership_audit.rs
+++ b/crates/testbed/tests/leadership_audit.rs
@@ -21,7 +21,7 @@
         in_force(1, "a", 1),
         acknowledged("b", 2),
         Record::TermSeen { proxy: "n0".into(), term: 2 },
-        Record::StaleRejected { at: "n0".into(), term: 1 },
+        Record::StaleRejected { process: "n0".into(), term: 1 },
         in_force(2, "b", 2),
         Record::LeaseAcquired { server: "1".into(), role: "versions".into(), term: 1 },
         Record::LeaseAcquired { server: "2".into(), role: "versions".into(), term: 2 },
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -404,7 +404,7 @@
                         records.push(Record::LeaseAcquired { server: service.clone(), role, term });
                     }
                     Some("stale command rejected") => {
-                        records.push(Record::StaleRejected { at: service.clone(), term })
+                        records.push(Record::StaleRejected { process: service.clone(), term })
                     }
                     _ => {}
                 }
--- a/tests/common/group/records.rs
+++ b/tests/common/group/records.rs
@@ -26,7 +26,7 @@
                 records.push(Record::InForce { proxy, number: number("version"), digest, term: 0 });
             }
             _ if line["code"] == "stale-term" => {
-                records.push(Record::StaleRejected { at: proxy, term: number("term") });
+                records.push(Record::StaleRejected { process: proxy, term: number("term") });
             }
             _ => {}
         }
