--- a/crates/dispatch/tests/fleet_slow_start.rs
+++ b/crates/dispatch/tests/fleet_slow_start.rs
@@ -105,12 +105,12 @@
 fn fleet_keeps_the_slow_start_limit_of_a_warming_engine_in_any_window() {
     let ordinal = |seed: u64| FleetPosition::ordinal(seed as u32, DISPATCHERS as u32).unwrap();
     let played = play(6_000.0, DISPATCHERS, 0.0, ordinal);
-    let (worst_window_ratio, used) = (worst(&played), mean(&played, 6_000.0));
+    let (worst_window, used) = (worst(&played), mean(&played, 6_000.0));
     println!(
-        "ordinals: worst {worst_window_ratio:.2}, {used:.2} used, {} light, {} heavy",
+        "ordinals: worst {worst_window:.2}, {used:.2} used, {} light, {} heavy",
         played.light, played.heavy
     );
-    assert!(worst_window_ratio <= 1.0, "{worst_window_ratio} of the limit in one window");
+    assert!(worst_window <= 1.0, "{worst_window} of the limit in one window");
     // More is used than without ordinals, and light requests are not starved by heavy ones that wait beside them.
     assert!(
         used > 0.33 && played.light > 100 && played.heavy > 3,
--- a/crates/subsetting/tests/slow_start.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -101,7 +101,7 @@
 }
 
 /// The largest ratio of the work sent within a window to the window's limit.
-fn worst_window_ratio(sent: &[Sent], limit: &SlowStartLimit) -> f64 {
+fn worst_window(sent: &[Sent], limit: &SlowStartLimit) -> f64 {
     let window = limit.settings.window;
     let (mut first, mut sum, mut worst) = (0, 0.0, 0.0f64);
     for Sent { at, work } in sent {
@@ -149,7 +149,7 @@
         let works = vec![heavy * first_window, light * first_window];
         let skew = skew * MAX_CLOCK_SKEW * window;
         let fleet = Fleet { proxies, skew, limit, works, behaviours, exclusive: true, restarts };
-        let worst = worst_window_ratio(&fleet.play(seed), &limit);
+        let worst = worst_window(&fleet.play(seed), &limit);
         prop_assert!(worst <= 1.0, "{worst} of the limit");
     }
 }
@@ -158,7 +158,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     used: f64,
-    worst_window_ratio: f64,
+    worst_window: f64,
 }
 
 fn usage(proxies: u32, exclusive: bool, behaviour: Behaviour, seed: u64) -> Usage {
@@ -167,7 +167,7 @@
     let fleet = Fleet { proxies, skew: 100.0, limit, works, behaviours, exclusive, restarts: false };
     let sent = fleet.play(seed);
     let total: f64 = sent.iter().map(|sent| sent.work).sum();
-    Usage { used: total / limit.accrued(WARM_UP), worst_window_ratio: worst_window_ratio(&sent, &limit) }
+    Usage { used: total / limit.accrued(WARM_UP), worst_window: worst_window(&sent, &limit) }
 }
 
 /// How much is used where all proxies want more than there is; `--nocapture` prints the table of the design note.
@@ -179,12 +179,12 @@
         let random: Vec<Usage> =
             (0..PLAYS).map(|seed| usage(proxies, false, Behaviour::Greedy, seed)).collect();
         let random_used = random.iter().map(|usage| usage.used).sum::<f64>() / PLAYS as f64;
-        let random_worst = random.iter().map(|usage| usage.worst_window_ratio).fold(0.0, f64::max);
+        let random_worst = random.iter().map(|usage| usage.worst_window).fold(0.0, f64::max);
         let rarely = usage(proxies, true, Behaviour::Rarely, 1);
         println!(
             "{proxies}: ordinals use {:.2}, worst window {:.2}; rarely sending {:.2}; \
              random places {random_used:.2}, worst window of {PLAYS} plays {random_worst:.2}",
-            exclusive.used, exclusive.worst_window_ratio, rarely.used
+            exclusive.used, exclusive.worst_window, rarely.used
         );
         assert!(exclusive.used > 0.3 && exclusive.used > random_used, "{exclusive:?} {random_used}");
         assert!(
