--- a/crates/testbed/src/fleet_audit.rs
+++ b/crates/testbed/src/fleet_audit.rs
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpLoad {
     /// The largest work of one window, over what the rule allows in it.
-    pub worst_window: f64,
+    pub worst_window_ratio: f64,
     /// How many proxies sent any.
     pub proxies: usize,
     /// All work, in milliseconds.
@@ -133,7 +133,7 @@
     let warming =
         |arrival: &&Arrival| arrival.engine == engine && (0.0..rule.warm_up_ms).contains(&age(arrival));
     let received: Vec<&Arrival> = arrivals.iter().filter(warming).collect();
-    let (mut first, mut in_window, mut worst_window) = (0, 0.0, 0.0f64);
+    let (mut first, mut in_window, mut worst_window_ratio) = (0, 0.0, 0.0f64);
     for arrival in &received {
         in_window += arrival.work;
         while received[first].at <= arrival.at - rule.window_ms {
@@ -141,11 +141,11 @@
             first += 1;
         }
         let window_start = (age(arrival) - rule.window_ms).max(0.0);
-        worst_window = worst_window.max(in_window / capacity.limit(window_start));
+        worst_window_ratio = worst_window_ratio.max(in_window / capacity.limit(window_start));
     }
     let proxies: BTreeSet<u64> = received.iter().map(|arrival| proxy_of(&arrival.id)).collect();
     let work = received.iter().map(|arrival| arrival.work).sum();
-    WarmUpLoad { worst_window, proxies: proxies.len(), work }
+    WarmUpLoad { worst_window_ratio, proxies: proxies.len(), work }
 }
 
 /// How many proxies sent anything to each engine.
--- a/crates/testbed/tests/fleet_audit.rs
+++ b/crates/testbed/tests/fleet_audit.rs
@@ -39,11 +39,11 @@
     let measure = |arrivals: &[Arrival]| warm_up_load(arrivals, "e", 0.0, &capacity, |_| 7);
     // 8 cores at 0.5 and a little: some 840 in the first window.
     let together = measure(&[arrival(10.0, 400.0), arrival(60.0, 400.0)]);
-    assert!((0.93..0.97).contains(&together.worst_window), "{together:?}");
+    assert!((0.93..0.97).contains(&together.worst_window_ratio), "{together:?}");
     assert!(together.proxies == 1 && together.work == 800.0, "{together:?}");
     let spread = measure(&[arrival(10.0, 400.0), arrival(160.0, 400.0)]);
-    assert!(spread.worst_window < 0.5, "{spread:?}");
-    assert_eq!(measure(&[arrival(1_001.0, 1e6)]).worst_window, 0.0, "it is warm");
+    assert!(spread.worst_window_ratio < 0.5, "{spread:?}");
+    assert_eq!(measure(&[arrival(1_001.0, 1e6)]).worst_window_ratio, 0.0, "it is warm");
     let late = [arrival(10.0, 1.0), arrival(20.0, 1.0)];
     assert_eq!(arrivals_after_drain(&late, "e", 5.0, 10.0).len(), 1);
 }
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -232,7 +232,7 @@
     for (old, (new, started, drained)) in &replaced {
         let name = &fleet.engines[*new].name;
         let load = warm_up_load(&arrivals, name, *started, &CAPACITY, proxy_of);
-        let (window, proxies, sum) = (load.worst_window, load.proxies, load.work);
+        let (window, proxies, sum) = (load.worst_window_ratio, load.proxies, load.work);
         worst.push((window * 100.0).round() / 100.0);
         assert!(
             window <= 1.0,
@@ -299,7 +299,7 @@
     let arrivals = fleet.log.arrivals();
     for (new, started, _) in &replaced {
         let load = warm_up_load(&arrivals, &fleet.engines[*new].name, *started, &CAPACITY, proxy_of);
-        let (window, proxies) = (load.worst_window, load.proxies);
+        let (window, proxies) = (load.worst_window_ratio, load.proxies);
         assert!(window <= 1.0, "{window} of what the rule allows in one window, from {proxies} proxies");
         assert!(proxies > 3, "it is used");
     }
@@ -331,7 +331,7 @@
     for (new, started, _) in &replaced {
         let name = &fleet.engines[*new].name;
         let load = warm_up_load(&arrivals, name, *started, &CAPACITY, proxy_of);
-        let (window, proxies, sum) = (load.worst_window, load.proxies, load.work);
+        let (window, proxies, sum) = (load.worst_window_ratio, load.proxies, load.work);
         eprintln!(
             "{name}: {window:.2} of what the rule allows in the worst window, {proxies} proxies, {sum:.0} ms"
         );
