--- a/crates/testbed/src/emulated_fleet/engine.rs
+++ b/crates/testbed/src/emulated_fleet/engine.rs
@@ -21,7 +21,7 @@
     /// Open connections.
     connections: AtomicU64,
     /// The most connections that were open together.
-    most_connections: AtomicU64,
+    peak_connections: AtomicU64,
     stopped: AtomicBool,
 }
 
@@ -60,8 +60,8 @@
     }
 
     /// The most connections that were open together.
-    pub fn most_connections(&self) -> u64 {
-        self.activity.most_connections.load(Ordering::SeqCst)
+    pub fn peak_connections(&self) -> u64 {
+        self.activity.peak_connections.load(Ordering::SeqCst)
     }
 
     /// Its entry in the list of engines.
@@ -91,7 +91,7 @@
         thread::spawn(move || {
             let activity = shared.activity.clone();
             let open = activity.connections.fetch_add(1, Ordering::SeqCst) + 1;
-            activity.most_connections.fetch_max(open, Ordering::SeqCst);
+            activity.peak_connections.fetch_max(open, Ordering::SeqCst);
             // A connection that breaks is the proxy's matter.
             let _ = Connection::open(socket, shared).and_then(Connection::serve);
             activity.connections.fetch_sub(1, Ordering::SeqCst);
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -251,7 +251,7 @@
     // engines, and apart from killed proxies no client went without an answer.
     let ids: BTreeSet<&str> = arrivals.iter().map(|it| it.id.as_str()).collect();
     assert!(ids.len() as u64 >= fleet.served(), "{} ids, {} served", ids.len(), fleet.served());
-    let most = fleet.engines.iter().map(EmulatedEngine::most_connections).max().unwrap_or(0);
+    let most = fleet.engines.iter().map(EmulatedEngine::peak_connections).max().unwrap_or(0);
     assert!(most <= PROXIES * 5, "{most} connections at one engine");
     assert!(fairness_of(&fleet.answers) > 0.8, "{:?}", fleet.answers);
 }
