--- a/crates/testbed/src/engine_model.rs
+++ b/crates/testbed/src/engine_model.rs
@@ -55,11 +55,11 @@
     /// Its threads.
     pub threads: f64,
     /// The data set that it reads or writes.
-    pub set: u64,
+    pub data_set: u64,
     /// It is a load: it locks its data set until it ends.
-    pub load: bool,
+    pub is_load: bool,
     /// It makes no progress while a load locks its data set.
-    pub waits: bool,
+    pub waits_for_loads: bool,
     /// Its priority, 0 to 3: scarce cores are shared 1 : 4 : 8 : 16.
     pub priority: u8,
 }
@@ -137,7 +137,7 @@
         if self.running.len() >= self.profile.sessions || self.running.contains_key(&id) {
             return false;
         }
-        let saved = if self.use_data_set(query.set) { self.profile.cache_gain } else { 0.0 };
+        let saved = if self.use_data_set(query.data_set) { self.profile.cache_gain } else { 0.0 };
         let left = query.work.max(LEAST_WORK) * (1.0 - saved);
         self.running.insert(id, Running { query, left, arrival: self.arrivals });
         self.arrivals += 1;
@@ -211,15 +211,15 @@
     /// The queries that wait for a load on their data set. Of several loads the first makes progress.
     fn blocked(&self) -> BTreeSet<&Id> {
         let mut lock_holders: BTreeMap<u64, (u64, &Id)> = BTreeMap::new();
-        for (id, running) in self.running.iter().filter(|(_, running)| running.query.load) {
-            let holder = lock_holders.entry(running.query.set).or_insert((running.arrival, id));
+        for (id, running) in self.running.iter().filter(|(_, running)| running.query.is_load) {
+            let holder = lock_holders.entry(running.query.data_set).or_insert((running.arrival, id));
             if running.arrival < holder.0 {
                 *holder = (running.arrival, id);
             }
         }
         let is_blocked = |(id, running): &(&Id, &Running)| {
-            let locked = lock_holders.get(&running.query.set).is_some_and(|(_, holder)| holder != id);
-            locked && (running.query.load || running.query.waits)
+            let locked = lock_holders.get(&running.query.data_set).is_some_and(|(_, holder)| holder != id);
+            locked && (running.query.is_load || running.query.waits_for_loads)
         };
         self.running.iter().filter(is_blocked).map(|(id, _)| id).collect()
     }
--- a/crates/testbed/tests/engine_model.rs
+++ b/crates/testbed/tests/engine_model.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 fn query(work: f64) -> Query {
-    Query { work, threads: 1.0, set: 1, load: false, waits: false, priority: 1 }
+    Query { work, threads: 1.0, data_set: 1, is_load: false, waits_for_loads: false, priority: 1 }
 }
 
 fn engine(cores: f64) -> EngineModel<u32> {
@@ -57,11 +57,11 @@
 #[test]
 fn a_load_locks_its_data_set_and_waiting_queries_proceed_when_it_is_cancelled() {
     let mut engine = engine(8.0);
-    let load = Query { load: true, ..query(500.0) };
+    let load = Query { is_load: true, ..query(500.0) };
     engine.submit(0.0, 1, load.clone());
     engine.submit(0.0, 2, load.clone());
-    engine.submit(0.0, 3, Query { waits: true, ..query(100.0) });
-    engine.submit(0.0, 4, Query { load: true, set: 2, ..query(100.0) });
+    engine.submit(0.0, 3, Query { waits_for_loads: true, ..query(100.0) });
+    engine.submit(0.0, 4, Query { is_load: true, data_set: 2, ..query(100.0) });
     assert_eq!(engine.take_completed(400.0), [(100.0, 4)]);
     assert!(engine.cancel(400.0, &1) && !engine.cancel(400.0, &1));
     assert_eq!(engine.take_completed(2_000.0), [(900.0, 2), (1_000.0, 3)]);
@@ -100,7 +100,7 @@
                     1 => engine.set_priority(now, &(number as u32 / 2), 3),
                     _ => {
                         let (load, waits) = (number % 5 == 0, number % 2 == 0);
-                        let query = Query { work: *work, threads: *threads, set: *set, load, waits, priority: 1 };
+                        let query = Query { work: *work, threads: *threads, data_set: *set, is_load: load, waits_for_loads: waits, priority: 1 };
                         if engine.submit(now, number as u32, query) {
                             taken.push(number as u32);
                         }
--- a/crates/two-level/tests/fleet/engines.rs
+++ b/crates/two-level/tests/fleet/engines.rs
@@ -69,7 +69,14 @@
             return self.report(REJECTED_DELAY, from, attempt, AttemptEnd::NeverRan);
         };
         let Details { class, work } = details;
-        let query = Query { work, threads: 1.0, set, load: class == "load", waits: false, priority: 1 };
+        let query = Query {
+            work,
+            threads: 1.0,
+            data_set: set,
+            is_load: class == "load",
+            waits_for_loads: false,
+            priority: 1,
+        };
         let accepted = there.model.submit(self.now, attempt.clone(), query);
         there.change += 1;
         if accepted {
