--- a/crates/testbed/src/audit/engines.rs
+++ b/crates/testbed/src/audit/engines.rs
@@ -1,11 +1,12 @@
-//! Checks of what reaches engines: no new work for those that drain, and no overload while they warm up.
+//! Checks of the attempts that reach engines: none on an engine that drains, and no overload of one that
+//! warms up.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Rules, SlowStartRule, Violation};
 use crate::record::{Phase, Record};
 
-/// Finds work that was sent to engines which their forwarders knew to be draining or gone.
+/// Finds attempts that forwarders sent to engines after they had learned that these drain or are gone.
 pub(super) fn check_draining(ordered: &[&Record], rules: &Rules) -> Vec<Violation> {
     let tolerance = rules.drain_grace_ms + rules.clock_skew_ms;
     let mut violations = Vec::new();
@@ -20,10 +21,10 @@
             }
             Record::AttemptStarted { at, engine, via, id, .. } => {
                 let since = draining_since.get(&(via.as_str(), engine.as_str()));
-                let after = since.map_or(0.0, |since| at - since);
-                if after > tolerance {
+                let delay_ms = since.map_or(0.0, |since| at - since);
+                if delay_ms > tolerance {
                     let (id, engine) = (id.clone(), engine.clone());
-                    violations.push(Violation::SentToDraining { id, engine, after });
+                    violations.push(Violation::SentToDraining { id, engine, delay_ms });
                 }
             }
             _ => {}
@@ -32,22 +33,22 @@
     violations
 }
 
-/// An engine that has started, and what it received since.
+/// An engine that was started, and the work that it has received since.
 struct WarmingEngine {
     started_at: f64,
     cores: f64,
-    /// Times and work in milliseconds.
+    /// Arrival time and work of each attempt, in milliseconds.
     received: Vec<(f64, f64)>,
 }
 
-/// Work in one window, in milliseconds on one core.
+/// The work received and allowed in one window, in milliseconds on one core.
 struct WindowLoad {
     received: f64,
-    bearable: f64,
+    allowed: f64,
 }
 
 impl WarmingEngine {
-    /// The window that ends with this work; `None` once the engine is warm.
+    /// Adds work, and returns the load of the window that ends with it; `None` once the engine is warm.
     fn receive(&mut self, at: f64, work: f64, rule: &SlowStartRule) -> Option<WindowLoad> {
         let age = at - self.started_at;
         if age >= rule.warm_up_ms {
@@ -56,13 +57,14 @@
         self.received.push((at, work));
         let window = self.received.iter().filter(|(time, _)| at - time <= rule.window_ms);
         let received = window.map(|(_, work)| work).sum();
-        let share = rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.warm_up_ms;
-        let bearable = rule.capacity_multiple * share * self.cores * rule.window_ms;
-        Some(WindowLoad { received, bearable })
+        let fraction = rule.initial_fraction + (1.0 - rule.initial_fraction) * age / rule.warm_up_ms;
+        let allowed = rule.capacity_multiple * fraction * self.cores * rule.window_ms;
+        Some(WindowLoad { received, allowed })
     }
 }
 
-/// Finds engines that received more than they can bear while they warmed up; each start is reported once.
+/// Finds engines that received more work than the rule allows while they warmed up; each start is reported
+/// once.
 pub(super) fn check_slow_start(ordered: &[&Record], rule: &SlowStartRule) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut engines: BTreeMap<&str, WarmingEngine> = BTreeMap::new();
@@ -77,9 +79,9 @@
             Record::AttemptStarted { at, engine, work, .. } => {
                 let Some(warming) = engines.get_mut(engine.as_str()) else { continue };
                 let Some(load) = warming.receive(*at, *work, rule) else { continue };
-                if load.received > load.bearable && reported.insert(engine.as_str()) {
-                    let times = load.received / load.bearable;
-                    violations.push(Violation::Overloaded { engine: engine.clone(), at: *at, times });
+                if load.received > load.allowed && reported.insert(engine.as_str()) {
+                    let ratio = load.received / load.allowed;
+                    violations.push(Violation::Overloaded { engine: engine.clone(), at: *at, ratio });
                 }
             }
             _ => {}
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -1,8 +1,9 @@
-//! Whether requests were treated by the rules, from the records alone.
+//! Checks from the records of a run whether requests were handled by the rules.
 //!
-//! The auditor knows nothing of how the program decides: it takes what clients, engines and lists saw, in the order of
-//! time, and names each violation with the request or engine concerned. Where records cannot tell (an attempt that an
-//! engine never saw), it reports nothing: it must not invent violations.
+//! The audit is independent of the code under test: it reads what clients, engines and engine lists recorded,
+//! in the order of time, and reports each violation with the request or engine concerned. Where the records
+//! do not suffice, as for an attempt that never reached an engine, it reports no violation, so that no report
+//! is false.
 
 mod engines;
 mod requests;
@@ -15,57 +16,59 @@
 
 use crate::record::Record;
 
-/// What a repeat of a class would do.
+/// Whether the requests of a class may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It may be repeated.
+    /// They may run any number of times.
     Safe,
-    /// It must never run twice.
+    /// They must never run twice.
     Unsafe,
 }
 
 /// The rules, with their limits and tolerances. Times are milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Classes by name.
+    /// The effect of each class, by its name.
     pub classes: BTreeMap<String, Effect>,
-    /// A final answer may come this long after the client's deadline.
+    /// How long after the client's deadline a final response may arrive.
     pub response_slack_ms: f64,
-    /// New work may reach an engine this long after its forwarder learned that it drains or is gone.
+    /// How long after a forwarder learned that an engine drains or is gone its attempts may still reach the
+    /// engine.
     pub drain_grace_ms: f64,
-    /// The budget of each forwarder for attempts beyond requests' first.
+    /// The retry budget of each forwarder; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
-    /// What may be sent to an engine that is warming up.
+    /// The limit on work for engines that are warming up; `None` for no limit.
     pub slow_start: Option<SlowStartRule>,
     /// The largest difference between the clocks of two processes that record.
     pub clock_skew_ms: f64,
 }
 
-/// The attempts beyond requests' first that a forwarder may make in any window.
+/// The number of retries (attempts after the first one of a request) that a forwarder may make in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed in any case.
+    /// Retries that are allowed regardless of the number of requests.
     pub base: f64,
-    /// Retries allowed for each request of the window.
+    /// Additional retries that are allowed for each request in the window.
     pub ratio: f64,
-    /// The window in milliseconds.
+    /// The length of the window in milliseconds.
     pub window_ms: f64,
 }
 
-/// What may be sent to an engine that is warming up.
+/// The limit on the work that may reach an engine while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartRule {
-    /// The share of its capacity at its start.
+    /// The fraction of its full capacity that an engine has at its start.
     pub initial_fraction: f64,
-    /// Milliseconds until it has its full capacity.
+    /// Milliseconds from its start until an engine has its full capacity.
     pub warm_up_ms: f64,
-    /// It is overloaded by more than this multiple of its present capacity...
+    /// The work in a window may be at most this multiple of what the engine's current capacity completes in
+    /// it.
     pub capacity_multiple: f64,
-    /// ...over a window of this many milliseconds.
+    /// The length of the window in milliseconds.
     pub window_ms: f64,
 }
 
-/// What the records hold, counted.
+/// Counts of the events in the records.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Requests that clients sent.
@@ -76,13 +79,14 @@
     pub rejected: usize,
     /// Requests that failed.
     pub failed: usize,
-    /// Requests whose clients left before the answer.
+    /// Requests whose clients disconnected before the response.
     pub client_gone: usize,
     /// Attempts that reached engines.
     pub attempts: usize,
 }
 
-/// Checks records against the rules. They may come in any order; those of one moment keep theirs.
+/// Checks records against the rules. They are sorted by time first; records of the same time keep their
+/// order.
 pub fn audit(records: &[Record], rules: &Rules) -> (Vec<Violation>, Counts) {
     let mut ordered: Vec<&Record> = records.iter().collect();
     ordered.sort_by(|a, b| a.at().total_cmp(&b.at()));
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -1,56 +1,60 @@
-//! Checks of each request: one answer in time, one attempt at a time, and no repeat of what must not run twice.
+//! Checks of each request: one response in time, one attempt at a time, and no second run if it must not run
+//! twice.
 
 use std::collections::BTreeMap;
 
 use super::{Counts, Effect, Rules, Violation};
 use crate::record::{AttemptOutcome, Record, RequestOutcome};
 
-/// What a client asked for.
-struct Asked {
+/// A request as its client sent it.
+struct SentRequest {
     at: f64,
     via: String,
     /// `None` for a class that the rules do not know.
     effect: Option<Effect>,
-    due: f64,
+    deadline: f64,
 }
 
 /// An attempt that reached an engine.
 struct Attempt {
     engine: String,
-    /// How it ended there, and when.
+    /// The outcome and the time of its end; `None` while it is in flight.
     end: Option<(AttemptOutcome, f64)>,
 }
 
+/// The events recorded for one request.
 #[derive(Default)]
 struct Request {
-    asked: Option<Asked>,
-    answer: Option<RequestOutcome>,
+    sent: Option<SentRequest>,
+    outcome: Option<RequestOutcome>,
     client_gone: bool,
     attempts: Vec<Attempt>,
 }
 
 impl Request {
+    /// Whether any attempt is not proved never to have run.
     fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|attempt| !attempt.end.is_some_and(|(outcome, _)| outcome.never_ran()))
+        let never_ran = |attempt: &Attempt| attempt.end.is_some_and(|(outcome, _)| outcome.never_ran());
+        self.attempts.iter().any(|attempt| !never_ran(attempt))
     }
 
     fn must_not_repeat(&self) -> bool {
-        self.asked.as_ref().is_some_and(|asked| asked.effect == Some(Effect::Unsafe))
+        self.sent.as_ref().is_some_and(|sent| sent.effect == Some(Effect::Unsafe))
     }
 }
 
-/// Checks the requests of records in the order of time, and counts them.
+/// Checks all requests, from records in the order of time, and counts their events.
 pub(super) fn check(ordered: &[&Record], rules: &Rules) -> (Vec<Violation>, Counts) {
     let mut checker =
         Checker { rules, violations: Vec::new(), counts: Counts::default(), requests: BTreeMap::new() };
     for record in ordered {
         checker.on_record(record);
     }
-    checker.check_unanswered(&kills(ordered));
+    checker.check_missing_responses(&kills(ordered));
     (checker.violations, checker.counts)
 }
 
-/// When each forwarder was killed.
+/// The times at which each forwarder was killed.
 fn kills<'a>(ordered: &[&'a Record]) -> BTreeMap<&'a str, Vec<f64>> {
     let mut kills: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for record in ordered {
@@ -74,16 +78,17 @@
             Record::Requested { at, via, id, class, budget } => {
                 self.counts.requested += 1;
                 let effect = self.rules.classes.get(class).copied();
-                let asked = Asked { at: *at, via: via.clone(), effect, due: at + budget };
-                self.request(id).asked = Some(asked);
+                let sent = SentRequest { at: *at, via: via.clone(), effect, deadline: at + budget };
+                self.request(id).sent = Some(sent);
             }
-            Record::Responded { at, id, outcome } => self.on_answer(*at, id, *outcome),
+            Record::Responded { at, id, outcome } => self.on_response(*at, id, *outcome),
             Record::ClientGone { id, .. } => self.on_client_gone(id),
             Record::AttemptStarted { at, engine, id, .. } => self.on_attempt(*at, engine, id),
             Record::AttemptEnded { at, engine, id, outcome } => {
                 let mut attempts = self.request(id).attempts.iter_mut();
-                if let Some(open) = attempts.find(|it| it.engine == *engine && it.end.is_none()) {
-                    open.end = Some((*outcome, *at));
+                let in_flight = attempts.find(|attempt| attempt.engine == *engine && attempt.end.is_none());
+                if let Some(attempt) = in_flight {
+                    attempt.end = Some((*outcome, *at));
                 }
             }
             Record::ForwarderKilled { .. } | Record::EngineListed { .. } | Record::EngineStarted { .. } => {}
@@ -94,7 +99,7 @@
         self.requests.entry(id.to_owned()).or_default()
     }
 
-    fn on_answer(&mut self, at: f64, id: &str, outcome: RequestOutcome) {
+    fn on_response(&mut self, at: f64, id: &str, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Served => self.counts.served += 1,
             RequestOutcome::Rejected => self.counts.rejected += 1,
@@ -102,13 +107,13 @@
         }
         let slack = self.rules.response_slack_ms + self.rules.clock_skew_ms;
         let request = self.requests.entry(id.to_owned()).or_default();
-        if request.answer.replace(outcome).is_some() {
-            self.violations.push(Violation::AnsweredTwice { id: id.to_owned() });
+        if request.outcome.replace(outcome).is_some() {
+            self.violations.push(Violation::RespondedTwice { id: id.to_owned() });
             return;
         }
-        let Some(Asked { due, .. }) = request.asked else { return };
-        if at > due + slack && !request.client_gone {
-            self.violations.push(Violation::AnsweredLate { id: id.to_owned(), by: at - due });
+        let Some(SentRequest { deadline, .. }) = request.sent else { return };
+        if at > deadline + slack && !request.client_gone {
+            self.violations.push(Violation::RespondedLate { id: id.to_owned(), late_by_ms: at - deadline });
         }
         let served =
             |attempt: &Attempt| attempt.end.is_some_and(|(outcome, _)| outcome == AttemptOutcome::Served);
@@ -122,18 +127,19 @@
 
     fn on_client_gone(&mut self, id: &str) {
         let request = self.request(id);
-        let first = request.answer.is_none() && !request.client_gone;
+        let is_counted = request.outcome.is_none() && !request.client_gone;
         request.client_gone = true;
-        self.counts.client_gone += usize::from(first);
+        self.counts.client_gone += usize::from(is_counted);
     }
 
     fn on_attempt(&mut self, at: f64, engine: &str, id: &str) {
         self.counts.attempts += 1;
         let skew = self.rules.clock_skew_ms;
         let request = self.requests.entry(id.to_owned()).or_default();
-        // With clocks that differ a little, an attempt that has just ended may seem to be in flight.
-        let seems_open = |it: &&Attempt| it.end.is_none_or(|(_, ended)| ended > at + skew);
-        if let Some(other) = request.attempts.iter().find(seems_open) {
+        // Clocks may differ by the skew, so an attempt that seems to end up to that long after this start may
+        // have ended before it.
+        let overlaps = |attempt: &&Attempt| attempt.end.is_none_or(|(_, ended_at)| ended_at > at + skew);
+        if let Some(other) = request.attempts.iter().find(overlaps) {
             let engines = [other.engine.clone(), engine.to_owned()];
             self.violations.push(Violation::ConcurrentAttempts { id: id.to_owned(), engines });
         }
@@ -143,15 +149,17 @@
         request.attempts.push(Attempt { engine: engine.to_owned(), end: None });
     }
 
-    /// Requests without an answer, but for those whose clients left or whose forwarders were killed meanwhile.
-    fn check_unanswered(&mut self, kills: &BTreeMap<&str, Vec<f64>>) {
+    /// Reports requests without a response, except those whose client disconnected or whose forwarder was
+    /// killed before the deadline.
+    fn check_missing_responses(&mut self, kills: &BTreeMap<&str, Vec<f64>>) {
         for (id, request) in &self.requests {
-            let Some(asked) = &request.asked else { continue };
-            let of_forwarder = kills.get(asked.via.as_str());
-            let killed =
-                of_forwarder.is_some_and(|all| all.iter().any(|at| (asked.at..=asked.due).contains(at)));
-            if request.answer.is_none() && !request.client_gone && !killed {
-                self.violations.push(Violation::Unanswered { id: id.clone(), due: asked.due });
+            let Some(sent) = &request.sent else { continue };
+            let kills = kills.get(sent.via.as_str());
+            let before_deadline = |at: &f64| (sent.at..=sent.deadline).contains(at);
+            let killed = kills.is_some_and(|times| times.iter().any(before_deadline));
+            if request.outcome.is_none() && !request.client_gone && !killed {
+                let deadline = sent.deadline;
+                self.violations.push(Violation::MissingResponse { id: id.clone(), deadline });
             }
         }
     }
--- a/crates/testbed/src/audit/retries.rs
+++ b/crates/testbed/src/audit/retries.rs
@@ -5,19 +5,19 @@
 use super::{RetryBudget, Violation};
 use crate::record::Record;
 
-/// When a forwarder took requests and made retries, since its start.
+/// The times at which a forwarder received requests and made retries since its start.
 #[derive(Default)]
 struct Forwarder {
     requests: Vec<f64>,
     retries: Vec<f64>,
 }
 
-/// How many of these times, which rise, lie within a window that ends at `at`.
+/// Counts the times, which are in ascending order, within the window that ends at `at`.
 fn count_in_window(times: &[f64], at: f64, window: f64) -> usize {
     times.iter().rev().take_while(|time| at - **time <= window).count()
 }
 
-/// Finds retries beyond the budget.
+/// Finds retries beyond the budget of their forwarder.
 pub(super) fn check(ordered: &[&Record], budget: &RetryBudget, clock_skew_ms: f64) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut forwarders: BTreeMap<&str, Forwarder> = BTreeMap::new();
@@ -25,18 +25,20 @@
     for record in ordered {
         match record {
             Record::Requested { at, via, .. } => forwarders.entry(via).or_default().requests.push(*at),
-            // A forwarder that starts again has a new budget.
+            // A restarted forwarder has a new budget.
             Record::ForwarderKilled { via, .. } => drop(forwarders.remove(via.as_str())),
             Record::AttemptStarted { at, via, id, .. } if !attempted.insert(id.as_str()) => {
                 let forwarder = forwarders.entry(via).or_default();
                 forwarder.retries.push(*at);
-                // Attempts reach engines a little after they are counted, requests a little before.
-                let made = count_in_window(&forwarder.retries, *at, budget.window_ms - clock_skew_ms);
+                // A forwarder counts attempts shortly before engines record them, and requests shortly after
+                // clients record them; the windows are narrowed and widened by the clock skew to allow for
+                // it.
+                let retries = count_in_window(&forwarder.retries, *at, budget.window_ms - clock_skew_ms);
                 let requests = count_in_window(&forwarder.requests, *at, budget.window_ms + clock_skew_ms);
                 let allowed = budget.base + budget.ratio * requests as f64;
-                if made as f64 > allowed {
+                if retries as f64 > allowed {
                     let (via, at) = (via.clone(), *at);
-                    violations.push(Violation::RetryBudgetExceeded { via, at, made, allowed });
+                    violations.push(Violation::RetryBudgetExceeded { via, at, retries, allowed });
                 }
             }
             _ => {}
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -1,86 +1,86 @@
-//! The ways in which a rule can be broken.
+//! The ways in which the rules can be violated.
 
-/// A rule that was broken. Times are milliseconds.
+/// A violation of a rule. Times are milliseconds on the clock of the records.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Violation {
-    /// No final answer in time.
-    #[error("{id}: no final answer, due at {due:.0}")]
-    Unanswered {
-        /// The request.
+    /// A request without a final response.
+    #[error("{id}: no final response, deadline at {deadline:.0}")]
+    MissingResponse {
+        /// The id of the request.
         id: String,
-        /// When it was due.
-        due: f64,
+        /// The deadline of the client.
+        deadline: f64,
     },
-    /// More than one final answer.
-    #[error("{id}: a second final answer")]
-    AnsweredTwice {
-        /// The request.
+    /// More than one final response to a request.
+    #[error("{id}: a second final response")]
+    RespondedTwice {
+        /// The id of the request.
         id: String,
     },
-    /// A final answer after the deadline.
-    #[error("{id}: answered {by:.0} ms late")]
-    AnsweredLate {
-        /// The request.
+    /// A final response after the deadline.
+    #[error("{id}: final response {late_by_ms:.0} ms late")]
+    RespondedLate {
+        /// The id of the request.
         id: String,
-        /// How late.
-        by: f64,
+        /// Milliseconds from the deadline to the response.
+        late_by_ms: f64,
     },
-    /// Served, though no engine served it.
+    /// A request that was served to its client, though no engine served it.
     #[error("{id}: served, though no engine served it")]
     ServedByNoEngine {
-        /// The request.
+        /// The id of the request.
         id: String,
     },
-    /// Two attempts of one request ran at a time.
-    #[error("{id}: in flight on {} and {} at a time", .engines[0], .engines[1])]
+    /// Two attempts of one request that were in flight at the same time.
+    #[error("{id}: in flight on {} and {} at the same time", .engines[0], .engines[1])]
     ConcurrentAttempts {
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// Where the earlier and the later attempt ran.
+        /// The engines of the earlier and of the later attempt.
         engines: [String; 2],
     },
-    /// A request that must not run twice was sent again though it may have run.
-    #[error("{id}: sent again though it may have run")]
+    /// A request that must not run twice was sent again although it may have run.
+    #[error("{id}: sent again although it may have run")]
     RanTwice {
-        /// The request.
+        /// The id of the request.
         id: String,
     },
-    /// A request that must not run twice was rejected though it may have run: its client may retry.
-    #[error("{id}: rejected though it may have run")]
+    /// A request that must not run twice was rejected although it may have run: its client may retry it.
+    #[error("{id}: rejected although it may have run")]
     RejectedAfterRun {
-        /// The request.
+        /// The id of the request.
         id: String,
     },
-    /// New work for an engine that drains or is gone.
-    #[error("{id}: sent to {engine} {after:.0} ms after it was listed as draining or gone")]
+    /// A new attempt on an engine that drains or is gone.
+    #[error("{id}: sent to {engine} {delay_ms:.0} ms after it was listed as draining or gone")]
     SentToDraining {
-        /// The request.
+        /// The id of the request.
         id: String,
         /// The engine.
         engine: String,
-        /// How long after its forwarder learned of it.
-        after: f64,
+        /// Milliseconds from when its forwarder learned of the phase to the attempt.
+        delay_ms: f64,
     },
     /// More retries than the budget allows.
-    #[error("{via}: {made} retries at {at:.0}, {allowed:.1} allowed")]
+    #[error("{via}: {retries} retries at {at:.0}, {allowed:.1} allowed")]
     RetryBudgetExceeded {
         /// The forwarder.
         via: String,
         /// The end of the window.
         at: f64,
         /// Retries in the window.
-        made: usize,
-        /// Retries allowed in it.
+        retries: usize,
+        /// Retries allowed in the window.
         allowed: f64,
     },
-    /// An engine that was warming up received more than it can bear.
-    #[error("{engine}: sent {times:.2} times what it can bear, at {at:.0}")]
+    /// More work for an engine that was warming up than the slow start rule allows.
+    #[error("{engine}: received {ratio:.2} times the allowed work, at {at:.0}")]
     Overloaded {
         /// The engine.
         engine: String,
         /// The end of the window.
         at: f64,
-        /// Work in the window over what the engine can bear.
-        times: f64,
+        /// The ratio of received to allowed work in the window.
+        ratio: f64,
     },
 }
--- a/crates/testbed/src/emulated_fleet/engine.rs
+++ b/crates/testbed/src/emulated_fleet/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that listens on loopback and answers each request after the work that its statement names.
+//! An engine that listens on loopback and responds to each request after the work that its statement names.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -10,26 +10,26 @@
 
 use super::{Arrival, ArrivalLog};
 
-/// How long a read waits before it is looked at which requests have ended.
+/// The read timeout of a connection, after which it looks for requests that have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What an engine does at this moment.
+/// The current load of an engine.
 #[derive(Default)]
 struct Activity {
-    /// Requests in flight.
+    /// The number of requests in flight.
     in_flight: AtomicU64,
-    /// Open connections.
+    /// The number of open connections.
     connections: AtomicU64,
-    /// The most connections that were open together.
+    /// The highest number of connections that were open at the same time.
     peak_connections: AtomicU64,
     stopped: AtomicBool,
 }
 
-/// What the connections of one engine share.
+/// The state that all connections of an engine share.
 #[derive(Clone)]
 struct Shared {
     name: Arc<str>,
-    /// Time that a millisecond of work takes.
+    /// Milliseconds that a millisecond of work takes.
     slowdown: f64,
     log: ArrivalLog,
     activity: Arc<Activity>,
@@ -37,19 +37,20 @@
 
 /// An engine that listens until it is dropped.
 pub struct EmulatedEngine {
-    /// Its name in the list.
+    /// The name of the engine in the engine list.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
     activity: Arc<Activity>,
 }
 
 impl EmulatedEngine {
-    /// Starts one. Requests run side by side, each for the work that its statement names as `work_N`, times `slowdown`.
+    /// Starts an engine. Requests run concurrently and independently of each other, each for `slowdown` times
+    /// the milliseconds that its statement names as `work_N`.
     ///
     /// # Errors
     ///
-    /// If no socket can be bound.
+    /// Returns an error if no socket can be bound.
     pub fn start(name: &str, slowdown: f64, log: &ArrivalLog) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -59,12 +60,12 @@
         Ok(EmulatedEngine { name: name.into(), address, activity })
     }
 
-    /// The most connections that were open together.
+    /// Returns the highest number of connections that were open at the same time.
     pub fn peak_connections(&self) -> u64 {
         self.activity.peak_connections.load(Ordering::SeqCst)
     }
 
-    /// Its entry in the list of engines.
+    /// Returns the entry of this engine in the engine list, as JSON.
     pub fn list_entry(&self, phase: &str, up_since_ms: u64) -> String {
         let (name, address) = (&self.name, self.address);
         format!(
@@ -76,7 +77,7 @@
 impl Drop for EmulatedEngine {
     fn drop(&mut self) {
         self.activity.stopped.store(true, Ordering::SeqCst);
-        // Wakes the thread that accepts; without a connection it would wait for one.
+        // Connects once to wake the accepting thread, which otherwise waits for the next connection.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -92,7 +93,7 @@
             let activity = shared.activity.clone();
             let open = activity.connections.fetch_add(1, Ordering::SeqCst) + 1;
             activity.peak_connections.fetch_max(open, Ordering::SeqCst);
-            // A connection that breaks is the proxy's matter.
+            // Errors are ignored: the proxy under test must handle a broken connection.
             let _ = Connection::open(socket, shared).and_then(Connection::serve);
             activity.connections.fetch_sub(1, Ordering::SeqCst);
         });
@@ -120,7 +121,7 @@
         Ok(Connection { shared, reader: BufReader::new(socket), writer, running: BTreeMap::new() })
     }
 
-    /// Reads commands and answers requests that have ended, until the connection is closed.
+    /// Reads commands and responds to requests that have ended, until the connection is closed.
     fn serve(mut self) -> io::Result<()> {
         let mut line = Vec::new();
         loop {
@@ -135,7 +136,7 @@
                 Err(error) if timed_out(&error) => {}
                 Err(error) => return Err(error),
             }
-            self.answer_ended()?;
+            self.respond_to_ended()?;
         }
     }
 
@@ -164,7 +165,7 @@
         Ok(())
     }
 
-    fn answer_ended(&mut self) -> io::Result<()> {
+    fn respond_to_ended(&mut self) -> io::Result<()> {
         let now = Instant::now();
         let has_ended = |(_, running): &(&String, &Running)| running.ends_at <= now;
         let ended: Vec<String> = self.running.iter().filter(has_ended).map(|(id, _)| id.clone()).collect();
@@ -184,6 +185,7 @@
     }
 }
 
+/// Reads `length` bytes, over any number of read timeouts.
 fn read_body(reader: &mut impl Read, length: usize) -> io::Result<Vec<u8>> {
     let (mut body, mut filled) = (vec![0; length], 0);
     while filled < length {
@@ -201,7 +203,7 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
 
-/// The work that a statement names, as in `work_250`, in milliseconds; 0 if it names none.
+/// Returns the milliseconds of work that a statement names, as in `work_250`; 0 if it names none.
 pub fn named_work(statement: &str) -> f64 {
     let digits = statement.split("work_").nth(1).unwrap_or_default();
     digits.chars().take_while(char::is_ascii_digit).collect::<String>().parse().unwrap_or(0.0)
--- a/crates/testbed/src/emulated_fleet/engine_list.rs
+++ b/crates/testbed/src/emulated_fleet/engine_list.rs
@@ -1,4 +1,4 @@
-//! The list of engines, as a server whose event stream any number of proxies follow.
+//! A server of the engine list, whose event stream any number of proxies may read.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -8,32 +8,32 @@
 
 use super::lock;
 
-/// Time between two lines that only show that the server is there. The protocol promises one a second; more do no harm.
+/// The interval between two heartbeat lines. The protocol promises one per second; more are harmless.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Proxies know the first event from their configuration.
+/// The index of the first event, which proxies know from their configuration.
 const FIRST_INDEX: usize = 1;
 
 #[derive(Default)]
 struct Events {
-    /// Those after the first one, as they are sent.
+    /// The events after the first one, as encoded on the stream.
     published: Mutex<Vec<String>>,
     changed: Condvar,
 }
 
-/// The list of engines.
+/// An engine list that is served to proxies.
 #[derive(Clone)]
 pub struct EngineList {
-    /// Where it listens.
+    /// The address on which the list is served.
     pub address: SocketAddr,
     events: Arc<Events>,
 }
 
 impl EngineList {
-    /// Starts one whose first event is already known to all proxies.
+    /// Starts a list whose first event all proxies already know.
     ///
     /// # Errors
     ///
-    /// If no socket can be bound.
+    /// Returns an error if no socket can be bound.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let list = EngineList { address: listener.local_addr()?, events: Arc::default() };
@@ -41,14 +41,15 @@
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
                 let list = server.clone();
-                // A stream ends when its proxy closes it.
+                // The error is ignored: a stream ends when its proxy closes the connection.
                 thread::spawn(move || list.serve_stream(socket));
             }
         });
         Ok(list)
     }
 
-    /// Publishes changes: entries as [`EmulatedEngine::list_entry`](super::EmulatedEngine::list_entry) makes them.
+    /// Publishes changed entries, which [`EmulatedEngine::list_entry`](super::EmulatedEngine::list_entry)
+    /// encodes.
     pub fn publish(&self, entries: &[String]) {
         let mut published = lock(&self.events.published);
         let (index, members) = (published.len() + FIRST_INDEX + 1, entries.join(","));
@@ -58,6 +59,7 @@
         self.events.changed.notify_all();
     }
 
+    /// Serves one proxy: the events after the last one that it knows, then new events and heartbeats.
     fn serve_stream(&self, socket: TcpStream) -> io::Result<()> {
         let mut reader = BufReader::new(socket.try_clone()?);
         let mut writer = socket;
@@ -65,16 +67,17 @@
         writer.write_all(b"HTTP/1.1 200 OK\r\n\r\n")?;
         let mut next = last_index.max(FIRST_INDEX) - FIRST_INDEX;
         loop {
-            let due = self.wait_for_events(next);
-            next += due.len();
-            match due.is_empty() {
+            let new_events = self.wait_for_events(next);
+            next += new_events.len();
+            match new_events.is_empty() {
                 true => writer.write_all(b": here\n\n")?,
-                false => writer.write_all(due.concat().as_bytes())?,
+                false => writer.write_all(new_events.concat().as_bytes())?,
             }
         }
     }
 
-    /// The events from this one on; none if there are none before the next heartbeat.
+    /// Returns the events from position `next` on, or an empty vector if there are none before the next
+    /// heartbeat.
     fn wait_for_events(&self, next: usize) -> Vec<String> {
         let published = lock(&self.events.published);
         let none_new = |published: &mut Vec<String>| published.len() <= next;
@@ -84,8 +87,8 @@
     }
 }
 
-/// Reads the head of a request; the index of the last event that the proxy knows, 0 if it does not say. `None` if the
-/// connection ends first.
+/// Reads the head of an HTTP request and returns the index of the last event that the proxy knows, 0 if it
+/// names none. Returns `None` if the connection ends first.
 fn read_last_index(reader: &mut impl BufRead) -> io::Result<Option<usize>> {
     let mut last_index = 0;
     loop {
--- a/crates/testbed/src/emulated_fleet/mod.rs
+++ b/crates/testbed/src/emulated_fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Emulated services on loopback for a fleet of proxies, and records of what reached them: engines that answer after the
-//! work that a request names, and the list of engines, which can reach some proxies late.
+//! Emulated engines and engine lists on loopback for a fleet of proxies. Engines respond after the work that
+//! a request names, and log each request that reaches them. Several engine lists let some proxies receive
+//! changes late.
 
 mod engine;
 mod engine_list;
@@ -15,34 +16,34 @@
 pub struct Arrival {
     /// The engine.
     pub engine: String,
-    /// The request's id as its client named it.
+    /// The id that the client gave the request.
     pub id: String,
-    /// The work that its statement names, in milliseconds.
+    /// The work that the statement of the request names, in milliseconds.
     pub work: f64,
-    /// Milliseconds on the clock of the log.
+    /// The time of the arrival, in milliseconds on the clock of the log.
     pub at: f64,
 }
 
-/// What reached all engines, in the order of arrival, on one clock.
+/// The requests that reached all engines, in the order of arrival, on one clock.
 #[derive(Clone)]
 pub struct ArrivalLog {
-    began: Instant,
+    started_at: Instant,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
 }
 
 impl Default for ArrivalLog {
     fn default() -> Self {
-        ArrivalLog { began: Instant::now(), arrivals: Arc::default() }
+        ArrivalLog { started_at: Instant::now(), arrivals: Arc::default() }
     }
 }
 
 impl ArrivalLog {
-    /// Milliseconds on the clock of the log.
+    /// Returns the milliseconds since the log was created.
     pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1e3
+        self.started_at.elapsed().as_secs_f64() * 1e3
     }
 
-    /// All that arrived so far.
+    /// Returns a copy of all arrivals so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.arrivals).clone()
     }
--- a/crates/testbed/src/engine_model.rs
+++ b/crates/testbed/src/engine_model.rs
@@ -1,66 +1,67 @@
-//! A model of an engine: cores that all its queries share, sessions, warm-up, loads that lock their data set.
+//! A model of an engine: queries that share its cores, a session limit, warm-up, and loads that lock their
+//! data set.
 //!
-//! It is driven by events at given times, in milliseconds, and returns when something ends next; sockets or simulated time
-//! go round it. It is a model, not a measurement of a real machine; its default figures are those of the platform's brief,
-//! parts 5 and 6.
+//! The model is driven by events at given times, in milliseconds, and returns when the next query ends, so
+//! that it can be used with sockets as well as with simulated time. It is not fitted to measurements of a
+//! real engine; its default values are the figures that sections 5 and 6 of the platform's brief state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an engine is like.
+/// The parameters of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineProfile {
-    /// Its cores.
+    /// The number of cores.
     pub cores: f64,
-    /// Queries that may be in flight at a time; more are rejected.
-    pub sessions: usize,
-    /// Threads a core beyond which the total throughput falls.
+    /// The number of queries that may be in flight at the same time; further ones are rejected.
+    pub max_sessions: usize,
+    /// Threads per core above which the total throughput falls.
     pub knee: f64,
-    /// The share of its throughput that is left at twice the knee and beyond.
-    pub thrash: f64,
-    /// The share of its speed with which it starts.
+    /// The fraction of the full throughput that remains at twice the knee and above.
+    pub overload_throughput: f64,
+    /// The fraction of its full speed that the engine has at its start.
     pub initial_fraction: f64,
-    /// Milliseconds from its start to its full speed.
+    /// Milliseconds from the start of the engine until it has its full speed.
     pub warm_up_ms: f64,
-    /// Data sets that it keeps in its cache.
-    pub cached_sets: usize,
-    /// The part of a query's work that a cached data set saves.
-    pub cache_gain: f64,
+    /// The number of data sets that fit into the cache.
+    pub max_cached_data_sets: usize,
+    /// The fraction of its work that a query saves if its data set is cached.
+    pub cached_work_fraction: f64,
 }
 
 impl Default for EngineProfile {
     fn default() -> Self {
         EngineProfile {
             cores: 8.0,
-            sessions: 64,
+            max_sessions: 64,
             knee: 1.7,
-            thrash: 0.5,
+            overload_throughput: 0.5,
             initial_fraction: 0.34,
             warm_up_ms: 14_000.0,
-            cached_sets: 4,
-            cache_gain: 0.3,
+            max_cached_data_sets: 4,
+            cached_work_fraction: 0.3,
         }
     }
 }
 
 /// The weights with which queries of each priority share the cores.
 const PRIORITY_WEIGHTS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
-/// No query has less work than this, so that each takes some time.
-const LEAST_WORK: f64 = 1e-3;
+/// The least work of a query in milliseconds, so that every query takes some time.
+const MIN_WORK_MS: f64 = 1e-3;
 
-/// A query as it is sent.
+/// A query as it is sent to the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// Its work on one thread, in milliseconds.
+    /// The work of the query, in milliseconds on one thread.
     pub work: f64,
-    /// Its threads.
+    /// The number of threads that it can use.
     pub threads: f64,
     /// The data set that it reads or writes.
     pub data_set: u64,
-    /// It is a load: it locks its data set until it ends.
+    /// Whether the query is a load, which locks its data set until it ends.
     pub is_load: bool,
-    /// It makes no progress while a load locks its data set.
+    /// Whether the query makes no progress while a load locks its data set.
     pub waits_for_loads: bool,
-    /// Its priority, 0 to 3: scarce cores are shared 1 : 4 : 8 : 16.
+    /// The priority, 0 to 3, which shares scarce cores in the ratio 1 : 4 : 8 : 16.
     pub priority: u8,
 }
 
@@ -70,38 +71,39 @@
     }
 }
 
+/// A query in flight.
 #[derive(Clone, Debug)]
 struct Running {
     query: Query,
-    /// Work that is left, in milliseconds on one thread.
-    left: f64,
-    /// Its number in the order of arrival.
+    /// The remaining work, in milliseconds on one thread.
+    remaining_work: f64,
+    /// The position of the query in the order of arrival.
     arrival: u64,
 }
 
-/// A query that makes progress, while cores are shared out.
+/// The demand of a query that makes progress, while cores are allocated.
 struct Demand<'a, Id> {
     id: &'a Id,
     threads: f64,
     weight: f64,
 }
 
-/// The engine, with the ids of its queries.
+/// An engine whose queries are identified by `Id`.
 #[derive(Clone, Debug)]
 pub struct EngineModel<Id> {
     profile: EngineProfile,
     started_at: f64,
     now: f64,
     running: BTreeMap<Id, Running>,
-    /// The data sets in its cache, the most recently used at the end.
+    /// The cached data sets, the most recently used one last.
     cache: Vec<u64>,
     arrivals: u64,
-    /// The work done so far, in milliseconds on one thread.
+    /// The work completed so far, in milliseconds on one thread.
     work_done: f64,
 }
 
 impl<Id: Ord + Clone> EngineModel<Id> {
-    /// An engine that starts now. `warm` is one that has run for long.
+    /// Creates an engine that starts at `now`, or one that is already warm.
     pub fn start(now: f64, profile: EngineProfile, warm: bool) -> Self {
         let started_at = if warm { now - profile.warm_up_ms } else { now };
         EngineModel {
@@ -115,47 +117,48 @@
         }
     }
 
-    /// Queries in flight.
+    /// Returns the number of queries in flight.
     pub fn in_flight(&self) -> usize {
         self.running.len()
     }
 
-    /// The work done so far, in milliseconds on one thread.
+    /// Returns the work completed so far, in milliseconds on one thread.
     pub fn work_done(&self) -> f64 {
         self.work_done
     }
 
-    /// The share of its full speed that it has.
-    pub fn warmth(&self) -> f64 {
-        let age = ((self.now - self.started_at) / self.profile.warm_up_ms).clamp(0.0, 1.0);
-        self.profile.initial_fraction + (1.0 - self.profile.initial_fraction) * age
+    /// Returns the current speed as a fraction of the full speed.
+    pub fn speed_fraction(&self) -> f64 {
+        let progress = ((self.now - self.started_at) / self.profile.warm_up_ms).clamp(0.0, 1.0);
+        self.profile.initial_fraction + (1.0 - self.profile.initial_fraction) * progress
     }
 
-    /// Takes a query at this time; false if it is rejected.
+    /// Submits a query at the time `now`. Returns false if it is rejected.
     pub fn submit(&mut self, now: f64, id: Id, query: Query) -> bool {
         self.advance(now);
-        if self.running.len() >= self.profile.sessions || self.running.contains_key(&id) {
+        if self.running.len() >= self.profile.max_sessions || self.running.contains_key(&id) {
             return false;
         }
-        let saved = if self.use_data_set(query.data_set) { self.profile.cache_gain } else { 0.0 };
-        let left = query.work.max(LEAST_WORK) * (1.0 - saved);
-        self.running.insert(id, Running { query, left, arrival: self.arrivals });
+        let saved_fraction =
+            if self.use_data_set(query.data_set) { self.profile.cached_work_fraction } else { 0.0 };
+        let remaining_work = query.work.max(MIN_WORK_MS) * (1.0 - saved_fraction);
+        self.running.insert(id, Running { query, remaining_work, arrival: self.arrivals });
         self.arrivals += 1;
         true
     }
 
-    /// Reads a data set; true if it was in the cache.
+    /// Uses a data set, which moves it to the end of the cache. Returns whether it was cached.
     fn use_data_set(&mut self, set: u64) -> bool {
         let cached = self.cache.contains(&set);
         self.cache.retain(|other| *other != set);
         self.cache.push(set);
-        if self.cache.len() > self.profile.cached_sets {
+        if self.cache.len() > self.profile.max_cached_data_sets {
             self.cache.remove(0);
         }
         cached
     }
 
-    /// Cancels a query: its work is lost. False if it is not in flight.
+    /// Cancels a query, whose work is lost. Returns false if it is not in flight.
     pub fn cancel(&mut self, now: f64, id: &Id) -> bool {
         self.advance(now);
         self.running.remove(id).is_some()
@@ -169,7 +172,8 @@
         }
     }
 
-    /// Removes the queries that have ended by this time, in the order of their ends.
+    /// Removes the queries that have ended by the time `now`, and returns their end times and ids in the
+    /// order of their ends.
     pub fn take_completed(&mut self, now: f64) -> Vec<(f64, Id)> {
         let mut completed = Vec::new();
         while let Some((at, id)) = self.next_completion().filter(|(at, _)| *at <= now) {
@@ -181,18 +185,18 @@
         completed
     }
 
-    /// When the next query ends if nothing else happens, and which.
+    /// Returns the time at which the next query ends if no other event occurs before, and its id.
     pub fn next_completion(&self) -> Option<(f64, Id)> {
         let speeds = self.speeds();
         let ends = self.running.iter().filter_map(|(id, running)| {
             let speed = *speeds.get(id)?;
-            (speed > 0.0).then(|| (self.now + running.left / speed, id.clone()))
+            (speed > 0.0).then(|| (self.now + running.remaining_work / speed, id.clone()))
         });
         ends.min_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)))
     }
 
-    /// Lets time pass: every query that runs gets its part of the work. The engine warms up in steps of its events, so a
-    /// caller that wants a smooth warm-up calls often.
+    /// Advances the time; every query progresses at its current speed. The speeds during warm-up change only
+    /// with each call, so a smooth warm-up needs frequent calls.
     fn advance(&mut self, now: f64) {
         let elapsed = now - self.now;
         if elapsed <= 0.0 {
@@ -201,14 +205,15 @@
         let speeds = self.speeds();
         for (id, running) in &mut self.running {
             let work = speeds.get(id).copied().unwrap_or(0.0) * elapsed;
-            let work = work.min(running.left);
-            running.left -= work;
+            let work = work.min(running.remaining_work);
+            running.remaining_work -= work;
             self.work_done += work;
         }
         self.now = now;
     }
 
-    /// The queries that wait for a load on their data set. Of several loads the first makes progress.
+    /// Returns the queries that wait for a load on their data set. Of several loads only the earliest one
+    /// makes progress.
     fn blocked(&self) -> BTreeSet<&Id> {
         let mut lock_holders: BTreeMap<u64, (u64, &Id)> = BTreeMap::new();
         for (id, running) in self.running.iter().filter(|(_, running)| running.query.is_load) {
@@ -224,46 +229,54 @@
         self.running.iter().filter(is_blocked).map(|(id, _)| id).collect()
     }
 
-    /// How much work each query gets done in a millisecond, in milliseconds on one thread.
+    /// Returns the speed of each query that makes progress: its work per millisecond, in milliseconds on one
+    /// thread.
     ///
-    /// Cores go to queries by weight, and no query gets more than its threads: those with the smallest demand for their
-    /// weight are satisfied first, and the others share what is left.
+    /// Cores are allocated by weighted max-min fairness, and no query uses more cores than it has threads:
+    /// queries with the smallest demand for their weight are satisfied first, and the rest share the
+    /// remaining capacity.
     fn speeds(&self) -> BTreeMap<Id, f64> {
         let blocked = self.blocked();
         let active = self.running.iter().filter(|(id, _)| !blocked.contains(id));
-        let mut open: Vec<Demand<Id>> = active
+        let mut unsatisfied: Vec<Demand<Id>> = active
             .map(|(id, running)| Demand {
                 id,
                 threads: running.query.threads,
                 weight: running.query.weight(),
             })
             .collect();
-        let mut left = self.throughput(open.iter().map(|demand| demand.threads).sum());
+        let threads: f64 = unsatisfied.iter().map(|demand| demand.threads).sum();
+        let mut remaining_capacity = self.throughput(threads);
         let mut speeds = BTreeMap::new();
         loop {
-            let weights: f64 = open.iter().map(|demand| demand.threads * demand.weight).sum();
-            let satisfied = |demand: &Demand<Id>| left * demand.weight / weights >= self.warmth();
-            let (full, rest): (Vec<_>, Vec<_>) = open.into_iter().partition(satisfied);
-            if full.is_empty() {
+            let total_weight: f64 = unsatisfied.iter().map(|demand| demand.threads * demand.weight).sum();
+            let is_satisfied = |demand: &Demand<Id>| {
+                let speed_per_thread = remaining_capacity * demand.weight / total_weight;
+                speed_per_thread >= self.speed_fraction()
+            };
+            let (satisfied, rest): (Vec<_>, Vec<_>) = unsatisfied.into_iter().partition(is_satisfied);
+            if satisfied.is_empty() {
                 for Demand { id, threads, weight } in rest {
-                    speeds.insert(id.clone(), left * threads * weight / weights);
+                    speeds.insert(id.clone(), remaining_capacity * threads * weight / total_weight);
                 }
                 return speeds;
             }
-            for Demand { id, threads, .. } in full {
-                let speed = threads * self.warmth();
-                left -= speed;
+            for Demand { id, threads, .. } in satisfied {
+                let speed = threads * self.speed_fraction();
+                remaining_capacity -= speed;
                 speeds.insert(id.clone(), speed);
             }
-            open = rest;
+            unsatisfied = rest;
         }
     }
 
-    /// The work that all queries together get done in a millisecond. Beyond the knee it falls, to its least at twice the
-    /// knee.
+    /// Returns the total work of all queries per millisecond, for this number of threads. Above the knee it
+    /// falls linearly, until twice the knee.
     fn throughput(&self, threads: f64) -> f64 {
-        let per_core = threads / self.profile.cores;
-        let beyond = ((per_core - self.profile.knee) / self.profile.knee).clamp(0.0, 1.0);
-        self.profile.cores * self.warmth() * (1.0 - (1.0 - self.profile.thrash) * beyond)
+        let threads_per_core = threads / self.profile.cores;
+        let overload = ((threads_per_core - self.profile.knee) / self.profile.knee).clamp(0.0, 1.0);
+        self.profile.cores
+            * self.speed_fraction()
+            * (1.0 - (1.0 - self.profile.overload_throughput) * overload)
     }
 }
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,5 +1,5 @@
-//! Schedules of faults, drawn from a seed: the same seed, the same faults. Whoever plays them waits for states between
-//! two steps, so that a slow machine plays the same schedule.
+//! Schedules of faults, drawn from a seed; the same seed yields the same schedule. The test that applies a
+//! schedule waits for states of the fleet between faults, so that the sequence is the same on a slow machine.
 
 use std::time::Duration;
 
@@ -7,68 +7,70 @@
 
 use crate::network::Partition;
 
-/// Sets the draws apart from others of the same seed.
+/// Mixed into the seed, so that the draws differ from those of other generators with the same seed.
 const SEED_MASK: u128 = 0x6a09_e667_f3bc_c908;
 
-/// A fault in a fleet of services and proxies, which are numbered from 0.
+/// A fault in a fleet of control servers and proxies, both of which are numbered from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A service is killed.
+    /// A control server is killed.
     Kill(usize),
-    /// A service that was killed starts again.
+    /// A killed control server restarts.
     Restart(usize),
-    /// A service is suspended: its connections stay open and silent.
+    /// A control server is suspended: its connections stay open but silent.
     Suspend(usize),
-    /// A service that was suspended is resumed.
+    /// A suspended control server is resumed.
     Resume(usize),
-    /// Two services are cut off from each other.
+    /// Two control servers are partitioned from each other.
     Partition(usize, usize, Partition),
-    /// The first receives nothing from the second, which goes on to receive from the first.
+    /// The first control server receives no bytes from the second, which still receives those of the first.
     OneWay(usize, usize),
-    /// Messages from the first to the second are delayed.
+    /// Messages from the first control server to the second are delayed.
     Delay(usize, usize, Duration),
-    /// Connections from the first to the second end after this many bytes, in the middle of a message.
+    /// Connections from the first control server to the second are closed after this many bytes, even in the
+    /// middle of a message.
     Cut(usize, usize, u64),
-    /// Connections from the first to the second are reset.
+    /// Connections from the first control server to the second are reset.
     Reset(usize, usize),
-    /// A proxy does not reach a service.
+    /// A proxy, named first, is partitioned from a control server.
     ProxyCutOff(usize, usize),
-    /// All links are open again, and all services run.
+    /// All link faults are removed, and all control servers run.
     Heal,
-    /// The lease holder transfers its role.
+    /// The lease holder transfers its role to another control server.
     TransferRole,
 }
 
-/// A fault and the steps to wait before it; the player gives a step its length.
+/// A fault and the pause before it, in steps whose length the test chooses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// Steps to wait.
+    /// The number of steps to wait before the fault.
     pub pause: u64,
-    /// What happens then.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A schedule of faults.
+/// A sequence of faults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// The seed it was drawn from.
+    /// The seed from which the schedule was drawn.
     pub seed: u64,
-    /// The faults in their order.
+    /// The faults in the order in which they occur.
     pub faults: Vec<ScheduledFault>,
 }
 
 impl Schedule {
-    /// Draws a schedule of this many faults. At most a minority of the services is killed or suspended at a time, but for
-    /// one schedule in sixteen that ends with the complete group killed at once; each ends healed.
-    pub fn draw(seed: u64, services: usize, proxies: usize, faults: usize) -> Self {
+    /// Draws a schedule of `faults` faults. At most a minority of the control servers is killed or suspended
+    /// at the same time. One schedule in sixteen then kills the complete group at once and restarts it.
+    /// Every schedule ends with [`Fault::Heal`].
+    pub fn draw(seed: u64, servers: usize, proxies: usize, faults: usize) -> Self {
         let mut draw = Draw {
             random: Rand64::new(u128::from(seed) ^ SEED_MASK),
-            services,
+            servers,
             proxies,
             killed: Vec::new(),
             suspended: Vec::new(),
         };
-        let outage = draw.below(16) == 0;
+        let ends_with_outage = draw.below(16) == 0;
         let mut drawn = Vec::new();
         while drawn.len() < faults {
             let pause = draw.below(6) as u64;
@@ -76,11 +78,11 @@
                 drawn.push(ScheduledFault { pause, fault });
             }
         }
-        if outage {
-            // All at once, and back in another order.
-            let kills = (0..services).map(Fault::Kill);
+        if ends_with_outage {
+            // The servers restart in the reverse order.
+            let kills = (0..servers).map(Fault::Kill);
             drawn.extend(kills.map(|fault| ScheduledFault { pause: 0, fault }));
-            let restarts = (0..services).rev().map(Fault::Restart);
+            let restarts = (0..servers).rev().map(Fault::Restart);
             drawn.extend(restarts.map(|fault| ScheduledFault { pause: 1, fault }));
         }
         drawn.push(ScheduledFault { pause: 2, fault: Fault::Heal });
@@ -91,32 +93,32 @@
 /// A schedule that is being drawn.
 struct Draw {
     random: Rand64,
-    services: usize,
+    servers: usize,
     proxies: usize,
-    /// Services that are killed at this point, in the order in which they were.
+    /// Control servers that are killed at this point, in the order in which they were killed.
     killed: Vec<usize>,
-    /// Services that are suspended at this point, in the order in which they were.
+    /// Control servers that are suspended at this point, in the order in which they were suspended.
     suspended: Vec<usize>,
 }
 
 impl Draw {
-    /// A number from 0 to below `limit`.
+    /// Draws a number from 0 to below `limit`; `limit` is treated as at least 1.
     fn below(&mut self, limit: usize) -> usize {
         self.random.rand_range(0..limit.max(1) as u64) as usize
     }
 
-    /// Whether a majority would be left without this service, which runs.
-    fn may_lose(&self, service: usize) -> bool {
-        let minority = self.services.saturating_sub(1) / 2;
+    /// Whether this control server runs and a majority would still run without it.
+    fn may_lose(&self, server: usize) -> bool {
+        let minority = self.servers.saturating_sub(1) / 2;
         self.killed.len() + self.suspended.len() < minority
-            && !self.killed.contains(&service)
-            && !self.suspended.contains(&service)
+            && !self.killed.contains(&server)
+            && !self.suspended.contains(&server)
     }
 
-    /// The next fault; none if what was drawn is not possible at this point.
+    /// Draws the next fault; `None` if the drawn one is not possible at this point.
     fn fault(&mut self) -> Option<Fault> {
-        let one = self.below(self.services);
-        let other = (one + 1 + self.below(self.services.saturating_sub(1))) % self.services.max(1);
+        let one = self.below(self.servers);
+        let other = (one + 1 + self.below(self.servers.saturating_sub(1))) % self.servers.max(1);
         match self.below(13) {
             0 | 1 if self.may_lose(one) => {
                 self.killed.push(one);
@@ -135,6 +137,7 @@
         }
     }
 
+    /// Draws the parameters of a fault of the link between two control servers.
     fn link_fault(&mut self, kind: usize, one: usize, other: usize) -> Fault {
         match kind {
             6 if self.below(2) == 0 => Fault::Partition(one, other, Partition::Silent),
@@ -146,6 +149,7 @@
         }
     }
 
+    /// Draws a transfer of a role (two in three) or a heal.
     fn recovery(&mut self) -> Fault {
         if self.below(3) > 0 {
             return Fault::TransferRole;
--- a/crates/testbed/src/fleet_audit.rs
+++ b/crates/testbed/src/fleet_audit.rs
@@ -1,69 +1,71 @@
-//! Whether the choices of a fleet add up, from its records: ordinals, subsets, and the work that reaches engines which are
-//! warming up. Judged without any knowledge of how proxies choose. Times are milliseconds on one clock.
+//! Checks from the records of a fleet that the decisions of its proxies are consistent: their ordinals, their
+//! subsets, and the work that they send together to engines that are warming up. The audit is independent of
+//! the code under test. Times are milliseconds on one clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::audit::SlowStartRule;
 use crate::emulated_fleet::Arrival;
 
-/// A process was granted an ordinal for a while.
+/// The grant of an ordinal to a process for a limited time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrdinalGrant {
     /// The process.
     pub process: String,
     /// The ordinal.
     pub ordinal: u64,
-    /// The size of the fleet that goes with it.
+    /// The size of the fleet that was sent with the ordinal.
     pub fleet_size: u64,
-    /// The roster's epoch.
+    /// The epoch of the roster.
     pub epoch: u64,
-    /// From when.
+    /// The start of the grant.
     pub from: f64,
-    /// Until when at most.
+    /// The latest end of the grant.
     pub until: f64,
 }
 
-/// Two processes with one ordinal.
+/// An ordinal that two processes had at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrdinalConflict {
     /// The ordinal.
     pub ordinal: u64,
     /// The earlier and the later process.
     pub processes: [String; 2],
-    /// For how long.
+    /// Milliseconds for which both had it.
     pub duration: f64,
 }
 
-/// The time in which a process has an ordinal.
+/// The interval in which a process has an ordinal.
 struct Tenure<'a> {
     process: &'a str,
     from: f64,
     until: f64,
 }
 
-/// Finds ordinals that two processes had at one moment. A process has an ordinal from its first grant until the end of its
-/// last one, or until it was granted another ordinal.
+/// Finds ordinals that two processes had at the same time. A process has an ordinal from the start of a grant
+/// until the end of the grant or the start of its next one.
 pub fn ordinal_conflicts(grants: &[OrdinalGrant]) -> Vec<OrdinalConflict> {
     let mut conflicts = Vec::new();
     for (ordinal, mut tenures) in tenures(grants) {
         tenures.sort_by(|a, b| a.from.total_cmp(&b.from));
-        let mut last: Option<Tenure> = None;
+        let mut latest: Option<Tenure> = None;
         for tenure in tenures {
-            let overlaps = |before: &&Tenure| before.process != tenure.process && tenure.from < before.until;
-            if let Some(before) = last.as_ref().filter(overlaps) {
-                let processes = [before.process.to_owned(), tenure.process.to_owned()];
-                let duration = before.until.min(tenure.until) - tenure.from;
+            let overlaps =
+                |earlier: &&Tenure| earlier.process != tenure.process && tenure.from < earlier.until;
+            if let Some(earlier) = latest.as_ref().filter(overlaps) {
+                let processes = [earlier.process.to_owned(), tenure.process.to_owned()];
+                let duration = earlier.until.min(tenure.until) - tenure.from;
                 conflicts.push(OrdinalConflict { ordinal, processes, duration });
             }
-            if last.as_ref().is_none_or(|before| tenure.until >= before.until) {
-                last = Some(tenure);
+            if latest.as_ref().is_none_or(|earlier| tenure.until >= earlier.until) {
+                latest = Some(tenure);
             }
         }
     }
     conflicts
 }
 
-/// Tenures by ordinal. A grant ends at the latest with the next one of its process.
+/// Returns the tenures by ordinal. The next grant of a process ends its previous one.
 fn tenures(grants: &[OrdinalGrant]) -> BTreeMap<u64, Vec<Tenure<'_>>> {
     let mut by_process: BTreeMap<&str, Vec<&OrdinalGrant>> = BTreeMap::new();
     for grant in grants {
@@ -81,46 +83,48 @@
     tenures
 }
 
-/// What an engine with this many cores may be sent while it warms up.
+/// The limit on the work that may reach an engine while it warms up.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineCapacity {
-    /// Its cores.
+    /// The number of cores of the engine.
     pub cores: f64,
-    /// The rule.
+    /// The rule that limits the work.
     pub rule: SlowStartRule,
 }
 
 impl EngineCapacity {
-    /// The work that a window may bring which begins at this age.
+    /// Returns the work that may arrive in a window that starts at the age `window_start`.
     ///
-    /// By summing in steps: there is no closed form to be wrong together with that of the program.
-    fn limit(&self, window_start: f64) -> f64 {
+    /// The capacity is summed numerically, so that an error in the closed form of the code under test is not
+    /// repeated here.
+    fn allowed_work(&self, window_start: f64) -> f64 {
         const STEPS: u32 = 100;
         let rule = &self.rule;
         let step = rule.window_ms / f64::from(STEPS);
-        let middles = (0..STEPS).map(|index| window_start + (f64::from(index) + 0.5) * step);
-        middles.map(|age| self.at_age(age)).sum::<f64>() * step * rule.capacity_multiple
+        let midpoints = (0..STEPS).map(|index| window_start + (f64::from(index) + 0.5) * step);
+        midpoints.map(|age| self.effective_cores(age)).sum::<f64>() * step * rule.capacity_multiple
     }
 
-    /// The cores that it amounts to at this age.
-    fn at_age(&self, age: f64) -> f64 {
-        let warm = (age / self.rule.warm_up_ms).min(1.0);
-        self.cores * (self.rule.initial_fraction + (1.0 - self.rule.initial_fraction) * warm)
+    /// Returns the capacity of the engine at an age, in cores.
+    fn effective_cores(&self, age: f64) -> f64 {
+        let progress = (age / self.rule.warm_up_ms).min(1.0);
+        self.cores * (self.rule.initial_fraction + (1.0 - self.rule.initial_fraction) * progress)
     }
 }
 
-/// What reached an engine while it warmed up.
+/// The work that reached an engine while it warmed up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpLoad {
-    /// The largest work of one window, over what the rule allows in it.
+    /// The largest ratio of received to allowed work over all windows.
     pub worst_window_ratio: f64,
-    /// How many proxies sent any.
+    /// The number of proxies that sent any work.
     pub proxies: usize,
-    /// All work, in milliseconds.
+    /// The total work in milliseconds.
     pub work: f64,
 }
 
-/// Measures what reached an engine from its start until it was warm. `proxy_of` reads the proxy from a request's id.
+/// Measures the work that reached an engine from its start until it was warm. `proxy_of` returns the proxy
+/// that sent the request with an id.
 pub fn warm_up_load(
     arrivals: &[Arrival],
     engine: &str,
@@ -141,14 +145,14 @@
             first += 1;
         }
         let window_start = (age(arrival) - rule.window_ms).max(0.0);
-        worst_window_ratio = worst_window_ratio.max(in_window / capacity.limit(window_start));
+        worst_window_ratio = worst_window_ratio.max(in_window / capacity.allowed_work(window_start));
     }
     let proxies: BTreeSet<u64> = received.iter().map(|arrival| proxy_of(&arrival.id)).collect();
     let work = received.iter().map(|arrival| arrival.work).sum();
     WarmUpLoad { worst_window_ratio, proxies: proxies.len(), work }
 }
 
-/// How many proxies sent anything to each engine.
+/// Returns the number of proxies that sent requests to each engine.
 pub fn proxies_by_engine(arrivals: &[Arrival], proxy_of: impl Fn(&str) -> u64) -> BTreeMap<String, usize> {
     let mut by_engine: BTreeMap<String, BTreeSet<u64>> = BTreeMap::new();
     for arrival in arrivals {
@@ -157,7 +161,8 @@
     by_engine.into_iter().map(|(engine, proxies)| (engine, proxies.len())).collect()
 }
 
-/// Requests that reached an engine more than `grace` milliseconds after it began to drain or was gone.
+/// Returns the requests that reached an engine more than `grace` milliseconds after `drained_at`, when it
+/// began to drain or was removed.
 pub fn arrivals_after_drain<'a>(
     arrivals: &'a [Arrival],
     engine: &str,
--- a/crates/testbed/src/leadership_audit.rs
+++ b/crates/testbed/src/leadership_audit.rs
@@ -1,21 +1,22 @@
-//! Whether there was one lease holder a term and no version was lost, from the records of a fleet. Judged without any
-//! knowledge of how anybody decides.
+//! Checks from the records of a fleet that each role has at most one lease holder per term and that no
+//! published version is lost. The audit is independent of the code under test.
 //!
-//! Operators record the answers to their publications; proxies what came in force, under which term, and which terms they
-//! had seen by then; services, at the end, the versions that they store.
+//! Operators record the acknowledgements of their publications. Proxies record which version came into force
+//! under which term, and which terms they have stored. Control servers record, at the end, the versions that
+//! they store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One thing that happened. Records of one process are in the order in which they happened there.
+/// An event. The records of one process are in the order in which they happened there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// An operator received the answer that its version is published.
+    /// An operator received the acknowledgement that its version is published.
     Acknowledged {
         /// The key of the publication.
         key: String,
-        /// The version number in the answer.
+        /// The version number in the acknowledgement.
         number: u64,
-        /// Names the content.
+        /// The digest of the document.
         digest: String,
     },
     /// A proxy has stored a term.
@@ -25,50 +26,50 @@
         /// The term.
         term: u64,
     },
-    /// A version came in force at a proxy.
+    /// A version came into force at a proxy.
     InForce {
         /// The proxy.
         proxy: String,
         /// The version.
         number: u64,
-        /// Names the content.
+        /// The digest of the document.
         digest: String,
-        /// The term under which it was offered; 0 if it was found on the disk at a start.
+        /// The term under which the version was offered; 0 if the proxy loaded it from disk at its start.
         term: u64,
     },
-    /// A service acquired the lease of a role.
+    /// A control server acquired the lease of a role.
     LeaseAcquired {
-        /// The service.
+        /// The control server.
         server: String,
         /// The role.
         role: String,
         /// The term.
         term: u64,
     },
-    /// A command of a stale term was rejected.
+    /// A process rejected a command of a stale term.
     StaleRejected {
-        /// Where.
+        /// The proxy or control server that rejected it.
         process: String,
-        /// Its term.
+        /// The term of the command.
         term: u64,
     },
-    /// A version that a service stores at the end.
+    /// A control server stores a version at the end.
     Stored {
-        /// The service.
+        /// The control server.
         server: String,
         /// The version.
         number: u64,
-        /// Names the content.
+        /// The digest of the document.
         digest: String,
         /// The key of the publication.
         key: String,
     },
 }
 
-/// A rule that was broken, with what shows it.
+/// A violation of a rule, with its evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// One version number has two contents.
+    /// One version number has two documents.
     Forked {
         /// The version.
         number: u64,
@@ -79,34 +80,34 @@
         proxy: String,
         /// The term of the command.
         term: u64,
-        /// The highest term that the proxy had seen.
+        /// The highest term that the proxy had stored before.
         seen: u64,
     },
-    /// An acknowledged version is missing at the end.
+    /// A control server does not store an acknowledged version at the end.
     Lost {
-        /// The key of its publication.
+        /// The key of the publication.
         key: String,
     },
     /// One publication has two version numbers.
     PublishedTwice {
-        /// Its key.
+        /// The key of the publication.
         key: String,
     },
-    /// Two publications are numbered in another order than they were acknowledged in.
+    /// Two publications are not numbered in the order of their acknowledgements.
     OutOfOrder {
         /// The version that was acknowledged first.
         first: u64,
         /// The version that was acknowledged next.
         second: u64,
     },
-    /// Two services acquired the lease of a role under one term.
+    /// Two control servers acquired the lease of a role under one term.
     TwoLeaseHolders {
         /// The role.
         role: String,
         /// The term.
         term: u64,
     },
-    /// A proxy went back to an earlier version.
+    /// A proxy returned to an earlier version.
     RolledBack {
         /// The proxy.
         proxy: String,
@@ -117,48 +118,49 @@
     },
 }
 
-/// What the records add up to.
+/// The result of an audit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Rules broken.
+    /// The violations found.
     pub violations: Vec<Violation>,
-    /// Acknowledged publications.
+    /// Number of acknowledged publications.
     pub acknowledged: usize,
-    /// Terms under which some service held a lease, over all roles.
+    /// Number of pairs of a role and a term under which a lease was acquired.
     pub terms: usize,
-    /// Commands of stale terms that were rejected.
+    /// Number of rejected commands of stale terms.
     pub rejected: usize,
 }
 
-/// An answer to an operator.
+/// The acknowledgement of a publication.
 struct Acknowledgement<'a> {
     key: &'a str,
     number: u64,
     digest: &'a str,
 }
 
-/// What the records hold, by subject.
+/// The events of the records, grouped by subject.
 #[derive(Default)]
 struct History<'a> {
-    /// The contents under each version number.
-    contents: BTreeMap<u64, BTreeSet<&'a str>>,
+    /// The digests of the documents of each version number.
+    digests: BTreeMap<u64, BTreeSet<&'a str>>,
     /// The version numbers of each publication.
     numbers: BTreeMap<&'a str, BTreeSet<u64>>,
-    /// The highest term that each proxy has seen.
+    /// The highest term that each proxy has stored so far.
     terms_seen: BTreeMap<&'a str, u64>,
     /// The version in force at each proxy.
     in_force: BTreeMap<&'a str, u64>,
-    /// The services that held the lease of each role and term.
+    /// The control servers that acquired the lease of each role and term.
     lease_holders: BTreeMap<(&'a str, u64), BTreeSet<&'a str>>,
+    /// In the order in which they were received.
     acknowledged: Vec<Acknowledgement<'a>>,
-    /// Version numbers and contents that each service stores.
+    /// The version numbers and digests that each control server stores.
     stored: BTreeMap<&'a str, BTreeSet<(u64, &'a str)>>,
     rejected: usize,
     violations: Vec<Violation>,
 }
 
-/// Checks the records. Acknowledgements are those of operators who each wait for the answer before they publish again, in
-/// the order in which the answers came.
+/// Checks the records. Requires that operators publish one at a time, each after the acknowledgement of the
+/// one before, and that the acknowledgements are recorded in the order in which they were received.
 pub fn audit(records: &[Record]) -> Report {
     let mut history = History::default();
     for record in records {
@@ -180,7 +182,7 @@
     fn add(&mut self, record: &'a Record) {
         match record {
             Record::Acknowledged { key, number, digest } => {
-                self.contents.entry(*number).or_default().insert(digest);
+                self.digests.entry(*number).or_default().insert(digest);
                 self.numbers.entry(key).or_default().insert(*number);
                 self.acknowledged.push(Acknowledgement { key, number: *number, digest });
             }
@@ -189,19 +191,19 @@
                 *highest = (*highest).max(*term);
             }
             Record::InForce { proxy, number, digest, term } => {
-                self.contents.entry(*number).or_default().insert(digest);
+                self.digests.entry(*number).or_default().insert(digest);
                 self.add_in_force(proxy, *number, *term);
             }
-            Record::LeaseAcquired { server: service, role, term } => {
-                self.lease_holders.entry((role, *term)).or_default().insert(service);
+            Record::LeaseAcquired { server, role, term } => {
+                self.lease_holders.entry((role, *term)).or_default().insert(server);
             }
             Record::StaleRejected { .. } => self.rejected += 1,
-            Record::Stored { server: service, number, digest, key } => {
-                self.contents.entry(*number).or_default().insert(digest);
+            Record::Stored { server, number, digest, key } => {
+                self.digests.entry(*number).or_default().insert(digest);
                 if !key.is_empty() {
                     self.numbers.entry(key).or_default().insert(*number);
                 }
-                self.stored.entry(service).or_default().insert((*number, digest));
+                self.stored.entry(server).or_default().insert((*number, digest));
             }
         }
     }
@@ -211,28 +213,28 @@
         if term > 0 && term < seen {
             self.violations.push(Violation::StaleTermApplied { proxy: proxy.to_owned(), term, seen });
         }
-        if let Some(from) = self.in_force.insert(proxy, number).filter(|before| *before > number) {
+        if let Some(from) = self.in_force.insert(proxy, number).filter(|previous| *previous > number) {
             self.violations.push(Violation::RolledBack { proxy: proxy.to_owned(), from, to: number });
         }
     }
 
-    /// One content a number, one number a publication.
+    /// Checks that each version number has one document and each publication one version number.
     fn check_versions(&mut self) {
-        let forked = self.contents.iter().filter(|(_, digests)| digests.len() > 1);
+        let forked = self.digests.iter().filter(|(_, digests)| digests.len() > 1);
         self.violations.extend(forked.map(|(number, _)| Violation::Forked { number: *number }));
-        let twice = self.numbers.iter().filter(|(_, numbers)| numbers.len() > 1);
-        let twice = twice.map(|(key, _)| Violation::PublishedTwice { key: (*key).to_owned() });
-        self.violations.extend(twice);
+        let published_twice = self.numbers.iter().filter(|(_, numbers)| numbers.len() > 1);
+        let violations = published_twice.map(|(key, _)| Violation::PublishedTwice { key: (*key).to_owned() });
+        self.violations.extend(violations);
     }
 
-    /// One lease holder a role and term.
+    /// Checks that each role has at most one lease holder per term.
     fn check_lease_holders(&mut self) {
-        let shared = self.lease_holders.iter().filter(|(_, services)| services.len() > 1);
-        let shared = shared.map(|((role, term), _)| (role.to_string(), *term));
-        self.violations.extend(shared.map(|(role, term)| Violation::TwoLeaseHolders { role, term }));
+        let conflicts = self.lease_holders.iter().filter(|(_, servers)| servers.len() > 1);
+        let conflicts = conflicts.map(|((role, term), _)| (role.to_string(), *term));
+        self.violations.extend(conflicts.map(|(role, term)| Violation::TwoLeaseHolders { role, term }));
     }
 
-    /// Version numbers rise in the order of the acknowledgements.
+    /// Checks that version numbers increase in the order of the acknowledgements.
     fn check_order(&mut self) {
         for pair in self.acknowledged.windows(2) {
             let [first, second] = [&pair[0], &pair[1]];
@@ -243,11 +245,12 @@
         }
     }
 
-    /// Every service stores what was acknowledged.
+    /// Checks that every control server stores every acknowledged version, and that at least one recorded its
+    /// versions.
     fn check_stored(&mut self) {
         for Acknowledgement { key, number, digest } in &self.acknowledged {
-            let missing = |stored: &BTreeSet<(u64, &str)>| !stored.contains(&(*number, *digest));
-            if self.stored.is_empty() || self.stored.values().any(missing) {
+            let is_missing = |stored: &BTreeSet<(u64, &str)>| !stored.contains(&(*number, *digest));
+            if self.stored.is_empty() || self.stored.values().any(is_missing) {
                 self.violations.push(Violation::Lost { key: (*key).to_owned() });
             }
         }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,12 +1,14 @@
 #![forbid(unsafe_code)]
-//! Emulated environments and independent audits for tests of whole fleets.
+//! Emulated environments and independent audits for tests of complete fleets.
 //!
-//! Without I/O, clocks or threads: what happened ([`record`]) and whether requests were treated by the rules
-//! ([`audit`]); whether roles and versions were ([`leadership_audit`]); whether the choices of many proxies add up
-//! ([`fleet_audit`]); how an engine behaves ([`engine_model`]); which faults come when ([`faults`]).
+//! These modules use no I/O, clocks or threads: [`record`] defines records of events, [`audit`] checks from
+//! them whether requests were handled by the rules, [`leadership_audit`] checks leases and published
+//! versions, [`fleet_audit`] checks the sum of the decisions of many proxies, [`engine_model`] models an
+//! engine, and [`faults`] draws fault schedules.
 //!
-//! With processes and sockets: links that drop, stall and cut ([`network`]), processes that are suspended, resumed and
-//! killed ([`process`]), and engines with their list for a fleet to talk to ([`emulated_fleet`]).
+//! These modules use processes and sockets: [`network`] injects faults into connections, [`process`]
+//! suspends, resumes and kills processes, and [`emulated_fleet`] provides engines and an engine list for a
+//! fleet of proxies.
 
 pub mod audit;
 pub mod emulated_fleet;
--- a/crates/testbed/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -1,6 +1,7 @@
-//! Links on loopback between processes. Each process is reached through a relay of its own, which finds out who has
-//! connected and treats the bytes as the link between the two demands: it drops, stalls (the connection stays open and
-//! silent), delays, cuts one direction or in the middle of a message, or resets.
+//! Fault injection into loopback connections between processes. Each process is reached through a relay of
+//! its own, which identifies the process that has connected and applies the faults of the link between the
+//! two: it closes connections, stalls them (open but silent), delays bytes, cuts a connection in the middle
+//! of a message, or resets it.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read as _, Write as _};
@@ -10,78 +11,79 @@
 
 use socket2::SockRef;
 
-/// How a link treats one direction.
+/// The fault of one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LinkFault {
-    /// All bytes are passed on.
+    /// All bytes are relayed.
     #[default]
     None,
-    /// Nothing is passed on, and nothing is read: the connection is silent.
+    /// No bytes are read or relayed; the connection stays open.
     Stalled,
-    /// Bytes are passed on after this time.
+    /// Bytes are relayed after this delay.
     Delayed(Duration),
-    /// After this many further bytes the connection ends, wherever in a message that is.
+    /// The connection is closed after this many further bytes, even in the middle of a message.
     CutAfter(u64),
 }
 
-/// The state of a link.
+/// The state of a link: the connections that one process opens to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct Link {
-    /// From the process that connected to the one that accepted.
+    /// The fault from the process that connected to the one that accepted.
     pub forward: LinkFault,
-    /// The other direction.
+    /// The fault of the opposite direction.
     pub backward: LinkFault,
-    /// Connections are ended, and new ones closed at once.
+    /// Whether connections are closed, new ones at once.
     pub down: bool,
-    /// Connections are ended by a reset, once.
+    /// Whether open connections are closed by a TCP reset.
     pub reset: bool,
 }
 
-/// What two processes see that are cut off from each other.
+/// How a partition between two processes appears to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partition {
-    /// Connections stay open, and nothing arrives.
+    /// Connections stay open, but no bytes arrive.
     Silent,
-    /// Connections end, and new ones fail.
+    /// Connections are closed, and new ones fail.
     Closed,
 }
 
-/// What all links have passed on, in both directions.
+/// The traffic relayed over all links, in both directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct Traffic {
-    /// Bytes.
+    /// Number of bytes.
     pub bytes: u64,
-    /// Pieces in which the bytes came: mostly a message each.
+    /// Number of chunks in which the bytes were read; most chunks are one message.
     pub pieces: u64,
 }
 
-/// Finds out from the first bytes of a connection who has connected; `None` while they do not tell.
+/// Returns the name of the process that opened a connection, from the first bytes that it sent; `None` if
+/// more bytes are needed.
 pub type Identify = fn(&[u8]) -> Option<String>;
 
 #[derive(Default)]
 struct State {
     links: BTreeMap<(String, String), Link>,
-    /// Where each relay passes connections on to.
+    /// The address of the process behind each relay.
     targets: BTreeMap<String, SocketAddr>,
     traffic: Traffic,
 }
 
-/// All links of a fleet. A link that was not set is open.
+/// The links between the processes of a fleet. A link has no fault until it is set.
 #[derive(Clone)]
 pub struct Network {
     state: Arc<Mutex<State>>,
     identify: Identify,
 }
 
-/// How often the state of a link is read.
+/// The interval at which each connection reads the state of its link.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A process that has not identified itself within this time is a stranger.
+/// A process that is not identified within this time is treated as [`UNIDENTIFIED`].
 const IDENTIFY_TIMEOUT: Duration = Duration::from_secs(5);
-/// The name of a process that has not identified itself.
-const STRANGER: &str = "stranger";
+/// The name of a process that could not be identified.
+const UNIDENTIFIED: &str = "stranger";
 
 impl Network {
-    /// A network without processes.
+    /// Creates a network without processes.
     pub fn new(identify: Identify) -> Self {
         Network { state: Arc::default(), identify }
     }
@@ -90,11 +92,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts a relay before a process; the address at which others reach the process.
+    /// Starts a relay for the process `name`, which listens at `target`. Returns the address of the relay, at
+    /// which all other processes connect.
     ///
     /// # Errors
     ///
-    /// If no socket can be bound.
+    /// Returns an error if no socket can be bound.
     pub fn relay(&self, name: &str, target: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -109,12 +112,12 @@
         Ok(address)
     }
 
-    /// Sets the link of the connections that one process opens to another.
+    /// Sets the state of the link for connections that one process opens to another.
     pub fn set(&self, from: &str, to: &str, link: Link) {
         self.lock().links.insert((from.to_owned(), to.to_owned()), link);
     }
 
-    /// Cuts two processes off from each other.
+    /// Partitions two processes from each other.
     pub fn partition(&self, one: &str, other: &str, partition: Partition) {
         let (forward, backward) = (LinkFault::Stalled, LinkFault::Stalled);
         let link = match partition {
@@ -125,25 +128,25 @@
         self.set(other, one, link);
     }
 
-    /// Opens the links between two processes.
+    /// Removes the faults of both links between two processes.
     pub fn heal(&self, one: &str, other: &str) {
         self.set(one, other, Link::default());
         self.set(other, one, Link::default());
     }
 
-    /// Resets the connections that one process has opened to another, once.
+    /// Resets the open connections from one process to another, then removes the fault of that link.
     pub fn reset(&self, from: &str, to: &str) {
         self.set(from, to, Link { reset: true, ..Link::default() });
         std::thread::sleep(5 * POLL_INTERVAL);
         self.set(from, to, Link::default());
     }
 
-    /// Opens all links.
+    /// Removes the faults of all links.
     pub fn heal_all(&self) {
         self.lock().links.clear();
     }
 
-    /// What all links have passed on so far.
+    /// Returns the traffic relayed over all links so far.
     pub fn traffic(&self) -> Traffic {
         self.lock().traffic
     }
@@ -152,9 +155,9 @@
         self.lock().links.get(&(from.to_owned(), to.to_owned())).copied().unwrap_or_default()
     }
 
-    /// Connects through to the process behind a relay and passes bytes on until the connection ends.
+    /// Connects to the process behind the relay `to`, and relays bytes until the connection ends.
     fn serve_connection(&self, to: &str, mut client: TcpStream) {
-        // Without these options the relay is slower, but right.
+        // If an option cannot be set, the relay is slower but still correct.
         let _ = client.set_nodelay(true);
         let _ = client.set_read_timeout(Some(POLL_INTERVAL));
         let mut first_bytes = Vec::new();
@@ -166,7 +169,7 @@
         let Ok(server) = TcpStream::connect(target) else { return };
         let _ = server.set_nodelay(true);
         let (Ok(server_reader), Ok(client_writer)) = (server.try_clone(), client.try_clone()) else { return };
-        let pump = |source, sink, pending, fault| Pump {
+        let direction = |source, sink, pending, fault| RelayDirection {
             network: self.clone(),
             from: from.clone(),
             to: to.to_owned(),
@@ -174,18 +177,19 @@
             sink,
             pending,
             fault,
-            delivery_due: None,
-            passed_since_cut: None,
+            relay_at: None,
+            relayed_since_cut: None,
         };
-        let backward = pump(server_reader, client_writer, Vec::new(), |link| link.backward);
-        let forward = pump(client, server, first_bytes, |link| link.forward);
+        let backward = direction(server_reader, client_writer, Vec::new(), |link| link.backward);
+        let forward = direction(client, server, first_bytes, |link| link.forward);
         let backward = std::thread::spawn(move || backward.run());
         forward.run();
-        // A panic of the other direction has been printed by its thread.
+        // If the thread of the other direction has panicked, it has printed the panic itself.
         let _ = backward.join();
     }
 
-    /// Reads until it is known who has connected; `None` if the connection ends before that.
+    /// Reads until the connecting process is identified or the timeout has passed; `None` if the connection
+    /// ends first.
     fn identify_client(&self, client: &mut TcpStream, first_bytes: &mut Vec<u8>) -> Option<String> {
         let began = Instant::now();
         loop {
@@ -193,51 +197,54 @@
                 return Some(from);
             }
             if began.elapsed() >= IDENTIFY_TIMEOUT {
-                return Some(STRANGER.to_owned());
+                return Some(UNIDENTIFIED.to_owned());
             }
-            if !read_available(client, first_bytes).is_ok_and(|open| open) {
+            let is_open = read_available(client, first_bytes).unwrap_or(false);
+            if !is_open {
                 return None;
             }
         }
     }
 }
 
-/// What a pump does next.
+/// Whether a direction of a connection continues after a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Look at the link again.
+    /// Run the next step.
     Continue,
-    /// End the connection.
+    /// Close the connection.
     Close,
 }
 
-/// One direction of a connection.
-struct Pump {
+/// Relays one direction of a connection.
+struct RelayDirection {
     network: Network,
     from: String,
     to: String,
     source: TcpStream,
     sink: TcpStream,
-    /// Bytes that were read and not yet passed on.
+    /// Bytes that were read and not yet relayed.
     pending: Vec<u8>,
-    /// Reads this direction's fault from the link.
+    /// Selects the fault of this direction from the state of the link.
     fault: fn(Link) -> LinkFault,
-    /// When delayed bytes are passed on.
-    delivery_due: Option<Instant>,
-    /// Bytes passed on since the link was set to be cut.
-    passed_since_cut: Option<u64>,
+    /// When the delayed bytes are relayed; `None` if none are delayed.
+    relay_at: Option<Instant>,
+    /// Number of bytes relayed since the fault was set to [`LinkFault::CutAfter`]; `None` under any other
+    /// fault.
+    relayed_since_cut: Option<u64>,
 }
 
-impl Pump {
-    /// Passes bytes on until the connection ends.
+impl RelayDirection {
+    /// Relays bytes until the connection ends.
     fn run(mut self) {
         let _ = self.source.set_read_timeout(Some(POLL_INTERVAL));
         while self.step() == Step::Continue {}
-        // Either may have been closed by the other side already.
+        // Either call fails if its peer has already closed the socket.
         let _ = self.source.shutdown(Shutdown::Both);
         let _ = self.sink.shutdown(Shutdown::Both);
     }
 
+    /// Reads the state of the link, then reads or relays bytes once.
     fn step(&mut self) -> Step {
         let link = self.network.link(&self.from, &self.to);
         if link.reset {
@@ -254,11 +261,12 @@
             return Step::Continue;
         }
         if !matches!(fault, LinkFault::CutAfter(_)) {
-            self.passed_since_cut = None;
+            self.relayed_since_cut = None;
         }
         if self.pending.is_empty() {
-            self.delivery_due = None;
-            if !read_available(&mut self.source, &mut self.pending).is_ok_and(|open| open) {
+            self.relay_at = None;
+            let is_open = read_available(&mut self.source, &mut self.pending).unwrap_or(false);
+            if !is_open {
                 return Step::Close;
             }
             if self.pending.is_empty() {
@@ -270,30 +278,31 @@
                 std::thread::sleep(POLL_INTERVAL);
                 Step::Continue
             }
-            LinkFault::CutAfter(bytes) => self.pass_on_or_cut(bytes),
-            LinkFault::None | LinkFault::Stalled | LinkFault::Delayed(_) => self.pass_on(),
+            LinkFault::CutAfter(bytes) => self.relay_or_cut(bytes),
+            LinkFault::None | LinkFault::Stalled | LinkFault::Delayed(_) => self.relay(),
         }
     }
 
-    /// Whether delayed bytes are due; the delay begins with the first call for them.
+    /// Whether the delay of the pending bytes has passed; it begins with the first call for them.
     fn is_due(&mut self, delay: Duration) -> bool {
-        Instant::now() >= *self.delivery_due.get_or_insert_with(|| Instant::now() + delay)
+        Instant::now() >= *self.relay_at.get_or_insert_with(|| Instant::now() + delay)
     }
 
-    /// Passes bytes on up to the cut.
-    fn pass_on_or_cut(&mut self, limit: u64) -> Step {
-        let passed = self.passed_since_cut.get_or_insert(0);
-        let left = limit.saturating_sub(*passed);
-        if self.pending.len() as u64 >= left {
-            // The connection ends here in any case.
-            let _ = self.sink.write_all(&self.pending[..left as usize]);
+    /// Relays the pending bytes, or only those up to `limit` and then closes the connection.
+    fn relay_or_cut(&mut self, limit: u64) -> Step {
+        let relayed = self.relayed_since_cut.get_or_insert(0);
+        let remaining = limit.saturating_sub(*relayed);
+        if self.pending.len() as u64 >= remaining {
+            // An error does not matter, as the connection is closed next.
+            let _ = self.sink.write_all(&self.pending[..remaining as usize]);
             return Step::Close;
         }
-        *passed += self.pending.len() as u64;
-        self.pass_on()
+        *relayed += self.pending.len() as u64;
+        self.relay()
     }
 
-    fn pass_on(&mut self) -> Step {
+    /// Relays the pending bytes and counts them.
+    fn relay(&mut self) -> Step {
         {
             let traffic = &mut self.network.lock().traffic;
             traffic.bytes += self.pending.len() as u64;
@@ -307,7 +316,7 @@
     }
 }
 
-/// Reads what there is; false once the other side has closed.
+/// Appends the bytes that are available; returns false once the peer has closed the connection.
 fn read_available(socket: &mut TcpStream, into: &mut Vec<u8>) -> io::Result<bool> {
     let mut chunk = [0; 16 * 1024];
     match socket.read(&mut chunk) {
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,16 +1,17 @@
-//! What clients, engines and lists record, one JSON object a line. Times are milliseconds of one clock that all share.
+//! Records of events at clients, engines and engine lists, written as one JSON object per line. Times are
+//! milliseconds on one clock for all processes.
 
 use serde::{Deserialize, Serialize};
 
-/// The final answer to a client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RequestOutcome {
-    /// The complete result.
+    /// The client received the complete result.
     Served,
-    /// A rejection: a retry by the client does no harm.
+    /// The request was rejected: the client may safely retry it.
     Rejected,
-    /// A failure.
+    /// The request failed; it may or may not have run.
     Failed,
 }
 
@@ -18,128 +19,128 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AttemptOutcome {
-    /// The result was written.
+    /// The engine sent the complete result.
     Served,
-    /// An error was written; the query may have run.
+    /// The engine sent an error; the query may have run.
     Failed,
-    /// It was rejected, and never ran.
+    /// The engine rejected the attempt, which never ran.
     Rejected,
-    /// The forwarder cancelled it, or closed its connection.
+    /// The forwarder cancelled the attempt or closed the connection.
     Cancelled,
-    /// The engine died, or broke the connection.
+    /// The engine died or broke the connection.
     Broken,
 }
 
 impl AttemptOutcome {
-    /// Whether it is proved that the attempt did nothing.
+    /// Whether the attempt is proved never to have run.
     pub fn never_ran(self) -> bool {
         self == AttemptOutcome::Rejected
     }
 }
 
-/// The state of an engine in a forwarder's list.
+/// The phase of an engine in the engine list of a forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes work.
+    /// The engine accepts work.
     Serving,
-    /// It finishes what it has.
+    /// The engine completes its queries in flight and must not be sent new ones.
     Draining,
-    /// It is gone.
+    /// The engine is no longer listed.
     Gone,
 }
 
-/// One thing that happened.
+/// An event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Record {
     /// A client has sent a complete request.
     Requested {
-        /// When.
+        /// The time of the event.
         at: f64,
-        /// The forwarder or proxy that it was sent to.
+        /// The forwarder or proxy that received it.
         via: String,
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// Its class.
+        /// The class of the request.
         class: String,
-        /// How long the client waits, in milliseconds.
+        /// Milliseconds that the client waits for the final response.
         budget: f64,
     },
-    /// The client has the complete final answer.
+    /// The client has received the complete final response.
     #[serde(rename = "answered")]
     Responded {
-        /// When.
+        /// The time of the event.
         at: f64,
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// The answer.
+        /// How the request ended.
         #[serde(rename = "how")]
         outcome: RequestOutcome,
     },
-    /// The client closed its connection, and is owed nothing more.
+    /// The client closed its connection; no response is required any more.
     ClientGone {
-        /// When.
+        /// The time of the event.
         at: f64,
-        /// The request.
+        /// The id of the request.
         id: String,
     },
-    /// The test killed a forwarder: its open requests are owed nothing.
+    /// The test killed a forwarder; its open requests require no response any more.
     ForwarderKilled {
-        /// When.
+        /// The time of the event.
         at: f64,
-        /// Which.
+        /// The forwarder.
         via: String,
     },
     /// An engine has received a complete command.
     AttemptStarted {
-        /// When.
+        /// The time of the event.
         at: f64,
         /// The engine.
         engine: String,
         /// The forwarder or proxy that sent it.
         via: String,
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// Its work on one core, in milliseconds.
+        /// The work of the attempt, in milliseconds on one core.
         work: f64,
     },
     /// An attempt has ended at its engine.
     AttemptEnded {
-        /// When.
+        /// The time of the event.
         at: f64,
         /// The engine.
         engine: String,
-        /// The request.
+        /// The id of the request.
         id: String,
-        /// How.
+        /// How the attempt ended.
         #[serde(rename = "how")]
         outcome: AttemptOutcome,
     },
-    /// A forwarder learned the state of an engine.
+    /// A forwarder learned the phase of an engine.
     EngineListed {
-        /// When.
+        /// The time of the event.
         at: f64,
         /// The forwarder or proxy.
         via: String,
         /// The engine.
         engine: String,
-        /// Its state.
+        /// The phase of the engine.
         phase: Phase,
     },
-    /// An engine has started, and is warming up.
+    /// An engine has started and is warming up.
     EngineStarted {
-        /// When.
+        /// The time of the event.
         at: f64,
         /// The engine.
         engine: String,
-        /// Its cores, once it is warm.
+        /// The number of cores that the engine has when it is warm.
         cores: f64,
     },
 }
 
 impl Record {
-    /// When it happened.
+    /// Returns the time of the event.
     pub fn at(&self) -> f64 {
         match self {
             Record::Requested { at, .. }
@@ -154,21 +155,21 @@
     }
 }
 
-/// A line that is no record.
+/// A line that cannot be parsed as a record.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {source}")]
 pub struct ReadError {
-    /// Its number, counted from 1.
+    /// The number of the line, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The JSON error.
     pub source: serde_json::Error,
 }
 
-/// Reads records, one a line; empty lines are skipped.
+/// Parses records, one per line. Empty lines are skipped.
 ///
 /// # Errors
 ///
-/// The first line that is no record.
+/// Returns an error for the first line that cannot be parsed.
 pub fn read(text: &str) -> Result<Vec<Record>, ReadError> {
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     lines
@@ -178,13 +179,12 @@
         .collect()
 }
 
-/// Writes records, one a line.
+/// Encodes records as JSON, one per line.
 ///
 /// # Panics
 ///
-/// Never: records hold nothing that JSON cannot express.
+/// Never: every record can be encoded as JSON.
 pub fn write(records: &[Record]) -> String {
-    let line =
-        |record| serde_json::to_string(record).expect("records hold nothing that JSON cannot express") + "\n";
+    let line = |record| serde_json::to_string(record).expect("every record can be encoded as JSON") + "\n";
     records.iter().map(line).collect()
 }
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of requests on runs that keep every rule, and on runs that break each.
+//! Tests of the request audit on a run without violations and on runs with one violation each.
 
 use gaugestep_testbed::audit::{Effect, RetryBudget, Rules, SlowStartRule, Violation, audit};
 use gaugestep_testbed::record::{AttemptOutcome, Phase, Record, RequestOutcome, read, write};
@@ -32,7 +32,7 @@
     Record::AttemptEnded { at, engine: engine.into(), id: id.into(), outcome }
 }
 
-fn answered(at: f64, id: &str, outcome: RequestOutcome) -> Record {
+fn responded(at: f64, id: &str, outcome: RequestOutcome) -> Record {
     Record::Responded { at, id: id.into(), outcome }
 }
 
@@ -40,8 +40,8 @@
     Record::EngineListed { at, via: "f".into(), engine: engine.into(), phase }
 }
 
-/// A run that keeps every rule: with a timeout cancel and relaunch, a load that was rejected and retried, a rejection, a
-/// client that left, and an engine that drains.
+/// A run without violations. It contains a timeout cancel with a relaunch, a load that was rejected by an
+/// engine and retried, a rejected request, a client that disconnected, and an engine that drains.
 fn valid_run() -> Vec<Record> {
     vec![
         requested(0.0, "a", "lookup"),
@@ -58,13 +58,13 @@
         attempt_ended(300.0, "a", "x", AttemptOutcome::Cancelled),
         attempt_started(301.0, "a", "y"),
         attempt_ended(400.0, "a", "y", AttemptOutcome::Served),
-        answered(401.0, "a", RequestOutcome::Served),
+        responded(401.0, "a", RequestOutcome::Served),
         attempt_ended(500.0, "b", "y", AttemptOutcome::Served),
-        answered(501.0, "b", RequestOutcome::Served),
-        answered(600.0, "c", RequestOutcome::Rejected),
+        responded(501.0, "b", RequestOutcome::Served),
+        responded(600.0, "c", RequestOutcome::Rejected),
         Record::ClientGone { at: 700.0, id: "d".into() },
         attempt_ended(800.0, "e", "x", AttemptOutcome::Broken),
-        answered(801.0, "e", RequestOutcome::Failed),
+        responded(801.0, "e", RequestOutcome::Failed),
     ]
 }
 
@@ -88,9 +88,9 @@
     assert!(read("{\"event\":\"requested\"}\n").unwrap_err().to_string().starts_with("line 1:"));
 }
 
-/// Retries of "z" beyond the budget, and the violation.
+/// Records of more retries of the request "z" than the budget allows, and the expected violation.
 fn retries_beyond_the_budget() -> (Vec<Record>, Violation) {
-    let mut records = vec![requested(5.0, "z", "lookup"), answered(900.0, "z", RequestOutcome::Failed)];
+    let mut records = vec![requested(5.0, "z", "lookup"), responded(900.0, "z", RequestOutcome::Failed)];
     for number in 0..4 {
         let at = 20.0 + 10.0 * f64::from(number);
         records.extend([
@@ -98,13 +98,13 @@
             attempt_ended(at + 1.0, "z", "y", AttemptOutcome::Failed),
         ]);
     }
-    // Three of "z" and those of "a" and "b" are retries: six requests allow for four.
-    (records, Violation::RetryBudgetExceeded { via: "f".into(), at: 301.0, made: 5, allowed: 4.0 })
+    // The retries are three of "z", one of "a" and one of "b". The base of 1 and six requests allow 4.
+    (records, Violation::RetryBudgetExceeded { via: "f".into(), at: 301.0, retries: 5, allowed: 4.0 })
 }
 
-/// More work than an engine can bear that has just started, and the violation.
+/// Records of more work for an engine that has just started than the rule allows, and the expected violation.
 fn overload_of_an_engine_that_warms_up() -> (Vec<Record>, Violation) {
-    let engine = "cold";
+    let engine = "new";
     let mut records = vec![Record::EngineStarted { at: 0.0, engine: engine.into(), cores: 1.0 }];
     for number in 0..7 {
         let (id, at) = (format!("p{number}"), 10.0 * f64::from(number));
@@ -112,27 +112,27 @@
             requested(at, &id, "lookup"),
             attempt_started(at, &id, engine),
             attempt_ended(at + 1.0, &id, engine, AttemptOutcome::Served),
-            answered(at + 2.0, &id, RequestOutcome::Served),
+            responded(at + 2.0, &id, RequestOutcome::Served),
         ]);
     }
-    // 100 ms of work each, and 2 times 0.3 of a core for a second can bear 600.
-    let bearable = 2.0 * (0.3 + 0.7 * 60.0 / 10_000.0) * 1_000.0;
-    (records, Violation::Overloaded { engine: engine.into(), at: 60.0, times: 700.0 / bearable })
+    // Each attempt is 100 ms of work; 2 times 0.3 of a core for one second allow 600 ms.
+    let allowed = 2.0 * (0.3 + 0.7 * 60.0 / 10_000.0) * 1_000.0;
+    (records, Violation::Overloaded { engine: engine.into(), at: 60.0, ratio: 700.0 / allowed })
 }
 
-/// The valid run with one record more, or less, and the one violation that this is.
+/// Each case adds records to the valid run and names the only violation that the audit must then report.
 #[test]
-fn each_broken_rule_is_reported_as_its_violation() {
+fn each_violated_rule_is_reported_as_its_violation() {
     let id = |text: &str| text.to_owned();
     let mut cases: Vec<(Vec<Record>, Violation)> = vec![
-        (vec![answered(900.0, "a", RequestOutcome::Failed)], Violation::AnsweredTwice { id: id("a") }),
-        (vec![requested(5.0, "z", "lookup")], Violation::Unanswered { id: id("z"), due: 1_005.0 }),
+        (vec![responded(900.0, "a", RequestOutcome::Failed)], Violation::RespondedTwice { id: id("a") }),
+        (vec![requested(5.0, "z", "lookup")], Violation::MissingResponse { id: id("z"), deadline: 1_005.0 }),
         (
-            vec![requested(5.0, "z", "lookup"), answered(1_100.0, "z", RequestOutcome::Rejected)],
-            Violation::AnsweredLate { id: id("z"), by: 95.0 },
+            vec![requested(5.0, "z", "lookup"), responded(1_100.0, "z", RequestOutcome::Rejected)],
+            Violation::RespondedLate { id: id("z"), late_by_ms: 95.0 },
         ),
         (
-            vec![requested(5.0, "z", "lookup"), answered(50.0, "z", RequestOutcome::Served)],
+            vec![requested(5.0, "z", "lookup"), responded(50.0, "z", RequestOutcome::Served)],
             Violation::ServedByNoEngine { id: id("z") },
         ),
         (
@@ -144,7 +144,7 @@
             vec![
                 requested(5.0, "z", "load"),
                 attempt_started(6.0, "z", "y"),
-                answered(50.0, "z", RequestOutcome::Rejected),
+                responded(50.0, "z", RequestOutcome::Rejected),
             ],
             Violation::RejectedAfterRun { id: id("z") },
         ),
@@ -153,23 +153,23 @@
                 requested(5.0, "z", "lookup"),
                 attempt_started(290.0, "z", "x"),
                 attempt_ended(295.0, "z", "x", AttemptOutcome::Served),
-                answered(299.0, "z", RequestOutcome::Served),
+                responded(299.0, "z", RequestOutcome::Served),
             ],
-            Violation::SentToDraining { id: id("z"), engine: id("x"), after: 280.0 },
+            Violation::SentToDraining { id: id("z"), engine: id("x"), delay_ms: 280.0 },
         ),
     ];
     cases.extend([retries_beyond_the_budget(), overload_of_an_engine_that_warms_up()]);
-    for (more, violation) in cases {
-        let run = [valid_run(), more].concat();
+    for (added, violation) in cases {
+        let run = [valid_run(), added].concat();
         assert_eq!(violations(&run), std::slice::from_ref(&violation), "{violation}");
     }
 }
 
-/// A forwarder that the test killed owes no answers for its open requests, and all answers for later ones.
+/// When a forwarder is killed, its open requests need no response, but later requests do.
 #[test]
-fn open_requests_of_a_killed_forwarder_are_owed_no_answer() {
+fn open_requests_of_a_killed_forwarder_need_no_response() {
     let mut run = vec![requested(0.0, "a", "lookup"), Record::ForwarderKilled { at: 10.0, via: "f".into() }];
     assert_eq!(violations(&run), []);
     run.push(requested(20.0, "b", "lookup"));
-    assert_eq!(violations(&run), [Violation::Unanswered { id: "b".into(), due: 1_020.0 }]);
+    assert_eq!(violations(&run), [Violation::MissingResponse { id: "b".into(), deadline: 1_020.0 }]);
 }
--- a/crates/testbed/tests/leadership_audit.rs
+++ b/crates/testbed/tests/leadership_audit.rs
@@ -1,4 +1,4 @@
-//! The audit of leases and versions on a run that keeps every rule, and on runs that break each.
+//! Tests of the audit of leases and versions on a run without violations and on runs with one violation each.
 
 use gaugestep_testbed::leadership_audit::{Record, Violation, audit};
 
@@ -6,8 +6,8 @@
     Record::Acknowledged { key: key.into(), number, digest: key.into() }
 }
 
-fn stored(service: &str, number: u64, digest: &str) -> Record {
-    Record::Stored { server: service.into(), number, digest: digest.into(), key: digest.into() }
+fn stored(server: &str, number: u64, digest: &str) -> Record {
+    Record::Stored { server: server.into(), number, digest: digest.into(), key: digest.into() }
 }
 
 fn in_force(number: u64, digest: &str, term: u64) -> Record {
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn each_broken_rule_is_reported_as_its_violation() {
-    let broken: [(Record, Violation); 6] = [
+fn each_violated_rule_is_reported_as_its_violation() {
+    let cases: [(Record, Violation); 6] = [
         (in_force(2, "x", 2), Violation::Forked { number: 2 }),
         (in_force(3, "c", 1), Violation::StaleTermApplied { proxy: "n0".into(), term: 1, seen: 2 }),
         (stored("2", 3, "a"), Violation::PublishedTwice { key: "a".into() }),
@@ -52,7 +52,7 @@
         (in_force(1, "a", 2), Violation::RolledBack { proxy: "n0".into(), from: 2, to: 1 }),
         (acknowledged("c", 2), Violation::OutOfOrder { first: 2, second: 2 }),
     ];
-    for (record, violation) in broken {
+    for (record, violation) in cases {
         let records = [valid_run(), vec![record]].concat();
         assert!(audit(&records).violations.contains(&violation), "{violation:?}: {:?}", audit(&records));
     }
