--- a/crates/two-level/src/forwarder_leases.rs
+++ b/crates/two-level/src/forwarder_leases.rs
@@ -1,4 +1,4 @@
-//! A planner's side of membership: which forwarders it plans for, and under which epoch of each.
+//! The forwarders that a planner plans for, and the epoch under which each of them follows it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 
 use crate::planner_directory::max_forwarders;
 
-/// How long a forwarder obeys a planner after it asked for the planner's lease.
+/// How long a forwarder accepts orders of a planner, from when it requested or renewed the lease.
 pub const LEASE_DURATION: Duration = Duration::from_millis(600);
-/// How often a forwarder renews the lease.
+/// The interval at which a forwarder renews the lease.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(150);
-/// A forwarder that has not renewed for this long is removed, with all that it registered.
+/// How long after its last renewal a forwarder is removed, together with the requests that it registered.
 pub const EXPIRE_AFTER: Duration = Duration::from_secs(3);
 
-/// The response to a forwarder that asks to be planned for.
+/// The response to a forwarder that asks a planner to plan for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttachOutcome {
-    /// The planner plans for it from now on.
+    /// The planner plans for the forwarder from now on.
     Accepted,
-    /// The planner has as many forwarders as it takes.
+    /// The planner already has the most forwarders that it accepts.
     AtCapacity,
-    /// The forwarder itself has moved on to a later epoch: the request was delayed.
+    /// The forwarder has already attached under a later epoch: this request was delayed.
     StaleEpoch,
 }
 
@@ -31,7 +31,7 @@
     last_renewal: Timestamp,
 }
 
-/// The forwarders of one planner.
+/// The forwarders that are attached to one planner.
 #[derive(Clone, Debug)]
 pub struct ForwarderLeases {
     forwarders: BTreeMap<String, Forwarder>,
@@ -39,22 +39,24 @@
 }
 
 impl ForwarderLeases {
-    /// A planner without forwarders, among this many known forwarders and planners.
+    /// Creates the state of a planner without attached forwarders, given the numbers of all known forwarders
+    /// and live planners.
     pub fn new(forwarders: usize, planners: usize) -> Self {
         ForwarderLeases { forwarders: BTreeMap::new(), capacity: max_forwarders(forwarders, planners) }
     }
 
-    /// The number of known forwarders or live planners has changed. No attached forwarder is removed for it.
+    /// Updates the numbers of known forwarders and live planners. Attached forwarders stay, even above the
+    /// new capacity.
     pub fn resize(&mut self, forwarders: usize, planners: usize) {
         self.capacity = max_forwarders(forwarders, planners);
     }
 
-    /// A forwarder asks to be planned for under an epoch of its own.
+    /// Attaches a forwarder that asks to be planned for, under an epoch that the forwarder chose.
     pub fn attach(&mut self, now: Timestamp, forwarder: &str, epoch: u64) -> AttachOutcome {
         let count = self.forwarders.len();
         match self.forwarders.get_mut(forwarder) {
-            Some(known) if epoch < known.epoch => return AttachOutcome::StaleEpoch,
-            Some(known) => *known = Forwarder { epoch, last_renewal: now },
+            Some(attached) if epoch < attached.epoch => return AttachOutcome::StaleEpoch,
+            Some(attached) => *attached = Forwarder { epoch, last_renewal: now },
             None if count >= self.capacity => return AttachOutcome::AtCapacity,
             None => {
                 self.forwarders.insert(forwarder.to_owned(), Forwarder { epoch, last_renewal: now });
@@ -63,20 +65,20 @@
         AttachOutcome::Accepted
     }
 
-    /// A forwarder renews the lease. Returns false if it is not attached under this epoch.
+    /// Renews the lease of a forwarder. Returns false if it is not attached under this epoch.
     pub fn renew(&mut self, now: Timestamp, forwarder: &str, epoch: u64) -> bool {
-        let attached = self.forwarders.get_mut(forwarder).filter(|known| known.epoch == epoch);
-        let Some(known) = attached else { return false };
-        known.last_renewal = now;
+        let attached = self.forwarders.get_mut(forwarder).filter(|attached| attached.epoch == epoch);
+        let Some(attached) = attached else { return false };
+        attached.last_renewal = now;
         true
     }
 
-    /// Whether a forwarder is attached under this epoch, so that what it sends counts.
+    /// Whether a forwarder is attached under this epoch; events of other epochs must be ignored.
     pub fn is_attached(&self, forwarder: &str, epoch: u64) -> bool {
-        self.forwarders.get(forwarder).is_some_and(|known| known.epoch == epoch)
+        self.forwarders.get(forwarder).is_some_and(|attached| attached.epoch == epoch)
     }
 
-    /// A forwarder has left for another planner.
+    /// Detaches a forwarder that follows another planner, if it is attached under this epoch.
     pub fn detach(&mut self, forwarder: &str, epoch: u64) {
         if self.is_attached(forwarder, epoch) {
             self.forwarders.remove(forwarder);
@@ -85,11 +87,11 @@
 
     /// Removes the forwarders that have not renewed for [`EXPIRE_AFTER`], and returns their names.
     pub fn expire(&mut self, now: Timestamp) -> Vec<String> {
-        let expired = |known: &Forwarder| now.duration_since(known.last_renewal) >= EXPIRE_AFTER;
+        let is_expired = |forwarder: &Forwarder| now.duration_since(forwarder.last_renewal) >= EXPIRE_AFTER;
         let names: Vec<String> = self
             .forwarders
             .iter()
-            .filter(|(_, known)| expired(known))
+            .filter(|(_, forwarder)| is_expired(forwarder))
             .map(|(name, _)| name.clone())
             .collect();
         for name in &names {
@@ -98,7 +100,7 @@
         names
     }
 
-    /// How many forwarders are attached.
+    /// Returns the number of attached forwarders.
     pub fn len(&self) -> usize {
         self.forwarders.len()
     }
--- a/crates/two-level/src/lib.rs
+++ b/crates/two-level/src/lib.rs
@@ -1,18 +1,20 @@
 #![forbid(unsafe_code)]
-//! The decisions of a two-level fleet: forwarders that pass bytes, and a few planners that tell them what to do.
+//! The decision logic of a two-level fleet: forwarders relay bytes, and a few planners order which attempts
+//! they make.
 //!
-//! Only a forwarder carries orders out, so it alone decides whose orders count ([`order_guard`]) and which planner it follows
-//! ([`planner_directory`]). A planner leases itself to the forwarders that it plans for ([`forwarder_leases`]). What an
-//! engine or a tenant may use over the whole fleet is divided among planners in leased quotas ([`quota`]).
+//! Only forwarders execute orders, so each forwarder decides itself which orders it accepts ([`order_guard`])
+//! and which planner it follows ([`planner_directory`]). A planner grants a lease to each forwarder that it
+//! plans for ([`forwarder_leases`]). The capacity of an engine or the quota of a tenant over the complete
+//! fleet is divided among the planners in leased quotas ([`quota`]).
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. Readings of clocks are the caller's own, and only durations are
-//! ever exchanged between processes.
+//! The crate does no I/O, reads no clock and starts no thread. Each process passes in readings of its own
+//! clock; only durations are exchanged between processes.
 
 pub mod forwarder_leases;
 pub mod order_guard;
 pub mod planner_directory;
 pub mod quota;
 
-/// A planner, by its configured name.
+/// The configured name of a planner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlannerId(pub String);
--- a/crates/two-level/src/order_guard/message.rs
+++ b/crates/two-level/src/order_guard/message.rs
@@ -1,10 +1,11 @@
-//! What planners order, and what the guard has the forwarder do.
+//! The orders of planners, the actions that the guard returns to the forwarder, and the events that planners
+//! receive.
 
 use std::time::Duration;
 
 use super::request::{Attempt, AttemptState, EngineId, RequestInfo};
 
-/// An order of a planner for one request.
+/// A planner's order for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Order {
     /// Start an attempt.
@@ -13,7 +14,7 @@
         attempt: usize,
         /// The engine to send it to.
         engine: EngineId,
-        /// Its priority.
+        /// The priority of the attempt, 0 to 3.
         priority: u8,
     },
     /// Cancel an attempt.
@@ -26,55 +27,55 @@
         /// The new priority.
         priority: u8,
     },
-    /// Final answer: nothing was done, and the client may retry.
+    /// Respond to the client that the request is rejected and may be retried.
     Reject {
-        /// When the client may retry.
+        /// How long the client must wait before it retries.
         retry_after: Duration,
     },
-    /// Final answer: the request has failed.
+    /// Respond to the client that the request has failed.
     Fail,
 }
 
-/// Why an order is void.
+/// Why the guard rejected an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderRejected {
+pub enum OrderRejectReason {
     /// The forwarder does not follow this planner, or followed it under an earlier epoch.
     Fenced,
     /// The planner's lease has expired.
     LeaseExpired,
-    /// The request is not open, or was not registered with this planner.
+    /// The request is not open, or is not registered with this planner.
     UnknownRequest,
     /// The attempt is not the next one, or not the one in flight.
     OutOfTurn,
-    /// An attempt is in flight.
+    /// Another attempt of the request is in flight.
     AttemptInFlight,
-    /// The request may have run, and its effect does not allow this repeat.
+    /// The request may have run, and its effect does not allow it to run again here.
     NotRepeatable,
-    /// The request has had all its attempts.
+    /// The request has already had the most attempts that it may have.
     AttemptsExhausted,
-    /// The retry budget is used up.
+    /// The retry budget of the forwarder is exhausted.
     RetryBudgetExhausted,
-    /// The engine drains, or is not on the forwarder's list.
+    /// The engine drains, or is not in the forwarder's engine list.
     EngineNotUp,
     /// The request's deadline has passed.
     DeadlineExceeded,
 }
 
-/// The final answer to a client.
+/// The final response to a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
-    /// Served, with the result of the attempt.
+pub enum Response {
+    /// The result of the attempt.
     Served,
-    /// Rejected: nothing was done, or a repeat does no harm.
+    /// A rejection: the request never ran, or may safely run again.
     Rejected {
-        /// When the client may retry.
+        /// How long the client must wait before it retries.
         retry_after: Duration,
     },
-    /// Failed: the request may or may not have run.
+    /// A failure: the request may or may not have run.
     Failed,
 }
 
-/// What the forwarder must do.
+/// An action that the forwarder must execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<Id, T> {
     /// Start an attempt.
@@ -85,10 +86,10 @@
         attempt: usize,
         /// The engine to send it to.
         engine: EngineId,
-        /// Its priority.
+        /// The priority of the attempt, 0 to 3.
         priority: u8,
     },
-    /// Cancel an attempt. Its end must be reported all the same.
+    /// Cancel an attempt. The forwarder must still report the end of the attempt.
     CancelAttempt {
         /// The request.
         id: Id,
@@ -104,12 +105,12 @@
         /// The new priority.
         priority: u8,
     },
-    /// Answer the client.
-    Answer {
+    /// Send the final response to the client.
+    Respond {
         /// The request.
         id: Id,
-        /// The answer.
-        answer: Answer,
+        /// The response.
+        response: Response,
     },
     /// Notify the planner that is followed.
     Notify {
@@ -120,16 +121,16 @@
     },
 }
 
-/// What a planner is notified of.
+/// An event of which the guard notifies a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerEvent<Id, T> {
-    /// A request is open: a new one, or one that another planner had.
+    /// A request is open and registered with this planner: a new one, or one that another planner had.
     Registered {
         /// The request.
         id: Id,
         /// The request as it arrived.
         info: RequestInfo<T>,
-        /// Its attempts so far, in order.
+        /// The attempts so far, in the order of their numbers.
         attempts: Vec<Attempt>,
     },
     /// An attempt has ended.
@@ -138,21 +139,22 @@
         id: Id,
         /// The number of the attempt.
         attempt: usize,
-        /// How it ended.
+        /// The state in which it ended.
         state: AttemptState,
-        /// Whether the request is finished, so that nothing more may be ordered for it.
+        /// Whether the request is finished: later orders for it are rejected.
         finished: bool,
     },
-    /// An order was void.
+    /// An order of this planner was rejected.
     OrderRejected {
         /// The request.
         id: Id,
         /// The order.
         order: Order,
-        /// Why it was void.
-        reason: OrderRejected,
+        /// Why it was rejected.
+        reason: OrderRejectReason,
     },
-    /// The request is finished without an order of this planner: its client disconnected or its deadline passed.
+    /// The request is finished other than by a result: by an order of this planner, by its deadline, or as
+    /// its client disconnected.
     Finished {
         /// The request.
         id: Id,
--- a/crates/two-level/src/order_guard/request.rs
+++ b/crates/two-level/src/order_guard/request.rs
@@ -1,54 +1,54 @@
-//! Requests, their attempts, and the engines that serve them, as a forwarder knows them.
+//! Requests, their attempts and the engines that serve them, as a forwarder knows them.
 
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
 
-/// An engine, by the number that the forwarder's engine list gives it.
+/// The number of an engine in the forwarder's engine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u32);
 
-/// An engine as the forwarder's engine list has it.
+/// The state of an engine in the forwarder's engine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Whether it accepts work; otherwise it drains.
+    /// Whether the engine accepts new attempts; otherwise it drains.
     pub up: bool,
-    /// Its zone.
+    /// The zone of the engine.
     pub zone: u64,
-    /// Its cell.
+    /// The cell of the engine.
     pub cell: u64,
 }
 
-/// Whether running a request twice does harm.
+/// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// It may be repeated.
+    /// It may run any number of times.
     Safe,
-    /// Engines within a scope recognise and drop repeats.
+    /// Engines within a scope recognise and discard repeats for a limited time.
     Deduplicated {
-        /// Which engines.
+        /// The engines that recognise repeats.
         scope: DeduplicationScope,
-        /// For how long, from the first attempt that may have run.
+        /// How long after the start of an attempt its repeats are recognised.
         window: Duration,
     },
     /// It must never run twice.
     Unsafe,
 }
 
-/// Which engines recognise repeats of a request.
+/// The set of engines that recognise repeats of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All.
+    /// All engines.
     All,
-    /// Those of one zone.
+    /// The engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// The engines of one cell.
     Cell,
 }
 
 impl DeduplicationScope {
-    /// Whether an engine recognises a repeat of an attempt at another one, which is `None` if it has gone: nobody knows its
-    /// zone and cell any more.
+    /// Whether the engine `second` recognises a repeat of an attempt on the engine `first`. `first` is `None`
+    /// if it is no longer listed, as its zone and cell are then unknown.
     pub(super) fn covers(self, first: Option<&Engine>, second: &Engine) -> bool {
         match (self, first) {
             (DeduplicationScope::All, _) => true,
@@ -62,48 +62,48 @@
 /// A request as it arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestInfo<T> {
-    /// Whether it may be repeated.
+    /// Whether the request may run twice.
     pub effect: Effect,
-    /// When the final answer is due.
+    /// The time by which the final response must be sent.
     pub deadline: Timestamp,
-    /// How many attempts it may have.
+    /// The most attempts that the request may have.
     pub max_attempts: usize,
-    /// What else a planner needs to know: class, tenant, estimates.
+    /// Further details for planners, as class, tenant and estimates.
     pub details: T,
 }
 
-/// How far an attempt is.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It was started and has not ended.
+    /// The attempt was started and has not ended.
     InFlight,
-    /// It has ended, and is proved never to have run.
+    /// The attempt has ended and is proved never to have run.
     NeverRan,
-    /// It has ended, and has run, may have run, or may still be running.
+    /// The attempt has ended, and it has run, may have run, or may still be running.
     MayHaveRun,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The engine answered.
+    /// The engine sent the result.
     Served,
-    /// It failed, and is proved never to have run.
+    /// The attempt failed and is proved never to have run.
     NeverRan,
-    /// It failed otherwise.
+    /// The attempt failed and may have run.
     MayHaveRun,
 }
 
-/// One attempt, as another planner must know it.
+/// An attempt of a request, as reported to planners.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt {
-    /// The engine that it was sent to.
+    /// The engine to which the attempt was sent.
     pub engine: EngineId,
-    /// When it was started.
+    /// The time at which the attempt was started.
     pub started_at: Timestamp,
-    /// How far it is.
+    /// The state of the attempt.
     pub state: AttemptState,
-    /// Its priority.
+    /// The priority of the attempt, 0 to 3.
     pub priority: u8,
 }
 
@@ -112,28 +112,29 @@
 pub(super) struct Request<T> {
     pub info: RequestInfo<T>,
     pub attempts: Vec<Attempt>,
-    /// It has its final answer, or nobody waits for one.
+    /// Whether the final response was sent or the client has disconnected.
     pub finished: bool,
-    /// The epoch under which it was last registered with a planner; 0 before the first time.
+    /// The epoch under which the request was last registered with a planner; 0 if it never was.
     pub registered_epoch: u64,
 }
 
 impl<T> Request<T> {
-    /// The number of the attempt that is in flight.
+    /// Returns the number of the attempt in flight; `None` if there is none.
     pub fn in_flight(&self) -> Option<usize> {
         self.attempts.iter().position(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Attempts that are not proved never to have run.
+    /// Returns the attempts that are not proved never to have run.
     pub fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
+    /// Whether any attempt is not proved never to have run.
     pub fn may_have_run(&self) -> bool {
         self.possible_runs().next().is_some()
     }
 
-    /// Whether the client may be invited to send the request again.
+    /// Whether the request may be rejected, so that the client may retry it on any engine.
     pub fn is_rejectable(&self) -> bool {
         match self.info.effect {
             Effect::Safe | Effect::Deduplicated { scope: DeduplicationScope::All, .. } => true,
--- a/crates/two-level/src/order_guard/retry_budget.rs
+++ b/crates/two-level/src/order_guard/retry_budget.rs
@@ -1,22 +1,22 @@
-//! The budget of retries over all requests of a forwarder.
+//! The retry budget of a forwarder over all its requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
 
-/// How many retries a forwarder may make.
+/// The number of retries that a forwarder may make in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries that are allowed in any window, however few requests arrive.
+    /// Retries that are allowed regardless of the number of requests.
     pub base: f64,
-    /// Retries that are allowed for each request that arrived in the window.
+    /// Additional retries that are allowed for each request that arrived in the window.
     pub ratio: f64,
     /// The length of the window.
     pub window: Duration,
 }
 
-/// Counts requests and retries within the window. Without settings any number of retries is allowed.
+/// The requests and retries within the window. Without settings any number of retries is allowed.
 #[derive(Clone, Debug)]
 pub(super) struct RetryBudget {
     settings: Option<RetryBudgetSettings>,
@@ -39,13 +39,14 @@
         self.retries.push_back(now);
     }
 
-    /// Whether one more retry is allowed.
+    /// Whether one more retry is allowed at this time.
     pub fn is_available(&self, now: Timestamp) -> bool {
         let Some(RetryBudgetSettings { base, ratio, window }) = self.settings else { return true };
-        let within = |times: &VecDeque<Timestamp>| {
+        let count_in_window = |times: &VecDeque<Timestamp>| {
             times.iter().filter(|at| now.duration_since(**at) <= window).count() as f64
         };
-        within(&self.retries) + 1.0 <= base + ratio * within(&self.requests)
+        let allowed = base + ratio * count_in_window(&self.requests);
+        count_in_window(&self.retries) + 1.0 <= allowed
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
--- a/crates/two-level/tests/fleet/engines.rs
+++ b/crates/two-level/tests/fleet/engines.rs
@@ -1,4 +1,4 @@
-//! Engines and what runs on them.
+//! The simulated engines and the attempts that run on them.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,25 @@
 use gaugestep_two_level::order_guard::{AttemptEnd, EngineId};
 
 use crate::simulation::{
-    AttemptKey, Details, Event, FORWARDERS, ForwarderLife, Simulation, engine_name, forwarder_name,
+    AttemptKey, Details, Event, FORWARDERS, ForwarderIncarnation, Simulation, engine_name, forwarder_name,
 };
 
 /// Milliseconds after which a forwarder learns that an attempt was rejected.
-const REJECTED_DELAY: f64 = 1.0;
+const REJECTED_DELAY_MS: f64 = 1.0;
 /// Milliseconds after which a forwarder learns that an attempt was cancelled.
-const CANCELLED_DELAY: f64 = 0.5;
-/// Milliseconds that a check comes after the completion, which a rounding error must not move past it.
-const CHECK_DELAY: f64 = 0.01;
-/// Table sets that queries use.
-const SETS: u64 = 60;
+const CANCELLED_DELAY_MS: f64 = 0.5;
+/// Milliseconds from a completion to the check for it, so that a rounding error cannot move the check before
+/// the completion.
+const CHECK_DELAY_MS: f64 = 0.01;
+/// The number of data sets that queries use.
+const DATA_SETS: u64 = 60;
 
 pub struct SimulatedEngine {
     pub model: EngineModel<AttemptKey>,
     pub phase: Phase,
-    /// Whose attempts run there.
-    pub running: BTreeMap<AttemptKey, ForwarderLife>,
-    /// Increases with each change, so that checks of an earlier state are void.
+    /// The attempts that run on the engine, and the forwarders that sent them.
+    pub running: BTreeMap<AttemptKey, ForwarderIncarnation>,
+    /// Incremented with each change of the model, so that checks scheduled for an earlier state are ignored.
     pub change: u64,
 }
 
@@ -39,17 +40,18 @@
         self.announce(engine, Phase::Serving, warm && self.now == 0.0);
     }
 
-    /// Lets all forwarders learn of the phase of an engine, each in its own time.
+    /// Announces the phase of an engine to all forwarders, to each with a delay of its own unless `at_once`.
     pub fn announce(&mut self, engine: EngineId, phase: Phase, at_once: bool) {
         for forwarder in 0..FORWARDERS {
             let delay = if at_once { 0.0 } else { self.between(1.0, 1_500.0) };
-            let at = self.life(forwarder);
-            self.after(delay, Event::EngineListed { at, engine, phase });
+            let to = self.incarnation(forwarder);
+            self.schedule(delay, Event::EngineListed { to, engine, phase });
         }
     }
 
-    fn report(&mut self, delay: f64, at: ForwarderLife, attempt: AttemptKey, end: AttemptEnd) {
-        self.after(delay, Event::AttemptEnds { at, attempt, end });
+    /// Reports the end of an attempt to its forwarder after a delay in milliseconds.
+    fn report(&mut self, delay: f64, to: ForwarderIncarnation, attempt: AttemptKey, end: AttemptEnd) {
+        self.schedule(delay, Event::AttemptEnds { to, attempt, end });
     }
 
     pub fn record_end(&mut self, engine: EngineId, attempt: &AttemptKey, outcome: AttemptOutcome) {
@@ -60,27 +62,27 @@
     pub fn on_attempt_at_engine(
         &mut self,
         engine: EngineId,
-        from: ForwarderLife,
+        from: ForwarderIncarnation,
         attempt: AttemptKey,
         details: Details,
     ) {
-        let set = self.random.rand_range(0..SETS);
-        let Some(there) = self.engines.get_mut(&engine) else {
-            return self.report(REJECTED_DELAY, from, attempt, AttemptEnd::NeverRan);
+        let data_set = self.random.rand_range(0..DATA_SETS);
+        let Some(simulated) = self.engines.get_mut(&engine) else {
+            return self.report(REJECTED_DELAY_MS, from, attempt, AttemptEnd::NeverRan);
         };
         let Details { class, work } = details;
         let query = Query {
             work,
             threads: 1.0,
-            data_set: set,
+            data_set,
             is_load: class == "load",
             waits_for_loads: false,
             priority: 1,
         };
-        let accepted = there.model.submit(self.now, attempt.clone(), query);
-        there.change += 1;
+        let accepted = simulated.model.submit(self.now, attempt.clone(), query);
+        simulated.change += 1;
         if accepted {
-            there.running.insert(attempt.clone(), from);
+            simulated.running.insert(attempt.clone(), from);
         }
         self.records.push(Record::AttemptStarted {
             at: self.now,
@@ -91,32 +93,32 @@
         });
         if !accepted {
             self.record_end(engine, &attempt, AttemptOutcome::Rejected);
-            self.report(REJECTED_DELAY, from, attempt, AttemptEnd::NeverRan);
+            self.report(REJECTED_DELAY_MS, from, attempt, AttemptEnd::NeverRan);
         }
         self.collect_completed(engine);
     }
 
     pub fn on_cancel_at_engine(&mut self, engine: EngineId, attempt: &AttemptKey) {
-        let Some(there) = self.engines.get_mut(&engine) else { return };
-        there.change += 1;
-        if there.model.cancel(self.now, attempt) {
-            let from = there.running.remove(attempt).expect("a running attempt has a forwarder");
+        let Some(simulated) = self.engines.get_mut(&engine) else { return };
+        simulated.change += 1;
+        if simulated.model.cancel(self.now, attempt) {
+            let from = simulated.running.remove(attempt).expect("a running attempt has a forwarder");
             self.record_end(engine, attempt, AttemptOutcome::Cancelled);
-            self.report(CANCELLED_DELAY, from, attempt.clone(), AttemptEnd::MayHaveRun);
+            self.report(CANCELLED_DELAY_MS, from, attempt.clone(), AttemptEnd::MayHaveRun);
         }
         self.collect_completed(engine);
     }
 
-    /// Reports what has completed, and schedules a check at the next completion.
+    /// Reports the attempts that have completed, and schedules a check at the next completion.
     pub fn collect_completed(&mut self, engine: EngineId) {
-        let Some(there) = self.engines.get_mut(&engine) else { return };
-        let completed = there.model.take_completed(self.now);
-        let next = there.model.next_completion();
-        there.change += 1;
-        let change = there.change;
+        let Some(simulated) = self.engines.get_mut(&engine) else { return };
+        let completed = simulated.model.take_completed(self.now);
+        let next = simulated.model.next_completion();
+        simulated.change += 1;
+        let change = simulated.change;
         for (_, attempt) in completed {
-            let there = self.engines.get_mut(&engine).expect("engines are removed by faults only");
-            let Some(from) = there.running.remove(&attempt) else { continue };
+            let simulated = self.engines.get_mut(&engine).expect("engines are removed by faults only");
+            let Some(from) = simulated.running.remove(&attempt) else { continue };
             let (outcome, end) = match self.one_in(60) {
                 true => (AttemptOutcome::Failed, AttemptEnd::MayHaveRun),
                 false => (AttemptOutcome::Served, AttemptEnd::Served),
@@ -126,8 +128,8 @@
             self.report(delay, from, attempt, end);
         }
         if let Some((at, _)) = next {
-            let wait = (at - self.now).max(CHECK_DELAY) + CHECK_DELAY;
-            self.after(wait, Event::EngineCheck { engine, change });
+            let wait = (at - self.now).max(CHECK_DELAY_MS) + CHECK_DELAY_MS;
+            self.schedule(wait, Event::EngineCheck { engine, change });
         }
     }
 }
--- a/crates/two-level/tests/fleet/faults.rs
+++ b/crates/two-level/tests/fleet/faults.rs
@@ -1,24 +1,25 @@
-//! Faults: planners and forwarders die or are suspended, links are cut, engines drain and die.
+//! Injected faults: planners and forwarders are killed, planners are suspended, links are cut, engines drain
+//! and die.
 
 use gaugestep_testbed::record::{AttemptOutcome, Phase, Record};
 use gaugestep_two_level::order_guard::{AttemptEnd, EngineId};
 
 use crate::forwarder::Forwarder;
-use crate::simulation::{Event, FORWARDERS, PLANNERS, Simulation, TRAFFIC_END, forwarder_name};
+use crate::simulation::{Event, FORWARDERS, PLANNERS, Simulation, TRAFFIC_END_MS, forwarder_name};
 
-/// Engines that always keep serving.
+/// The least number of engines that keep serving.
 const MIN_SERVING: usize = 2;
 /// Milliseconds after which a forwarder learns that an engine died.
-const BROKEN_DELAY: f64 = 1.0;
+const BROKEN_DELAY_MS: f64 = 1.0;
 
 impl Simulation {
     pub fn on_fault(&mut self) {
-        if self.now >= TRAFFIC_END {
+        if self.now >= TRAFFIC_END_MS {
             return;
         }
         self.counters.faults += 1;
         let wait = self.between(50.0, 900.0);
-        self.after(wait, Event::Fault);
+        self.schedule(wait, Event::Fault);
         let planner = self.pick(PLANNERS);
         let forwarder = self.pick(FORWARDERS);
         match self.random.rand_range(0..10) {
@@ -43,56 +44,57 @@
         self.planners[planner].restart_at(self.now + duration);
     }
 
-    /// A forwarder dies and restarts at once.
+    /// Kills a forwarder, which restarts at once.
     fn kill_forwarder(&mut self, forwarder: usize) {
         let (at, via) = (self.now, forwarder_name(forwarder));
         self.records.push(Record::ForwarderKilled { at, via });
-        let life = self.forwarders[forwarder].life + 1;
-        let dead = std::mem::replace(&mut self.forwarders[forwarder], Forwarder::new(forwarder, life));
-        // Its connections are closed: engines cancel what they ran for it.
-        for (attempt, engine) in dead.in_flight {
-            let Some(there) = self.engines.get_mut(&engine) else { continue };
-            there.change += 1;
-            if there.model.cancel(self.now, &attempt) {
-                there.running.remove(&attempt);
+        let incarnation = self.forwarders[forwarder].incarnation + 1;
+        let killed =
+            std::mem::replace(&mut self.forwarders[forwarder], Forwarder::new(forwarder, incarnation));
+        // Its connections are closed, so the engines cancel its attempts.
+        for (attempt, engine) in killed.in_flight {
+            let Some(simulated) = self.engines.get_mut(&engine) else { continue };
+            simulated.change += 1;
+            if simulated.model.cancel(self.now, &attempt) {
+                simulated.running.remove(&attempt);
                 self.record_end(engine, &attempt, AttemptOutcome::Cancelled);
             }
             self.collect_completed(engine);
         }
-        // It reads the present engine list.
+        // The restarted forwarder reads the current engine list.
         let list: Vec<(EngineId, Phase)> =
-            self.engines.iter().map(|(engine, there)| (*engine, there.phase)).collect();
+            self.engines.iter().map(|(engine, simulated)| (*engine, simulated.phase)).collect();
         for (engine, phase) in list {
             self.on_engine_listed(forwarder, engine, phase);
         }
     }
 
-    /// An engine drains, and its successor starts under a new id.
+    /// Drains an engine, and starts its successor under a new id.
     fn replace_engine(&mut self) {
         let serving: Vec<EngineId> = self.engines_in(Phase::Serving).collect();
         if serving.len() <= MIN_SERVING {
             return;
         }
         let engine = serving[self.pick(serving.len())];
-        let there = self.engines.get_mut(&engine).expect("it was found among the engines");
-        there.phase = Phase::Draining;
+        let simulated = self.engines.get_mut(&engine).expect("the engine was selected from the list");
+        simulated.phase = Phase::Draining;
         self.announce(engine, Phase::Draining, false);
         self.start_engine(false);
     }
 
-    /// A draining engine dies with all that runs on it.
+    /// Kills a draining engine, which breaks the attempts that run on it.
     fn kill_draining_engine(&mut self) {
         let Some(engine) = self.engines_in(Phase::Draining).next() else { return };
-        let there = self.engines.remove(&engine).expect("it was found among the engines");
-        for (attempt, at) in there.running {
+        let simulated = self.engines.remove(&engine).expect("the engine was selected from the list");
+        for (attempt, to) in simulated.running {
             self.record_end(engine, &attempt, AttemptOutcome::Broken);
-            self.after(BROKEN_DELAY, Event::AttemptEnds { at, attempt, end: AttemptEnd::MayHaveRun });
+            self.schedule(BROKEN_DELAY_MS, Event::AttemptEnds { to, attempt, end: AttemptEnd::MayHaveRun });
         }
         self.announce(engine, Phase::Gone, false);
     }
 
     fn engines_in(&self, phase: Phase) -> impl Iterator<Item = EngineId> {
-        let found = self.engines.iter().filter(move |(_, there)| there.phase == phase);
-        found.map(|(engine, _)| *engine)
+        let in_phase = self.engines.iter().filter(move |(_, simulated)| simulated.phase == phase);
+        in_phase.map(|(engine, _)| *engine)
     }
 }
--- a/crates/two-level/tests/fleet/main.rs
+++ b/crates/two-level/tests/fleet/main.rs
@@ -1,9 +1,10 @@
-//! Ten forwarders, three planners and six engines in simulated time, with planners that are killed, suspended and cut off,
-//! engines that drain, die and return under new ids, and messages that are delayed, duplicated and lost, all from a seed.
-//! Every request is then audited from the records of the clients and the engines.
+//! Simulates ten forwarders, three planners and six engines in simulated time. From a seed, planners are
+//! killed, suspended and cut off, engines drain, die and are replaced under new ids, and messages are
+//! delayed, duplicated and lost. Every request is then audited from the records of the clients and the
+//! engines.
 //!
-//! The planners here follow a simple policy with a random element: the rules must hold whatever they order. How good their
-//! plans are is not what this test is about.
+//! The planners follow a simple policy with a random element, as the rules must hold whatever they order. The
+//! quality of their plans is not tested.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -20,7 +21,7 @@
 
 use simulation::{Counters, Simulation};
 
-/// Fleets that are played, one for each seed.
+/// The number of fleets that are simulated, one for each seed.
 const FLEETS: u64 = 200;
 
 fn rules(retry_budget: RetryBudgetSettings) -> Rules {
@@ -33,12 +34,12 @@
         drain_grace_ms: 250.0,
         retry_budget: Some(audit::RetryBudget { base, ratio, window_ms: window.as_secs_f64() * 1e3 }),
         slow_start: None,
-        // The guard counts by its own clock, the engines see attempts up to a millisecond later.
+        // The guard counts attempts by its own clock, and the engines receive them up to a millisecond later.
         clock_skew_ms: 2.0,
     }
 }
 
-/// What one fleet showed.
+/// The result of one simulated fleet.
 struct Outcome {
     violations: Vec<String>,
     requested: usize,
@@ -46,7 +47,8 @@
     counters: Counters,
 }
 
-fn play(seed: u64) -> Outcome {
+/// Simulates the fleet of a seed and audits its records.
+fn simulate(seed: u64) -> Outcome {
     const VIOLATIONS_SHOWN: usize = 5;
     let simulation = Simulation::new(seed).run();
     let (violations, counts) = audit(&simulation.records, &rules(forwarder::RETRY_BUDGET));
@@ -59,23 +61,23 @@
     }
 }
 
-/// Plays all fleets on as many threads as there are cores.
-fn play_all() -> Vec<Outcome> {
+/// Simulates all fleets, on as many threads as there are cores.
+fn simulate_all() -> Vec<Outcome> {
     let threads = std::thread::available_parallelism().map_or(2, usize::from) as u64;
-    let play_every = |first: u64| {
+    let simulate_from = |first: u64| {
         let seeds = (first..FLEETS).step_by(threads as usize);
-        seeds.map(play).collect::<Vec<Outcome>>()
+        seeds.map(simulate).collect::<Vec<Outcome>>()
     };
     std::thread::scope(|scope| {
-        let running: Vec<_> = (0..threads).map(|first| scope.spawn(move || play_every(first))).collect();
+        let running: Vec<_> = (0..threads).map(|first| scope.spawn(move || simulate_from(first))).collect();
         running.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
     })
 }
 
 #[test]
-fn two_hundred_fleets_with_failing_planners_keep_every_rule() {
+fn two_hundred_fleets_with_failing_planners_violate_no_rule() {
     const { assert!(EXPIRE_AFTER.as_nanos() > LEASE_DURATION.as_nanos()) };
-    let outcomes = play_all();
+    let outcomes = simulate_all();
     let violations: Vec<&String> = outcomes.iter().flat_map(|outcome| &outcome.violations).collect();
     assert!(violations.is_empty(), "{violations:#?}");
     let requested: usize = outcomes.iter().map(|outcome| outcome.requested).sum();
@@ -83,19 +85,21 @@
     let sum = |counter: fn(&Counters) -> u32| -> u32 {
         outcomes.iter().map(|outcome| counter(&outcome.counters)).sum()
     };
-    let (faults, rejected_orders) = (sum(|it| it.faults), sum(|it| it.rejected_orders));
-    let (hand_overs, alone) = (sum(|it| it.hand_overs), sum(|it| it.alone));
+    let faults = sum(|counters| counters.faults);
+    let rejected_orders = sum(|counters| counters.rejected_orders);
+    let hand_overs = sum(|counters| counters.hand_overs);
+    let standalone = sum(|counters| counters.standalone);
     println!(
         "{requested} requested, {served} served, {faults} faults, {rejected_orders} rejected orders, \
-         {hand_overs} hand-overs, {alone} times alone"
+         {hand_overs} hand-overs, {standalone} times without a planner"
     );
-    // The faults have the intended effects, and most requests are served all the same.
-    assert!(faults > 2_000 && rejected_orders > 1_000 && hand_overs > 4_000 && alone > 100);
+    // The faults must have the intended effects, and most requests must still be served.
+    assert!(faults > 2_000 && rejected_orders > 1_000 && hand_overs > 4_000 && standalone > 100);
     assert!(served * 10 > requested * 8, "{served} of {requested}");
 }
 
 #[test]
-fn a_seed_replays_to_the_byte() {
+fn a_seed_yields_the_same_records_byte_for_byte() {
     let records = |seed| record::write(&Simulation::new(seed).run().records);
     assert_eq!(records(7), records(7));
     assert_ne!(records(7), records(8));
--- a/crates/two-level/tests/fleet/planner.rs
+++ b/crates/two-level/tests/fleet/planner.rs
@@ -1,4 +1,4 @@
-//! Planners with a simple policy that has a random element.
+//! The simulated planners, whose simple policy has a random element.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
     forwarder_number,
 };
 
-/// Milliseconds between two ticks.
-const TICK: f64 = 5.0;
-/// Attempts that a planner orders for one request.
+/// Milliseconds between two ticks of a planner.
+const TICK_MS: f64 = 5.0;
+/// The most attempts that a planner orders for one request.
 const MAX_ATTEMPTS: usize = 4;
 
-/// A request as one epoch of one forwarder registered it.
+/// A request that a forwarder registered under an epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     forwarder: usize,
@@ -25,7 +25,7 @@
     id: Id,
 }
 
-/// What a planner knows of one request.
+/// The state of a request as the planner knows it.
 struct PlannedRequest {
     info: RequestInfo<Details>,
     attempts: Vec<Attempt>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// An attempt was not started after all.
+    /// Removes an attempt that was not started, as the forwarder rejected the order.
     fn on_start_rejected(&mut self, attempt: usize) {
         if self.in_flight == Some(attempt) && attempt + 1 == self.attempts.len() {
             self.in_flight = None;
@@ -50,9 +50,9 @@
 }
 
 pub struct Planner {
-    pub life: u64,
+    pub incarnation: u64,
     pub dead_until: f64,
-    /// Messages are delivered when it resumes.
+    /// Messages that arrive before this time are delivered at it.
     pub suspended_until: f64,
     leases: ForwarderLeases,
     requests: BTreeMap<RequestKey, PlannedRequest>,
@@ -61,7 +61,7 @@
 impl Planner {
     pub fn new() -> Self {
         Planner {
-            life: 0,
+            incarnation: 0,
             dead_until: 0.0,
             suspended_until: 0.0,
             leases: ForwarderLeases::new(FORWARDERS, PLANNERS),
@@ -69,9 +69,9 @@
         }
     }
 
-    /// It dies, and another life begins at this time.
+    /// Kills the planner, which restarts at this time.
     pub fn restart_at(&mut self, restart: f64) {
-        *self = Planner { life: self.life + 1, dead_until: restart, ..Planner::new() };
+        *self = Planner { incarnation: self.incarnation + 1, dead_until: restart, ..Planner::new() };
     }
 
     fn on_event(&mut self, forwarder: usize, epoch: u64, event: PlannerEvent<Id, Details>) {
@@ -105,38 +105,38 @@
 impl Simulation {
     pub fn on_forwarder_message(&mut self, planner: usize, forwarder: usize, message: ForwarderMessage) {
         let now = self.clock();
-        let here = &mut self.planners[planner];
+        let state = &mut self.planners[planner];
         let name = forwarder_name(forwarder);
         match message {
             ForwarderMessage::Attach { epoch, requested_at } => {
-                let outcome = here.leases.attach(now, &name, epoch);
+                let outcome = state.leases.attach(now, &name, epoch);
                 let response = PlannerMessage::Attached { epoch, requested_at, outcome };
                 self.send_to_forwarder(planner, forwarder, response);
             }
             ForwarderMessage::Renew { epoch, requested_at } => {
-                if here.leases.renew(now, &name, epoch) {
+                if state.leases.renew(now, &name, epoch) {
                     let response = PlannerMessage::Renewed { epoch, requested_at };
                     self.send_to_forwarder(planner, forwarder, response);
                 }
             }
-            ForwarderMessage::Detach { epoch } => here.leases.detach(&name, epoch),
-            ForwarderMessage::Event { epoch, event } => here.on_event(forwarder, epoch, event),
+            ForwarderMessage::Detach { epoch } => state.leases.detach(&name, epoch),
+            ForwarderMessage::Event { epoch, event } => state.on_event(forwarder, epoch, event),
         }
     }
 
     pub fn on_planner_tick(&mut self, planner: usize) {
-        self.after(TICK, Event::PlannerTick { planner });
+        self.schedule(TICK_MS, Event::PlannerTick { planner });
         let clock = self.clock();
-        let here = &mut self.planners[planner];
-        if self.now < here.dead_until || self.now < here.suspended_until {
+        let state = &mut self.planners[planner];
+        if self.now < state.dead_until || self.now < state.suspended_until {
             return;
         }
-        for name in here.leases.expire(clock) {
+        for name in state.leases.expire(clock) {
             let expired = forwarder_number(&name);
-            here.requests.retain(|key, _| key.forwarder != expired);
+            state.requests.retain(|key, _| key.forwarder != expired);
         }
-        let keys: Vec<RequestKey> = here.requests.keys().cloned().collect();
-        // A planner's engine list is out of date too: it may order for engines that drain or have gone.
+        let keys: Vec<RequestKey> = state.requests.keys().cloned().collect();
+        // The planner also knows draining engines, and an engine may be gone when the order arrives.
         let engines: Vec<EngineId> = self.engines.keys().copied().collect();
         for key in keys {
             if let Some(order) = self.choose_order(planner, &key, &engines) {
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Nine in ten requests are sent at once; a few are cancelled, rejected or failed at random.
+    /// Chooses an order for a request at random: nine in ten requests without an attempt in flight are sent,
+    /// and a few are rejected or failed; a few attempts are cancelled.
     fn choose_order(&mut self, planner: usize, key: &RequestKey, engines: &[EngineId]) -> Option<Order> {
         let per_mille = self.random.rand_range(0..1_000);
         let engine = engines[self.pick(engines.len())];
@@ -168,7 +169,7 @@
             Some(attempt) if per_mille < 5 && request.info.effect == Effect::Safe => {
                 Some(Order::CancelAttempt { attempt })
             }
-            // A confused planner starts another attempt while one is in flight.
+            // A faulty planner orders another attempt while one is in flight.
             Some(_) if per_mille > 997 => Some(start),
             _ => None,
         }
--- a/crates/two-level/tests/fleet/simulation.rs
+++ b/crates/two-level/tests/fleet/simulation.rs
@@ -16,25 +16,25 @@
 pub const FORWARDERS: usize = 10;
 pub const PLANNERS: usize = 3;
 pub const ENGINES: usize = 6;
-/// Simulated milliseconds in which requests arrive, and faults happen.
-pub const TRAFFIC_END: f64 = 12_000.0;
-/// Simulated milliseconds after which everything must be finished.
-const END: f64 = 20_000.0;
+/// The simulated time, in milliseconds, until which requests arrive and faults occur.
+pub const TRAFFIC_END_MS: f64 = 12_000.0;
+/// The simulated time, in milliseconds, at which the simulation ends and all requests must be finished.
+const END_MS: f64 = 20_000.0;
 
 pub type Id = String;
 
-/// What a planner knows of a request.
+/// The details of a request that planners receive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Details {
     pub class: &'static str,
     pub work: f64,
 }
 
-/// One life of a forwarder: what was meant for an earlier one does not reach it.
+/// An incarnation of a forwarder, between two restarts. Messages to an earlier incarnation do not reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ForwarderLife {
+pub struct ForwarderIncarnation {
     pub forwarder: usize,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// One attempt of a request.
@@ -44,7 +44,7 @@
     pub attempt: usize,
 }
 
-/// From a forwarder to a planner.
+/// A message from a forwarder to a planner.
 #[derive(Clone, Debug)]
 pub enum ForwarderMessage {
     Attach { epoch: u64, requested_at: Timestamp },
@@ -53,7 +53,7 @@
     Event { epoch: u64, event: PlannerEvent<Id, Details> },
 }
 
-/// From a planner to a forwarder.
+/// A message from a planner to a forwarder.
 #[derive(Clone, Debug)]
 pub enum PlannerMessage {
     Attached { epoch: u64, requested_at: Timestamp, outcome: AttachOutcome },
@@ -65,34 +65,34 @@
 pub enum Event {
     MessageToPlanner {
         planner: usize,
-        life: u64,
+        incarnation: u64,
         from: usize,
         message: ForwarderMessage,
     },
     MessageToForwarder {
-        to: ForwarderLife,
+        to: ForwarderIncarnation,
         from: usize,
         message: PlannerMessage,
     },
-    /// A client's next request at a forwarder.
+    /// The next request of a client arrives at a forwarder.
     RequestArrives {
         forwarder: usize,
     },
     ClientDisconnects {
-        from: ForwarderLife,
+        from: ForwarderIncarnation,
         id: Id,
     },
     /// The forwarder checks its deadlines and leases.
     ForwarderTick {
         forwarder: usize,
     },
-    /// The planner looks at its requests.
+    /// The planner gives orders for its requests.
     PlannerTick {
         planner: usize,
     },
     AttemptReachesEngine {
         engine: EngineId,
-        from: ForwarderLife,
+        from: ForwarderIncarnation,
         attempt: AttemptKey,
         details: Details,
     },
@@ -107,41 +107,41 @@
     },
     /// The end of an attempt reaches its forwarder.
     AttemptEnds {
-        at: ForwarderLife,
+        to: ForwarderIncarnation,
         attempt: AttemptKey,
         end: AttemptEnd,
     },
     /// A forwarder learns of the phase of an engine.
     EngineListed {
-        at: ForwarderLife,
+        to: ForwarderIncarnation,
         engine: EngineId,
         phase: Phase,
     },
     Fault,
 }
 
-/// How often things happened.
+/// Counts of events over a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
     pub faults: u32,
     pub rejected_orders: u32,
     pub hand_overs: u32,
-    /// How often a forwarder went on without a planner.
-    pub alone: u32,
+    /// How often a forwarder began to use its own policy.
+    pub standalone: u32,
 }
 
 pub struct Simulation {
-    /// Milliseconds.
+    /// The simulated time in milliseconds.
     pub now: f64,
     pub random: oorandom::Rand64,
-    /// By microsecond, and by number within one.
+    /// The scheduled events by time in microseconds, then by the order in which they were scheduled.
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     pub forwarders: Vec<Forwarder>,
     pub planners: Vec<Planner>,
     pub engines: BTreeMap<EngineId, SimulatedEngine>,
     pub next_engine: u32,
-    /// Until when a forwarder and a planner cannot reach each other.
+    /// The time until which a forwarder (named first) and a planner cannot reach each other.
     pub cut_until: BTreeMap<(usize, usize), f64>,
     pub records: Vec<Record>,
     pub counters: Counters,
@@ -187,22 +187,22 @@
         }
         for forwarder in 0..FORWARDERS {
             let wait = simulation.between(0.0, 100.0);
-            simulation.after(wait, Event::RequestArrives { forwarder });
-            simulation.after(0.0, Event::ForwarderTick { forwarder });
+            simulation.schedule(wait, Event::RequestArrives { forwarder });
+            simulation.schedule(0.0, Event::ForwarderTick { forwarder });
         }
         for planner in 0..PLANNERS {
-            simulation.after(0.0, Event::PlannerTick { planner });
+            simulation.schedule(0.0, Event::PlannerTick { planner });
         }
         let wait = simulation.between(300.0, 1_500.0);
-        simulation.after(wait, Event::Fault);
+        simulation.schedule(wait, Event::Fault);
         simulation
     }
 
-    /// Plays all events until [`END`].
+    /// Handles all events until [`END_MS`].
     pub fn run(mut self) -> Self {
         while let Some(((micros, _), event)) = self.events.pop_first() {
             self.now = micros as f64 / 1e3;
-            if self.now > END {
+            if self.now > END_MS {
                 break;
             }
             self.handle(event);
@@ -210,50 +210,55 @@
         self
     }
 
-    /// The time as forwarders and planners read it.
+    /// Returns the simulated time as forwarders and planners read it.
     pub fn clock(&self) -> Timestamp {
         Timestamp::ORIGIN + Duration::from_micros((self.now * 1e3).round() as u64)
     }
 
-    pub fn between(&mut self, least: f64, most: f64) -> f64 {
-        least + (most - least) * self.random.rand_float()
+    /// Draws a number between two bounds.
+    pub fn between(&mut self, min: f64, max: f64) -> f64 {
+        min + (max - min) * self.random.rand_float()
     }
 
+    /// Draws true with a probability of one in `count`.
     pub fn one_in(&mut self, count: u64) -> bool {
         self.random.rand_range(0..count) == 0
     }
 
+    /// Draws an index below `count`.
     pub fn pick(&mut self, count: usize) -> usize {
         self.random.rand_range(0..count as u64) as usize
     }
 
-    pub fn after(&mut self, wait: f64, event: Event) {
+    /// Schedules an event `wait` milliseconds from now.
+    pub fn schedule(&mut self, wait: f64, event: Event) {
         self.next_event += 1;
-        // Whole microseconds, so that the order of events does not depend on rounding; rounded up, so that no wait is short.
+        // Times are integral microseconds, so that the order of events does not depend on rounding. They are
+        // rounded up, so that no wait is too short.
         let micros = ((self.now + wait.max(0.0)) * 1e3).ceil() as u64;
         self.events.insert((micros, self.next_event), event);
     }
 
-    pub fn life(&self, forwarder: usize) -> ForwarderLife {
-        ForwarderLife { forwarder, life: self.forwarders[forwarder].life }
+    pub fn incarnation(&self, forwarder: usize) -> ForwarderIncarnation {
+        ForwarderIncarnation { forwarder, incarnation: self.forwarders[forwarder].incarnation }
     }
 
-    pub fn is_current(&self, life: ForwarderLife) -> bool {
-        self.life(life.forwarder) == life
+    pub fn is_current(&self, incarnation: ForwarderIncarnation) -> bool {
+        self.incarnation(incarnation.forwarder) == incarnation
     }
 
     pub fn send_to_planner(&mut self, forwarder: usize, planner: usize, message: ForwarderMessage) {
-        let life = self.planners[planner].life;
-        let event = Event::MessageToPlanner { planner, life, from: forwarder, message };
+        let incarnation = self.planners[planner].incarnation;
+        let event = Event::MessageToPlanner { planner, incarnation, from: forwarder, message };
         self.transmit(forwarder, planner, &event);
     }
 
     pub fn send_to_forwarder(&mut self, planner: usize, forwarder: usize, message: PlannerMessage) {
-        let event = Event::MessageToForwarder { to: self.life(forwarder), from: planner, message };
+        let event = Event::MessageToForwarder { to: self.incarnation(forwarder), from: planner, message };
         self.transmit(forwarder, planner, &event);
     }
 
-    /// Delivers a message between a forwarder and a planner, unless it is lost; now and then twice.
+    /// Delivers a message between a forwarder and a planner. Some messages are lost, and some are duplicated.
     fn transmit(&mut self, forwarder: usize, planner: usize, event: &Event) {
         let cut = self.cut_until.get(&(forwarder, planner)).is_some_and(|until| self.now < *until);
         if cut || self.one_in(400) {
@@ -261,16 +266,16 @@
         }
         let copies = if self.one_in(50) { 2 } else { 1 };
         for _ in 0..copies {
-            // Now and then a message is delayed, and overtaken.
+            // Some messages are delayed, so that later ones overtake them.
             let delay = if self.one_in(40) { self.between(5.0, 400.0) } else { self.between(0.2, 3.0) };
-            self.after(delay, event.clone());
+            self.schedule(delay, event.clone());
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::MessageToPlanner { planner, life, from, message } => {
-                self.deliver_to_planner(planner, life, from, message);
+            Event::MessageToPlanner { planner, incarnation, from, message } => {
+                self.deliver_to_planner(planner, incarnation, from, message);
             }
             Event::MessageToForwarder { to, from, message } if self.is_current(to) => {
                 self.on_planner_message(to.forwarder, from, message);
@@ -281,7 +286,7 @@
             }
             Event::ForwarderTick { forwarder } => self.on_forwarder_tick(forwarder),
             Event::PlannerTick { planner } => self.on_planner_tick(planner),
-            // A connection is closed when its forwarder dies: the attempt does not arrive.
+            // An attempt of a killed forwarder does not arrive, as its connection is closed.
             Event::AttemptReachesEngine { engine, from, attempt, details } if self.is_current(from) => {
                 self.on_attempt_at_engine(engine, from, attempt, details);
             }
@@ -291,14 +296,14 @@
                     self.collect_completed(engine);
                 }
             }
-            Event::AttemptEnds { at, attempt, end } if self.is_current(at) => {
-                self.on_attempt_end(at.forwarder, &attempt, end);
+            Event::AttemptEnds { to, attempt, end } if self.is_current(to) => {
+                self.on_attempt_end(to.forwarder, &attempt, end);
             }
-            Event::EngineListed { at, engine, phase } if self.is_current(at) => {
-                self.on_engine_listed(at.forwarder, engine, phase);
+            Event::EngineListed { to, engine, phase } if self.is_current(to) => {
+                self.on_engine_listed(to.forwarder, engine, phase);
             }
             Event::Fault => self.on_fault(),
-            // Meant for an earlier life of a forwarder.
+            // These events are addressed to an earlier incarnation of a forwarder.
             Event::MessageToForwarder { .. }
             | Event::ClientDisconnects { .. }
             | Event::AttemptReachesEngine { .. }
@@ -307,14 +312,20 @@
         }
     }
 
-    fn deliver_to_planner(&mut self, planner: usize, life: u64, from: usize, message: ForwarderMessage) {
-        let there = &self.planners[planner];
-        if there.life != life || self.now < there.dead_until {
+    fn deliver_to_planner(
+        &mut self,
+        planner: usize,
+        incarnation: u64,
+        from: usize,
+        message: ForwarderMessage,
+    ) {
+        let receiver = &self.planners[planner];
+        if receiver.incarnation != incarnation || self.now < receiver.dead_until {
             return;
         }
-        if self.now < there.suspended_until {
-            let wait = there.suspended_until - self.now;
-            self.after(wait, Event::MessageToPlanner { planner, life, from, message });
+        if self.now < receiver.suspended_until {
+            let wait = receiver.suspended_until - self.now;
+            self.schedule(wait, Event::MessageToPlanner { planner, incarnation, from, message });
         } else {
             self.on_forwarder_message(planner, from, message);
         }
--- a/crates/two-level/tests/forwarder_leases.rs
+++ b/crates/two-level/tests/forwarder_leases.rs
@@ -1,4 +1,4 @@
-//! The forwarders of a planner.
+//! Test of the leases that a planner grants to forwarders.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const MILLISECOND: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_planner_accepts_its_share_keeps_attached_forwarders_and_expires_silent_ones() {
+fn a_planner_accepts_forwarders_up_to_its_capacity_and_expires_silent_ones() {
     let mut leases = ForwarderLeases::new(8, 4);
     let outcomes: Vec<AttachOutcome> =
         (0..4).map(|number| leases.attach(START, &format!("f{number}"), 1)).collect();
@@ -25,7 +25,7 @@
     leases.resize(8, 8);
     assert_eq!(leases.len(), 3, "no attached forwarder is removed");
     leases.detach("f1", 2);
-    assert!(leases.is_attached("f1", 1), "that was another epoch");
+    assert!(leases.is_attached("f1", 1), "a detach under another epoch has no effect");
     leases.detach("f1", 1);
     assert!(!leases.is_attached("f1", 1));
     assert_eq!(leases.expire(START + EXPIRE_AFTER + MILLISECOND), ["f2"]);
--- a/crates/two-level/tests/model.rs
+++ b/crates/two-level/tests/model.rs
@@ -1,11 +1,11 @@
-//! A model of a forwarder among planners that may order anything at any time, explored state by state.
+//! A model of a forwarder whose planners may give any order at any time. A model checker explores its states.
 //!
-//! Planners are not modelled as they should be but as bad as they can be: they give any order, under any epoch that was ever
-//! given out, in any sequence, any number of times. The invariants must hold by the guard alone. Engines and clients are
-//! modelled independently of what the guard believes: an engine that runs a request continues until it ends, whatever was
-//! cancelled.
+//! Planners are modelled as arbitrarily faulty: they give any order, under any epoch that was ever assigned,
+//! in any sequence, any number of times. The guard alone must maintain the invariants. Engines and clients
+//! are modelled independently of the state of the guard: an engine that runs an attempt continues until the
+//! attempt ends, even if it was cancelled.
 //!
-//! To show that the checker finds violations, one bug at a time is put into the code around the guard.
+//! To show that the checker finds violations, a test puts one bug at a time into the code around the guard.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -14,7 +14,7 @@
 use gaugestep_clock::Timestamp;
 use gaugestep_two_level::PlannerId;
 use gaugestep_two_level::order_guard::{
-    Action, Answer, AttemptEnd, Effect, Engine, EngineId, Order, OrderGuard, PlannerEvent, RequestInfo,
+    Action, AttemptEnd, Effect, Engine, EngineId, Order, OrderGuard, PlannerEvent, RequestInfo, Response,
     RetryBudgetSettings,
 };
 use stateright::{Checker as _, Model, Property};
@@ -23,72 +23,73 @@
 /// The engine that may drain.
 const DRAINING: EngineId = ENGINES[1];
 const MAX_ATTEMPTS: usize = 3;
-/// How often the forwarder changes planners at most.
+/// The most times that the forwarder begins to follow a planner.
 const MAX_EPOCHS: u64 = 2;
 /// The deadline of all requests; the model's clock is either before it or at it.
 const DEADLINE: Timestamp = Timestamp::from_millis(10);
-/// Longer than any run of the model.
+/// A duration that does not end within any run of the model.
 const FOREVER: Duration = Duration::from_secs(1_000_000);
 
 type Id = u8;
 type GuardAction = Action<Id, ()>;
 
-/// What is broken in the code around the guard.
+/// A bug in the code around the guard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Bug {
     None,
-    /// The forwarder answers when it reads a result, and lets the guard answer too.
-    AnswersTwice,
-    /// It reports that an attempt has ended as soon as it was cancelled.
+    /// The forwarder responds when it reads a result, and again when the guard orders it.
+    RespondsTwice,
+    /// The forwarder reports that an attempt has ended as soon as it is cancelled.
     ReportsCancelAsEnd,
-    /// It reports that a cancelled attempt never ran.
+    /// The forwarder reports that a cancelled attempt never ran.
     ReportsCancelAsNeverRan,
-    /// It does not tell the guard that an engine drains.
+    /// The forwarder does not notify the guard that an engine drains.
     HidesDrain,
-    /// It stamps orders with the current epoch.
+    /// The forwarder replaces the epoch of an order by the current one.
     RestampsOrders,
 }
 
-/// What a client got.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Received {
     Served,
     Rejected,
     Failed,
-    /// It has disconnected, and needs no answer.
+    /// The client has disconnected and needs no response.
     Disconnected,
 }
 
+/// A state of the model.
 #[derive(Clone, Debug)]
 struct State {
     guard: OrderGuard<Id, ()>,
-    /// Attempts that engines really run, with their numbers.
+    /// The attempts that engines run, by request and number.
     running: Vec<(Id, usize)>,
-    /// Cancelled attempts whose end was not reported yet.
+    /// The cancelled attempts whose end was not reported yet.
     cancelled: BTreeSet<(Id, usize)>,
-    /// One entry for each attempt that may have done its work.
+    /// The request of each attempt that has run, or may have.
     ran: Vec<Id>,
-    answers: Vec<(Id, Received)>,
-    /// The forwarder knows that [`DRAINING`] drains.
+    responses: Vec<(Id, Received)>,
+    /// Whether the forwarder knows that [`DRAINING`] drains.
     drained: bool,
     deadline_passed: bool,
-    /// How many epochs were given out.
+    /// The number of epochs that were assigned.
     epochs: u64,
     violations: Violations,
 }
 
-/// What must never happen.
+/// Violations of invariants that are detected during a step.
 #[derive(Clone, Debug, Default)]
 struct Violations {
     started_on_drained: bool,
     two_in_flight: bool,
     ran_twice: bool,
-    obeyed_fenced: bool,
+    executed_fenced: bool,
 }
 
 impl State {
-    fn has_answer(&self, id: Id) -> bool {
-        self.answers.iter().any(|(other, _)| *other == id)
+    fn has_response(&self, id: Id) -> bool {
+        self.responses.iter().any(|(other, _)| *other == id)
     }
 
     fn runs(&self, id: Id) -> bool {
@@ -99,7 +100,8 @@
         if self.deadline_passed { DEADLINE } else { Timestamp::ORIGIN }
     }
 
-    /// Everything in which states can differ; the times in the guard do not matter to this model.
+    /// Returns the text by which states are compared and hashed. It has every field in which states can
+    /// differ; the times in the guard do not matter to this model.
     fn key(&self) -> String {
         format!("{self:?}")
     }
@@ -128,8 +130,9 @@
         id: Id,
         order: Order,
     },
-    /// The forwarder follows a planner, and registers what is open.
+    /// The forwarder follows a planner and registers all open requests.
     Follow(&'static str),
+    /// The forwarder stops following its planner.
     Abandon,
     /// An attempt ends at its engine.
     AttemptEnds {
@@ -157,8 +160,8 @@
         self.effects[usize::from(id)] == Effect::Unsafe
     }
 
-    /// Carries out what the guard decided.
-    fn carry_out(&self, state: &mut State, actions: Vec<GuardAction>) {
+    /// Executes the actions that the guard returned.
+    fn execute(&self, state: &mut State, actions: Vec<GuardAction>) {
         for action in actions {
             match action {
                 Action::StartAttempt { id, attempt, engine, .. } => {
@@ -168,7 +171,7 @@
                     state.running.push((id, attempt));
                 }
                 Action::CancelAttempt { id, attempt } => self.cancel(state, id, attempt),
-                Action::Answer { id, answer } => self.answer(state, id, answer),
+                Action::Respond { id, response } => self.respond(state, id, response),
                 Action::SetPriority { .. } | Action::Notify { .. } => {}
             }
         }
@@ -188,40 +191,40 @@
             }
         };
         let actions = state.guard.on_attempt_end(&id, attempt, reported);
-        self.carry_out(state, actions);
+        self.execute(state, actions);
     }
 
-    fn answer(&self, state: &mut State, id: Id, answer: Answer) {
-        let received = match answer {
-            Answer::Served => Received::Served,
-            Answer::Rejected { .. } => Received::Rejected,
-            Answer::Failed => Received::Failed,
+    fn respond(&self, state: &mut State, id: Id, response: Response) {
+        let received = match response {
+            Response::Served => Received::Served,
+            Response::Rejected { .. } => Received::Rejected,
+            Response::Failed => Received::Failed,
         };
-        // A rejected client retries, which runs the request twice if it may have run.
+        // The client retries a rejected request, which then runs twice if it may already have run.
         let may_have_run = state.ran.contains(&id) || state.runs(id);
         state.violations.ran_twice |= received == Received::Rejected && self.is_unsafe(id) && may_have_run;
-        state.answers.push((id, received));
+        state.responses.push((id, received));
     }
 
-    /// All orders that a planner could give for a request under an epoch.
+    /// Returns all orders that a planner can give for a request under an epoch.
     fn orders(epoch: u64, id: Id) -> impl Iterator<Item = Step> {
         let attempts = (0..MAX_ATTEMPTS).flat_map(|attempt| {
             let start = |engine| Order::StartAttempt { attempt, engine, priority: 1 };
             [start(ENGINES[0]), start(ENGINES[1]), Order::CancelAttempt { attempt }]
         });
-        let finals = [Order::Reject { retry_after: Duration::ZERO }, Order::Fail];
-        attempts.chain(finals).map(move |order| Step::Order { epoch, id, order })
+        let final_responses = [Order::Reject { retry_after: Duration::ZERO }, Order::Fail];
+        attempts.chain(final_responses).map(move |order| Step::Order { epoch, id, order })
     }
 
     fn order(&self, state: &mut State, epoch: u64, id: Id, order: Order) {
-        let stamped = if self.bug == Bug::RestampsOrders { state.epochs } else { epoch };
-        let actions = state.guard.on_order(state.now(), stamped, &id, order);
+        let stamped_epoch = if self.bug == Bug::RestampsOrders { state.epochs } else { epoch };
+        let actions = state.guard.on_order(state.now(), stamped_epoch, &id, order);
         let takes_effect = |action: &GuardAction| {
             !matches!(action, Action::Notify { event: PlannerEvent::OrderRejected { .. }, .. })
         };
         let fenced = state.guard.epoch() != Some(epoch);
-        state.violations.obeyed_fenced |= fenced && actions.iter().any(takes_effect);
-        self.carry_out(state, actions);
+        state.violations.executed_fenced |= fenced && actions.iter().any(takes_effect);
+        self.execute(state, actions);
     }
 
     fn end_attempt(&self, state: &mut State, id: Id, attempt: usize, end: AttemptEnd) {
@@ -230,11 +233,11 @@
         if end != AttemptEnd::NeverRan {
             state.ran.push(id);
         }
-        if end == AttemptEnd::Served && self.bug == Bug::AnswersTwice {
-            state.answers.push((id, Received::Served));
+        if end == AttemptEnd::Served && self.bug == Bug::RespondsTwice {
+            state.responses.push((id, Received::Served));
         }
         let actions = state.guard.on_attempt_end(&id, attempt, end);
-        self.carry_out(state, actions);
+        self.execute(state, actions);
     }
 }
 
@@ -257,7 +260,7 @@
             running: vec![],
             cancelled: BTreeSet::new(),
             ran: vec![],
-            answers: vec![],
+            responses: vec![],
             drained: false,
             deadline_passed: false,
             epochs: 0,
@@ -274,7 +277,7 @@
         }
         for id in self.ids() {
             steps.extend((1..=state.epochs).flat_map(|epoch| Self::orders(epoch, id)));
-            if !state.has_answer(id) {
+            if !state.has_response(id) {
                 steps.push(Step::ClientDisconnects(id));
             }
         }
@@ -298,7 +301,7 @@
                 state.guard.follow(PlannerId(planner.into()), state.now(), FOREVER);
                 state.epochs += 1;
                 let actions = state.guard.register(state.now(), usize::MAX);
-                self.carry_out(&mut state, actions);
+                self.execute(&mut state, actions);
             }
             Step::Abandon => state.guard.abandon(),
             Step::AttemptEnds { id, attempt, end } => self.end_attempt(&mut state, id, attempt, end),
@@ -311,13 +314,13 @@
             }
             Step::ClientDisconnects(id) => {
                 let actions = state.guard.on_disconnect(&id);
-                self.carry_out(&mut state, actions);
-                state.answers.push((id, Received::Disconnected));
+                self.execute(&mut state, actions);
+                state.responses.push((id, Received::Disconnected));
             }
             Step::DeadlinePasses => {
                 state.deadline_passed = true;
-                let actions = state.guard.answer_overdue(DEADLINE);
-                self.carry_out(&mut state, actions);
+                let actions = state.guard.respond_to_overdue(DEADLINE);
+                self.execute(&mut state, actions);
             }
         }
         (state != *last).then_some(state)
@@ -325,52 +328,53 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_ANSWER, |model: &Fleet, state: &State| {
-                let answers = |id: Id| state.answers.iter().filter(|(other, _)| *other == id).count();
-                model.ids().all(|id| answers(id) <= 1)
+            Property::always(ONE_RESPONSE, |model: &Fleet, state: &State| {
+                let count = |id: Id| state.responses.iter().filter(|(other, _)| *other == id).count();
+                model.ids().all(|id| count(id) <= 1)
             }),
-            Property::always(ANSWER_AT_DEADLINE, |model: &Fleet, state: &State| {
-                !state.deadline_passed || model.ids().all(|id| state.has_answer(id))
+            Property::always(RESPONSE_AT_DEADLINE, |model: &Fleet, state: &State| {
+                !state.deadline_passed || model.ids().all(|id| state.has_response(id))
             }),
             Property::always(ONE_IN_FLIGHT, |_, state: &State| !state.violations.two_in_flight),
             Property::always(NO_UNSAFE_REPEAT, |_, state: &State| !state.violations.ran_twice),
-            Property::always(NOTHING_TO_DRAINING, |_, state: &State| !state.violations.started_on_drained),
-            Property::always(ONLY_FOLLOWED_OBEYED, |_, state: &State| !state.violations.obeyed_fenced),
+            Property::always(NO_START_ON_DRAINING, |_, state: &State| !state.violations.started_on_drained),
+            Property::always(ONLY_FOLLOWED_EXECUTED, |_, state: &State| !state.violations.executed_fenced),
             Property::sometimes("a request is served by its second attempt", |_, state: &State| {
-                let served = state.answers.iter().any(|(_, received)| *received == Received::Served);
+                let served = state.responses.iter().any(|(_, received)| *received == Received::Served);
                 served && state.ran.len() >= 2
             }),
             Property::sometimes("a load is served after a change of planners", |_, state: &State| {
-                state.epochs == 2 && state.answers.contains(&(0, Received::Served))
+                state.epochs == 2 && state.responses.contains(&(0, Received::Served))
             }),
         ]
     }
 }
 
-const ONE_ANSWER: &str = "at most one final answer";
-const ANSWER_AT_DEADLINE: &str = "a final answer once the deadline has passed";
+const ONE_RESPONSE: &str = "at most one final response";
+const RESPONSE_AT_DEADLINE: &str = "a final response once the deadline has passed";
 const ONE_IN_FLIGHT: &str = "at most one attempt in flight";
-const NO_UNSAFE_REPEAT: &str = "nothing unsafe runs twice";
-const NOTHING_TO_DRAINING: &str = "nothing new to an engine that drains";
-const ONLY_FOLLOWED_OBEYED: &str = "only the planner that is followed is obeyed";
+const NO_UNSAFE_REPEAT: &str = "no unsafe request runs twice";
+const NO_START_ON_DRAINING: &str = "no new attempt on an engine that drains";
+const ONLY_FOLLOWED_EXECUTED: &str = "only orders of the planner that is followed are executed";
 
-/// What must always hold.
+/// The properties that must hold in every state.
 const INVARIANTS: [&str; 6] = [
-    ONE_ANSWER,
-    ANSWER_AT_DEADLINE,
+    ONE_RESPONSE,
+    RESPONSE_AT_DEADLINE,
     ONE_IN_FLIGHT,
     NO_UNSAFE_REPEAT,
-    NOTHING_TO_DRAINING,
-    ONLY_FOLLOWED_OBEYED,
+    NO_START_ON_DRAINING,
+    ONLY_FOLLOWED_EXECUTED,
 ];
 
-/// How many states were reached, and which invariants are violated in one of them.
+/// The number of states that were reached, and the invariants that are violated in any of them.
 struct Explored {
     states: usize,
     violated: Vec<&'static str>,
 }
 
-/// Explores up to this depth. One request has some thousand states in all, none deeper than 64 steps.
+/// Explores all states up to a depth. A model of one request has a few thousand states, none deeper than 64
+/// steps.
 fn explore(bug: Bug, effects: &[Effect], depth: usize) -> Explored {
     let model = Fleet { bug, effects: effects.to_vec() };
     let checker = model.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
@@ -379,7 +383,7 @@
 }
 
 #[test]
-fn the_guard_holds_against_any_planners_for_an_unsafe_and_for_a_safe_request() {
+fn no_orders_of_planners_violate_an_invariant_for_an_unsafe_or_a_safe_request() {
     for effect in [Effect::Unsafe, Effect::Safe] {
         let Explored { states, violated } = explore(Bug::None, &[effect], 64);
         assert_eq!(violated, [] as [&str; 0], "{effect:?}");
@@ -394,15 +398,15 @@
     assert!(states > 5_000, "{states} states");
 }
 
-/// The checker finds each bug by the invariant that it violates.
+/// The checker must report, for each bug, the invariant that the bug violates.
 #[test]
 fn a_bug_in_the_code_around_the_guard_is_found() {
     let cases = [
-        (Bug::AnswersTwice, Effect::Safe, ONE_ANSWER),
+        (Bug::RespondsTwice, Effect::Safe, ONE_RESPONSE),
         (Bug::ReportsCancelAsEnd, Effect::Safe, ONE_IN_FLIGHT),
         (Bug::ReportsCancelAsNeverRan, Effect::Unsafe, NO_UNSAFE_REPEAT),
-        (Bug::HidesDrain, Effect::Safe, NOTHING_TO_DRAINING),
-        (Bug::RestampsOrders, Effect::Safe, ONLY_FOLLOWED_OBEYED),
+        (Bug::HidesDrain, Effect::Safe, NO_START_ON_DRAINING),
+        (Bug::RestampsOrders, Effect::Safe, ONLY_FOLLOWED_EXECUTED),
     ];
     for (bug, effect, invariant) in cases {
         let violated = explore(bug, &[effect], 7).violated;
--- a/crates/two-level/tests/order_guard.rs
+++ b/crates/two-level/tests/order_guard.rs
@@ -1,12 +1,13 @@
-//! The hard cases of two levels on the guard alone: planners that die, are suspended and resume, and compete.
+//! Tests of the guard on its own with planners that die, are suspended and resume, and compete for the same
+//! forwarder.
 
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
 use gaugestep_two_level::PlannerId;
 use gaugestep_two_level::order_guard::{
-    Action, Answer, Attempt, AttemptEnd, AttemptState, DeduplicationScope, Effect, Engine, EngineId, Order,
-    OrderGuard, OrderRejected, PlannerEvent, RequestInfo, RetryBudgetSettings,
+    Action, Attempt, AttemptEnd, AttemptState, DeduplicationScope, Effect, Engine, EngineId, Order,
+    OrderGuard, OrderRejectReason, PlannerEvent, RequestInfo, Response, RetryBudgetSettings,
 };
 
 type Guard = OrderGuard<u32, &'static str>;
@@ -15,7 +16,7 @@
 const LEASE: Duration = Duration::from_millis(1_000);
 const START: Timestamp = Timestamp::ORIGIN;
 const DEADLINE: Timestamp = at(10_000);
-const NO_DELAY: Answer = Answer::Rejected { retry_after: Duration::ZERO };
+const REJECTED_WITHOUT_DELAY: Response = Response::Rejected { retry_after: Duration::ZERO };
 
 const fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -29,14 +30,14 @@
     Engine { up: true, zone: 0, cell }
 }
 
-/// A guard with four engines in two cells, which follows nobody.
+/// Creates a guard that knows four engines in two cells and follows no planner.
 fn new_guard(retry_budget: Option<RetryBudgetSettings>) -> Guard {
     let mut guard = OrderGuard::new(retry_budget);
     guard.replace_engines((0..4).map(|id| (EngineId(id), engine(u64::from(id) % 2))));
     guard
 }
 
-/// A guard with one request, of id 1.
+/// Creates a guard with one request, whose id is 1.
 fn guard_with_request(effect: Effect) -> Guard {
     let mut guard = new_guard(None);
     add_request(&mut guard, 1, effect);
@@ -51,7 +52,7 @@
     assert!(guard.on_request(START, id, info(effect, DEADLINE)));
 }
 
-/// Follows a planner and registers everything with it; returns the epoch.
+/// Follows a planner, registers up to ten open requests with it, and returns the epoch.
 fn follow(guard: &mut Guard, name: &str, now: Timestamp) -> u64 {
     let epoch = guard.follow(planner(name), now, LEASE);
     guard.register(now, 10);
@@ -66,7 +67,7 @@
     Order::CancelAttempt { attempt }
 }
 
-/// The engine of the attempt that was started, if any.
+/// Returns the engine of the attempt that was started, if any.
 fn started(actions: &[GuardAction]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt { engine, .. } => Some(engine.0),
@@ -74,20 +75,21 @@
     })
 }
 
-/// Why an order was void, as its planner is notified.
-fn rejection(actions: &[GuardAction]) -> Option<OrderRejected> {
+/// Returns the reason with which a planner is notified of a rejected order, if any.
+fn rejection(actions: &[GuardAction]) -> Option<OrderRejectReason> {
     actions.iter().find_map(|action| match action {
         Action::Notify { event: PlannerEvent::OrderRejected { reason, .. }, .. } => Some(*reason),
         _ => None,
     })
 }
 
-fn answers(actions: &[GuardAction]) -> Vec<Answer> {
-    let answer = |action: &GuardAction| match action {
-        Action::Answer { answer, .. } => Some(*answer),
+/// Returns the final responses to clients.
+fn responses(actions: &[GuardAction]) -> Vec<Response> {
+    let response = |action: &GuardAction| match action {
+        Action::Respond { response, .. } => Some(*response),
         _ => None,
     };
-    actions.iter().filter_map(answer).collect()
+    actions.iter().filter_map(response).collect()
 }
 
 #[test]
@@ -96,9 +98,9 @@
     let a = follow(&mut guard, "a", START);
     assert_eq!(started(&guard.on_order(at(1), a, &1, start(0, 0))), Some(0));
     guard.abandon();
-    // The connection was never established: nothing was written.
+    // The connection was never established, so the request was not sent.
     let actions = guard.on_attempt_end(&1, 0, AttemptEnd::NeverRan);
-    assert!(actions.is_empty(), "there is no planner to notify");
+    assert!(actions.is_empty(), "no planner is followed, so none is notified");
     let b = guard.follow(planner("b"), at(5), LEASE);
     let registered = guard.register(at(5), 10);
     let history =
@@ -108,17 +110,21 @@
         panic!("{registered:?}");
     };
     assert_eq!(attempts[..], [history]);
-    assert_eq!(started(&guard.on_order(at(6), a, &1, start(1, 1))), None, "a delayed order of the dead one");
+    assert_eq!(
+        started(&guard.on_order(at(6), a, &1, start(1, 1))),
+        None,
+        "a delayed order of the dead planner"
+    );
     assert_eq!(started(&guard.on_order(at(6), b, &1, start(1, 1))), Some(1));
 }
 
 #[test]
-fn a_result_without_a_planner_is_answered() {
+fn a_result_that_arrives_without_a_planner_is_sent_to_the_client() {
     let mut guard = guard_with_request(Effect::Unsafe);
     let a = follow(&mut guard, "a", START);
     guard.on_order(at(1), a, &1, start(0, 0));
     guard.abandon();
-    assert_eq!(answers(&guard.on_attempt_end(&1, 0, AttemptEnd::Served)), [Answer::Served]);
+    assert_eq!(responses(&guard.on_attempt_end(&1, 0, AttemptEnd::Served)), [Response::Served]);
     guard.follow(planner("b"), at(5), LEASE);
     assert!(guard.register(at(5), 10).is_empty(), "the request is finished");
     assert_eq!(guard.open_count(), 0);
@@ -135,14 +141,14 @@
         let reject = Order::Reject { retry_after: Duration::from_millis(5) };
         for order in [start(1, 1), reject] {
             let actions = guard.on_order(at(3), epoch, &1, order);
-            assert_eq!(rejection(&actions), Some(OrderRejected::NotRepeatable), "{order:?}");
+            assert_eq!(rejection(&actions), Some(OrderRejectReason::NotRepeatable), "{order:?}");
         }
     }
-    assert_eq!(answers(&guard.answer_overdue(DEADLINE)), [Answer::Failed]);
+    assert_eq!(responses(&guard.respond_to_overdue(DEADLINE)), [Response::Failed]);
 }
 
 #[test]
-fn a_planner_that_resumes_is_not_obeyed_and_engines_that_drain_get_nothing() {
+fn orders_of_a_resumed_planner_and_starts_on_draining_engines_are_rejected() {
     let mut guard = guard_with_request(Effect::Safe);
     let a = follow(&mut guard, "a", START);
     let expiry = START + LEASE;
@@ -153,7 +159,7 @@
     guard.update_engine(EngineId(1), None);
     for engine in [0, 1] {
         let actions = guard.on_order(at(1_100), a, &1, start(0, engine));
-        assert_eq!(rejection(&actions), Some(OrderRejected::EngineNotUp));
+        assert_eq!(rejection(&actions), Some(OrderRejectReason::EngineNotUp));
     }
     let b = follow(&mut guard, "b", at(1_200));
     assert!(!guard.renew(a, at(1_200), LEASE), "the forwarder follows another planner");
@@ -162,7 +168,7 @@
 }
 
 #[test]
-fn of_two_planners_the_one_followed_last_is_obeyed() {
+fn only_orders_of_the_planner_followed_last_are_executed() {
     let mut guard = guard_with_request(Effect::Safe);
     let a = follow(&mut guard, "a", START);
     let b = follow(&mut guard, "b", at(1));
@@ -170,11 +176,15 @@
     for order in [start(1, 0), cancel(0), Order::Fail] {
         assert!(guard.on_order(at(2), a, &1, order).is_empty(), "{order:?}");
     }
-    // Back to the first, under a new epoch: its earlier orders are void too.
+    // The forwarder follows the first planner again under a new epoch, which also fences its earlier orders.
     let again = guard.follow(planner("a"), at(3), LEASE);
     assert!(guard.on_order(at(3), a, &1, Order::Fail).is_empty());
     let actions = guard.on_order(at(3), again, &1, Order::Fail);
-    assert_eq!(rejection(&actions), Some(OrderRejected::UnknownRequest), "not registered yet");
+    assert_eq!(
+        rejection(&actions),
+        Some(OrderRejectReason::UnknownRequest),
+        "the request is not registered yet"
+    );
 }
 
 #[test]
@@ -183,11 +193,11 @@
     let a = follow(&mut guard, "a", START);
     let now = at(1);
     let reason = |guard: &mut Guard, order| rejection(&guard.on_order(now, a, &1, order));
-    assert_eq!(reason(&mut guard, start(1, 0)), Some(OrderRejected::OutOfTurn));
+    assert_eq!(reason(&mut guard, start(1, 0)), Some(OrderRejectReason::OutOfTurn));
     assert_eq!(started(&guard.on_order(now, a, &1, start(0, 0))), Some(0));
-    assert_eq!(reason(&mut guard, start(0, 0)), Some(OrderRejected::OutOfTurn));
-    assert_eq!(reason(&mut guard, start(1, 1)), Some(OrderRejected::AttemptInFlight));
-    assert_eq!(reason(&mut guard, cancel(1)), Some(OrderRejected::OutOfTurn));
+    assert_eq!(reason(&mut guard, start(0, 0)), Some(OrderRejectReason::OutOfTurn));
+    assert_eq!(reason(&mut guard, start(1, 1)), Some(OrderRejectReason::AttemptInFlight));
+    assert_eq!(reason(&mut guard, cancel(1)), Some(OrderRejectReason::OutOfTurn));
     let cancelled = guard.on_order(now, a, &1, cancel(0));
     assert_eq!(cancelled, [Action::CancelAttempt { id: 1, attempt: 0 }]);
     guard.on_attempt_end(&1, 0, AttemptEnd::MayHaveRun);
@@ -195,12 +205,12 @@
     assert!(second_end.is_empty(), "an attempt ends once");
     let retry_after = Duration::from_millis(70);
     let rejected = guard.on_order(now, a, &1, Order::Reject { retry_after });
-    assert_eq!(answers(&rejected), [Answer::Rejected { retry_after }]);
-    assert_eq!(reason(&mut guard, Order::Fail), Some(OrderRejected::UnknownRequest));
+    assert_eq!(responses(&rejected), [Response::Rejected { retry_after }]);
+    assert_eq!(reason(&mut guard, Order::Fail), Some(OrderRejectReason::UnknownRequest));
 }
 
 #[test]
-fn without_a_planner_every_request_is_answered_at_its_deadline() {
+fn without_a_planner_every_request_gets_a_response_at_its_deadline() {
     let mut guard = guard_with_request(Effect::Safe);
     add_request(&mut guard, 2, Effect::Unsafe);
     add_request(&mut guard, 3, Effect::Unsafe);
@@ -208,11 +218,11 @@
     guard.on_order(at(1), a, &3, start(0, 0));
     guard.abandon();
     assert_eq!(guard.next_deadline(), Some(DEADLINE));
-    assert!(guard.answer_overdue(at(9_999)).is_empty());
-    let actions = guard.answer_overdue(DEADLINE);
-    assert_eq!(answers(&actions), [NO_DELAY, NO_DELAY, Answer::Failed]);
+    assert!(guard.respond_to_overdue(at(9_999)).is_empty());
+    let actions = guard.respond_to_overdue(DEADLINE);
+    assert_eq!(responses(&actions), [REJECTED_WITHOUT_DELAY, REJECTED_WITHOUT_DELAY, Response::Failed]);
     assert!(actions.contains(&Action::CancelAttempt { id: 3, attempt: 0 }));
-    assert!(guard.answer_overdue(at(20_000)).is_empty());
+    assert!(guard.respond_to_overdue(at(20_000)).is_empty());
     assert!(guard.on_attempt_end(&3, 0, AttemptEnd::Served).is_empty());
 }
 
@@ -227,16 +237,19 @@
     for (id, name) in (0u32..).zip(["a", "b", "a", "b", "a"]) {
         let now = at(10 * u64::from(id));
         let epoch = follow(&mut guard, name, now);
-        assert!(started(&guard.on_order(now, epoch, &id, start(0, 0))).is_some(), "first attempts are free");
+        assert!(
+            started(&guard.on_order(now, epoch, &id, start(0, 0))).is_some(),
+            "first attempts do not use the retry budget"
+        );
         guard.on_attempt_end(&id, 0, AttemptEnd::MayHaveRun);
         let actions = guard.on_order(now, epoch, &id, start(1, 1));
         match rejection(&actions) {
             None => assert!(started(&actions).is_some()),
-            Some(reason) => assert_eq!(reason, OrderRejected::RetryBudgetExhausted),
+            Some(reason) => assert_eq!(reason, OrderRejectReason::RetryBudgetExhausted),
         }
         retries += usize::from(started(&actions).is_some());
     }
-    assert_eq!(retries, 2, "one in any case, and one for five requests");
+    assert_eq!(retries, 2, "a base of one, and one for five requests");
 }
 
 #[test]
@@ -261,14 +274,14 @@
 }
 
 #[test]
-fn a_hand_over_is_paced_and_begins_with_the_earliest_deadlines() {
+fn a_hand_over_is_limited_per_call_and_begins_with_the_earliest_deadlines() {
     const REQUESTS: u32 = 100;
     const LIMIT: usize = 16;
     let mut guard = new_guard(None);
     for id in 0..REQUESTS {
         let deadline = DEADLINE - Duration::from_millis(id.into());
         assert!(guard.on_request(START, id, info(Effect::Safe, deadline)));
-        assert!(!guard.on_request(START, id, info(Effect::Safe, at(1))), "an id that is open");
+        assert!(!guard.on_request(START, id, info(Effect::Safe, at(1))), "a request with this id is open");
     }
     guard.follow(planner("b"), START, LEASE);
     let mut registered = Vec::new();
@@ -281,7 +294,10 @@
         }));
     }
     assert_eq!(registered, (0..REQUESTS).rev().collect::<Vec<u32>>());
-    assert!(guard.register(START + LEASE, LIMIT).is_empty(), "nothing to a planner without a lease");
-    assert_eq!(answers(&guard.on_disconnect(&5)), []);
+    assert!(
+        guard.register(START + LEASE, LIMIT).is_empty(),
+        "no request is registered with a planner without a lease"
+    );
+    assert_eq!(responses(&guard.on_disconnect(&5)), []);
     assert_eq!(guard.open_count(), 99);
 }
--- a/crates/two-level/tests/planner_directory.rs
+++ b/crates/two-level/tests/planner_directory.rs
@@ -1,4 +1,4 @@
-//! Which planner a forwarder follows.
+//! Tests of the choice of the planner that a forwarder follows.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     PlannerId(format!("p{number}"))
 }
 
-/// What a forwarder knows of this many planners.
+/// Creates the directory of a forwarder with this many planners.
 fn directory(forwarder: usize, planners: usize) -> PlannerDirectory {
     PlannerDirectory::new(&format!("f{forwarder}"), (0..planners).map(planner))
 }
@@ -36,8 +36,8 @@
         moved += usize::from(first == dead);
         directory.on_lease(&dead, at(600), SECOND);
         directory.on_lease(&second, at(600), SECOND);
-        assert_eq!(directory.better_than(at(700), &second).is_some(), first == dead);
-        assert_eq!(directory.better_than(at(1_700), &second), None, "its lease has expired");
+        assert_eq!(directory.preferred_over(at(700), &second).is_some(), first == dead);
+        assert_eq!(directory.preferred_over(at(1_700), &second), None, "its lease has expired");
     }
     assert!((25..80).contains(&moved), "{moved} of 200 followed one of four");
 }
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_delayed_response_grants_less_and_an_older_one_takes_nothing_back() {
+fn a_delayed_response_grants_a_shorter_lease_and_an_older_one_does_not_shorten_it() {
     let mut directory = directory(0, 2);
     let granted = Duration::from_millis(500);
     directory.on_lease(&planner(0), at(1_000), granted);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_planner_that_keeps_failing_is_tried_less_often_but_always_again() {
+fn a_planner_that_keeps_failing_is_retried_with_a_bounded_backoff() {
     let mut directory = directory(0, 1);
     let mut now = START;
     for _ in 0..30 {
--- a/crates/two-level/tests/quota.rs
+++ b/crates/two-level/tests/quota.rs
@@ -1,5 +1,6 @@
-//! Quotas under loss, delay, duplication, restarts and clocks that differ in rate: together never more than the total, and
-//! what is wanted is lent once the network is quiet.
+//! Tests of quotas under message loss, delay and duplication, restarts, and clocks that differ in rate: the
+//! quotas never exceed the total, and demands are met by max-min fairness once no messages are lost or
+//! delayed.
 
 use gaugestep_clock::Timestamp;
 use gaugestep_two_level::PlannerId;
@@ -11,17 +12,18 @@
 /// Tolerance for rounding errors of sums.
 const TOLERANCE: f64 = 1e-6;
 /// More requests than a planner can make between two restarts.
-const REQUESTS_PER_LIFE: u64 = 1_000_000;
-/// Index of the allocator's clock; those of the planners follow.
+const REQUESTS_PER_INCARNATION: u64 = 1_000_000;
+/// The index of the allocator's clock; the clocks of the planners follow.
 const ALLOCATOR_CLOCK: usize = 0;
 
+/// A step of a test run.
 #[derive(Clone, Debug)]
 enum Step {
     Request {
         planner: usize,
-        wanted: f64,
+        demand: f64,
     },
-    /// The message at this index of all in flight arrives. If duplicated, it also stays in flight.
+    /// The message at this index among those in flight arrives. If it is duplicated, it also stays in flight.
     Deliver {
         index: usize,
         duplicated: bool,
@@ -29,7 +31,7 @@
     Lose {
         index: usize,
     },
-    Pass {
+    AdvanceTime {
         millis: f64,
     },
     RestartAllocator,
@@ -40,11 +42,11 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..PLANNERS, 0.0..80.0f64).prop_map(|(planner, wanted)| Step::Request { planner, wanted }),
+        6 => (0..PLANNERS, 0.0..80.0f64).prop_map(|(planner, demand)| Step::Request { planner, demand }),
         10 => (any::<usize>(), prop::bool::weighted(0.1))
             .prop_map(|(index, duplicated)| Step::Deliver { index, duplicated }),
         2 => any::<usize>().prop_map(|index| Step::Lose { index }),
-        6 => (0.0..900.0f64).prop_map(|millis| Step::Pass { millis }),
+        6 => (0.0..900.0f64).prop_map(|millis| Step::AdvanceTime { millis }),
         1 => Just(Step::RestartAllocator),
         1 => (0..PLANNERS).prop_map(|planner| Step::RestartPlanner { planner }),
     ]
@@ -55,25 +57,27 @@
     Request {
         planner: usize,
         request: u64,
-        wanted: f64,
+        demand: f64,
     },
-    /// `life` counts the planner's restarts: a response to an earlier life does not reach it.
+    /// `incarnation` counts the restarts of the planner: a response to an earlier incarnation does not reach
+    /// it.
     Response {
         planner: usize,
-        life: u64,
+        incarnation: u64,
         request: u64,
         amount: f64,
     },
 }
 
-struct World {
-    /// Milliseconds.
+/// The simulated allocator, planners and network.
+struct Simulation {
+    /// The simulated time in milliseconds.
     now: f64,
-    /// The rate of each clock.
+    /// The rate of each clock relative to the simulated time.
     rates: [f64; PLANNERS + 1],
     allocator: QuotaAllocator,
     leases: [QuotaLease; PLANNERS],
-    lives: [u64; PLANNERS],
+    incarnations: [u64; PLANNERS],
     in_flight: Vec<Message>,
 }
 
@@ -85,25 +89,26 @@
     Timestamp::from_millis_f64(millis)
 }
 
-impl World {
+impl Simulation {
     fn new(rates: [f64; PLANNERS + 1]) -> Self {
-        World {
+        Simulation {
             now: 0.0,
             rates,
             allocator: QuotaAllocator::new(Timestamp::ORIGIN, TOTAL),
             leases: Default::default(),
-            lives: [0; PLANNERS],
+            incarnations: [0; PLANNERS],
             in_flight: Vec::new(),
         }
     }
 
+    /// Reads the clock at an index.
     fn clock(&self, clock: usize) -> Timestamp {
         millis(self.now * self.rates[clock])
     }
 
-    fn play(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
-            Step::Request { planner, wanted } => self.request(planner, wanted),
+            Step::Request { planner, demand } => self.request(planner, demand),
             Step::Deliver { index, duplicated } if !self.in_flight.is_empty() => {
                 let index = index % self.in_flight.len();
                 let message = match duplicated {
@@ -116,51 +121,53 @@
                 self.in_flight.remove(index % self.in_flight.len());
             }
             Step::Deliver { .. } | Step::Lose { .. } => {}
-            Step::Pass { millis } => self.now += millis,
+            Step::AdvanceTime { millis } => self.now += millis,
             Step::RestartAllocator => {
                 self.allocator = QuotaAllocator::new(self.clock(ALLOCATOR_CLOCK), TOTAL);
             }
             Step::RestartPlanner { planner } => {
                 self.leases[planner] = QuotaLease::new();
-                self.lives[planner] += 1;
+                self.incarnations[planner] += 1;
             }
         }
     }
 
-    fn request(&mut self, planner: usize, wanted: f64) {
+    fn request(&mut self, planner: usize, demand: f64) {
         let now = self.clock(planner + 1);
-        let unused = self.lives[planner] * REQUESTS_PER_LIFE;
-        let request = self.leases[planner].begin_request(now, unused);
-        self.in_flight.push(Message::Request { planner, request, wanted });
+        let last_used = self.incarnations[planner] * REQUESTS_PER_INCARNATION;
+        let request = self.leases[planner].begin_request(now, last_used);
+        self.in_flight.push(Message::Request { planner, request, demand });
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Request { planner, request, wanted } => {
+            Message::Request { planner, request, demand } => {
                 let now = self.clock(ALLOCATOR_CLOCK);
-                let lent = self.allocator.request(now, &planner_id(planner), request, wanted);
-                let life = self.lives[planner];
+                let lent = self.allocator.request(now, &planner_id(planner), request, demand);
+                let incarnation = self.incarnations[planner];
                 self.in_flight.extend(lent.map(|amount| Message::Response {
                     planner,
-                    life,
+                    incarnation,
                     request,
                     amount,
                 }));
             }
-            Message::Response { planner, life, request, amount } if life == self.lives[planner] => {
+            Message::Response { planner, incarnation, request, amount }
+                if incarnation == self.incarnations[planner] =>
+            {
                 self.leases[planner].on_response(request, amount);
             }
             Message::Response { .. } => {}
         }
     }
 
-    /// What a planner has beyond its floor.
+    /// Returns the quota of a planner beyond its floor.
     fn leased(&self, planner: usize) -> f64 {
         self.leases[planner].amount(self.clock(planner + 1))
     }
 
-    /// What all planners may use together.
-    fn used(&self) -> f64 {
+    /// Returns the sum of the floors and leased quotas of all planners.
+    fn total_quota(&self) -> f64 {
         (0..PLANNERS).map(|planner| floor(TOTAL, PLANNERS) + self.leased(planner)).sum()
     }
 }
@@ -169,28 +176,29 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn quotas_never_add_up_to_more_than_the_total(
+    fn quotas_never_exceed_the_total(
         steps in prop::collection::vec(step(), 1..150),
         rates in prop::array::uniform5(0.96..1.04f64),
     ) {
-        let mut world = World::new(rates);
+        let mut simulation = Simulation::new(rates);
         for step in steps {
-            world.play(step);
-            prop_assert!(world.used() <= TOTAL + TOLERANCE, "{} of {TOTAL} are used", world.used());
+            simulation.execute(step);
+            let total_quota = simulation.total_quota();
+            prop_assert!(total_quota <= TOTAL + TOLERANCE, "the quotas sum to {total_quota} of {TOTAL}");
         }
-        // Once nothing is lost or delayed, every planner gets its fair share.
-        world.in_flight.clear();
+        // Once no messages are lost or delayed, every planner gets its max-min fair quota.
+        simulation.in_flight.clear();
         for _ in 0..12 {
-            world.now += LEASE_DURATION.as_secs_f64() * 1e3 * 0.4;
-            for (planner, wanted) in [5.0, 60.0, 60.0, 0.0].into_iter().enumerate() {
-                world.request(planner, wanted);
-                while let Some(message) = world.in_flight.pop() {
-                    world.deliver(message);
+            simulation.now += LEASE_DURATION.as_secs_f64() * 1e3 * 0.4;
+            for (planner, demand) in [5.0, 60.0, 60.0, 0.0].into_iter().enumerate() {
+                simulation.request(planner, demand);
+                while let Some(message) = simulation.in_flight.pop() {
+                    simulation.deliver(message);
                 }
             }
-            prop_assert!(world.used() <= TOTAL + TOLERANCE);
+            prop_assert!(simulation.total_quota() <= TOTAL + TOLERANCE);
         }
-        let leased: Vec<f64> = (0..PLANNERS).map(|planner| world.leased(planner)).collect();
+        let leased: Vec<f64> = (0..PLANNERS).map(|planner| simulation.leased(planner)).collect();
         for (leased, fair) in leased.iter().zip([5.0, 22.5, 22.5, 0.0]) {
             prop_assert!((leased - fair).abs() < TOLERANCE, "{leased:?}");
         }
@@ -198,7 +206,7 @@
 }
 
 #[test]
-fn the_quota_of_a_dead_planner_returns_and_is_lent_to_others() {
+fn the_quota_of_a_dead_planner_expires_and_is_lent_to_another() {
     let mut allocator = QuotaAllocator::new(millis(-1e6), TOTAL);
     let mut lease = QuotaLease::new();
     let start = Timestamp::ORIGIN;
@@ -209,8 +217,12 @@
     assert_eq!(all_lent, Some(0.0));
     assert_eq!(lease.amount(start + LEASE_DURATION), 0.0);
     let later = start + LEASE_DURATION * 6 / 5;
-    assert_eq!(allocator.request(later, &planner_id(1), 2, 100.0), Some(50.0), "it has returned");
-    assert_eq!(allocator.request(later, &planner_id(1), 2, 100.0), None, "a duplicated request");
+    assert_eq!(
+        allocator.request(later, &planner_id(1), 2, 100.0),
+        Some(50.0),
+        "the lease of the other planner has expired"
+    );
+    assert_eq!(allocator.request(later, &planner_id(1), 2, 100.0), None, "the request is duplicated");
 }
 
 #[test]
