--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -19,9 +19,9 @@
 /// Whether the requests of a class may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// They may run any number of times.
+    /// Requests of the class may run any number of times.
     Safe,
-    /// They must never run twice.
+    /// Requests of the class must never run twice.
     Unsafe,
 }
 
@@ -30,10 +30,10 @@
 pub struct Rules {
     /// The effect of each class, by its name.
     pub classes: BTreeMap<String, Effect>,
-    /// How long after the client's deadline a final response may arrive.
+    /// The time after the client's deadline within which a final response may still arrive.
     pub response_slack_ms: f64,
-    /// How long after a forwarder learned that an engine drains or is gone its attempts may still reach the
-    /// engine.
+    /// The time for which attempts may still reach an engine after their forwarder learned that the engine
+    /// drains or is gone.
     pub drain_grace_ms: f64,
     /// The retry budget of each forwarder; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
@@ -61,8 +61,7 @@
     pub initial_fraction: f64,
     /// Milliseconds from its start until an engine has its full capacity.
     pub warm_up_ms: f64,
-    /// The work in a window may be at most this multiple of what the engine's current capacity completes in
-    /// it.
+    /// The allowed work in a window, as a multiple of the work that the current capacity completes in it.
     pub capacity_multiple: f64,
     /// The length of the window in milliseconds.
     pub window_ms: f64,
--- a/crates/testbed/src/audit/retries.rs
+++ b/crates/testbed/src/audit/retries.rs
@@ -31,8 +31,7 @@
                 let forwarder = forwarders.entry(via).or_default();
                 forwarder.retries.push(*at);
                 // A forwarder counts attempts shortly before engines record them, and requests shortly after
-                // clients record them; the windows are narrowed and widened by the clock skew to allow for
-                // it.
+                // clients record them. The clock skew therefore narrows and widens the two windows.
                 let retries = count_in_window(&forwarder.retries, *at, budget.window_ms - clock_skew_ms);
                 let requests = count_in_window(&forwarder.requests, *at, budget.window_ms + clock_skew_ms);
                 let allowed = budget.base + budget.ratio * requests as f64;
--- a/crates/testbed/src/leadership_audit.rs
+++ b/crates/testbed/src/leadership_audit.rs
@@ -7,7 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An event. The records of one process are in the order in which they happened there.
+/// An event at an operator, a proxy or a control server. The records of one process are in the order in which
+/// their events happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// An operator received the acknowledgement that its version is published.
@@ -81,7 +82,7 @@
         /// The term of the command.
         term: u64,
         /// The highest term that the proxy had stored before.
-        seen: u64,
+        highest_term: u64,
     },
     /// A control server does not store an acknowledged version at the end.
     Lost {
@@ -146,7 +147,7 @@
     /// The version numbers of each publication.
     numbers: BTreeMap<&'a str, BTreeSet<u64>>,
     /// The highest term that each proxy has stored so far.
-    terms_seen: BTreeMap<&'a str, u64>,
+    highest_terms: BTreeMap<&'a str, u64>,
     /// The version in force at each proxy.
     in_force: BTreeMap<&'a str, u64>,
     /// The control servers that acquired the lease of each role and term.
@@ -187,7 +188,7 @@
                 self.acknowledged.push(Acknowledgement { key, number: *number, digest });
             }
             Record::TermSeen { proxy, term } => {
-                let highest = self.terms_seen.entry(proxy).or_default();
+                let highest = self.highest_terms.entry(proxy).or_default();
                 *highest = (*highest).max(*term);
             }
             Record::InForce { proxy, number, digest, term } => {
@@ -209,9 +210,9 @@
     }
 
     fn add_in_force(&mut self, proxy: &'a str, number: u64, term: u64) {
-        let seen = self.terms_seen.get(proxy).copied().unwrap_or(0);
-        if term > 0 && term < seen {
-            self.violations.push(Violation::StaleTermApplied { proxy: proxy.to_owned(), term, seen });
+        let highest_term = self.highest_terms.get(proxy).copied().unwrap_or(0);
+        if term > 0 && term < highest_term {
+            self.violations.push(Violation::StaleTermApplied { proxy: proxy.to_owned(), term, highest_term });
         }
         if let Some(from) = self.in_force.insert(proxy, number).filter(|previous| *previous > number) {
             self.violations.push(Violation::RolledBack { proxy: proxy.to_owned(), from, to: number });
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -50,7 +50,7 @@
     Gone,
 }
 
-/// An event.
+/// An event that a client, an engine, a forwarder or the test has recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Record {
--- a/crates/testbed/tests/leadership_audit.rs
+++ b/crates/testbed/tests/leadership_audit.rs
@@ -43,7 +43,7 @@
 fn each_violated_rule_is_reported_as_its_violation() {
     let cases: [(Record, Violation); 6] = [
         (in_force(2, "x", 2), Violation::Forked { number: 2 }),
-        (in_force(3, "c", 1), Violation::StaleTermApplied { proxy: "n0".into(), term: 1, seen: 2 }),
+        (in_force(3, "c", 1), Violation::StaleTermApplied { proxy: "n0".into(), term: 1, highest_term: 2 }),
         (stored("2", 3, "a"), Violation::PublishedTwice { key: "a".into() }),
         (
             Record::LeaseAcquired { server: "3".into(), role: "versions".into(), term: 2 },
--- a/crates/two-level/src/order_guard/request.rs
+++ b/crates/two-level/src/order_guard/request.rs
@@ -22,7 +22,7 @@
 /// Whether a request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Safe,
     /// Engines within a scope recognise and discard repeats for a limited time.
     Deduplicated {
@@ -31,7 +31,7 @@
         /// How long after the start of an attempt its repeats are recognised.
         window: Duration,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
--- a/crates/two-level/src/planner_directory.rs
+++ b/crates/two-level/src/planner_directory.rs
@@ -15,7 +15,7 @@
 
 /// The backoff after the first failure of a planner. It doubles with each further consecutive failure.
 pub const BASE_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest backoff.
+/// The upper limit of the backoff, at which it stops doubling.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(8);
 /// Limit on the number of doublings, which avoids an overflow; the backoff is far above [`MAX_BACKOFF`] by
 /// then.
@@ -94,8 +94,9 @@
         by_weight.into_iter().rev().map(|(_, planner)| planner.clone()).collect()
     }
 
-    /// Returns the most preferred planner that is preferred to the current one, alive and not in a backoff;
-    /// `None` if there is none. With it a forwarder returns to its first planner after that has recovered.
+    /// Returns the first planner in the order of preference that precedes the current one, is alive and is
+    /// not in a backoff, if any. A forwarder that follows it returns to its first planner once that has
+    /// recovered.
     pub fn preferred_over(&self, now: Timestamp, current: &PlannerId) -> Option<PlannerId> {
         let candidates = self.candidates(now);
         let mut preferred = candidates.iter().take_while(|planner| *planner != current);
--- a/crates/two-level/src/quota.rs
+++ b/crates/two-level/src/quota.rs
@@ -132,8 +132,8 @@
 
     /// Returns the quota that is lent to all planners except this one.
     fn lent_to_other_planners(&self, now: Timestamp, planner: &PlannerId) -> f64 {
-        let others = self.lent.iter().filter(|(other, _)| *other != planner);
-        others.map(|(_, leases)| leases.amount(now)).sum()
+        let other_planners = self.lent.iter().filter(|(other, _)| *other != planner);
+        other_planners.map(|(_, leases)| leases.amount(now)).sum()
     }
 
     /// Returns the part of the pool that a planner gets by max-min fairness: no planner gets more than its
--- a/crates/two-level/tests/fleet/faults.rs
+++ b/crates/two-level/tests/fleet/faults.rs
@@ -51,7 +51,7 @@
         let incarnation = self.forwarders[forwarder].incarnation + 1;
         let killed =
             std::mem::replace(&mut self.forwarders[forwarder], Forwarder::new(forwarder, incarnation));
-        // Its connections are closed, so the engines cancel its attempts.
+        // The connections of the killed forwarder are closed, so the engines cancel its attempts.
         for (attempt, engine) in killed.in_flight {
             let Some(simulated) = self.engines.get_mut(&engine) else { continue };
             simulated.change += 1;
--- a/crates/two-level/tests/quota.rs
+++ b/crates/two-level/tests/quota.rs
@@ -59,8 +59,7 @@
         request: u64,
         demand: f64,
     },
-    /// `incarnation` counts the restarts of the planner: a response to an earlier incarnation does not reach
-    /// it.
+    /// `incarnation` counts the restarts of the planner; a response to an earlier incarnation is discarded.
     Response {
         planner: usize,
         incarnation: u64,
