--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -28,7 +28,7 @@
 static ALONE: Mutex<()> = Mutex::new(());
 /// As the settings below have it.
 const RULE: SlowStartRule =
-    SlowStartRule { initial_share: 0.3, warm_up: 8_000.0, capacity_multiple: 2.5, window: 1_000.0 };
+    SlowStartRule { initial_fraction: 0.3, warm_up_ms: 8_000.0, capacity_multiple: 2.5, window_ms: 1_000.0 };
 /// Of the engines that are started here.
 const CAPACITY: EngineCapacity = EngineCapacity { cores: 8.0, rule: RULE };
 
@@ -82,7 +82,7 @@
         let list = self.lists[usize::from(number % 4 == 3)].address;
         let rules = format!(
             r#""rules": {{"cold_share": {}, "warm_within_ms": {}, "tip_multiple": {}, "overload_for_ms": {}, "#,
-            RULE.initial_share, RULE.warm_up, RULE.capacity_multiple, RULE.window
+            RULE.initial_fraction, RULE.warm_up_ms, RULE.capacity_multiple, RULE.window_ms
         );
         let text = text.replace(r#""settings":"#, &format!(r#""coordinator":"{list}","settings":"#));
         let text =
@@ -232,7 +232,7 @@
     for (old, (new, started, drained)) in &replaced {
         let name = &fleet.engines[*new].name;
         let load = warm_up_load(&arrivals, name, *started, &CAPACITY, proxy_of);
-        let (window, proxies, sum) = (load.worst_window, load.proxies, load.work);
+        let (window, proxies, sum) = (load.worst_window_ratio, load.proxies, load.work);
         worst.push((window * 100.0).round() / 100.0);
         assert!(
             window <= 1.0,
@@ -251,7 +251,7 @@
     // engines, and apart from killed proxies no client went without an answer.
     let ids: BTreeSet<&str> = arrivals.iter().map(|it| it.id.as_str()).collect();
     assert!(ids.len() as u64 >= fleet.served(), "{} ids, {} served", ids.len(), fleet.served());
-    let most = fleet.engines.iter().map(EmulatedEngine::most_connections).max().unwrap_or(0);
+    let most = fleet.engines.iter().map(EmulatedEngine::peak_connections).max().unwrap_or(0);
     assert!(most <= PROXIES * 5, "{most} connections at one engine");
     assert!(fairness_of(&fleet.answers) > 0.8, "{:?}", fleet.answers);
 }
@@ -287,7 +287,7 @@
     fleet.load(4, 10..20);
     group.wait_for_ordinals(&fleet.proxies.iter().collect::<Vec<_>>(), 20);
     wait_until("the replaced engines are warm", || {
-        replaced.iter().all(|(_, started, _)| fleet.log.now() > started + RULE.warm_up)
+        replaced.iter().all(|(_, started, _)| fleet.log.now() > started + RULE.warm_up_ms)
     });
     let many = drawn_now(&fleet, 8_000);
     assert!(many.len() == 12 && many.values().all(|count| (13..=14).contains(count)), "{many:?}");
@@ -299,7 +299,7 @@
     let arrivals = fleet.log.arrivals();
     for (new, started, _) in &replaced {
         let load = warm_up_load(&arrivals, &fleet.engines[*new].name, *started, &CAPACITY, proxy_of);
-        let (window, proxies) = (load.worst_window, load.proxies);
+        let (window, proxies) = (load.worst_window_ratio, load.proxies);
         assert!(window <= 1.0, "{window} of what the rule allows in one window, from {proxies} proxies");
         assert!(proxies > 3, "it is used");
     }
@@ -325,13 +325,13 @@
         fleet.pass(300);
     }
     let last = replaced[3].1;
-    wait_until("the replaced engines are warm", || fleet.log.now() > last + RULE.warm_up);
+    wait_until("the replaced engines are warm", || fleet.log.now() > last + RULE.warm_up_ms);
     fleet.end();
     let arrivals = fleet.log.arrivals();
     for (new, started, _) in &replaced {
         let name = &fleet.engines[*new].name;
         let load = warm_up_load(&arrivals, name, *started, &CAPACITY, proxy_of);
-        let (window, proxies, sum) = (load.worst_window, load.proxies, load.work);
+        let (window, proxies, sum) = (load.worst_window_ratio, load.proxies, load.work);
         eprintln!(
             "{name}: {window:.2} of what the rule allows in the worst window, {proxies} proxies, {sum:.0} ms"
         );
