--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -40,7 +40,7 @@
 pub const MAX_DOCUMENT_LENGTH: usize = 1024 * 1024;
 
 /// The version of the stream's protocol that this build speaks.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 
 /// Bytes of a digest that are shown.
 const SHORT_DIGEST_LENGTH: usize = 6;
--- a/crates/control-plane/src/client/session.rs
+++ b/crates/control-plane/src/client/session.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use gaugestep_clock::Timestamp;
-use gaugestep_config::PROTOCOL;
+use gaugestep_config::PROTOCOL_VERSION;
 use gaugestep_config::schema::{
     Displaced, Figures, FromClient, FromService, Hello, Seated, Seen, Welcome, from_client, from_service,
 };
@@ -44,7 +44,7 @@
     Closed,
     #[error("the server is silent")]
     Silent,
-    #[error("the server speaks protocol {0}, this build speaks {PROTOCOL}")]
+    #[error("the server speaks protocol {0}, this build speaks {PROTOCOL_VERSION}")]
     UnsupportedProtocol(u32),
     #[error("the server offers a version before its welcome")]
     OfferBeforeWelcome,
@@ -148,7 +148,7 @@
     }
 
     fn on_welcome(&mut self, welcome: &Welcome) -> Result<(), StreamError> {
-        if welcome.protocol != PROTOCOL {
+        if welcome.protocol != PROTOCOL_VERSION {
             return Err(StreamError::UnsupportedProtocol(welcome.protocol));
         }
         if self.phase == Phase::AwaitingWelcome {
@@ -210,7 +210,7 @@
         let seen = state.fencing.terms().iter();
         let in_force_for = self.now().duration_since(state.tracker.in_force_since());
         Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             proxy: self.settings.proxy.clone(),
             in_force: state.tracker.in_force().map(|accepted| accepted.version.clone()),
             build: self.settings.build.clone(),
--- a/crates/control-plane/src/raft/transport/outbound.rs
+++ b/crates/control-plane/src/raft/transport/outbound.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use gaugestep_config::PROTOCOL;
+use gaugestep_config::PROTOCOL_VERSION;
 use gaugestep_config::schema::peer::Said;
 use gaugestep_config::schema::{
     FromClient, FromService, Peer, PeerHello, PeerWelcome, Piece, Ping, from_client, from_service,
@@ -113,7 +113,7 @@
         let mut connection = FramedConnection::from_connected(socket, tls)?;
         replica.links.on_opened(member, connection.waker());
         let hello = PeerHello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             lineage: replica.lineage(),
             from: Some(replica.own.clone()),
             to: member,
--- a/crates/control-plane/src/server/lease_holder.rs
+++ b/crates/control-plane/src/server/lease_holder.rs
@@ -1,6 +1,6 @@
 //! The holder of the configuration role's lease, as proxies and operators learn it.
 
-use gaugestep_config::PROTOCOL;
+use gaugestep_config::PROTOCOL_VERSION;
 use gaugestep_config::schema::{Owner, Welcome, from_service};
 use gaugestep_leadership::{CONFIGURATION_ROLE, RoleHolder};
 
@@ -12,7 +12,7 @@
         let name_holder =
             state.identified_proxy(id).and_then(|proxy| state.identities.holder(&proxy.hello.proxy));
         Welcome {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             lineage: self.replica.lineage(),
             owner: self.configuration_holder(state),
             name_term: name_holder.map_or(0, |holder| holder.term),
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -1,7 +1,7 @@
 //! What proxies say to the server, and what it answers.
 
 use gaugestep_clock::Timestamp;
-use gaugestep_config::PROTOCOL;
+use gaugestep_config::PROTOCOL_VERSION;
 use gaugestep_config::rollout::{Event, RequestCounts};
 use gaugestep_config::schema::{Displaced, Figures, Hello, from_service};
 use gaugestep_leadership::CONFIGURATION_ROLE;
@@ -18,7 +18,7 @@
 /// Refuses a hello of another protocol, or one that would take more memory than a proxy may.
 pub(crate) fn check_hello(hello: &Hello) -> Result<(), SessionError> {
     let is_named = (1..=MAX_NAME_BYTES).contains(&hello.proxy.len()) && hello.build.len() <= MAX_NAME_BYTES;
-    if hello.protocol == PROTOCOL && is_named && hello.seen.len() <= MAX_ROLES {
+    if hello.protocol == PROTOCOL_VERSION && is_named && hello.seen.len() <= MAX_ROLES {
         Ok(())
     } else {
         Err(SessionError::InvalidHello)
--- a/crates/leadership/src/peer_directory.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
-use gaugestep_config::PROTOCOL;
+use gaugestep_config::PROTOCOL_VERSION;
 use gaugestep_config::schema::{Member, PeerHello};
 use thiserror::Error;
 
@@ -114,7 +114,7 @@
     /// Why the peer may not take part.
     pub fn check_hello(&self, state: &GroupState, hello: &PeerHello) -> Result<(), PeerRejected> {
         let from = hello.from.clone().unwrap_or_default();
-        if hello.protocol != PROTOCOL {
+        if hello.protocol != PROTOCOL_VERSION {
             return Err(PeerRejected::UnsupportedProtocol);
         }
         if hello.to != self.own.number {
--- a/crates/leadership/tests/peer_directory.rs
+++ b/crates/leadership/tests/peer_directory.rs
@@ -1,7 +1,7 @@
 //! Which peers may take part, and where each member is reached.
 
 use gaugestep_clock::Timestamp;
-use gaugestep_config::PROTOCOL;
+use gaugestep_config::PROTOCOL_VERSION;
 use gaugestep_config::schema::{Member, PeerHello};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 #[test]
 fn a_peer_that_is_stale_removed_or_another_is_rejected() {
     let (directory, state) = (PeerDirectory::new(member(1, 1)), group_state());
-    let hello = |from, to| PeerHello { protocol: PROTOCOL, lineage: 9, from: Some(from), to };
+    let hello = |from, to| PeerHello { protocol: PROTOCOL_VERSION, lineage: 9, from: Some(from), to };
     let verdict = |hello: PeerHello| directory.check_hello(&state, &hello);
     assert_eq!(verdict(hello(member(2, 3), 1)), Ok(()));
     assert_eq!(verdict(hello(member(2, 4), 1)), Ok(()), "a later start");
