--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -48,7 +48,7 @@
         let member = |id: u32| Member { id, key: key(&format!("s-{id}")), size: 8.0, zone: 0 };
         let members: Vec<Member> = (0..engines).map(member).collect();
         let place = FleetPosition::ordinal(3, proxies).expect("there is such an ordinal");
-        let span = micros(20, || drop(Subset::draw(place, proxies as usize, &members, 8)));
+        let span = micros(20, || drop(Subset::compute(place, proxies as usize, &members, 8)));
         println!("{proxies} proxies, {engines} engines: the subset is drawn anew in {span:.0} us");
     }
 }
--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -68,7 +68,7 @@
         let members: Vec<Member> = up.map(|it| it.member(context.settings.machine(it).cores)).collect();
         let size = if self.is_wide(context) { SUBSET_SIZE } else { usize::MAX };
         let position = self.subset.position(context.now, context.settings.fleet_position);
-        self.subset.drawn = Subset::draw(position, context.settings.dispatchers, &members, size);
+        self.subset.drawn = Subset::compute(position, context.settings.dispatchers, &members, size);
         self.subset.refresh_at = context.now;
     }
 
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -31,7 +31,12 @@
 
 impl Subset {
     /// Draws the subset of a proxy at this position. `fleet_size` is the number of proxies where the position does not tell.
-    pub fn draw(position: FleetPosition, fleet_size: usize, members: &[Member], subset_size: usize) -> Self {
+    pub fn compute(
+        position: FleetPosition,
+        fleet_size: usize,
+        members: &[Member],
+        subset_size: usize,
+    ) -> Self {
         let seed = match position {
             FleetPosition::Ordinal { ordinal, .. } => u64::from(ordinal),
             FleetPosition::NameKey(key) => key,
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -50,7 +50,7 @@
         let ordinal = random.rand_range(0..u64::from(fleet_size)) as u32;
         let with_ordinal = FleetPosition::ordinal(ordinal, fleet_size).unwrap();
         for position in [with_ordinal, FleetPosition::NameKey(key(&format!("proxy-{ordinal}")))] {
-            let subset = Subset::draw(position, fleet_size as usize, &members, size);
+            let subset = Subset::compute(position, fleet_size as usize, &members, size);
             digest.add(subset.own_count as u64);
             for id in subset.order.iter().chain([&u32::MAX]) {
                 let slot = subset.rotation_slot(*id);
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -53,7 +53,7 @@
 
 fn subset_by_name(proxy: u32, proxies: u32, members: &[Member], subset_size: usize) -> Subset {
     let position = FleetPosition::NameKey(key(&format!("n{proxy}")));
-    Subset::draw(position, proxies as usize, members, subset_size)
+    Subset::compute(position, proxies as usize, members, subset_size)
 }
 
 /// How evenly the engines are drawn, by their sizes.
