--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -10,7 +10,7 @@
 use gaugestep_dispatch::Dispatcher;
 use gaugestep_dispatch::interface::*;
 use gaugestep_subsetting::key;
-use gaugestep_subsetting::subset::{Member, Subset};
+use gaugestep_subsetting::subset::{CandidateEngine, Subset};
 
 /// The median of five, in microseconds for each of `times`.
 fn micros(times: u32, mut run: impl FnMut()) -> f64 {
@@ -45,8 +45,8 @@
 fn main() {
     println!("one request, sent and served: {:.2} us", pick());
     for (proxies, engines) in [(10, 40), (100, 60), (300, 80), (1_000, 80)] {
-        let member = |id: u32| Member { id, key: key(&format!("s-{id}")), size: 8.0, zone: 0 };
-        let members: Vec<Member> = (0..engines).map(member).collect();
+        let member = |id: u32| CandidateEngine { id, key: key(&format!("s-{id}")), size: 8.0, zone: 0 };
+        let members: Vec<CandidateEngine> = (0..engines).map(member).collect();
         let place = FleetPosition::ordinal(3, proxies).expect("there is such an ordinal");
         let span = micros(20, || drop(Subset::compute(place, proxies as usize, &members, 8)));
         println!("{proxies} proxies, {engines} engines: the subset is drawn anew in {span:.0} us");
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -35,8 +35,8 @@
 
 impl EngineEntry {
     /// The engine as subsets are drawn from it; `size` against the others'.
-    pub fn member(&self, size: f64) -> Member {
-        Member { id: self.engine.0, key: self.key, size, zone: self.zone.0 as u64 }
+    pub fn member(&self, size: f64) -> CandidateEngine {
+        CandidateEngine { id: self.engine.0, key: self.key, size, zone: self.zone.0 as u64 }
     }
 }
 
--- a/crates/dispatch/src/interface/mod.rs
+++ b/crates/dispatch/src/interface/mod.rs
@@ -13,7 +13,7 @@
 };
 pub use gaugestep_subsetting::position::FleetPosition;
 pub use gaugestep_subsetting::slow_start::SlowStartSettings;
-pub use gaugestep_subsetting::subset::Member;
+pub use gaugestep_subsetting::subset::CandidateEngine;
 pub use ids::{
     AttemptNo, CellId, ClassId, EngineId, MachineId, OrderKey, RequestId, TablesId, TenantId, TimerId, ZoneId,
 };
--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -65,7 +65,8 @@
     /// Draws the subset again, from the engines that take work by the list.
     pub fn draw_subset(&mut self, context: &Context) {
         let up = self.engines.values().filter(|engine| engine.is_up()).map(|engine| &engine.entry);
-        let members: Vec<Member> = up.map(|it| it.member(context.settings.machine(it).cores)).collect();
+        let members: Vec<CandidateEngine> =
+            up.map(|it| it.member(context.settings.machine(it).cores)).collect();
         let size = if self.is_wide(context) { SUBSET_SIZE } else { usize::MAX };
         let position = self.subset.position(context.now, context.settings.fleet_position);
         self.subset.drawn = Subset::compute(position, context.settings.dispatchers, &members, size);
--- a/crates/subsetting/src/assignment.rs
+++ b/crates/subsetting/src/assignment.rs
@@ -20,7 +20,7 @@
 
 /// An engine that can belong to subsets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Member {
+pub struct CandidateEngine {
     /// The embedder's number of the engine.
     pub id: u32,
     /// The engine's key, the same at every proxy; see [`crate::key`].
@@ -41,7 +41,7 @@
 impl AssignmentTable {
     /// Computes the subsets of all ordinals, each of `subset_size` engines, or of all if there are fewer. The order of the
     /// members does not matter; their keys must differ.
-    pub fn draw(fleet_size: u32, members: &[Member], subset_size: usize) -> Self {
+    pub fn draw(fleet_size: u32, members: &[CandidateEngine], subset_size: usize) -> Self {
         let fleet_size = fleet_size as usize;
         let mut zones: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
         for (index, member) in members.iter().enumerate() {
@@ -50,7 +50,7 @@
         let counts = engines_per_zone(&zones, members, subset_size);
         let mut subsets = vec![Vec::new(); fleet_size];
         for (zone, indices) in &zones {
-            let in_zone: Vec<&Member> = indices.iter().map(|index| &members[*index]).collect();
+            let in_zone: Vec<&CandidateEngine> = indices.iter().map(|index| &members[*index]).collect();
             let count = counts.get(zone).copied().unwrap_or(0);
             let drawn = draw_zone(fleet_size, &in_zone, count);
             for (subset, drawn) in subsets.iter_mut().zip(drawn) {
@@ -75,7 +75,7 @@
 /// zone gets at least one, as long as there are enough places.
 fn engines_per_zone(
     zones: &BTreeMap<u64, Vec<usize>>,
-    members: &[Member],
+    members: &[CandidateEngine],
     subset_size: usize,
 ) -> BTreeMap<u64, usize> {
     let size_of = |indices: &Vec<usize>| indices.iter().map(|index| members[*index].size).sum::<f64>();
@@ -98,7 +98,7 @@
 }
 
 /// Computes the subsets of all ordinals within one zone, as indices into `members`.
-fn draw_zone(fleet_size: usize, members: &[&Member], subset_size: usize) -> Vec<Vec<usize>> {
+fn draw_zone(fleet_size: usize, members: &[&CandidateEngine], subset_size: usize) -> Vec<Vec<usize>> {
     let subset_size = subset_size.min(members.len());
     if subset_size == members.len() {
         return vec![(0..subset_size).collect(); fleet_size];
@@ -116,7 +116,7 @@
 
 /// A draw within one zone that is under way.
 struct ZoneDraw<'a> {
-    members: &'a [&'a Member],
+    members: &'a [&'a CandidateEngine],
     subset_size: usize,
     /// By engine: how many more subsets it is to belong to.
     remaining: Vec<usize>,
@@ -192,7 +192,7 @@
 }
 
 /// How many subsets each engine belongs to: its share by size, rounded so that the sum is exact, and at most every subset.
-fn quotas(members: &[&Member], fleet_size: usize, subset_size: usize) -> Vec<usize> {
+fn quotas(members: &[&CandidateEngine], fleet_size: usize, subset_size: usize) -> Vec<usize> {
     let exact: Vec<f64> =
         shares(members, subset_size).iter().map(|share| share * fleet_size as f64).collect();
     let mut quotas: Vec<usize> =
@@ -216,7 +216,7 @@
 
 /// The part of all subsets that each engine belongs to, at most 1. What an engine too large for its share cannot take is
 /// divided among the others.
-fn shares(members: &[&Member], subset_size: usize) -> Vec<f64> {
+fn shares(members: &[&CandidateEngine], subset_size: usize) -> Vec<f64> {
     let mut shares = vec![0.0f64; members.len()];
     let mut full = vec![false; members.len()];
     loop {
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::assignment::AssignmentTable;
-pub use crate::assignment::Member;
+pub use crate::assignment::CandidateEngine;
 use crate::position::FleetPosition;
 use crate::rotation::RotationSlot;
 use crate::{exponential_hash, uniform_hash};
@@ -34,7 +34,7 @@
     pub fn compute(
         position: FleetPosition,
         fleet_size: usize,
-        members: &[Member],
+        members: &[CandidateEngine],
         subset_size: usize,
     ) -> Self {
         let seed = match position {
@@ -70,11 +70,11 @@
 fn random_slots(
     seed: u64,
     fleet_size: usize,
-    members: &[Member],
+    members: &[CandidateEngine],
     own_count: usize,
 ) -> BTreeMap<u32, RotationSlot> {
     let count = (fleet_size as f64 * own_count as f64 / members.len().max(1) as f64).max(1.0);
-    let slot = |member: &Member| {
+    let slot = |member: &CandidateEngine| {
         let index = uniform_hash(member.key, seed ^ ROTATION_SALT) * count;
         (member.id, RotationSlot { index, count, exclusive: false })
     };
@@ -82,7 +82,12 @@
 }
 
 /// The place of an ordinal among those whose subsets contain the engine at this index; they are ordered by a hash.
-fn exclusive_slot(ordinal: u32, engine: usize, table: &AssignmentTable, member: &Member) -> RotationSlot {
+fn exclusive_slot(
+    ordinal: u32,
+    engine: usize,
+    table: &AssignmentTable,
+    member: &CandidateEngine,
+) -> RotationSlot {
     let rank = |ordinal: usize| (uniform_hash(member.key, ordinal as u64 ^ ROTATION_SALT), ordinal);
     let own = rank(ordinal as usize);
     let mut slot = RotationSlot { index: 0.0, count: 0.0, exclusive: true };
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -7,7 +7,7 @@
 use gaugestep_subsetting::key;
 use gaugestep_subsetting::position::FleetPosition;
 use gaugestep_subsetting::slow_start::{SlowStartBudget, SlowStartLimit, SlowStartSettings};
-use gaugestep_subsetting::subset::{Member, Subset};
+use gaugestep_subsetting::subset::{CandidateEngine, Subset};
 use oorandom::Rand64;
 
 /// FNV-1a over 64-bit words.
@@ -25,9 +25,9 @@
     }
 }
 
-fn members(count: u32, random: &mut Rand64) -> Vec<Member> {
+fn members(count: u32, random: &mut Rand64) -> Vec<CandidateEngine> {
     (0..count)
-        .map(|id| Member {
+        .map(|id| CandidateEngine {
             id,
             key: key(&format!("engine-{id}")),
             size: 1.0 + random.rand_range(0..8) as f64,
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -6,7 +6,7 @@
 use gaugestep_subsetting::fairness::{Fairness, fairness};
 use gaugestep_subsetting::key;
 use gaugestep_subsetting::position::FleetPosition;
-use gaugestep_subsetting::subset::{Member, Subset};
+use gaugestep_subsetting::subset::{CandidateEngine, Subset};
 use proptest::prelude::*;
 
 /// Size of a usual engine, in cores.
@@ -15,23 +15,23 @@
 /// A proxy and the key of an engine in its subset.
 type Pair = (u32, u64);
 
-fn members(count: u32) -> Vec<Member> {
-    let member = |id: u32| Member { id, key: key(&format!("s-{id:08x}")), size: CORES, zone: 0 };
+fn members(count: u32) -> Vec<CandidateEngine> {
+    let member = |id: u32| CandidateEngine { id, key: key(&format!("s-{id:08x}")), size: CORES, zone: 0 };
     (0..count).map(member).collect()
 }
 
 /// Every third engine is twice as large.
-fn mixed_members(count: u32) -> Vec<Member> {
-    let size = |member: &Member| if member.id % 3 == 0 { 2.0 * CORES } else { CORES };
-    members(count).into_iter().map(|member| Member { size: size(&member), ..member }).collect()
+fn mixed_members(count: u32) -> Vec<CandidateEngine> {
+    let size = |member: &CandidateEngine| if member.id % 3 == 0 { 2.0 * CORES } else { CORES };
+    members(count).into_iter().map(|member| CandidateEngine { size: size(&member), ..member }).collect()
 }
 
-fn total_size(members: &[Member]) -> f64 {
+fn total_size(members: &[CandidateEngine]) -> f64 {
     members.iter().map(|member| member.size).sum()
 }
 
 /// The pairs of ordinals and engines.
-fn pairs(fleet_size: u32, members: &[Member], subset_size: usize) -> BTreeSet<Pair> {
+fn pairs(fleet_size: u32, members: &[CandidateEngine], subset_size: usize) -> BTreeSet<Pair> {
     let table = AssignmentTable::draw(fleet_size, members, subset_size);
     let pairs_of = |ordinal: u32| {
         let engines: Vec<u64> = table.subset_of(ordinal).iter().map(|index| members[*index].key).collect();
@@ -41,7 +41,7 @@
 }
 
 /// The pairs of proxies that are only known by their names.
-fn pairs_by_name(proxies: u32, members: &[Member], subset_size: usize) -> BTreeSet<Pair> {
+fn pairs_by_name(proxies: u32, members: &[CandidateEngine], subset_size: usize) -> BTreeSet<Pair> {
     let pairs_of = |proxy: u32| {
         let subset = subset_by_name(proxy, proxies, members, subset_size);
         let own: Vec<u64> =
@@ -51,13 +51,13 @@
     (0..proxies).flat_map(pairs_of).collect()
 }
 
-fn subset_by_name(proxy: u32, proxies: u32, members: &[Member], subset_size: usize) -> Subset {
+fn subset_by_name(proxy: u32, proxies: u32, members: &[CandidateEngine], subset_size: usize) -> Subset {
     let position = FleetPosition::NameKey(key(&format!("n{proxy}")));
     Subset::compute(position, proxies as usize, members, subset_size)
 }
 
 /// How evenly the engines are drawn, by their sizes.
-fn evenness(pairs: &BTreeSet<Pair>, members: &[Member]) -> Fairness {
+fn evenness(pairs: &BTreeSet<Pair>, members: &[CandidateEngine]) -> Fairness {
     let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
     for (_, key) in pairs {
         *counts.entry(*key).or_default() += 1;
@@ -74,7 +74,7 @@
 }
 
 /// The keys of each subset, whatever the order of members.
-fn keys(table: &AssignmentTable, members: &[Member]) -> Vec<BTreeSet<u64>> {
+fn keys(table: &AssignmentTable, members: &[CandidateEngine]) -> Vec<BTreeSet<u64>> {
     let keys_of = |subset: &Vec<usize>| subset.iter().map(|index| members[*index].key).collect();
     table.subsets().iter().map(keys_of).collect()
 }
@@ -90,10 +90,10 @@
         sizes in proptest::collection::vec((1..5u32, 0..3u64), 1..50),
         subset_size in 1..20usize,
     ) {
-        let all: Vec<Member> = members(sizes.len() as u32)
+        let all: Vec<CandidateEngine> = members(sizes.len() as u32)
             .into_iter()
             .zip(&sizes)
-            .map(|(member, (size, zone))| Member { size: f64::from(*size), zone: *zone, ..member })
+            .map(|(member, (size, zone))| CandidateEngine { size: f64::from(*size), zone: *zone, ..member })
             .collect();
         let table = AssignmentTable::draw(fleet_size, &all, subset_size);
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
@@ -102,10 +102,10 @@
             prop_assert_eq!(subset.iter().collect::<BTreeSet<_>>().len(), subset.len());
             subset.iter().for_each(|index| *counts.entry(all[*index].key).or_default() += 1);
         }
-        let count = |member: &Member| counts.get(&member.key).copied().unwrap_or(0);
+        let count = |member: &CandidateEngine| counts.get(&member.key).copied().unwrap_or(0);
         for zone in 0..3u64 {
             // Engines too large for their share belong to every subset; the others share what is left.
-            let open: Vec<&Member> = all
+            let open: Vec<&CandidateEngine> = all
                 .iter()
                 .filter(|member| member.zone == zone && count(member) < fleet_size as usize)
                 .collect();
@@ -117,7 +117,7 @@
                 prop_assert!((count as f64 - share).abs() < 1.0 + 1e-6, "{} for {share}", count);
             }
         }
-        let reversed: Vec<Member> = all.iter().rev().copied().collect();
+        let reversed: Vec<CandidateEngine> = all.iter().rev().copied().collect();
         let of_reversed = AssignmentTable::draw(fleet_size, &reversed, subset_size);
         prop_assert_eq!(keys(&table, &all), keys(&of_reversed, &reversed), "whatever the order of members");
     }
