--- a/crates/config/src/rollout/events.rs
+++ b/crates/config/src/rollout/events.rs
@@ -29,7 +29,7 @@
         stream: u64,
     },
     /// A proxy has answered an offer.
-    Answered {
+    Responded {
         /// The proxy.
         proxy: String,
         /// The stream.
--- a/crates/config/src/rollout/mod.rs
+++ b/crates/config/src/rollout/mod.rs
@@ -126,7 +126,7 @@
             }
             Event::Connected(hello) => self.on_connected(now, hello),
             Event::Disconnected { proxy, stream } => self.on_disconnected(now, &proxy, stream),
-            Event::Answered { proxy, stream, nonce, refusal } => {
+            Event::Responded { proxy, stream, nonce, refusal } => {
                 self.on_answered(now, &proxy, stream, nonce, refusal);
             }
             Event::RequestsCounted { proxy, stream, counts, number } => {
--- a/crates/config/tests/rollout.rs
+++ b/crates/config/tests/rollout.rs
@@ -75,7 +75,7 @@
         while let Some(action) = queue.pop_front() {
             if let Action::Offer { proxy, stream, nonce, .. } = action {
                 let refusal = refusal.map(|code| Refusal { code: code.into(), ..Refusal::default() });
-                queue.extend(self.handle(Event::Answered { proxy, stream, nonce, refusal }));
+                queue.extend(self.handle(Event::Responded { proxy, stream, nonce, refusal }));
             } else {
                 rest.push(action);
             }
@@ -178,7 +178,7 @@
     assert_eq!(proxy, rejecting);
     let refusal = Some(Refusal { code: "no-usable-engine".into(), ..Refusal::default() });
     let (proxy, stream, nonce) = (proxy.clone(), *stream, *nonce);
-    let advanced = next.handle(Event::Answered { proxy, stream, nonce, refusal });
+    let advanced = next.handle(Event::Responded { proxy, stream, nonce, refusal });
     assert!(offers(&advanced, 1) > 0, "and advances once it has held for all of them");
 }
 
@@ -209,7 +209,7 @@
         let [Action::Offer { proxy, stream, nonce, .. }] = &first[..] else { panic!("{first:?}") };
         let (proxy, stream, nonce) = (proxy.clone(), *stream, *nonce);
         if leaves {
-            fleet.handle(Event::Answered { proxy: proxy.clone(), stream, nonce, refusal: None });
+            fleet.handle(Event::Responded { proxy: proxy.clone(), stream, nonce, refusal: None });
             fleet.handle(Event::Disconnected { proxy, stream });
         }
         fleet.now = at(0.0) + ANSWER_TIMEOUT.max(RECONNECT_TIMEOUT);
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -153,7 +153,7 @@
                 );
             }
         }
-        self.drive(&mut state, Event::Answered { proxy: proxy.into(), stream: id, nonce, refusal });
+        self.drive(&mut state, Event::Responded { proxy: proxy.into(), stream: id, nonce, refusal });
     }
 
     /// Brings the hello of a session up to date, so that the next lease holder's rollout sees what the proxy has now.
