--- a/crates/config/src/version_tracker/events.rs
+++ b/crates/config/src/version_tracker/events.rs
@@ -77,7 +77,7 @@
         number: u64,
     },
     /// Answer an offer.
-    Answer {
+    Respond {
         /// The offer.
         offer: OfferId,
         /// The version that was offered; 0: the offer named none.
--- a/crates/config/src/version_tracker/mod.rs
+++ b/crates/config/src/version_tracker/mod.rs
@@ -34,7 +34,7 @@
 
 impl Context<'_> {
     fn answer(&mut self, offer: OfferId, number: u64, outcome: Result<(), RejectReason>) {
-        self.actions.push(Action::Answer { offer, number, outcome });
+        self.actions.push(Action::Respond { offer, number, outcome });
     }
 }
 
--- a/crates/config/tests/version_tracker.rs
+++ b/crates/config/tests/version_tracker.rs
@@ -114,7 +114,7 @@
                     assert!(valid && known || again, "in force without a check: {document:?}");
                     self.applied = *document;
                 }
-                Action::Answer { offer, number, outcome } => {
+                Action::Respond { offer, number, outcome } => {
                     *self.answers.entry(offer).or_default() += 1;
                     if outcome.is_ok() {
                         let current = decode(self.current.as_deref().expect("a version was committed"));
@@ -305,7 +305,7 @@
             &proxy(false, 0),
         );
         match &actions[..] {
-            [Action::Answer { outcome: Err(_), .. }] => messages += 1,
+            [Action::Respond { outcome: Err(_), .. }] => messages += 1,
             [Action::Stage { number: 3, .. }] if all => {}
             other => panic!("cut at byte {cut}: {other:?}"),
         }
@@ -336,7 +336,7 @@
         Event::Staged { number: 1, result: Ok(()) },
         &proxy(true, 0),
     );
-    let [Action::Answer { number: 1, outcome: Err(reason), .. }] = &ended[..] else { panic!("{ended:?}") };
+    let [Action::Respond { number: 1, outcome: Err(reason), .. }] = &ended[..] else { panic!("{ended:?}") };
     assert!(
         matches!(reason, RejectReason::NoUsableEngine { draining, .. } if draining == &["s-1"]),
         "{reason}"
--- a/crates/control-plane/src/client/versions.rs
+++ b/crates/control-plane/src/client/versions.rs
@@ -63,7 +63,7 @@
                 self.storage.submit(StorageRequest::StageVersion { number, bytes });
             }
             Action::Commit { number } => self.storage.submit(StorageRequest::CommitVersion { number }),
-            Action::Answer { offer, number, outcome } => self.answer(state, offer, number, outcome),
+            Action::Respond { offer, number, outcome } => self.answer(state, offer, number, outcome),
         }
     }
 
