--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -223,7 +223,7 @@
         if settings.dispatchers == 0 {
             return fail("dispatchers", "must be 1 or more");
         }
-        if !(0.0..=1.0).contains(&settings.slow_start.initial_share) {
+        if !(0.0..=1.0).contains(&settings.slow_start.initial_fraction) {
             return fail("cold.share", "must lie between 0 and 1");
         }
         if !time(settings.slow_start.capacity_multiple) {
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -129,7 +129,7 @@
         cross_zone_price: 0.0,
         answer_slack: 20.0,
         slow_start: SlowStartSettings {
-            initial_share: 0.3,
+            initial_fraction: 0.3,
             warm_up: 14_000.0,
             capacity_multiple: 3.0,
             window: 1_500.0,
@@ -266,8 +266,12 @@
 }
 
 fn cold_fleet() -> Profile {
-    let cold =
-        SlowStartSettings { initial_share: 0.1, warm_up: 20_000.0, capacity_multiple: 2.5, window: 2_000.0 };
+    let cold = SlowStartSettings {
+        initial_fraction: 0.1,
+        warm_up: 20_000.0,
+        capacity_multiple: 2.5,
+        window: 2_000.0,
+    };
     let settings = Settings { slow_start: cold, dispatchers: 4, ..settings(two_classes()) };
     let traffic = Traffic { fleet_change: 0.3, arrival_gap: 40.0, ..USUAL_TRAFFIC };
     Profile { traffic, has_roster: true, ..usual("cold_fleet", settings, 8) }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -39,7 +39,7 @@
         cross_zone_price: 0.0,
         answer_slack: 20.0,
         slow_start: SlowStartSettings {
-            initial_share: 0.3,
+            initial_fraction: 0.3,
             warm_up: 14_000.0,
             capacity_multiple: 3.0,
             window: 1_500.0,
--- a/crates/dispatch/tests/dispatcher/answers.rs
+++ b/crates/dispatch/tests/dispatcher/answers.rs
@@ -40,7 +40,7 @@
     assert_eq!(Dispatcher::new(nobody, 1).err().unwrap().field, "dispatchers");
     for share in [-0.1, 1.1, f64::NAN] {
         let mut odd = settings(vec![class(Effect::Safe, 1.0)]);
-        odd.slow_start.initial_share = share;
+        odd.slow_start.initial_fraction = share;
         assert_eq!(Dispatcher::new(odd, 1).err().unwrap().field, "cold.share");
     }
 }
--- a/crates/subsetting/src/slow_start.rs
+++ b/crates/subsetting/src/slow_start.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartSettings {
     /// The share of its capacity that it starts with, at the least.
-    pub initial_share: f64,
+    pub initial_fraction: f64,
     /// The age at which it has warmed up, in milliseconds.
     pub warm_up: f64,
     /// The multiple of its present capacity that overloads it...
@@ -57,7 +57,7 @@
         if age >= self.warm_up {
             return 1.0;
         }
-        let share = self.initial_share + (1.0 - self.initial_share) * age.max(0.0) / self.warm_up;
+        let share = self.initial_fraction + (1.0 - self.initial_fraction) * age.max(0.0) / self.warm_up;
         share.clamp(MIN_CAPACITY_SHARE, 1.0)
     }
 }
@@ -98,16 +98,16 @@
         let (age, warm_up) = (age.max(0.0), self.settings.warm_up.max(1.0));
         let warming = age.min(warm_up);
         // The integral of the part by which the capacity has risen since the start.
-        let risen = (1.0 - self.settings.initial_share) * warming * warming / (2.0 * warm_up);
+        let risen = (1.0 - self.settings.initial_fraction) * warming * warming / (2.0 * warm_up);
         self.settings.capacity_multiple
             * self.cores
-            * (self.settings.initial_share * warming + risen + age - warming)
+            * (self.settings.initial_fraction * warming + risen + age - warming)
     }
 
     /// The work that may be sent in the first window if the engine did not warm up meanwhile.
     fn first_window(&self) -> f64 {
-        let SlowStartSettings { initial_share, capacity_multiple, window, .. } = self.settings;
-        (capacity_multiple * self.cores * initial_share * window).max(1.0)
+        let SlowStartSettings { initial_fraction, capacity_multiple, window, .. } = self.settings;
+        (capacity_multiple * self.cores * initial_fraction * window).max(1.0)
     }
 
     fn is_light(&self, work: f64) -> bool {
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -72,7 +72,7 @@
     let mut consumed = 0;
     for _ in 0..60 {
         let settings = SlowStartSettings {
-            initial_share: 0.2 + 0.4 * random.rand_float(),
+            initial_fraction: 0.2 + 0.4 * random.rand_float(),
             warm_up: 8_000.0 + 6_000.0 * random.rand_float(),
             capacity_multiple: 1.5 + 2.0 * random.rand_float(),
             window: 1_500.0 + 2_000.0 * random.rand_float(),
--- a/crates/subsetting/tests/slow_start.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -115,8 +115,8 @@
     worst
 }
 
-fn limit(cores: f64, initial_share: f64, window: f64, capacity_multiple: f64) -> SlowStartLimit {
-    let settings = SlowStartSettings { initial_share, warm_up: WARM_UP, capacity_multiple, window };
+fn limit(cores: f64, initial_fraction: f64, window: f64, capacity_multiple: f64) -> SlowStartLimit {
+    let settings = SlowStartSettings { initial_fraction, warm_up: WARM_UP, capacity_multiple, window };
     SlowStartLimit { cores, settings }
 }
 
