--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -5,7 +5,7 @@
 impl WarmUp {
     /// The share of its capacity that the engine has by now, at the least.
     pub fn capacity_share(&self, context: &Context) -> f64 {
-        self.started_at.map_or(1.0, |at| context.settings.slow_start.capacity_share(context.now - at))
+        self.started_at.map_or(1.0, |at| context.settings.slow_start.capacity_fraction(context.now - at))
     }
 }
 
--- a/crates/subsetting/src/slow_start.rs
+++ b/crates/subsetting/src/slow_start.rs
@@ -53,7 +53,7 @@
 
 impl SlowStartSettings {
     /// The share of its capacity that an engine of this age has, at the least.
-    pub fn capacity_share(&self, age: f64) -> f64 {
+    pub fn capacity_fraction(&self, age: f64) -> f64 {
         if age >= self.warm_up {
             return 1.0;
         }
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -91,7 +91,7 @@
         while age < settings.warm_up + 500.0 {
             age += 150.0 * random.rand_float();
             digest.add(limit.accrued(age).to_bits());
-            digest.add(settings.capacity_share(age).to_bits());
+            digest.add(settings.capacity_fraction(age).to_bits());
             for work in [usual[0], usual[1], first * 0.5 * random.rand_float()] {
                 let available = budget.available(&limit, slot, age, usual.into_iter(), work);
                 digest.add(u64::from(available));
