--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,18 +1,19 @@
 #![forbid(unsafe_code)]
-//! Decisions that each proxy makes alone and that add up over the fleet.
+//! Decisions that each proxy makes on its own and that together balance the load of the fleet.
 //!
-//! Every proxy has a position among all ([`position`]), at best an *ordinal*: a number that no other proxy has at the same
-//! time. From its position alone it computes which engines are its own ([`subset`], [`assignment`]), when it is its turn to
-//! do what all proxies would otherwise do at the same moment ([`rotation`]), and how much it may send an engine that is
-//! still warming up ([`slow_start`]). Nobody has to be asked.
+//! Every proxy has a position in the fleet ([`position`]): an *ordinal*, a number that no other proxy has at
+//! the same time, or the key of its name while it has no ordinal. From its position a proxy computes, without
+//! communication, which engines are in its subset ([`subset`], [`assignment`]), when it does something that
+//! all proxies would otherwise do at the same moment ([`rotation`]), and how much it may send an engine that
+//! is warming up ([`slow_start`]).
 //!
-//! Ordinals come from the platform, from a list in the configuration, or from a roster that the holder of a leader-elected
-//! role manages ([`roster`]); a proxy holds one of these under a lease ([`ordinal_lease`]). [`fairness`] measures how evenly
-//! load is spread.
+//! Ordinals come from the settings, from a list in the configuration document, or from a roster that the
+//! lease holder of a role manages ([`roster`]); a proxy uses an ordinal of the roster under a lease
+//! ([`ordinal_lease`]). [`fairness`] measures how evenly load is distributed.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. What dispatch calls for each request counts in `f64`
-//! milliseconds, as the settings and the wire do; leases use [`Timestamp`](gaugestep_clock::Timestamp) and
-//! [`Duration`](std::time::Duration).
+//! Nothing here does I/O, reads a clock or starts a thread. What dispatch calls for each request measures
+//! time in `f64` milliseconds, as the settings and the wire do; leases use
+//! [`Timestamp`](gaugestep_clock::Timestamp) and [`Duration`](std::time::Duration).
 
 pub mod assignment;
 pub mod fairness;
@@ -32,15 +33,16 @@
 
 /// A pseudo-random number from 0 (inclusive) to 1 (exclusive) that depends on the two arguments only.
 pub(crate) fn uniform_hash(key: u64, salt: u64) -> f64 {
-    /// Bits of an `f64`'s mantissa.
-    const BITS: u32 = 53;
-    (xxh3_64_with_seed(&salt.to_le_bytes(), key) >> (u64::BITS - BITS)) as f64 / (1u64 << BITS) as f64
+    /// Precision of an `f64` in bits.
+    const PRECISION_BITS: u32 = 53;
+    let hash = xxh3_64_with_seed(&salt.to_le_bytes(), key);
+    (hash >> (u64::BITS - PRECISION_BITS)) as f64 / (1u64 << PRECISION_BITS) as f64
 }
 
-/// An exponentially distributed number that depends on the two arguments only; divided by a weight it orders candidates by
-/// weighted rendezvous hashing, the smallest first.
+/// An exponentially distributed pseudo-random number that depends on the two arguments only. Divided by a
+/// weight it orders candidates for weighted rendezvous hashing, the smallest first.
 pub(crate) fn exponential_hash(key: u64, salt: u64) -> f64 {
-    /// Keeps the logarithm finite.
-    const SMALLEST: f64 = 1e-300;
-    -uniform_hash(key, salt).max(SMALLEST).ln()
+    /// Replaces 0, whose logarithm is not finite.
+    const MIN_HASH: f64 = 1e-300;
+    -uniform_hash(key, salt).max(MIN_HASH).ln()
 }
--- a/crates/subsetting/src/rotation.rs
+++ b/crates/subsetting/src/rotation.rs
@@ -1,22 +1,22 @@
-//! A proxy's place in a rotation among the proxies that share something.
+//! The slot of a proxy in a rotation among proxies, such as those that share an engine.
 
-/// Which place in a rotation a proxy has.
+/// The slot of a proxy in a rotation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RotationSlot {
-    /// How many places are before it. Not a whole number where the place was drawn at random.
+    /// The number of slots before it. Not an integer if the slot is pseudo-random.
     pub index: f64,
-    /// How many places there are, at least 1.
+    /// The number of slots in the rotation, at least 1.
     pub count: f64,
-    /// Whether no other proxy has this place.
+    /// Whether no other proxy has this slot.
     pub exclusive: bool,
 }
 
 impl RotationSlot {
-    /// The only place of a rotation of one. Not exclusive, as nothing is known of the rotation.
+    /// The slot in a rotation that nothing is known about: the only one, but not exclusive.
     pub(crate) const UNKNOWN: RotationSlot = RotationSlot { index: 0.0, count: 1.0, exclusive: false };
 
-    /// The factor by which the proxy stretches a pause that all proxies begin at the same moment, so that the pauses end one
-    /// after the other: from 0.5 to 1.5, evenly by place.
+    /// The factor by which the proxy multiplies a pause that all proxies begin at the same moment, so that
+    /// the pauses end one after the other: from 0.5 to 1.5, evenly distributed by slot.
     pub fn stagger_factor(self) -> f64 {
         0.5 + (self.index + 0.5).clamp(0.0, self.count) / self.count.max(1.0)
     }
--- a/crates/subsetting/src/slow_start.rs
+++ b/crates/subsetting/src/slow_start.rs
@@ -1,77 +1,85 @@
-//! Slow start of an engine that all proxies share: how much each may send it while it warms up, without asking the others.
+//! Slow start of an engine that several proxies share: how much each proxy may send while the engine warms
+//! up. Each proxy decides this without communication.
 //!
-//! An engine announces when it started. From that moment on, work that it may be sent accrues at a rate that every proxy
-//! computes alike ([`SlowStartLimit::accrued`]). The accrued work is divided into *credits*, some large enough for a heavy
-//! request and some for a light one, which become due one after the other and go round among the proxies that share the
-//! engine. Two proxies can therefore send a heavy request at the same time only if the limit allows two. A credit that is
-//! not used expires, so that a process which was suspended does not spend at once what accrued meanwhile.
+//! An engine announces when it started. From that moment on, work that may be sent to it accrues at a rate
+//! that every proxy computes alike ([`SlowStartLimit::accrued`]). The accrued work is divided into *credits*,
+//! some large enough for a heavy request and some for a light one. Credits become due one after the other and
+//! are assigned in rotation to the proxies that share the engine. Two proxies can therefore send a heavy
+//! request at the same time only if the limit allows two. An unused credit expires, so that a process that
+//! was suspended does not spend at once all that accrued meanwhile.
 //!
-//! **Invariant.** If every proxy has a place of its own ([`RotationSlot::exclusive`]), clocks differ by at most
-//! [`MAX_CLOCK_SKEW`] windows, and no request is heavier than its credit, the work sent within any window stays below
-//! [`SlowStartLimit::window_limit`]; `tests/slow_start.rs` checks this against arbitrary interleavings. Places drawn at
-//! random keep the limit on average only, so such proxies use a smaller part of it.
+//! **Invariant.** If every proxy has an exclusive slot ([`RotationSlot::exclusive`]), clocks differ by at
+//! most [`MAX_CLOCK_SKEW_WINDOWS`] windows, and no request is heavier than its credit, then the work sent
+//! within any window stays below [`SlowStartLimit::window_limit`]; `tests/slow_start.rs` checks this with
+//! random interleavings. Pseudo-random slots respect the limit only on average, so proxies with such slots
+//! use a smaller fraction of it.
 //!
-//! Work is measured in milliseconds of one core, and an engine's age in milliseconds since its start.
+//! Work is measured in milliseconds of one core, and the age of an engine in milliseconds since its start.
 
 use crate::rotation::RotationSlot;
 
-/// The part of the limit that is given out where places are exclusive. With a limit of 2.5 times the capacity this is more
-/// than the engine can do.
-pub const EXCLUSIVE_SHARE: f64 = 0.5;
-/// The part of the limit that is given out where places are drawn at random.
-pub const PROBABILISTIC_SHARE: f64 = 0.3;
-/// The part of the limit at the engine's start that is reserved for light requests while it warms up. They are worth most
-/// for their work; what the engine can do beyond that, as it warms up, goes to heavy ones.
-const LIGHT_SHARE: f64 = 0.4;
-/// A request is light if this many fit into the limit of the first window.
+/// The fraction of the limit that is divided into credits where slots are exclusive. With a limit of 2.5
+/// times the capacity this is still more than the engine can process.
+pub const EXCLUSIVE_FRACTION: f64 = 0.5;
+/// The fraction of the limit that is divided into credits where slots are pseudo-random.
+pub const RANDOM_SLOT_FRACTION: f64 = 0.3;
+/// The fraction of the limit at the engine's start that goes to light credits all the time while it warms up,
+/// as light requests benefit most from each unit of work. The capacity gained while the engine warms up goes
+/// to heavy credits.
+const LIGHT_FRACTION: f64 = 0.4;
+/// A request is light if at least this many requests of its work fit into the limit of the first window.
 const LIGHT_REQUESTS_PER_WINDOW: f64 = 32.0;
-/// For how many windows a credit can be used once it is due.
-pub const CREDIT_LIFETIME: f64 = 0.5;
-/// The part of its lifetime for which a heavy credit is reserved for heavy requests.
-const HEAVY_RESERVATION: f64 = 0.5;
-/// By how many windows clocks may differ.
-pub const MAX_CLOCK_SKEW: f64 = 0.1;
-/// Sizes of credits are rounded to this many steps for each factor of two.
+/// How long a credit can be used after it becomes due, in windows.
+pub const CREDIT_LIFETIME_WINDOWS: f64 = 0.5;
+/// The fraction of its lifetime for which a heavy credit is reserved for heavy requests.
+const HEAVY_RESERVATION_FRACTION: f64 = 0.5;
+/// The largest difference between clocks, in windows, for which the invariant holds.
+pub const MAX_CLOCK_SKEW_WINDOWS: f64 = 0.1;
+/// Sizes of credits are rounded to this many steps per factor of two.
 const SIZE_STEPS_PER_OCTAVE: f64 = 4.0;
-/// The largest credit relative to the limit of the first window with which the sum of all stays below the limit.
-const LARGEST_CREDIT: f64 = 0.35;
-/// The smallest share of its capacity that an engine is taken to have.
-const MIN_CAPACITY_SHARE: f64 = 0.05;
+/// The size of the largest credit, as a fraction of the limit of the first window, for which the sum of all
+/// credits in a window stays below the limit.
+const MAX_CREDIT_FRACTION: f64 = 0.35;
+/// The smallest fraction of its capacity that an engine is assumed to have.
+const MIN_CAPACITY_FRACTION: f64 = 0.05;
 
-/// How a freshly started engine warms up, and how much load it tolerates meanwhile.
+/// How the capacity of an engine grows after its start, and how much load overloads it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartSettings {
-    /// The share of its capacity that it starts with, at the least.
+    /// The lower bound of the fraction of its capacity that an engine has at its start, from 0 to 1.
     pub initial_fraction: f64,
-    /// The age at which it has warmed up, in milliseconds.
+    /// The age at which an engine has warmed up, in milliseconds; 0: engines have their full capacity from
+    /// the start.
     pub warm_up: f64,
-    /// The multiple of its present capacity that overloads it...
+    /// An engine is overloaded by work of more than this multiple of its present capacity within one window;
+    /// 0: no limit applies.
     pub capacity_multiple: f64,
-    /// ...if it is sent that much for this long, in milliseconds.
+    /// The length of that window, in milliseconds.
     pub window: f64,
 }
 
 impl SlowStartSettings {
-    /// The share of its capacity that an engine of this age has, at the least.
-    pub fn capacity_fraction(&self, age: f64) -> f64 {
-        if age >= self.warm_up {
+    /// The lower bound of the fraction of its capacity that an engine of this age has, from 0.05 to 1.
+    pub fn capacity_fraction(&self, age_ms: f64) -> f64 {
+        if age_ms >= self.warm_up {
             return 1.0;
         }
-        let share = self.initial_fraction + (1.0 - self.initial_fraction) * age.max(0.0) / self.warm_up;
-        share.clamp(MIN_CAPACITY_SHARE, 1.0)
+        let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * age_ms.max(0.0) / self.warm_up;
+        fraction.clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 }
 
-/// How much one engine may be sent by all proxies together while it warms up.
+/// How much work all proxies together may send one engine while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartLimit {
-    /// Its cores: how many milliseconds of work it does in a millisecond once it has warmed up.
+    /// The number of its cores: the milliseconds of work that it processes per millisecond after it has
+    /// warmed up.
     pub cores: f64,
-    /// How it warms up, and what overloads it.
+    /// How its capacity grows, and how much load overloads it.
     pub settings: SlowStartSettings,
 }
 
-/// The sizes of credits, in milliseconds of work; `None` where no class of requests needs such credits.
+/// The sizes of credits, in milliseconds of work; `None` if no request class needs credits of that kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CreditSizes {
     /// For light requests.
@@ -80,45 +88,47 @@
     pub heavy: Option<f64>,
 }
 
-/// Work that was divided into credits.
+/// The accrued work, split into what goes to light and to heavy credits.
 #[derive(Clone, Copy)]
-struct DividedWork {
+struct CreditedWork {
     light: f64,
     heavy: f64,
 }
 
 impl SlowStartLimit {
     /// The work that may reach the engine within the window that begins at this age.
-    pub fn window_limit(&self, age: f64) -> f64 {
-        self.accrued(age + self.settings.window) - self.accrued(age)
+    pub fn window_limit(&self, age_ms: f64) -> f64 {
+        self.accrued(age_ms + self.settings.window) - self.accrued(age_ms)
     }
 
     /// The work that may reach the engine from its start up to this age.
-    pub fn accrued(&self, age: f64) -> f64 {
-        let (age, warm_up) = (age.max(0.0), self.settings.warm_up.max(1.0));
-        let warming = age.min(warm_up);
-        // The integral of the part by which the capacity has risen since the start.
-        let risen = (1.0 - self.settings.initial_fraction) * warming * warming / (2.0 * warm_up);
+    pub fn accrued(&self, age_ms: f64) -> f64 {
+        let (age_ms, warm_up) = (age_ms.max(0.0), self.settings.warm_up.max(1.0));
+        let warming = age_ms.min(warm_up);
+        // The integral of the capacity gained since the start, as a fraction of the full capacity.
+        let gained = (1.0 - self.settings.initial_fraction) * warming * warming / (2.0 * warm_up);
         self.settings.capacity_multiple
             * self.cores
-            * (self.settings.initial_fraction * warming + risen + age - warming)
+            * (self.settings.initial_fraction * warming + gained + age_ms - warming)
     }
 
-    /// The work that may be sent in the first window if the engine did not warm up meanwhile.
-    fn first_window(&self) -> f64 {
+    /// The work that may reach the engine in the first window if its capacity stayed as it is at its start;
+    /// at least 1.
+    fn first_window_limit(&self) -> f64 {
         let SlowStartSettings { initial_fraction, capacity_multiple, window, .. } = self.settings;
         (capacity_multiple * self.cores * initial_fraction * window).max(1.0)
     }
 
     fn is_light(&self, work: f64) -> bool {
-        work * LIGHT_REQUESTS_PER_WINDOW <= self.first_window()
+        work * LIGHT_REQUESTS_PER_WINDOW <= self.first_window_limit()
     }
 
-    /// Sizes of credits into which requests of all classes fit; `works` is the usual work of each class. The sizes are
-    /// rounded up to fixed steps, so that proxies whose estimates differ a little agree on them.
-    pub fn credit_sizes(&self, works: impl Iterator<Item = f64>) -> CreditSizes {
+    /// Computes sizes of credits that requests of all classes fit into; `typical_works` yields the typical
+    /// work of each class. The sizes are rounded up to fixed steps, so that proxies whose estimates differ
+    /// slightly agree on them.
+    pub fn credit_sizes(&self, typical_works: impl Iterator<Item = f64>) -> CreditSizes {
         let (mut light, mut heavy) = (0.0f64, 0.0f64);
-        for work in works.filter(|work| work.is_finite()) {
+        for work in typical_works.filter(|work| work.is_finite()) {
             let largest = if self.is_light(work) { &mut light } else { &mut heavy };
             *largest = largest.max(work);
         }
@@ -129,127 +139,140 @@
     }
 
     fn rounded_size(&self, work: f64) -> f64 {
-        let octaves = (self.first_window() / work).log2();
-        self.first_window() / ((octaves * SIZE_STEPS_PER_OCTAVE).floor() / SIZE_STEPS_PER_OCTAVE).exp2()
+        let octaves = (self.first_window_limit() / work).log2();
+        let rounded_octaves = (octaves * SIZE_STEPS_PER_OCTAVE).floor() / SIZE_STEPS_PER_OCTAVE;
+        self.first_window_limit() / rounded_octaves.exp2()
     }
 
-    /// The work that was divided into light and heavy credits up to this age.
-    fn divided(&self, age: f64, sizes: CreditSizes, exclusive: bool) -> DividedWork {
-        let part = if exclusive { EXCLUSIVE_SHARE } else { PROBABILISTIC_SHARE };
-        let all = self.accrued(age) * part;
-        let Some(heavy_size) = sizes.heavy else { return DividedWork { light: all, heavy: 0.0 } };
-        let at_initial_rate = self.first_window() / self.settings.window * age.max(0.0);
-        let light = sizes.light.map_or(0.0, |_| at_initial_rate * LIGHT_SHARE * part / EXCLUSIVE_SHARE);
-        // Credits above the largest size become due less often: two of them exceed the limit before their average does.
-        let heavy = (all - light) * (LARGEST_CREDIT * self.first_window() / heavy_size).min(1.0);
-        DividedWork { light, heavy }
+    /// The work that goes to light and to heavy credits up to this age.
+    fn credited(&self, age_ms: f64, sizes: CreditSizes, exclusive: bool) -> CreditedWork {
+        let fraction = if exclusive { EXCLUSIVE_FRACTION } else { RANDOM_SLOT_FRACTION };
+        let total = self.accrued(age_ms) * fraction;
+        let Some(heavy_size) = sizes.heavy else { return CreditedWork { light: total, heavy: 0.0 } };
+        let at_initial_rate = self.first_window_limit() / self.settings.window * age_ms.max(0.0);
+        let light =
+            sizes.light.map_or(0.0, |_| at_initial_rate * LIGHT_FRACTION * fraction / EXCLUSIVE_FRACTION);
+        // Credits above the largest size become due less often: two of them within a window exceed the limit
+        // even if the average does not.
+        let heavy = (total - light) * (MAX_CREDIT_FRACTION * self.first_window_limit() / heavy_size).min(1.0);
+        CreditedWork { light, heavy }
     }
 }
 
 /// A credit that is due and has not expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct AccruedCredit {
-    /// Counted from the engine's start over all proxies.
+    /// Its number among the credits of its size, counted from the engine's start over all proxies.
     number: f64,
-    /// The work that may still be sent with it.
+    /// The work that may still be sent under it.
     remaining: f64,
 }
 
-/// What one proxy may send one engine that is warming up.
+/// The credits of one proxy at one engine that is warming up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartBudget {
-    /// The engine's age when this process first asked.
-    first_seen: Option<f64>,
+    /// The age of the engine at the first refresh by this process; `None` before it.
+    first_refreshed_at: Option<f64>,
     light: Option<AccruedCredit>,
     heavy: Option<AccruedCredit>,
-    /// The work up to which a request is light, as of the last look.
-    light_limit: f64,
-    /// Light requests may use a heavy credit with less than this remaining, as of the last look.
-    heavy_open_below: f64,
+    /// The work up to which a request is light, as of the last refresh.
+    max_light_work: f64,
+    /// Light requests may use a heavy credit that has less than this remaining, as of the last refresh.
+    heavy_usable_below: f64,
 }
 
-/// The clock of credits of one size: which of them are due when.
+/// When credits of one size become due and when they expire.
 struct CreditSchedule<'a, F: Fn(f64) -> f64> {
-    /// The work that was divided into credits of this size up to an age.
-    divided: F,
+    /// The work that goes to credits of this size up to an age.
+    credited: F,
     size: f64,
     limit: &'a SlowStartLimit,
     slot: RotationSlot,
 }
 
 impl<F: Fn(f64) -> f64> CreditSchedule<'_, F> {
-    /// The number of the credit that is due at this age, over all proxies; between two credits not a whole number.
-    fn due(&self, age: f64) -> f64 {
-        (self.divided)(age) / self.size - 1.0
+    /// The number of the newest credit that is due at this age, over all proxies; not an integer between two
+    /// credits.
+    fn due_number(&self, age_ms: f64) -> f64 {
+        (self.credited)(age_ms) / self.size - 1.0
     }
 
-    /// This proxy's newest credit that can be used at this age. `held` is the one it had at the last look.
-    fn newest(&self, age: f64, first_seen: f64, held: Option<AccruedCredit>) -> Option<AccruedCredit> {
+    /// The newest credit of this proxy, if it can be used at this age. `current` is the credit as of the last
+    /// refresh.
+    fn newest(
+        &self,
+        age_ms: f64,
+        first_refreshed_at: f64,
+        current: Option<AccruedCredit>,
+    ) -> Option<AccruedCredit> {
         let RotationSlot { index, count, .. } = self.slot;
-        let number = ((self.due(age) - index) / count).floor() * count + index;
-        let expired_up_to = self.due(age - CREDIT_LIFETIME * self.limit.settings.window);
-        // A credit that was due before this process started may have been used by its predecessor.
-        let unusable_up_to = expired_up_to.max(self.due(first_seen));
+        let completed_rounds = ((self.due_number(age_ms) - index) / count).floor();
+        let number = completed_rounds * count + index;
+        let expired_up_to = self.due_number(age_ms - CREDIT_LIFETIME_WINDOWS * self.limit.settings.window);
+        // A credit that was due before this process started may have been used by the process before it.
+        let unusable_up_to = expired_up_to.max(self.due_number(first_refreshed_at));
         let usable = number > unusable_up_to && number >= 0.0;
         let unused = AccruedCredit { number, remaining: self.size };
-        usable.then(|| held.filter(|held| held.number == number).unwrap_or(unused))
+        usable.then(|| current.filter(|current| current.number == number).unwrap_or(unused))
     }
 
-    /// Whether a credit is no longer reserved for heavy requests.
-    fn open_to_light(&self, age: f64, credit: Option<AccruedCredit>) -> bool {
-        let reserved = HEAVY_RESERVATION * CREDIT_LIFETIME * self.limit.settings.window;
-        credit.is_some_and(|credit| credit.number <= self.due(age - reserved))
+    /// Whether the reservation of a credit for heavy requests has ended.
+    fn usable_by_light(&self, age_ms: f64, credit: Option<AccruedCredit>) -> bool {
+        let reserved_for = HEAVY_RESERVATION_FRACTION * CREDIT_LIFETIME_WINDOWS * self.limit.settings.window;
+        credit.is_some_and(|credit| credit.number <= self.due_number(age_ms - reserved_for))
     }
 }
 
 impl SlowStartBudget {
-    /// Whether a request of this work may be sent to the engine at this age. `slot` is the proxy's place among those that
-    /// share the engine, `works` the usual work of each class of requests.
+    /// Whether a request of this work may be sent to the engine at this age. `slot` is the slot of the proxy
+    /// among those that share the engine, and `typical_works` yields the typical work of each request class.
     pub fn available(
         &mut self,
         limit: &SlowStartLimit,
         slot: RotationSlot,
-        age: f64,
-        works: impl Iterator<Item = f64>,
+        age_ms: f64,
+        typical_works: impl Iterator<Item = f64>,
         work: f64,
     ) -> bool {
-        if age >= limit.settings.warm_up || limit.settings.capacity_multiple <= 0.0 {
+        if age_ms >= limit.settings.warm_up || limit.settings.capacity_multiple <= 0.0 {
             *self = SlowStartBudget::default();
             return true;
         }
-        self.refresh(limit, slot, age, limit.credit_sizes(works));
+        self.refresh(limit, slot, age_ms, limit.credit_sizes(typical_works));
         self.usable_credit(work).is_some()
     }
 
-    /// Takes the credits that have become due, and drops those that have expired.
-    fn refresh(&mut self, limit: &SlowStartLimit, slot: RotationSlot, age: f64, sizes: CreditSizes) {
-        let first_seen = *self.first_seen.get_or_insert(age);
-        let divided = |age: f64| limit.divided(age, sizes, slot.exclusive);
+    /// Adds the credits that have become due, and discards those that have expired.
+    fn refresh(&mut self, limit: &SlowStartLimit, slot: RotationSlot, age_ms: f64, sizes: CreditSizes) {
+        let first_refreshed_at = *self.first_refreshed_at.get_or_insert(age_ms);
+        let credited = |age_ms: f64| limit.credited(age_ms, sizes, slot.exclusive);
         self.light = sizes.light.and_then(|size| {
-            let schedule = CreditSchedule { divided: |age| divided(age).light, size, limit, slot };
-            schedule.newest(age, first_seen, self.light)
+            let schedule = CreditSchedule { credited: |age_ms| credited(age_ms).light, size, limit, slot };
+            schedule.newest(age_ms, first_refreshed_at, self.light)
         });
-        self.light_limit = limit.first_window() / LIGHT_REQUESTS_PER_WINDOW;
+        self.max_light_work = limit.first_window_limit() / LIGHT_REQUESTS_PER_WINDOW;
         let Some(size) = sizes.heavy else {
-            (self.heavy, self.heavy_open_below) = (None, 0.0);
+            (self.heavy, self.heavy_usable_below) = (None, 0.0);
             return;
         };
-        let schedule = CreditSchedule { divided: |age| divided(age).heavy, size, limit, slot };
-        self.heavy = schedule.newest(age, first_seen, self.heavy);
-        self.heavy_open_below = if schedule.open_to_light(age, self.heavy) { f64::INFINITY } else { size };
+        let schedule = CreditSchedule { credited: |age_ms| credited(age_ms).heavy, size, limit, slot };
+        self.heavy = schedule.newest(age_ms, first_refreshed_at, self.heavy);
+        self.heavy_usable_below =
+            if schedule.usable_by_light(age_ms, self.heavy) { f64::INFINITY } else { size };
     }
 
-    /// The credit that a request of this work would use. A light request uses a heavy credit only if that was begun or is no
-    /// longer reserved.
+    /// The credit that a request of this work uses; `None` if none suffices. A light request uses a heavy
+    /// credit only if part of that credit is already used or its reservation has ended.
     fn usable_credit(&mut self, work: f64) -> Option<&mut AccruedCredit> {
-        let is_light = work <= self.light_limit;
-        let heavy_open_below = self.heavy_open_below;
+        let is_light = work <= self.max_light_work;
+        let heavy_usable_below = self.heavy_usable_below;
         let light = self.light.as_mut().filter(|_| is_light);
-        let heavy = self.heavy.as_mut().filter(|credit| !is_light || credit.remaining < heavy_open_below);
+        let heavy = self.heavy.as_mut().filter(|credit| !is_light || credit.remaining < heavy_usable_below);
         light.into_iter().chain(heavy).find(|credit| work <= credit.remaining)
     }
 
-    /// Records that a request of this work was sent. To be called after [`Self::available`] with the same work.
+    /// Deducts a request of this work from the credit that it uses. To be called after [`Self::available`]
+    /// with the same work.
     pub fn consume(&mut self, work: f64) {
         if let Some(credit) = self.usable_credit(work) {
             credit.remaining -= work;
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -45,7 +45,7 @@
         let members = members(count, &mut random);
         let size = random.rand_range(1..20) as usize;
         let fleet_size = random.rand_range(1..120) as u32;
-        let table = AssignmentTable::draw(fleet_size, &members, size);
+        let table = AssignmentTable::compute(fleet_size, &members, size);
         table.subsets().iter().flatten().for_each(|index| digest.add(*index as u64));
         let ordinal = random.rand_range(0..u64::from(fleet_size)) as u32;
         let with_ordinal = FleetPosition::ordinal(ordinal, fleet_size).unwrap();
--- a/crates/subsetting/tests/slow_start.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -1,7 +1,9 @@
 //! What a whole fleet sends an engine that is warming up, whoever sends when: the sum in every window stays below the limit.
 
 use gaugestep_subsetting::rotation::RotationSlot;
-use gaugestep_subsetting::slow_start::{MAX_CLOCK_SKEW, SlowStartBudget, SlowStartLimit, SlowStartSettings};
+use gaugestep_subsetting::slow_start::{
+    MAX_CLOCK_SKEW_WINDOWS, SlowStartBudget, SlowStartLimit, SlowStartSettings,
+};
 use oorandom::Rand64;
 use proptest::prelude::*;
 
@@ -147,7 +149,7 @@
         let limit = limit(cores, share, window, multiple);
         let first_window = multiple * cores * share * window;
         let works = vec![heavy * first_window, light * first_window];
-        let skew = skew * MAX_CLOCK_SKEW * window;
+        let skew = skew * MAX_CLOCK_SKEW_WINDOWS * window;
         let fleet = Fleet { proxies, skew, limit, works, behaviours, exclusive: true, restarts };
         let worst = worst_window(&fleet.play(seed), &limit);
         prop_assert!(worst <= 1.0, "{worst} of the limit");
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -32,7 +32,7 @@
 
 /// The pairs of ordinals and engines.
 fn pairs(fleet_size: u32, members: &[CandidateEngine], subset_size: usize) -> BTreeSet<Pair> {
-    let table = AssignmentTable::draw(fleet_size, members, subset_size);
+    let table = AssignmentTable::compute(fleet_size, members, subset_size);
     let pairs_of = |ordinal: u32| {
         let engines: Vec<u64> = table.subset_of(ordinal).iter().map(|index| members[*index].key).collect();
         engines.into_iter().map(move |key| (ordinal, key))
@@ -95,7 +95,7 @@
             .zip(&sizes)
             .map(|(member, (size, zone))| CandidateEngine { size: f64::from(*size), zone: *zone, ..member })
             .collect();
-        let table = AssignmentTable::draw(fleet_size, &all, subset_size);
+        let table = AssignmentTable::compute(fleet_size, &all, subset_size);
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
         for subset in table.subsets() {
             prop_assert_eq!(subset.len(), subset_size.min(all.len()));
@@ -118,7 +118,7 @@
             }
         }
         let reversed: Vec<CandidateEngine> = all.iter().rev().copied().collect();
-        let of_reversed = AssignmentTable::draw(fleet_size, &reversed, subset_size);
+        let of_reversed = AssignmentTable::compute(fleet_size, &reversed, subset_size);
         prop_assert_eq!(keys(&table, &all), keys(&of_reversed, &reversed), "whatever the order of members");
     }
 
