--- a/crates/subsetting/src/assignment.rs
+++ b/crates/subsetting/src/assignment.rs
@@ -20,7 +20,7 @@
 /// Added before a quota is rounded down, so that a rounding error does not turn an integer into the one below
 /// it.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// Remainders are rounded to multiples of one over this number and compared after that.
+/// Remainders are rounded to multiples of one over this number before they are compared.
 const REMAINDER_RESOLUTION: f64 = 1e6;
 
 /// An engine that can belong to subsets.
@@ -103,7 +103,7 @@
     counts
 }
 
-/// Computes the subsets of all ordinals within one zone, as indices into `engines`.
+/// Computes the subsets of all ordinals within one zone, as indices into `candidates`.
 fn assign_zone(fleet_size: usize, candidates: &[&CandidateEngine], subset_size: usize) -> Vec<Vec<usize>> {
     let subset_size = subset_size.min(candidates.len());
     if subset_size == candidates.len() {
--- a/crates/subsetting/src/slow_start.rs
+++ b/crates/subsetting/src/slow_start.rs
@@ -172,7 +172,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartBudget {
     /// The age of the engine at the first refresh by this process; `None` before it.
-    first_refreshed_at: Option<f64>,
+    first_refresh_age_ms: Option<f64>,
     light: Option<AccruedCredit>,
     heavy: Option<AccruedCredit>,
     /// The work up to which a request is light, as of the last refresh.
@@ -202,7 +202,7 @@
     fn newest(
         &self,
         age_ms: f64,
-        first_refreshed_at: f64,
+        first_refresh_age_ms: f64,
         current: Option<AccruedCredit>,
     ) -> Option<AccruedCredit> {
         let RotationSlot { index, count, .. } = self.slot;
@@ -210,7 +210,7 @@
         let number = completed_rounds * count + index;
         let expired_up_to = self.due_number(age_ms - CREDIT_LIFETIME_WINDOWS * self.limit.settings.window);
         // A credit that was due before this process started may have been used by the process before it.
-        let unusable_up_to = expired_up_to.max(self.due_number(first_refreshed_at));
+        let unusable_up_to = expired_up_to.max(self.due_number(first_refresh_age_ms));
         let usable = number > unusable_up_to && number >= 0.0;
         let unused = AccruedCredit { number, remaining: self.size };
         usable.then(|| current.filter(|current| current.number == number).unwrap_or(unused))
@@ -244,11 +244,11 @@
 
     /// Adds the credits that have become due, and discards those that have expired.
     fn refresh(&mut self, limit: &SlowStartLimit, slot: RotationSlot, age_ms: f64, sizes: CreditSizes) {
-        let first_refreshed_at = *self.first_refreshed_at.get_or_insert(age_ms);
+        let first_refresh_age_ms = *self.first_refresh_age_ms.get_or_insert(age_ms);
         let credited = |age_ms: f64| limit.credited(age_ms, sizes, slot.exclusive);
         self.light = sizes.light.and_then(|size| {
             let schedule = CreditSchedule { credited: |age_ms| credited(age_ms).light, size, limit, slot };
-            schedule.newest(age_ms, first_refreshed_at, self.light)
+            schedule.newest(age_ms, first_refresh_age_ms, self.light)
         });
         self.max_light_work = limit.first_window_limit() / LIGHT_REQUESTS_PER_WINDOW;
         let Some(size) = sizes.heavy else {
@@ -256,7 +256,7 @@
             return;
         };
         let schedule = CreditSchedule { credited: |age_ms| credited(age_ms).heavy, size, limit, slot };
-        self.heavy = schedule.newest(age_ms, first_refreshed_at, self.heavy);
+        self.heavy = schedule.newest(age_ms, first_refresh_age_ms, self.heavy);
         self.heavy_usable_below =
             if schedule.usable_by_light(age_ms, self.heavy) { f64::INFINITY } else { size };
     }
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -1,5 +1,6 @@
-//! Digests that pin what this crate decides, to the bit: every proxy of a fleet must draw the same tables and compute the
-//! same credits, whichever build it runs. A change of a digest is a change of behaviour for mixed fleets.
+//! Digests that pin the decisions of this crate to the bit: all proxies of a fleet must compute the same
+//! tables and credits, whichever build they run. A changed digest means that proxies of different builds
+//! would disagree.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -25,7 +26,7 @@
     }
 }
 
-fn members(count: u32, random: &mut Rand64) -> Vec<CandidateEngine> {
+fn candidates(count: u32, random: &mut Rand64) -> Vec<CandidateEngine> {
     (0..count)
         .map(|id| CandidateEngine {
             id,
@@ -42,15 +43,15 @@
     let mut digest = Digest::new();
     for _ in 0..40 {
         let count = random.rand_range(1..60) as u32;
-        let members = members(count, &mut random);
+        let candidates = candidates(count, &mut random);
         let size = random.rand_range(1..20) as usize;
         let fleet_size = random.rand_range(1..120) as u32;
-        let table = AssignmentTable::compute(fleet_size, &members, size);
+        let table = AssignmentTable::compute(fleet_size, &candidates, size);
         table.subsets().iter().flatten().for_each(|index| digest.add(*index as u64));
         let ordinal = random.rand_range(0..u64::from(fleet_size)) as u32;
         let with_ordinal = FleetPosition::ordinal(ordinal, fleet_size).unwrap();
         for position in [with_ordinal, FleetPosition::NameKey(key(&format!("proxy-{ordinal}")))] {
-            let subset = Subset::compute(position, fleet_size as usize, &members, size);
+            let subset = Subset::compute(position, fleet_size as usize, &candidates, size);
             digest.add(subset.own_count as u64);
             for id in subset.order.iter().chain([&u32::MAX]) {
                 let slot = subset.rotation_slot(*id);
@@ -79,7 +80,7 @@
         };
         let limit = SlowStartLimit { cores: 4.0 + 12.0 * random.rand_float(), settings };
         let first = limit.window_limit(0.0);
-        let usual = [first * 0.2 * random.rand_float(), first * 0.02 * random.rand_float(), f64::NAN];
+        let typical = [first * 0.2 * random.rand_float(), first * 0.02 * random.rand_float(), f64::NAN];
         let position = match random.rand_range(0..2) {
             0 => FleetPosition::ordinal(random.rand_range(0..5) as u32, 5).unwrap(),
             _ => FleetPosition::NameKey(random.rand_u64()),
@@ -92,8 +93,8 @@
             age += 150.0 * random.rand_float();
             digest.add(limit.accrued(age).to_bits());
             digest.add(settings.capacity_fraction(age).to_bits());
-            for work in [usual[0], usual[1], first * 0.5 * random.rand_float()] {
-                let available = budget.available(&limit, slot, age, usual.into_iter(), work);
+            for work in [typical[0], typical[1], first * 0.5 * random.rand_float()] {
+                let available = budget.available(&limit, slot, age, typical.into_iter(), work);
                 digest.add(u64::from(available));
                 if available {
                     budget.consume(work);
--- a/crates/subsetting/tests/ordinal_lease.rs
+++ b/crates/subsetting/tests/ordinal_lease.rs
@@ -1,4 +1,4 @@
-//! The lease of a proxy on its ordinal.
+//! The lease of a proxy on its ordinal: when it expires, and which grants it accepts.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -29,15 +29,15 @@
     assert!(lease.confirm(at(100), grant(2, 7, 3)));
     let expires_at = at(100) + LEASE_DURATION;
     assert_eq!(lease.position(at(5_099)), leased(3, 100));
-    assert_eq!(lease.position(expires_at), None, "however late it is checked");
+    assert_eq!(lease.position(expires_at), None, "the lease expires at its end, whenever it is checked");
     assert!(!lease.confirm(at(4_000), grant(1, 9, 4)));
     assert!(!lease.confirm(at(4_000), grant(2, 6, 4)));
     assert_eq!(lease.last_grant(), Some(grant(2, 7, 3)));
     assert!(lease.confirm(at(2_000), grant(2, 7, 3)));
     assert!(lease.confirm(at(1_000), grant(2, 7, 3)));
-    assert_eq!(lease.position(at(2_000)), leased(3, 2_000), "responses may be reordered");
+    assert_eq!(lease.position(at(2_000)), leased(3, 2_000), "an older response does not shorten the lease");
     assert!(lease.confirm(at(1_500), grant(3, 8, 5)));
-    assert_eq!(lease.position(at(2_000)), leased(5, 1_500), "another ordinal has its own time");
+    assert_eq!(lease.position(at(2_000)), leased(5, 1_500), "another ordinal does not inherit the expiry");
     assert!(lease.confirm(at(2_500), OrdinalGrant { term: 3, epoch: 9, assignment: None }));
-    assert_eq!(lease.position(at(2_500)), None, "it has no ordinal any more");
+    assert_eq!(lease.position(at(2_500)), None, "the newest grant assigns no ordinal");
 }
--- a/crates/subsetting/tests/rotation.rs
+++ b/crates/subsetting/tests/rotation.rs
@@ -1,4 +1,4 @@
-//! Places in a rotation among all proxies.
+//! Slots in a rotation among all proxies, and ordinals that have none.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
@@ -6,7 +6,7 @@
 use gaugestep_subsetting::position::{FleetPosition, MAX_ORDINALS};
 
 #[test]
-fn pauses_that_begin_together_end_one_after_the_other() {
+fn stagger_factors_distribute_pauses_that_begin_together() {
     let proxies_per_tenth = |position: &dyn Fn(u32) -> FleetPosition| {
         let mut counts = [0; 10];
         for proxy in 0..100 {
