--- a/crates/config/build.rs
+++ b/crates/config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema with crates alone: no `protoc` need be installed.
+//! Compiles the protobuf schema in pure Rust, so that `protoc` need not be installed.
 
 use std::path::PathBuf;
 
--- a/crates/config/src/effective_config.rs
+++ b/crates/config/src/effective_config.rs
@@ -1,42 +1,44 @@
-//! The limits that apply once a document is in force beside the proxy's own settings.
+//! The limits that apply at a proxy: those of its own settings combined with those of a document.
 
 use crate::Document;
 use crate::proxy_state::{PlatformLimits, RetryBudget};
 
-/// The limits that apply: those of the proxy's own settings, where the document does not tighten them.
+/// The limits that apply: those of the proxy's own settings, or of the document where it sets tighter ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveConfig {
-    /// The tenants' requests per second, in the order of the settings; 0: no quota.
+    /// The quota of each tenant in requests per second, in the order of the settings; 0 if it has no quota.
     pub quotas: Vec<f64>,
-    /// Requests that may be open together.
+    /// The largest number of requests open at the same time.
     pub max_open: u64,
-    /// Attempts for one request.
+    /// The largest number of attempts per request.
     pub max_attempts: u64,
-    /// The retries allowed; `None` if they are not limited.
+    /// The retry budget; `None` if retries are not limited.
     pub retries: Option<RetryBudget>,
 }
 
-/// The limits under a document. The proxy's own settings win, whether or not the document was checked against them.
+/// Computes the limits that apply under a document. The proxy's own settings take precedence, even if the
+/// document was not validated against them.
 pub fn effective_config(document: &Document, platform: &PlatformLimits) -> EffectiveConfig {
     let document_quota = |name: &str| {
         let tenant = document.tenants.iter().find(|tenant| tenant.name == name);
         tenant.map(|tenant| tenant.quota_per_s)
     };
     let quotas = platform.tenants.iter().map(|tenant| {
-        let own = tenant.quota_per_s;
-        own.or_else(|| document_quota(&tenant.name)).unwrap_or(0.0)
+        let platform_quota = tenant.quota_per_s;
+        platform_quota.or_else(|| document_quota(&tenant.name)).unwrap_or(0.0)
     });
     let limits = document.limits.unwrap_or_default();
     EffectiveConfig {
         quotas: quotas.collect(),
-        max_open: tightened(platform.max_open, limits.max_open),
-        max_attempts: tightened(platform.max_attempts, limits.max_attempts),
+        max_open: tightened_limit(platform.max_open, limits.max_open),
+        max_attempts: tightened_limit(platform.max_attempts, limits.max_attempts),
         retries: effective_retries(document, platform),
     }
 }
 
-fn tightened(platform: u64, document: Option<u32>) -> u64 {
-    document.map_or(platform, |limit| platform.min(limit.into()))
+/// The lower one of a platform limit and the document's limit, if it sets one.
+fn tightened_limit(platform_limit: u64, document_limit: Option<u32>) -> u64 {
+    document_limit.map_or(platform_limit, |limit| platform_limit.min(limit.into()))
 }
 
 fn effective_retries(document: &Document, platform: &PlatformLimits) -> Option<RetryBudget> {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,15 +1,16 @@
 #![forbid(unsafe_code)]
-//! Versions of the operators' configuration: what they hold, whether they are valid and who gets which.
+//! Versions of the operators' configuration: their documents, validation, storage form and rollout.
 //!
-//! - [`schema`] and [`text`]: a document as protobuf and as operators write it; [`delta`]: the difference of two.
-//! - [`check`]: whether a document is valid by itself; [`proxy_check`]: whether it may be in force at a proxy as it runs, which
-//!   [`proxy_state`] describes. Each fault is a [`RejectReason`].
-//! - [`routing`] and [`effective_config`]: what a document means for a proxy.
-//! - [`version_tracker`]: what a proxy does with the versions that it is offered.
-//! - [`rollout`]: which proxy a server offers which version.
+//! - [`schema`] and [`text`]: a document as protobuf and in text form; [`delta`]: the difference between two
+//!   documents.
+//! - [`check`]: validates a document by itself; [`proxy_check`]: validates it against the present state of a
+//!   proxy, which [`proxy_state`] describes. Each fault is a [`RejectReason`].
+//! - [`routing`] and [`effective_config`]: the routes and limits that follow from a document at a proxy.
+//! - [`version_tracker`]: how a proxy processes the versions that it is offered.
+//! - [`rollout`]: which version a control server offers to which proxy.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread: the embedder passes in events with a [`Timestamp`] and carries
-//! out the actions that are returned.
+//! Nothing here does I/O, reads a clock or starts a thread: the embedder passes in events with a
+//! [`Timestamp`] and executes the actions that are returned.
 
 pub mod check;
 pub mod delta;
@@ -22,7 +23,7 @@
 pub mod text;
 pub mod version_tracker;
 
-/// The messages of `proto/gaugestep/config/v1`, as protobuf.
+/// The protobuf messages of `proto/gaugestep/config/v1`.
 #[allow(missing_docs, reason = "generated; the proto files document the messages")]
 #[allow(clippy::large_enum_variant, reason = "generated")]
 pub mod schema {
@@ -36,27 +37,27 @@
 use prost::Message as _;
 use sha2::{Digest as _, Sha256};
 
-/// The longest document, in bytes of protobuf.
+/// The largest encoded size of a document, in bytes.
 pub const MAX_DOCUMENT_LENGTH: usize = 1024 * 1024;
 
-/// The version of the stream's protocol that this build speaks.
+/// The version of the stream protocol that this build speaks.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Bytes of a digest that are shown.
-const SHORT_DIGEST_LENGTH: usize = 6;
+/// Length of a shortened digest, in bytes.
+const SHORT_DIGEST_BYTES: usize = 6;
 
-/// The SHA-256 digest of the document as protobuf, which identifies its content. Equal documents have equal digests: no
-/// message of it holds a map, and fields are encoded in the order of their numbers.
+/// The SHA-256 digest of the encoded document, which identifies its content. Equal documents have equal
+/// digests: none of its messages contains a map, and fields are encoded in the order of their numbers.
 pub fn digest(document: &Document) -> Vec<u8> {
     Sha256::digest(document.encode_to_vec()).to_vec()
 }
 
-/// The version of this number that holds the document.
+/// The version with this number and the digest of the document.
 pub fn version(number: u64, document: &Document) -> Version {
     Version { number, digest: digest(document) }
 }
 
-/// The start of a digest in hexadecimal, as it is shown and logged.
+/// The first bytes of a digest in hexadecimal, as shown to operators and logged.
 pub fn short_digest(digest: &[u8]) -> String {
-    digest.iter().take(SHORT_DIGEST_LENGTH).map(|byte| format!("{byte:02x}")).collect()
+    digest.iter().take(SHORT_DIGEST_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/config/src/proxy_state.rs
+++ b/crates/config/src/proxy_state.rs
@@ -1,26 +1,26 @@
-//! The proxy as it runs: the validation context of a version.
+//! The present state of a proxy, against which documents are validated.
 
-/// Whether an engine takes work.
+/// Whether an engine accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
-    /// It does.
+    /// It accepts work.
     Up,
-    /// It finishes what it has.
+    /// It accepts no new work and finishes what it has.
     Draining,
 }
 
-/// An engine that is listed; those that have left are not.
+/// An engine of the discovery list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Its id in the list.
+    /// Its id in the discovery list.
     pub name: String,
-    /// Its kind of machine.
+    /// The kind of the machine that it runs on.
     pub kind: String,
     /// Its zone.
     pub zone: String,
     /// Its cell.
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: EngineState,
 }
 
@@ -29,7 +29,7 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Its open requests.
+    /// The number of its open requests.
     pub open: u64,
 }
 
@@ -38,42 +38,42 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its requests per second, where the settings give it a quota.
+    /// Its quota in requests per second; `None` if the settings give it none.
     pub quota_per_s: Option<f64>,
 }
 
-/// How many retries are allowed.
+/// The retries allowed within the window that the proxy's settings name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries on top of these.
+    /// Retries allowed in addition to these, however few requests there are.
     pub free: f64,
 }
 
-/// What the proxy's own settings allow. A document may tighten these limits, but not exceed them.
+/// The limits of the proxy's own settings. A document may tighten them, but not exceed them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformLimits {
     /// The tenants, in the order of the settings.
     pub tenants: Vec<Tenant>,
-    /// Requests that may be open together.
+    /// The largest number of requests open at the same time.
     pub max_open: u64,
-    /// Attempts for one request.
+    /// The largest number of attempts per request.
     pub max_attempts: u64,
-    /// The retries allowed; `None` if they are not limited.
+    /// The retry budget; `None` if retries are not limited.
     pub retries: Option<RetryBudget>,
 }
 
-/// The proxy as it runs.
+/// The present state of a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyState {
-    /// The engines that are listed; `None` before the first list has arrived.
+    /// The engines of the discovery list; `None` before the first list has arrived.
     pub engines: Option<Vec<Engine>>,
     /// The request classes.
     pub classes: Vec<Class>,
-    /// Open requests.
+    /// The number of open requests of all classes.
     pub open: u64,
-    /// What the proxy's own settings allow.
+    /// The limits of the proxy's own settings.
     pub platform: PlatformLimits,
 }
 
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -1,4 +1,4 @@
-//! Messages as operators write them: protobuf text format.
+//! Messages in protobuf text format, as operators write them.
 
 use std::sync::OnceLock;
 
@@ -11,21 +11,21 @@
 static SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/schema.bin"));
 const PACKAGE: &str = "gaugestep.config.v1";
 
-/// Why a message cannot be read from text or written as text.
+/// The reason why a message cannot be parsed from text or written as text.
 #[derive(Debug, thiserror::Error)]
 pub enum TextError {
-    /// The schema that this build contains has no such message.
+    /// The schema of this build has no message of this name.
     #[error("cannot be read: this build's schema has no {0} that can be read")]
     UnknownMessage(String),
-    /// The text is no message of the schema: a field that it does not have, or no text format.
+    /// The text has a field that is not in the schema, or is not in text format.
     #[error("cannot be read: {0}")]
     Syntax(#[from] ParseError),
-    /// The message does not have the form that this build was compiled for.
+    /// The message of the schema differs from the type that this build was compiled with.
     #[error("cannot be read: {0}")]
     Decode(#[from] prost::DecodeError),
 }
 
-/// The schema's entry of a message. The schema is compiled in, and a test reads it.
+/// The descriptor of a message in the schema, which is compiled into the program.
 fn descriptor(name: &str) -> Result<MessageDescriptor, TextError> {
     static POOL: OnceLock<Option<DescriptorPool>> = OnceLock::new();
     let pool = POOL.get_or_init(|| DescriptorPool::decode(SCHEMA).ok());
@@ -34,17 +34,18 @@
         .ok_or_else(|| TextError::UnknownMessage(name.to_owned()))
 }
 
-/// Reads a message of this name.
+/// Parses the text of a message. `name` is the name of the message in the schema.
 ///
 /// # Errors
 ///
-/// [`TextError::Syntax`] names the place, also of a field that the schema does not have.
+/// [`TextError::Syntax`] names the position of the fault, also of a field that is not in the schema; the
+/// other errors mean that the schema has no message `name` or that it differs from `M`.
 pub fn read<M: prost::Message + Default>(name: &str, text: &str) -> Result<M, TextError> {
     let message = DynamicMessage::parse_text_format(descriptor(name)?, text)?;
     Ok(M::decode(message.encode_to_vec().as_slice())?)
 }
 
-/// Reads a document.
+/// Parses the text of a document.
 ///
 /// # Errors
 ///
@@ -53,11 +54,11 @@
     read("Document", text)
 }
 
-/// Writes a document so that [`parse`] reads the same.
+/// Writes a document as text, from which [`parse`] returns an equal document.
 ///
 /// # Errors
 ///
-/// [`TextError::Decode`] if the schema that this build contains is not the one that it was compiled for.
+/// [`TextError::Decode`] if the schema in this build differs from the type that the build was compiled with.
 pub fn print(document: &Document) -> Result<String, TextError> {
     let message = DynamicMessage::decode(descriptor("Document")?, document.encode_to_vec().as_slice())?;
     Ok(message.to_text_format_with_options(&FormatOptions::new().pretty(true)))
--- a/crates/config/src/version_tracker/accepted.rs
+++ b/crates/config/src/version_tracker/accepted.rs
@@ -1,16 +1,16 @@
-//! A version with its content, and its form in the store.
+//! A version with its document, and its encoding in the store.
 
 use prost::Message as _;
 
 use crate::schema::offer::Content;
 use crate::{Document, RejectReason, Version, digest, schema};
 
-/// A version with its content.
+/// A version with its document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedVersion {
-    /// Its number and digest.
+    /// The number and digest.
     pub version: Version,
-    /// Its content.
+    /// The content of the version.
     pub document: Document,
 }
 
@@ -25,12 +25,12 @@
         offer.encode_to_vec()
     }
 
-    /// Decodes what [`encode`](Self::encode) returned.
+    /// Decodes the bytes that [`encode`](Self::encode) returned.
     ///
     /// # Errors
     ///
-    /// [`RejectReason::Unreadable`] if the bytes are no version, and [`RejectReason::DigestDiffers`] if the content is not
-    /// the one that the digest names.
+    /// [`RejectReason::Unreadable`] if the bytes are no encoded version, and [`RejectReason::DigestDiffers`]
+    /// if the document does not have the digest of the version.
     pub fn decode(bytes: &[u8]) -> Result<Self, RejectReason> {
         let offer =
             schema::Offer::decode(bytes).map_err(|error| RejectReason::Unreadable(error.to_string()))?;
--- a/crates/config/src/version_tracker/events.rs
+++ b/crates/config/src/version_tracker/events.rs
@@ -1,19 +1,19 @@
-//! What goes into a [`VersionTracker`](super::VersionTracker) and what comes out of it.
+//! The events that a [`VersionTracker`](super::VersionTracker) processes and the actions that it returns.
 
 use std::fmt;
 
 use crate::{Document, RejectReason, schema};
 
-/// Names an offer: the stream that it was sent on and its nonce there.
+/// Identifies an offer by the stream that it was sent on and its nonce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OfferId {
-    /// The stream, which the embedder numbers.
+    /// The number that the embedder gave the stream.
     pub stream: u64,
-    /// The nonce.
+    /// The nonce of the offer on this stream.
     pub nonce: u64,
 }
 
-/// A version could not be stored or read back.
+/// The reason why a version could not be stored or read back.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct StorageFailure {
@@ -21,16 +21,16 @@
 }
 
 impl StorageFailure {
-    /// A failure of this cause.
+    /// Creates a failure with the text of its cause.
     pub fn new(cause: impl fmt::Display) -> Self {
         StorageFailure { message: cause.to_string() }
     }
 }
 
-/// What the embedder reports.
+/// An event that the embedder reports.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A version is offered on a stream.
+    /// An offer was received on a stream.
     Offered {
         /// The stream.
         stream: u64,
@@ -39,50 +39,50 @@
     },
     /// [`Action::Stage`] has ended.
     Staged {
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// Whether it was stored.
+        /// Whether the version was stored.
         result: Result<(), StorageFailure>,
     },
     /// [`Action::Commit`] has ended.
     Committed {
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// Whether it was committed.
+        /// Whether the version was committed.
         result: Result<(), StorageFailure>,
     },
-    /// A stream has ended: its offers need no answer any more.
+    /// A stream has ended; its offers need no response any more.
     StreamEnded {
         /// The stream.
         stream: u64,
     },
 }
 
-/// What the embedder has to do, in order.
+/// An action that the embedder executes, in the order in which actions are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Store this version where a start does not look yet, then report [`Event::Staged`].
+    /// Store this version where a restarted process does not read it yet, then report [`Event::Staged`].
     Stage {
-        /// The version.
+        /// The number of the version.
         number: u64,
         /// The bytes to store.
         bytes: Vec<u8>,
     },
-    /// This document is in force from now on.
+    /// Put this document in force now.
     Apply(Box<Document>),
-    /// Make the staged version the one that a start finds, keep the one before it beside it, then report
-    /// [`Event::Committed`].
+    /// Make the staged version the one that a restarted process reads first, keep the one before it as a
+    /// fallback, then report [`Event::Committed`].
     Commit {
-        /// The version.
+        /// The number of the version.
         number: u64,
     },
-    /// Answer an offer.
+    /// Respond to an offer.
     Respond {
         /// The offer.
         offer: OfferId,
-        /// The version that was offered; 0: the offer named none.
+        /// The number of the offered version; 0 if the offer has none.
         number: u64,
-        /// Whether the version is in force.
+        /// `Ok` to acknowledge the version, which is in force now; `Err` to reject it.
         outcome: Result<(), RejectReason>,
     },
 }
--- a/crates/config/src/version_tracker/history.rs
+++ b/crates/config/src/version_tracker/history.rs
@@ -1,41 +1,41 @@
-//! What became of the versions that were offered of late.
+//! The status of the versions that were offered last.
 
 use std::collections::VecDeque;
 
 use crate::{RejectReason, Timestamp, short_digest};
 
-/// Versions that are remembered.
+/// The number of versions whose status is recorded.
 const MAX_RECORDS: usize = 32;
 
-/// What became of a version.
+/// The status of an offered version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VersionStatus {
-    /// It was offered, and waits for the one before it.
+    /// It was offered and waits until the pending version is processed.
     Offered,
-    /// It was checked and is being stored.
+    /// It was valid when it was offered, and is being stored.
     Checked,
-    /// It is stored, was checked again and applied, and is being committed.
+    /// It was stored, validated again and applied, and is being committed.
     Staged,
     /// It is in force.
     InForce,
-    /// It was in force until a newer one was.
+    /// It was in force until a newer version replaced it.
     Replaced,
-    /// It was in force until it was rolled back.
+    /// It was in force until a rollback replaced it.
     RolledBack,
     /// It was rejected.
     Rejected(RejectReason),
 }
 
-/// What became of one version.
+/// The recorded status of one version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionRecord {
-    /// The version's number.
+    /// The number of the version.
     pub number: u64,
-    /// The start of its digest.
+    /// The first bytes of its digest, in hexadecimal.
     pub digest: String,
-    /// What became of it.
+    /// Its status.
     pub status: VersionStatus,
-    /// Since when it has that status.
+    /// When it got this status.
     pub since: Timestamp,
 }
 
@@ -50,7 +50,7 @@
         self.records.iter()
     }
 
-    /// Sets the status of a version. `digest` counts only if the version is not known yet.
+    /// Sets the status of a version. `digest` is used only for a version that has no record yet.
     pub(super) fn set(&mut self, now: Timestamp, number: u64, digest: &[u8], status: VersionStatus) {
         match self.records.iter_mut().find(|record| record.number == number) {
             Some(record) => (record.status, record.since) = (status, now),
--- a/crates/config/src/version_tracker/mod.rs
+++ b/crates/config/src/version_tracker/mod.rs
@@ -1,15 +1,16 @@
-//! The versions that one proxy was offered: which is in force, and what became of the others.
+//! The versions that one proxy was offered: the version in force, and the status of earlier and later ones.
 //!
-//! [`VersionTracker`] decides in which order an offer is checked, stored, checked once more against the proxy as it then
-//! runs, applied and answered, and what happens when two offers meet. It does no I/O and reads no clock: the embedder
-//! carries out [`Action`]s and reports their results as [`Event`]s.
+//! [`VersionTracker`] processes an offer in this order: it validates the document, has it stored, validates
+//! it again against the state of the proxy at that time, has it applied and committed, and responds. It also
+//! decides which offer wins when a second one arrives meanwhile. It does no I/O and reads no clock: the
+//! embedder executes [`Action`]s and reports their outcomes as [`Event`]s.
 //!
-//! It guarantees that
-//! - a version is in force completely or not at all, and only after it was checked against the rules for documents and
-//!   against the proxy at that moment;
-//! - versions never go backwards;
-//! - every offer gets exactly one answer, unless its stream ends first;
-//! - a version that was acknowledged is found after a restart.
+//! Guarantees:
+//! - A version is in force completely or not at all, and only after it was validated by itself and against
+//!   the state of the proxy at that time.
+//! - The number of the version in force never decreases.
+//! - Every offer gets exactly one response, unless its stream ends first.
+//! - An acknowledged version is found after a restart.
 
 mod accepted;
 mod events;
@@ -25,27 +26,27 @@
 
 use history::History;
 
-/// What all steps of processing one event share.
-struct Context<'a> {
+/// The inputs of the event that is being processed, and the actions returned for it.
+struct EventContext<'a> {
     now: Timestamp,
     proxy: &'a ProxyState,
     actions: Vec<Action>,
 }
 
-impl Context<'_> {
-    fn answer(&mut self, offer: OfferId, number: u64, outcome: Result<(), RejectReason>) {
+impl EventContext<'_> {
+    fn respond(&mut self, offer: OfferId, number: u64, outcome: Result<(), RejectReason>) {
         self.actions.push(Action::Respond { offer, number, outcome });
     }
 }
 
-/// An offer that names a version.
+/// An offer that has a version.
 struct VersionOffer {
     id: OfferId,
     version: Version,
     message: schema::Offer,
 }
 
-/// A version that was found valid and is on its way to be in force.
+/// A version that was valid when it was offered and is being put in force.
 struct PendingVersion {
     offer: OfferId,
     accepted: AcceptedVersion,
@@ -53,28 +54,28 @@
     step: Step,
 }
 
-/// How far a pending version has come.
+/// The step in which a pending version is.
 enum Step {
-    /// It is being stored.
+    /// The version is being stored.
     Staging,
-    /// It is being stored, but was answered already as a newer version was offered.
+    /// The version is being stored, but was already rejected because a newer one was offered.
     Superseded,
-    /// It is in force and being committed. What was in force before is restored if that fails.
+    /// The version is in force and being committed. The previous version is restored if the commit fails.
     Committing { previous: Option<Box<AcceptedVersion>> },
 }
 
-/// What [`VersionTracker::recover`] found.
+/// The result of [`VersionTracker::recover`].
 pub struct Recovery {
-    /// The tracker, with the first usable version in force.
+    /// The tracker, with the first usable version in force, if there is one.
     pub tracker: VersionTracker,
-    /// The versions before it that are not usable.
+    /// The stored versions before that one, which are not usable.
     pub unusable: Vec<UnusableVersion>,
 }
 
 /// A stored version that cannot be used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnusableVersion {
-    /// Its position among the stored versions, from 0.
+    /// The position among the stored versions, from 0.
     pub position: usize,
     /// Why it cannot be used.
     pub reason: RejectReason,
@@ -86,19 +87,19 @@
     in_force: Option<AcceptedVersion>,
     in_force_since: Timestamp,
     pending: Option<PendingVersion>,
-    /// The newest offer that waits until the pending version is done with.
+    /// The newest offer that waits until the pending version is processed.
     waiting: Option<VersionOffer>,
     history: History,
 }
 
 impl VersionTracker {
-    /// A tracker without any version.
+    /// Creates a tracker without any version.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The tracker of a proxy that starts. `stored` yields what its store holds, the newest first; the first version that
-    /// is intact and valid for the proxy is in force.
+    /// Creates the tracker of a proxy that starts. `stored` yields the versions in its store, the newest
+    /// first. The first one that is intact and valid for the proxy is put in force.
     pub fn recover(
         now: Timestamp,
         stored: impl IntoIterator<Item = Result<Vec<u8>, StorageFailure>>,
@@ -121,23 +122,24 @@
         Recovery { tracker, unusable }
     }
 
-    /// The version in force.
+    /// The version in force; `None` if there is none.
     pub fn in_force(&self) -> Option<&AcceptedVersion> {
         self.in_force.as_ref()
     }
 
-    /// Since when the version in force is.
+    /// When the version in force was committed, or recovered after a restart.
     pub fn in_force_since(&self) -> Timestamp {
         self.in_force_since
     }
 
-    /// What became of the latest versions, oldest first.
+    /// The records of the versions offered last, oldest first.
     pub fn records(&self) -> impl Iterator<Item = &VersionRecord> {
         self.history.iter()
     }
 
-    /// The names of the routes in force that have no engine which takes work. A version in force is not withdrawn when
-    /// engines leave: requests on such a route wait or may use any engine, as the route says.
+    /// The names of the routes in force without an engine that accepts work. A version in force is not
+    /// withdrawn when engines leave: requests on such a route wait or may use any engine, as the route
+    /// specifies.
     pub fn routes_without_engines(&self, proxy: &ProxyState) -> Vec<String> {
         let (Some(accepted), Some(engines)) = (&self.in_force, &proxy.engines) else { return Vec::new() };
         let routes = accepted.document.routes.iter();
@@ -147,28 +149,28 @@
             .collect()
     }
 
-    /// Processes one event and returns what to do, in order. `proxy` is the proxy as it runs, which must not change before
-    /// the actions are carried out.
+    /// Processes one event and returns the actions to execute, in order. `proxy` is the present state of the
+    /// proxy, which must not change before the actions are executed.
     pub fn handle(&mut self, now: Timestamp, event: Event, proxy: &ProxyState) -> Vec<Action> {
-        let mut context = Context { now, proxy, actions: Vec::new() };
+        let mut context = EventContext { now, proxy, actions: Vec::new() };
         match event {
             Event::Offered { stream, offer } => self.on_offered(&mut context, stream, *offer),
             Event::Staged { number, result } => self.on_staged(&mut context, number, result),
             Event::Committed { number, result } => self.on_committed(&mut context, number, result),
             Event::StreamEnded { stream } => {
-                // The next stream offers whatever is newest then.
+                // On the next stream the server offers the version that is the newest at that time.
                 self.waiting.take_if(|waiting| waiting.id.stream == stream);
             }
         }
         context.actions
     }
 
-    fn on_offered(&mut self, context: &mut Context, stream: u64, message: schema::Offer) {
+    fn on_offered(&mut self, context: &mut EventContext, stream: u64, message: schema::Offer) {
         let id = OfferId { stream, nonce: message.nonce };
         let Some(version) = message.version.clone() else {
-            return context.answer(id, 0, Err(RejectReason::Missing { path: "version".into() }));
+            return context.respond(id, 0, Err(RejectReason::Missing { path: "version".into() }));
         };
-        // An offer of the version in force changes nothing about it.
+        // Another offer of the version in force does not change its status.
         if !self.is_in_force(version.number) {
             self.history.set(context.now, version.number, &version.digest, VersionStatus::Offered);
         }
@@ -176,13 +178,13 @@
         if self.pending.is_none() {
             return self.begin(context, offer);
         }
-        // Only the newest version matters: one that is not in force yet gives way to it.
+        // A newer version supersedes a pending one that is not in force yet.
         self.supersede_pending(context, offer.version.number);
         self.enqueue(context, offer);
     }
 
     /// Rejects the pending version if it is not in force yet and older than version `by`.
-    fn supersede_pending(&mut self, context: &mut Context, by: u64) {
+    fn supersede_pending(&mut self, context: &mut EventContext, by: u64) {
         let Some(pending) = &mut self.pending else { return };
         let (offer, number) = (pending.offer, pending.accepted.version.number);
         if matches!(pending.step, Step::Staging) && number < by {
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Keeps the newer of this offer and the one that waits already, and rejects the other.
-    fn enqueue(&mut self, context: &mut Context, offer: VersionOffer) {
+    /// Keeps the newer one of this offer and the waiting offer, and rejects the other one.
+    fn enqueue(&mut self, context: &mut EventContext, offer: VersionOffer) {
         let number = offer.version.number;
         match self.waiting.take() {
             Some(waiting) if waiting.version.number > number => {
@@ -210,13 +212,13 @@
         }
     }
 
-    /// Checks an offer, and has it stored if it is valid.
-    fn begin(&mut self, context: &mut Context, offer: VersionOffer) {
+    /// Validates an offer, and has its version stored if it is valid.
+    fn begin(&mut self, context: &mut EventContext, offer: VersionOffer) {
         let VersionOffer { id, version, message } = offer;
         if self.in_force.as_ref().is_some_and(|accepted| accepted.version == version) {
-            // The answer to an earlier offer was lost.
+            // The server offers it again because the response to an earlier offer was lost.
             self.history.set(context.now, version.number, &version.digest, VersionStatus::InForce);
-            return context.answer(id, version.number, Ok(()));
+            return context.respond(id, version.number, Ok(()));
         }
         match self.check_offer(&version, &message, context.proxy) {
             Err(reason) => self.reject(context, id, version.number, reason),
@@ -231,7 +233,7 @@
         }
     }
 
-    /// The document that is offered, if it may be in force.
+    /// Validates an offer and returns its complete document.
     fn check_offer(
         &self,
         version: &Version,
@@ -247,7 +249,8 @@
         Ok(document)
     }
 
-    /// Whether a version may follow the one in force, which it differs from.
+    /// Checks that the number of an offered version, which differs from the one in force, is greater than its
+    /// number.
     fn check_number(&self, version: &Version) -> Result<(), RejectReason> {
         let Some(accepted) = &self.in_force else { return Ok(()) };
         let (offered, in_force) = (version.number, accepted.version.number);
@@ -260,7 +263,7 @@
         Ok(())
     }
 
-    /// The complete document of an offer.
+    /// Returns the complete document of an offer. A delta is applied to the document in force.
     fn content(&self, offer: &schema::Offer) -> Result<Document, RejectReason> {
         match &offer.content {
             None => Err(RejectReason::Missing { path: "content".into() }),
@@ -275,7 +278,7 @@
         }
     }
 
-    fn on_staged(&mut self, context: &mut Context, number: u64, result: Result<(), StorageFailure>) {
+    fn on_staged(&mut self, context: &mut EventContext, number: u64, result: Result<(), StorageFailure>) {
         let is_staging = |pending: &mut PendingVersion| {
             let staging = matches!(pending.step, Step::Staging | Step::Superseded);
             staging && pending.accepted.version.number == number
@@ -284,7 +287,8 @@
         if matches!(pending.step, Step::Superseded) {
             return self.begin_waiting(context);
         }
-        // The proxy may have changed since the first check: an engine drains, or a request has arrived.
+        // The state of the proxy may have changed since the first validation: an engine may be draining, or a
+        // request may have arrived.
         let checked = result
             .map_err(|failure| RejectReason::NotStored(failure.to_string()))
             .and_then(|()| check_document(&pending.accepted.document, context.proxy));
@@ -300,7 +304,7 @@
         self.pending = Some(pending);
     }
 
-    fn on_committed(&mut self, context: &mut Context, number: u64, result: Result<(), StorageFailure>) {
+    fn on_committed(&mut self, context: &mut EventContext, number: u64, result: Result<(), StorageFailure>) {
         let is_committing = |pending: &mut PendingVersion| {
             let committing = matches!(pending.step, Step::Committing { .. });
             committing && pending.accepted.version.number == number
@@ -320,10 +324,11 @@
                 }
                 self.history.set(context.now, number, &accepted.version.digest, VersionStatus::InForce);
                 self.in_force_since = context.now;
-                context.answer(offer, number, Ok(()));
+                context.respond(offer, number, Ok(()));
             }
             Err(failure) => {
-                // A version that a restart would not find must not be in force: it would be lost without a trace.
+                // A version that is not found after a restart must not be in force: the restart would revert
+                // it silently.
                 let document = previous.as_ref().map(|previous| previous.document.clone());
                 self.in_force = previous.map(|previous| *previous);
                 context.actions.push(Action::Apply(Box::new(document.unwrap_or_default())));
@@ -333,19 +338,19 @@
         self.begin_waiting(context);
     }
 
-    /// Begins with the offer that has waited, if there is one.
-    fn begin_waiting(&mut self, context: &mut Context) {
+    /// Begins to process the waiting offer, if there is one.
+    fn begin_waiting(&mut self, context: &mut EventContext) {
         if let Some(offer) = self.waiting.take() {
             self.begin(context, offer);
         }
     }
 
-    fn reject(&mut self, context: &mut Context, offer: OfferId, number: u64, reason: RejectReason) {
+    fn reject(&mut self, context: &mut EventContext, offer: OfferId, number: u64, reason: RejectReason) {
         // A rejected offer does not change the status of the version in force.
         if !self.is_in_force(number) {
             self.history.set(context.now, number, &[], VersionStatus::Rejected(reason.clone()));
         }
-        context.answer(offer, number, Err(reason));
+        context.respond(offer, number, Err(reason));
     }
 
     fn is_in_force(&self, number: u64) -> bool {
@@ -353,7 +358,7 @@
     }
 }
 
-/// A stored version, if it is intact and valid for the proxy.
+/// Decodes a stored version and validates it for the proxy.
 fn recover_version(
     stored: Result<Vec<u8>, StorageFailure>,
     proxy: &ProxyState,
@@ -364,7 +369,7 @@
     Ok(accepted)
 }
 
-/// Whether the document may be in force now; the first fault that is found.
+/// Validates a document by itself and against the present state of the proxy; the error is the first fault.
 fn check_document(document: &Document, proxy: &ProxyState) -> Result<(), RejectReason> {
     let mut faults = check::check(document).into_iter().chain(proxy_check::check(document, proxy));
     faults.next().map_or(Ok(()), Err)
