--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -1,11 +1,12 @@
-//! A document as the difference to another: routes and tenants by name, everything else complete.
+//! The difference between two documents: changed routes and tenants by name, everything else complete.
 
 use std::collections::BTreeMap;
 
 use crate::schema::Delta;
 use crate::{Document, RejectReason};
 
-/// The difference that makes `new` of `old`, which is version `base`. Names are unique in both, as [`crate::check`] ensures.
+/// Computes the delta that turns `old`, the document of version `base`, into `new`. Names must be unique in
+/// both, which [`crate::check`] ensures.
 pub fn diff(base: u64, old: &Document, new: &Document) -> Delta {
     Delta {
         base,
@@ -21,11 +22,13 @@
     }
 }
 
-/// The document that the difference makes of `old`. Its digest shows whether it is the one meant.
+/// Applies a delta to `old` and returns the new document. Its digest must be compared with
+/// that of the offered version.
 ///
 /// # Errors
 ///
-/// [`RejectReason::Unreadable`] if the difference orders an entry that neither it nor `old` has.
+/// [`RejectReason::Unreadable`] if the order of entries in the delta names one that neither the delta nor
+/// `old` has.
 pub fn apply(old: &Document, delta: &Delta) -> Result<Document, RejectReason> {
     Ok(Document {
         routes: merge("routes", &old.routes, &delta.routes, &delta.route_order, |route| &route.name)?,
@@ -38,20 +41,21 @@
     })
 }
 
-/// The entries named by `order`, each from `changed` if it is there, else from `old`.
+/// Returns the entries named by `order`, each from `changed` if it is there, otherwise from `old`.
 fn merge<T: Clone>(
-    list: &str,
+    list_name: &str,
     old: &[T],
     changed: &[T],
     order: &[String],
-    name: impl Fn(&T) -> &String,
+    name_of: impl Fn(&T) -> &String,
 ) -> Result<Vec<T>, RejectReason> {
-    // Later entries replace earlier ones of the same name.
+    // Entries of `changed` replace those of `old` that have the same name.
     let entries: BTreeMap<&String, &T> =
-        old.iter().chain(changed).map(|entry| (name(entry), entry)).collect();
+        old.iter().chain(changed).map(|entry| (name_of(entry), entry)).collect();
     let find = |name: &String| {
-        let missing =
-            || RejectReason::Unreadable(format!("the change names '{name}' in {list}, which is not there"));
+        let missing = || {
+            RejectReason::Unreadable(format!("the change names '{name}' in {list_name}, which is not there"))
+        };
         entries.get(name).map(|entry| (*entry).clone()).ok_or_else(missing)
     };
     order.iter().map(find).collect()
--- a/crates/config/src/proxy_check.rs
+++ b/crates/config/src/proxy_check.rs
@@ -1,16 +1,16 @@
-//! Whether a document may be in force at a proxy as it runs.
+//! Validates a document against the present state of a proxy.
 //!
-//! What does not depend on the proxy is checked in [`crate::check`].
+//! [`crate::check`] validates what does not depend on the proxy.
 
 use crate::proxy_state::ProxyState;
 use crate::schema::target::Which;
 use crate::{Document, RejectReason, routing, schema};
 
-/// Why the document may not be in force at the proxy now, in the order of its fields; empty if it may. The document itself
-/// has been checked by [`crate::check`].
+/// Returns the faults for which the document must not be in force at the proxy now, in the order of its
+/// fields; empty if there are none. The document must have passed [`crate::check`].
 ///
-/// While no list of engines has arrived, routes are not checked against it: a proxy that starts on its last good version
-/// must not lose it because the coordinator is late.
+/// The engines of routes are not checked before the first discovery list has arrived: a proxy that starts on
+/// its last good version must not lose it because the coordinator is late.
 pub fn check(document: &Document, proxy: &ProxyState) -> Vec<RejectReason> {
     let mut faults = Vec::new();
     check_classes(document, proxy, &mut faults);
@@ -64,7 +64,7 @@
     }
 }
 
-/// The fault of a route whose requests must wait for its engines although none of them takes work.
+/// Returns a fault if requests on a route must wait for its engines although none of them accepts work.
 fn check_route_engines(
     document: &Document,
     proxy: &ProxyState,
@@ -77,7 +77,7 @@
     }
     let matching = engines.iter().filter(|engine| routing::weight(route, engine).is_some());
     let is_listed = |name: &str| engines.iter().any(|engine| engine.name == name);
-    let unlisted = route.targets.iter().filter_map(|target| match &target.which {
+    let unlisted_names = route.targets.iter().filter_map(|target| match &target.which {
         Some(Which::Engine(name)) if !is_listed(name) => Some(name.clone()),
         _ => None,
     });
@@ -85,15 +85,16 @@
         path: format!("routes[{route_index}].targets"),
         class: example_class(document, proxy, route),
         draining: matching.map(|engine| engine.name.clone()).collect(),
-        unlisted: unlisted.collect(),
+        unlisted: unlisted_names.collect(),
     })
 }
 
-/// A class that the route applies to: the first that it names, or the first that the document serves.
+/// A class that the route applies to: the first one that it names, or if it names none, the first one that
+/// the document serves.
 fn example_class(document: &Document, proxy: &ProxyState, route: &schema::Route) -> String {
-    let mut served =
+    let mut served_classes =
         proxy.classes.iter().map(|class| &class.name).filter(|name| routing::serves(document, name));
-    route.classes.first().or_else(|| served.next()).cloned().unwrap_or_default()
+    route.classes.first().or_else(|| served_classes.next()).cloned().unwrap_or_default()
 }
 
 fn check_tenants(document: &Document, proxy: &ProxyState, faults: &mut Vec<RejectReason>) {
@@ -111,9 +112,9 @@
         let path = "limits.max_open".into();
         faults.push(RejectReason::BelowUse { path, limit, in_use: proxy.open });
     }
-    let mut check_upper_bound = |path: &str, value: Option<f64>, rule: f64| {
-        if let Some(value) = value.filter(|value| *value > rule) {
-            faults.push(RejectReason::BeyondRule { path: path.into(), value, rule });
+    let mut check_upper_bound = |path: &str, value: Option<f64>, platform_limit: f64| {
+        if let Some(value) = value.filter(|value| *value > platform_limit) {
+            faults.push(RejectReason::BeyondRule { path: path.into(), value, platform_limit });
         }
     };
     check_upper_bound("limits.max_open", limits.max_open.map(f64::from), platform.max_open as f64);
--- a/crates/config/src/reject_reason.rs
+++ b/crates/config/src/reject_reason.rs
@@ -1,113 +1,116 @@
-//! Why a proxy rejects a version.
+//! The reasons for which a proxy rejects a version.
 
 use crate::schema;
 
-/// Why a proxy rejects a version; sent to the server as the negative answer (NACK) to an offer.
+/// Why a proxy rejects a version. It is sent to the control server as the response (NACK) to an offer.
 ///
-/// `path` names the field at fault, as in `routes[2].targets[0].weight`.
+/// `path` is the path of the field at fault, such as `routes[2].targets[0].weight`. Texts and codes are sent
+/// and shown as they are here.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RejectReason {
-    // The offer itself.
-    /// It cannot be decoded.
+    // Faults of the offer itself.
+    /// The offer cannot be decoded.
     #[error("cannot be read: {0}")]
     Unreadable(String),
-    /// It is longer than a document may be.
+    /// The document is longer than [`MAX_DOCUMENT_LENGTH`](crate::MAX_DOCUMENT_LENGTH).
     #[error("is {bytes} bytes long, {most} are allowed")]
     TooLong {
-        /// Its bytes.
+        /// The length of the document in bytes.
         bytes: usize,
-        /// The most allowed.
+        /// The largest length allowed, in bytes.
         most: usize,
     },
-    /// Its content does not have its digest: it was truncated or changed on its way.
+    /// The digest of the document is not the digest of the version: the offer was truncated or changed in
+    /// transit.
     #[error("its content is not the one that its digest names")]
     DigestDiffers,
-    /// It is a delta to a version that is not in force here: the complete document is needed.
+    /// The offer is a delta to a version that is not in force: the complete document is needed.
     #[error("is a change to version {base}, and version {in_force} is in force")]
     WrongBase {
         /// The version that the delta applies to.
         base: u64,
-        /// The one in force; 0: none.
+        /// The version in force; 0 if there is none.
         in_force: u64,
     },
-    /// It is not newer than the version in force: versions never go backwards.
+    /// The version is older than the one in force: the number of the version in force never decreases.
     #[error("version {offered} is not newer than version {in_force}, which is in force")]
     NotNewer {
-        /// The one offered.
+        /// The version offered.
         offered: u64,
-        /// The one in force.
+        /// The version in force.
         in_force: u64,
     },
-    /// It has the number of the version in force and another content: two servers number their own versions.
+    /// The version has the number of the version in force, but other content: two control servers assign
+    /// numbers independently.
     #[error("another version {number} is in force: two services number their own versions")]
     Conflicting {
-        /// The number.
+        /// The number of both versions.
         number: u64,
     },
-    /// A newer one was offered before this one was in force.
+    /// A newer version was offered before this one was in force.
     #[error("version {by} came before this one was in force")]
     Superseded {
-        /// The newer one.
+        /// The newer version.
         by: u64,
     },
-    /// It was offered under a term that is no longer the latest, or under none.
+    /// The version was offered under a term that is not the highest one so far, or without a term.
     #[error("{}", describe_stale_term(*.term, *.seen))]
     StaleTerm {
-        /// The offer's term; 0: none.
+        /// The term of the offer; 0 if it has none.
         term: u64,
-        /// The highest term that was seen.
+        /// The highest term that the proxy has received.
         seen: u64,
     },
-    /// It could not be stored, and would be lost with the process.
+    /// The version could not be stored, so a restart of the proxy would lose it.
     #[error("could not be stored: {0}")]
     NotStored(String),
 
-    // The document alone.
-    /// A required field is absent.
+    // Faults of the document by itself.
+    /// A required field is absent or empty.
     #[error("'{path}' is missing")]
     Missing {
         /// The field.
         path: String,
     },
-    /// A number out of its range.
+    /// A number is out of its range.
     #[error("'{path}' is {value}, not a number from {least} to {most}")]
     OutOfRange {
         /// The field.
         path: String,
         /// Its value.
         value: f64,
-        /// The least allowed.
+        /// The smallest value allowed.
         least: f64,
-        /// The most allowed.
+        /// The largest value allowed.
         most: f64,
     },
-    /// A name that is too long or has characters that names must not have.
+    /// A name is too long or contains a character that names must not contain.
     #[error("'{path}' is '{name}', which is no name")]
     BadName {
         /// The field.
         path: String,
-        /// The start of its value.
+        /// The first characters of the name.
         name: String,
     },
-    /// A name that occurs twice.
+    /// A name occurs twice where names must be unique.
     #[error("'{path}': '{name}' occurs twice")]
     Duplicate {
-        /// The second field.
+        /// The field of the second occurrence.
         path: String,
         /// The name.
         name: String,
     },
-    /// More entries than allowed.
+    /// A list has more entries than allowed.
     #[error("'{path}' has {entries} entries, {most} are allowed")]
     TooMany {
         /// The list.
         path: String,
-        /// Its entries.
+        /// The number of its entries.
         entries: usize,
-        /// The most allowed.
+        /// The largest number allowed.
         most: usize,
     },
-    /// A value that this build does not know.
+    /// An enum value is not defined in this build.
     #[error("'{path}' is {value}, which this build does not know")]
     Unknown {
         /// The field.
@@ -115,79 +118,81 @@
         /// Its value.
         value: i32,
     },
-    /// A route that no request can reach, as an earlier one matches all that it names.
-    #[error("'{path}' is never reached: '{behind}' holds for all that it names")]
+    /// A route can never apply, as an earlier route matches every request that it matches.
+    #[error("'{path}' is never reached: '{earlier}' holds for all that it names")]
     Unreachable {
         /// The route.
         path: String,
-        /// The earlier route.
-        behind: String,
+        /// The name of the earlier route.
+        earlier: String,
     },
 
-    // The document against the proxy as it runs.
-    /// A name that the proxy does not know.
+    // Faults of the document at this proxy in its present state.
+    /// The proxy has no class or tenant of this name.
     #[error("'{path}': '{name}' is no {kind} of this proxy")]
     UnknownName {
         /// The field.
         path: String,
-        /// What the name should be of: `class` or `tenant`.
+        /// The kind of object that the name refers to: `class` or `tenant`.
         kind: &'static str,
         /// The name.
         name: String,
     },
-    /// A class would be left without an engine that takes work: all that it names are draining or not listed.
+    /// A class would have no engine that accepts work: all engines that the route names are draining or not
+    /// in the discovery list.
     #[error(
         "'{path}' would leave class '{class}' without an engine that takes work{}{}",
         name_list("; draining: ", .draining),
         name_list("; not listed: ", .unlisted)
     )]
     NoUsableEngine {
-        /// The route's targets.
+        /// The list of the route's targets.
         path: String,
-        /// The class.
+        /// A class that the route applies to.
         class: String,
-        /// Engines that it names and that are draining.
+        /// The engines of the route that are draining.
         draining: Vec<String>,
-        /// Engines that it names and that are not listed.
+        /// The engines that the route names and that are not in the discovery list.
         unlisted: Vec<String>,
     },
-    /// A limit below what is in use.
+    /// A limit is below the number in use.
     #[error("'{path}' is {limit}, below the {in_use} in use")]
     BelowUse {
         /// The field.
         path: String,
         /// The limit.
         limit: u64,
-        /// What is in use.
+        /// The number in use.
         in_use: u64,
     },
-    /// A class would be dropped that has open requests.
+    /// A class that has open requests would no longer be served.
     #[error("'{path}' drops class '{class}', which has {open} requests open")]
     ClassInUse {
-        /// The list of classes.
+        /// The list of served classes.
         path: String,
         /// The class.
         class: String,
-        /// Its open requests.
+        /// The number of its open requests.
         open: u64,
     },
-    /// A value above what the proxy's own settings allow.
-    #[error("'{path}' is {value}, more than the {rule} that the platform allows")]
+    /// A value exceeds the limit of the proxy's own settings.
+    #[error("'{path}' is {value}, more than the {platform_limit} that the platform allows")]
     BeyondRule {
         /// The field.
         path: String,
         /// Its value.
         value: f64,
-        /// What is allowed.
-        rule: f64,
+        /// The limit of the settings.
+        platform_limit: f64,
     },
 }
 
 impl RejectReason {
-    /// The code of [`RejectReason::WrongBase`]: the same version may be offered again as a complete document.
+    /// The code of [`RejectReason::WrongBase`]. After it the server may offer the same version as a complete
+    /// document.
     pub const WRONG_BASE: &'static str = "wrong-base";
 
-    /// The reason's code, as it is sent and shown. Codes never change.
+    /// The code of the reason, as it is sent and shown. Codes never change.
     pub fn code(&self) -> &'static str {
         match self {
             RejectReason::Unreadable(_) => "unreadable",
@@ -214,12 +219,13 @@
         }
     }
 
-    /// Whether a reason of this code concerns the version itself, rather than the way in which it was offered.
+    /// Whether a reason with this code concerns the content of the version, rather than how or when it was
+    /// offered.
     pub fn code_concerns_content(code: &str) -> bool {
         !matches!(code, Self::WRONG_BASE | "not-newer" | "conflicting" | "superseded" | "stale-term")
     }
 
-    /// The field at fault; empty where the reason concerns the offer itself.
+    /// The path of the field at fault; empty if the reason concerns the offer itself.
     pub fn path(&self) -> &str {
         match self {
             RejectReason::Unreadable(_)
@@ -246,12 +252,13 @@
         }
     }
 
-    /// The reason as it is sent.
+    /// The message that is sent for this reason.
     pub fn to_message(&self) -> schema::Refusal {
         schema::Refusal { code: self.code().into(), path: self.path().into(), reason: self.to_string() }
     }
 }
 
+/// The text of [`RejectReason::StaleTerm`].
 fn describe_stale_term(term: u64, seen: u64) -> String {
     match term {
         0 => "it names no term, so no owner sent it".into(),
@@ -259,7 +266,7 @@
     }
 }
 
-/// The first names of a list behind `prefix`; empty if there are none.
+/// `prefix` followed by the first names of a list and the number of further ones; empty if the list is.
 fn name_list(prefix: &str, names: &[String]) -> String {
     const MAX_SHOWN: usize = 5;
     if names.is_empty() {
@@ -268,6 +275,6 @@
     let shown = names.iter().take(MAX_SHOWN).cloned().collect::<Vec<_>>().join(", ");
     match names.len().saturating_sub(MAX_SHOWN) {
         0 => format!("{prefix}{shown}"),
-        more => format!("{prefix}{shown} and {more} more"),
+        further => format!("{prefix}{shown} and {further} more"),
     }
 }
--- a/crates/config/src/rollout/comparison.rs
+++ b/crates/config/src/rollout/comparison.rs
@@ -1,16 +1,17 @@
-//! Whether proxies on a new version serve their requests worse than the others.
+//! Compares the outcomes of requests at proxies that have a new version in force with those at all other
+//! proxies.
 
 use crate::schema::Plan;
 
-/// How many standard errors a difference must measure before it counts as more than chance.
-const SIGNIFICANT_STANDARD_ERRORS: f64 = 3.0;
-/// Requests needed on each side of a comparison, where the plan names no number.
+/// A difference is significant if it exceeds this number of standard errors.
+const MIN_STANDARD_ERRORS: f64 = 3.0;
+/// The number of requests needed on each side of a comparison if the plan sets none.
 const DEFAULT_LEAST_REQUESTS: u64 = 100;
 
-/// Outcomes of requests.
+/// The numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests served.
+    /// Requests that were served.
     pub served: u64,
     /// Requests that were rejected or failed.
     pub unserved: u64,
@@ -21,18 +22,18 @@
         self.served + self.unserved
     }
 
-    /// The share of requests that were not served.
-    fn unserved_share(&self) -> f64 {
+    /// The fraction of requests that were not served, from 0 to 1; 0 if there were no requests.
+    fn unserved_fraction(&self) -> f64 {
         self.unserved as f64 / self.total().max(1) as f64
     }
 
-    /// The variance of [`unserved_share`](Self::unserved_share), as of a binomial proportion.
+    /// The variance of [`unserved_fraction`](Self::unserved_fraction), taken as a binomial proportion.
     fn variance(&self) -> f64 {
-        let share = self.unserved_share();
-        share * (1.0 - share) / self.total().max(1) as f64
+        let fraction = self.unserved_fraction();
+        fraction * (1.0 - fraction) / self.total().max(1) as f64
     }
 
-    /// The growth since an earlier reading of the same counters.
+    /// The increase since an earlier report of the same counters.
     pub(super) fn since(self, earlier: RequestCounts) -> RequestCounts {
         RequestCounts {
             served: self.served.saturating_sub(earlier.served),
@@ -46,27 +47,27 @@
     }
 }
 
-/// Requests handled during a rollout.
+/// The outcomes of requests during a rollout.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Comparison {
-    /// By proxies that have the new version in force.
+    /// At proxies that have the new version in force.
     pub(super) on_version: RequestCounts,
-    /// By all others.
+    /// At all other proxies.
     pub(super) on_others: RequestCounts,
 }
 
 impl Comparison {
-    /// Why the new version counts as worse: its proxies leave a larger share of requests unserved, by more than the plan
-    /// tolerates and more than chance explains.
+    /// The reason to halt the rollout if proxies with the new version leave a larger fraction of requests
+    /// unserved, by more than the plan tolerates and by a significant difference; otherwise `None`.
     pub(super) fn degradation(&self, plan: &Plan) -> Option<String> {
         let least = plan.least_requests.unwrap_or(DEFAULT_LEAST_REQUESTS).max(1);
         if plan.worse_by <= 0.0 || self.on_version.total() < least || self.on_others.total() < least {
             return None;
         }
-        let (with, without) = (self.on_version.unserved_share(), self.on_others.unserved_share());
+        let (with, without) = (self.on_version.unserved_fraction(), self.on_others.unserved_fraction());
         let standard_error = (self.on_version.variance() + self.on_others.variance()).sqrt();
         let difference = with - without;
-        let significant = difference > SIGNIFICANT_STANDARD_ERRORS * standard_error;
+        let significant = difference > MIN_STANDARD_ERRORS * standard_error;
         (difference > plan.worse_by && significant).then(|| {
             format!(
                 "{:.1}% of requests are not served on it, {:.1}% on the version before",
--- a/crates/config/src/rollout/events.rs
+++ b/crates/config/src/rollout/events.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`Rollout`](super::Rollout) and what comes out of it.
+//! The events that a [`Rollout`](super::Rollout) processes and the actions that it returns.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use super::comparison::RequestCounts;
 
-/// What the embedder reports.
+/// An event that the embedder reports.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A version was published and stored.
     Published {
-        /// Its number, the highest so far.
+        /// The number of the version, the highest so far.
         number: u64,
-        /// How it is rolled out.
+        /// The plan of its rollout.
         plan: Plan,
-        /// The version whose content it restores; 0: none.
+        /// The version whose content it restores; 0 if it is no rollback.
         rolls_back_to: u64,
     },
     /// A proxy has opened a stream.
@@ -28,15 +28,15 @@
         /// The stream.
         stream: u64,
     },
-    /// A proxy has answered an offer.
+    /// A proxy has responded to an offer.
     Responded {
         /// The proxy.
         proxy: String,
         /// The stream.
         stream: u64,
-        /// The offer's nonce.
+        /// The nonce of the offer.
         nonce: u64,
-        /// Why the version was rejected, if it was.
+        /// Why the proxy rejected the version; `None` if it acknowledged it.
         refusal: Option<Refusal>,
     },
     /// A proxy has reported the outcomes of its requests.
@@ -45,43 +45,43 @@
         proxy: String,
         /// The stream.
         stream: u64,
-        /// Outcomes since the proxy's start.
+        /// The outcomes of requests since the start of the proxy.
         counts: RequestCounts,
-        /// The version in force meanwhile.
+        /// The version in force at the time of the report.
         number: u64,
     },
-    /// Time has passed.
+    /// Time has passed; sent at regular intervals.
     Tick,
 }
 
-/// What a proxy says of itself when it opens a stream.
+/// The state that a proxy reports when it opens a stream.
 #[derive(Clone, Debug)]
 pub struct ConnectedProxy {
-    /// The proxy's name.
+    /// The name of the proxy.
     pub proxy: String,
-    /// The stream; the numbers of streams rise.
+    /// The number of the stream; a later stream has a higher number.
     pub stream: u64,
-    /// The version in force there.
+    /// The version in force at the proxy.
     pub in_force: ReportedVersion,
-    /// The proxy's build.
+    /// The build that the proxy runs.
     pub build: String,
-    /// For how long it has had that version in force.
+    /// How long that version has been in force at the proxy.
     pub in_force_for: Duration,
 }
 
-/// The version that a proxy reports to have in force.
+/// The version that a proxy reports as in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedVersion {
-    /// It has none.
+    /// No version is in force.
     None,
-    /// A version that this server has published, with the same content.
+    /// A version that this control server has published with the same content.
     Published(u64),
-    /// A version that this server has not published.
+    /// A version that this control server has not published, or published with other content.
     Unpublished(u64),
 }
 
 impl ReportedVersion {
-    /// The version's number; 0: none.
+    /// The number of the version; 0 if none is in force.
     pub fn number(self) -> u64 {
         match self {
             ReportedVersion::None => 0,
@@ -90,7 +90,7 @@
     }
 }
 
-/// What the embedder has to do.
+/// An action that the embedder executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Offer a version to a proxy.
@@ -99,29 +99,30 @@
         proxy: String,
         /// Its stream.
         stream: u64,
-        /// The nonce under which the proxy answers.
+        /// The nonce that identifies the offer in the proxy's response.
         nonce: u64,
         /// The version.
         number: u64,
-        /// The version in force at the proxy, relative to which a delta may be sent; 0: none that this server knows.
+        /// The version in force at the proxy, to which a delta may be sent; 0 if the complete document must
+        /// be sent.
         base: u64,
     },
-    /// Store that the state of a version has changed.
+    /// Store the changed state of a version's rollout.
     StateChanged {
         /// The version.
         number: u64,
-        /// Its new state.
+        /// The new state.
         state: State,
-        /// Why it was halted; empty where it was not.
+        /// Why the rollout halted; empty if the new state is not halted.
         reason: String,
     },
     /// Publish the content of version `restored` as the next version, to all proxies at once.
     RollBack {
         /// The version that was halted.
         halted: u64,
-        /// The version whose content is restored; 0: an empty document.
+        /// The version whose content is restored; 0 stands for an empty document.
         restored: u64,
-        /// Why the version was halted.
+        /// Why the rollout halted.
         reason: String,
     },
 }
--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -1,4 +1,4 @@
-//! What a server knows of the proxies that follow it.
+//! The status of the proxies that are connected to a control server, or were.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,39 +7,40 @@
 use crate::{RejectReason, Timestamp};
 
 use super::comparison::RequestCounts;
-use super::{ANSWER_TIMEOUT, ConnectedProxy, RECONNECT_TIMEOUT, ReportedVersion};
+use super::{ConnectedProxy, RECONNECT_TIMEOUT, RESPONSE_TIMEOUT, ReportedVersion};
 
-/// Disconnected proxies that are remembered.
+/// The number of disconnected proxies whose status is kept.
 const MAX_DISCONNECTED: usize = 10_000;
 
-/// What is known of a proxy.
+/// The status of a proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyStatus {
-    /// Its stream, while it is connected.
+    /// Its stream; `None` while it is disconnected.
     pub stream: Option<u64>,
-    /// Its build.
+    /// The build that it runs.
     pub build: String,
-    /// The version in force; 0: none.
+    /// The version in force at the proxy; 0 if there is none.
     pub in_force: u64,
-    /// Since when that version is in force, as the proxy reported.
+    /// When that version came in force, by the report of the proxy.
     pub in_force_since: Timestamp,
-    /// The offer that it has not answered yet.
+    /// The offer that it has not responded to yet.
     pub pending_offer: Option<PendingOffer>,
     /// The version that it rejected last.
     pub last_rejection: Option<Rejection>,
     /// When it last sent anything.
     pub last_seen: Timestamp,
-    /// It has a version in force that this server has not published.
+    /// Whether it has a version in force that this control server has not published.
     pub is_ahead: bool,
+    /// Its last report of request outcomes on the present stream.
     last_counts: Option<CountReport>,
-    /// It is offered no version up to this one, as it rejected this one.
+    /// The highest version that it rejected on the present stream; no version up to this one is offered.
     pub(super) skipped_up_to: u64,
 }
 
-/// An offer that awaits its answer.
+/// An offer that the proxy has not responded to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingOffer {
-    /// The nonce under which the proxy answers.
+    /// The nonce that identifies the offer in the proxy's response.
     pub nonce: u64,
     /// The version offered.
     pub number: u64,
@@ -51,7 +52,7 @@
 #[derive(Clone, Copy, Debug)]
 struct CountReport {
     counts: RequestCounts,
-    /// The version in force then.
+    /// The version in force at the time of the report.
     number: u64,
 }
 
@@ -69,14 +70,15 @@
         self.stream.is_some()
     }
 
-    /// Starts over for a stream that was opened. Only the last rejection is kept: a proxy that was restarted may accept
-    /// what it rejected before.
+    /// Resets the status for a new stream. Only the last rejection is kept, for display: a restarted proxy
+    /// may accept a version that it rejected before.
     pub(super) fn connect(&mut self, now: Timestamp, hello: ConnectedProxy) {
         *self = ProxyStatus {
             stream: Some(hello.stream),
             build: hello.build,
             in_force: hello.in_force.number(),
-            // By the proxy's own account, so that a stage that has held goes on holding under another server.
+            // The time that the proxy reports counts, so that a change of the control server does not restart
+            // the wait of a stage.
             in_force_since: now - hello.in_force_for,
             last_seen: now,
             is_ahead: matches!(hello.in_force, ReportedVersion::Unpublished(_)),
@@ -92,9 +94,9 @@
         self.last_seen = now;
     }
 
-    /// Takes the answer to the pending offer and returns the number of the version that it concerns; `None` if no offer of
-    /// this nonce is pending.
-    pub(super) fn take_answer(&mut self, now: Timestamp, nonce: u64) -> Option<u64> {
+    /// Ends the pending offer after a response and returns the number of the offered version; `None` if no
+    /// offer with this nonce is pending.
+    pub(super) fn take_pending_offer(&mut self, now: Timestamp, nonce: u64) -> Option<u64> {
         self.last_seen = now;
         self.pending_offer.take_if(|offer| offer.nonce == nonce).map(|offer| offer.number)
     }
@@ -105,10 +107,11 @@
         self.is_ahead = false;
     }
 
-    /// Notes a rejection, and returns its reason if it counts against the version itself.
+    /// Records a rejection, and returns its reason if it concerns the content of the version.
     pub(super) fn rejected(&mut self, name: &str, number: u64, refusal: Refusal) -> Option<String> {
         if refusal.code == RejectReason::WRONG_BASE {
-            // The proxy lacks the version that the delta builds on: the next offer has the complete document.
+            // The proxy does not have the base version of the delta, so the next offer has the complete
+            // document.
             self.in_force = 0;
         } else {
             self.skipped_up_to = self.skipped_up_to.max(number);
@@ -119,8 +122,9 @@
         concerns_content.then_some(reason)
     }
 
-    /// Notes the reported counts and returns the growth since the last report, if one version was in force meanwhile.
-    pub(super) fn report_counts(
+    /// Records the reported counts and returns the increase since the last report if the same version was in
+    /// force at both.
+    pub(super) fn record_counts(
         &mut self,
         now: Timestamp,
         counts: RequestCounts,
@@ -131,22 +135,24 @@
         (earlier.number == number).then(|| counts.since(earlier.counts))
     }
 
-    /// Why the proxy counts against a version that it was offered or has taken: it has been silent for too long.
+    /// The reason why the proxy counts against a version if it has not responded to the offer, or has
+    /// disconnected with the version in force, for too long.
     pub(super) fn unresponsive_reason(&self, now: Timestamp, number: u64) -> Option<&'static str> {
-        let has_waited = |since: Timestamp, timeout: Duration| now.duration_since(since) >= timeout;
-        let unanswered =
-            |offer: &PendingOffer| offer.number == number && has_waited(offer.offered_at, ANSWER_TIMEOUT);
-        if self.pending_offer.as_ref().is_some_and(unanswered) {
+        let has_elapsed = |since: Timestamp, timeout: Duration| now.duration_since(since) >= timeout;
+        let is_overdue =
+            |offer: &PendingOffer| offer.number == number && has_elapsed(offer.offered_at, RESPONSE_TIMEOUT);
+        if self.pending_offer.as_ref().is_some_and(is_overdue) {
             return Some("does not answer");
         }
         let is_lost =
-            !self.is_connected() && self.in_force == number && has_waited(self.last_seen, RECONNECT_TIMEOUT);
+            !self.is_connected() && self.in_force == number && has_elapsed(self.last_seen, RECONNECT_TIMEOUT);
         is_lost.then_some("left after it took the version")
     }
 }
 
-/// Forgets the proxy that has been disconnected for longest, once there are too many of them.
-pub(super) fn forget_longest_disconnected(proxies: &mut BTreeMap<String, ProxyStatus>) {
+/// Discards the status of the proxy that has been disconnected for longest if there are more than
+/// [`MAX_DISCONNECTED`].
+pub(super) fn discard_longest_disconnected(proxies: &mut BTreeMap<String, ProxyStatus>) {
     let disconnected = proxies.iter().filter(|(_, proxy)| !proxy.is_connected());
     let longest = disconnected.clone().min_by_key(|(_, proxy)| proxy.last_seen);
     if let Some(name) = longest.map(|(name, _)| name.clone()) {
--- a/crates/config/src/rollout/selection.rs
+++ b/crates/config/src/rollout/selection.rs
@@ -1,4 +1,4 @@
-//! Which proxies are the first to be offered a version.
+//! The order in which proxies are selected for a version.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -7,8 +7,8 @@
 use super::Rollout;
 use super::version::{Stage, VersionRollout};
 
-/// A proxy's rank in the rollout of a version: those of the lowest ranks are offered it first. The ranks differ from version
-/// to version, so that it is not always the same proxies that go first.
+/// The rank of a proxy in the rollout of a version: proxies of the lowest ranks are offered it first. Ranks
+/// differ between versions, so that the canaries are not always the same proxies.
 pub fn selection_rank(number: u64, proxy: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (number, proxy).hash(&mut hasher);
@@ -16,11 +16,12 @@
 }
 
 impl Rollout {
-    /// Adds connected proxies to those selected for the version, until there are as many as its stage asks for.
+    /// Adds connected proxies to those selected for the version until there are as many as its stage
+    /// requires.
     pub(super) fn select_proxies(&self, now: Timestamp, number: u64, version: &mut VersionRollout) {
-        // A server that starts goes on with the proxies that have the version.
-        let having = self.proxies.iter().filter(|(_, proxy)| proxy.in_force == number);
-        version.selected.extend(having.map(|(name, _)| name.clone()));
+        // A control server that has started continues with the proxies that have the version in force.
+        let with_version = self.proxies.iter().filter(|(_, proxy)| proxy.in_force == number);
+        version.selected.extend(with_version.map(|(name, _)| name.clone()));
 
         let present = version.selected.iter().filter(|name| self.is_present(now, version, name)).count();
         let missing = self.stage_size(version).saturating_sub(present);
@@ -31,7 +32,8 @@
         version.selected.extend(added);
     }
 
-    /// How many proxies the stage of the version asks for.
+    /// The number of proxies that the stage of the version requires. The full stage selects none, as it
+    /// includes all.
     fn stage_size(&self, version: &VersionRollout) -> usize {
         match version.stage {
             Stage::Canary => version.plan.first as usize,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Whether a selected proxy is connected, or may be on its way to this server.
+    /// Whether a selected proxy is connected, or may still reconnect to this control server.
     fn is_present(&self, now: Timestamp, version: &VersionRollout, name: &str) -> bool {
         match self.proxies.get(name) {
             Some(proxy) => proxy.is_connected(),
--- a/crates/config/src/rollout/version.rs
+++ b/crates/config/src/rollout/version.rs
@@ -1,4 +1,4 @@
-//! The rollout of one version: its stage, the proxies selected for it and what speaks against it.
+//! The rollout of one version: its stage, the proxies selected for it and the objections to it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use super::comparison::{Comparison, RequestCounts};
 use super::proxies::ProxyStatus;
 
-/// Which proxies a version is offered to. The values are stored in [`Progress`].
+/// The stage of a rollout: which proxies the version is offered to. The values are stored in [`Progress`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Stage {
-    /// To a fixed number of proxies.
+    /// A fixed number of proxies.
     Canary = 0,
-    /// To a share of all.
+    /// A fraction of all proxies.
     Partial = 1,
-    /// To all.
+    /// All proxies.
     Full = 2,
 }
 
@@ -39,18 +39,19 @@
     }
 }
 
-/// What a version is published for.
+/// The purpose for which a version is published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// A change by an operator, which may be halted.
+    /// A change by an operator. Its rollout may halt.
     Change,
-    /// The content of an earlier version restored. It goes to all proxies at once and is never halted: it would be rolled
-    /// back in turn, without end.
+    /// A rollback to the content of an earlier version. It is offered to all proxies at once and never halts:
+    /// otherwise it would be rolled back in turn, without end.
     RollBack,
 }
 
 impl Purpose {
-    /// The purpose of a version that restores the content of version `rolls_back_to`; 0: it restores none.
+    /// The purpose of a version that restores the content of version `rolls_back_to`, or is a change if that
+    /// is 0.
     pub(super) fn of(rolls_back_to: u64) -> Self {
         if rolls_back_to > 0 { Purpose::RollBack } else { Purpose::Change }
     }
@@ -65,11 +66,11 @@
     pub(super) stage: Stage,
     /// The proxies selected in the canary and partial stages.
     pub(super) selected: BTreeSet<String>,
-    /// Why each proxy counts against the version, by the proxy's name.
+    /// The objections to the version: why a proxy counts against it, by the name of the proxy.
     pub(super) objections: BTreeMap<String, String>,
     pub(super) comparison: Comparison,
-    /// When this server took the rollout over from another or from its own store. Selected proxies that it has not met
-    /// yet may be reconnecting.
+    /// When this control server took the rollout over from another one or read it from its own store.
+    /// Selected proxies that have not connected to it yet may be reconnecting.
     taken_over_at: Option<Timestamp>,
 }
 
@@ -87,15 +88,16 @@
         }
     }
 
-    /// A rollout that another process has begun, from its first stage.
+    /// Creates a rollout that another process has begun, in its first stage.
     pub(super) fn taken_over(now: Timestamp, plan: Plan, purpose: Purpose, state: State) -> Self {
         VersionRollout { state, taken_over_at: Some(now), ..VersionRollout::new(plan, purpose) }
     }
 
-    /// The state that a successor needs beside the published version; `None` where it would arrive at the same by itself.
+    /// The state that the next lease holder needs in addition to the published version; `None` if it can
+    /// derive it.
     pub(super) fn progress(&self, number: u64) -> Option<Progress> {
-        let staged = self.plan.first > 0 || self.plan.share > 0.0;
-        if self.state != State::Rolling || !staged && self.objections.is_empty() {
+        let has_stages = self.plan.first > 0 || self.plan.share > 0.0;
+        if self.state != State::Rolling || !has_stages && self.objections.is_empty() {
             return None;
         }
         let Comparison { on_version, on_others } = self.comparison;
@@ -108,7 +110,7 @@
         })
     }
 
-    /// Continues from the state that a predecessor has stored.
+    /// Continues from the state that the previous lease holder stored.
     pub(super) fn resume(&mut self, progress: Progress) {
         self.stage = Stage::from_stored(progress.step);
         self.selected = progress.chosen.into_iter().collect();
@@ -121,12 +123,12 @@
         }
     }
 
-    /// Whether proxies that this server has not met yet may still be on their way to it.
+    /// Whether proxies that have not connected to this control server yet may still reconnect.
     pub(super) fn awaits_reconnects(&self, now: Timestamp) -> bool {
         self.taken_over_at.is_some_and(|at| now.duration_since(at) < RECONNECT_TIMEOUT)
     }
 
-    /// Whether the plan leaves out the present stage, which is not the last.
+    /// Whether the plan omits the present stage. Only used before the full stage, which is never omitted.
     pub(super) fn skips_stage(&self) -> bool {
         match self.stage {
             Stage::Canary => self.plan.first == 0,
@@ -135,11 +137,11 @@
         }
     }
 
-    /// Whether nothing more is expected of a proxy: it has had the version in force for as long as the plan says, or takes
-    /// no offer of it.
+    /// Whether the rollout no longer waits for a proxy: it has had the version in force for the time in the
+    /// plan, or will not be offered it, as it rejected it or has a newer version in force.
     pub(super) fn is_settled(&self, now: Timestamp, number: u64, proxy: &ProxyStatus) -> bool {
         let hold = Duration::from_millis(self.plan.hold_ms);
-        let has_held = proxy.in_force == number && now.duration_since(proxy.in_force_since) >= hold;
-        has_held || proxy.skipped_up_to >= number || proxy.in_force > number
+        let hold_has_elapsed = proxy.in_force == number && now.duration_since(proxy.in_force_since) >= hold;
+        hold_has_elapsed || proxy.skipped_up_to >= number || proxy.in_force > number
     }
 }
--- a/crates/config/src/routing.rs
+++ b/crates/config/src/routing.rs
@@ -1,19 +1,20 @@
-//! Which classes a document serves and which engines its routes leave for a request.
+//! The classes that a document serves, and the engines that its routes allow for a request.
 
 use crate::proxy_state::{Engine, EngineState};
 use crate::schema::route::Otherwise;
 use crate::schema::target::Which;
 use crate::{Document, schema};
 
-/// Weight of a target that names none.
+/// The weight of a target that sets none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Whether a class is served under the document. One that names no classes serves all.
+/// Whether the document serves a class. A document that names no classes serves all of them.
 pub fn serves(document: &Document, class: &str) -> bool {
     document.classes.is_empty() || document.classes.iter().any(|name| name == class)
 }
 
-/// The weight of an engine in a route: that of the first target which matches it; `None` if none does.
+/// The weight of an engine in a route, which is that of the first target that matches the engine; `None` if
+/// no target does.
 pub fn weight(route: &schema::Route, engine: &Engine) -> Option<f64> {
     let matches = |target: &&schema::Target| match &target.which {
         Some(Which::Engine(name)) => *name == engine.name,
@@ -25,12 +26,13 @@
     route.targets.iter().find(matches).map(|target| target.weight.unwrap_or(DEFAULT_WEIGHT))
 }
 
-/// Whether any engine that the route matches takes work.
+/// Whether any engine that a target of the route matches accepts work.
 pub fn has_usable_engine(route: &schema::Route, engines: &[Engine]) -> bool {
     engines.iter().any(|engine| engine.state == EngineState::Up && weight(route, engine).is_some())
 }
 
-/// Whether requests on the route wait while none of its engines takes work, rather than use any other.
+/// Whether requests on the route wait while none of its engines accepts work, rather than use any other
+/// engine.
 pub(crate) fn is_strict(route: &schema::Route) -> bool {
     route.otherwise == Otherwise::Wait as i32
 }
@@ -40,26 +42,28 @@
 pub struct WeightedEngine {
     /// The engine's name.
     pub name: String,
-    /// Its weight.
+    /// Its weight relative to the other engines of the route.
     pub weight: f64,
 }
 
-/// A route with the engines that it matches at the moment.
+/// A route with the engines of the discovery list that it matches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedRoute {
     /// Its name.
     pub name: String,
-    /// The classes that it applies to; empty: all.
+    /// The classes that it applies to; empty if it applies to all.
     pub classes: Vec<String>,
-    /// The tenants that it applies to; empty: all.
+    /// The tenants that it applies to; empty if it applies to all.
     pub tenants: Vec<String>,
-    /// The engines, also those that are draining, which get nothing new anyway. `None` if any engine may be used, as none
-    /// of the route's takes work and the route allows others.
+    /// The engines, including those that are draining, which get no new work in any case. `None` if any
+    /// engine may be used, as none of the route's engines accepts work and the route allows other engines
+    /// then.
     pub engines: Option<Vec<WeightedEngine>>,
 }
 
-/// The routes of a document among the engines that are listed, in their order: the first that applies to a request decides.
-/// To be resolved again whenever the list changes.
+/// Resolves the routes of a document to engines of the discovery list, in the order of the document: the
+/// first route that applies to a request determines its engines. The routes have to be resolved again
+/// whenever the list changes.
 pub fn resolve(document: &Document, engines: &[Engine]) -> Vec<ResolvedRoute> {
     document.routes.iter().map(|route| resolve_route(route, engines)).collect()
 }
--- a/crates/config/tests/rollout.rs
+++ b/crates/config/tests/rollout.rs
@@ -5,7 +5,7 @@
 
 use gaugestep_config::Timestamp;
 use gaugestep_config::rollout::{
-    ANSWER_TIMEOUT, Action, ConnectedProxy, Event, RECONNECT_TIMEOUT, ReportedVersion, RequestCounts,
+    Action, ConnectedProxy, Event, RECONNECT_TIMEOUT, RESPONSE_TIMEOUT, ReportedVersion, RequestCounts,
     Rollout, StoredRollout,
 };
 use gaugestep_config::schema::entry::State;
@@ -212,7 +212,7 @@
             fleet.handle(Event::Responded { proxy: proxy.clone(), stream, nonce, refusal: None });
             fleet.handle(Event::Disconnected { proxy, stream });
         }
-        fleet.now = at(0.0) + ANSWER_TIMEOUT.max(RECONNECT_TIMEOUT);
+        fleet.now = at(0.0) + RESPONSE_TIMEOUT.max(RECONNECT_TIMEOUT);
         assert!(
             fleet
                 .handle(Event::Tick)
