--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -7,7 +7,7 @@
 
 use crate::schema::logging::Level;
 use crate::schema::target::Which;
-use crate::{Document, MAX_DOCUMENT_LENGTH, RejectReason, schema};
+use crate::{Document, MAX_DOCUMENT_BYTES, RejectReason, schema};
 
 use prost::Message as _;
 
@@ -44,8 +44,8 @@
 /// Returns every fault of the document, in the order of its fields; empty if it is valid.
 pub fn check(document: &Document) -> Vec<RejectReason> {
     let bytes = document.encoded_len();
-    if bytes > MAX_DOCUMENT_LENGTH {
-        return vec![RejectReason::TooLong { bytes, most: MAX_DOCUMENT_LENGTH }];
+    if bytes > MAX_DOCUMENT_BYTES {
+        return vec![RejectReason::TooLong { bytes, most: MAX_DOCUMENT_BYTES }];
     }
     let mut checker = Checker::default();
     checker.check_routes(&document.routes);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -38,7 +38,7 @@
 use sha2::{Digest as _, Sha256};
 
 /// The largest encoded size of a document, in bytes.
-pub const MAX_DOCUMENT_LENGTH: usize = 1024 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 1024 * 1024;
 
 /// The version of the stream protocol that this build speaks.
 pub const PROTOCOL_VERSION: u32 = 1;
--- a/crates/config/src/reject_reason.rs
+++ b/crates/config/src/reject_reason.rs
@@ -12,7 +12,7 @@
     /// The offer cannot be decoded.
     #[error("cannot be read: {0}")]
     Unreadable(String),
-    /// The document is longer than [`MAX_DOCUMENT_LENGTH`](crate::MAX_DOCUMENT_LENGTH).
+    /// The document is longer than [`MAX_DOCUMENT_BYTES`](crate::MAX_DOCUMENT_BYTES).
     #[error("is {bytes} bytes long, {most} are allowed")]
     TooLong {
         /// The length of the document in bytes.
--- a/crates/control-plane/src/client/persistence.rs
+++ b/crates/control-plane/src/client/persistence.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 
-use gaugestep_config::MAX_DOCUMENT_LENGTH;
+use gaugestep_config::MAX_DOCUMENT_BYTES;
 use gaugestep_config::schema::{Charter, Duty};
 use gaugestep_config::version_tracker::{Event, StorageFailure};
 use gaugestep_leadership::fencing::PersistError;
@@ -23,7 +23,7 @@
 use super::subscriber::{ConfigSubscriber, POLL_INTERVAL};
 
 /// The most bytes of a stored version: a document, and what is stored along with it.
-const MAX_VERSION_LENGTH: usize = MAX_DOCUMENT_LENGTH + 1024;
+const MAX_VERSION_LENGTH: usize = MAX_DOCUMENT_BYTES + 1024;
 /// The most bytes of all terms.
 const MAX_TERMS_LENGTH: usize = 1024 * 1024;
 /// The directory of the terms within that of the proxy.
--- a/crates/control-plane/src/transport/framing.rs
+++ b/crates/control-plane/src/transport/framing.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 
 /// The longest message in bytes: a document, and what is sent along with it.
-pub const MAX_MESSAGE_LENGTH: usize = gaugestep_config::MAX_DOCUMENT_LENGTH + 64 * 1024;
+pub const MAX_MESSAGE_LENGTH: usize = gaugestep_config::MAX_DOCUMENT_BYTES + 64 * 1024;
 const LENGTH_PREFIX: usize = 4;
 
 /// Why the bytes of a peer are no messages.
