--- a/crates/config/src/reject_reason.rs
+++ b/crates/config/src/reject_reason.rs
@@ -54,12 +54,12 @@
         by: u64,
     },
     /// The version was offered under a term that is not the highest one so far, or without a term.
-    #[error("{}", describe_stale_term(*.term, *.seen))]
+    #[error("{}", describe_stale_term(*.term, *.highest_term))]
     StaleTerm {
         /// The term of the offer; 0 if it has none.
         term: u64,
         /// The highest term that the proxy has received.
-        seen: u64,
+        highest_term: u64,
     },
     /// The version could not be stored, so a restart of the proxy would lose it.
     #[error("could not be stored: {0}")]
@@ -259,10 +259,10 @@
 }
 
 /// The text of [`RejectReason::StaleTerm`].
-fn describe_stale_term(term: u64, seen: u64) -> String {
+fn describe_stale_term(term: u64, highest_term: u64) -> String {
     match term {
         0 => "it names no term, so no owner sent it".into(),
-        term => format!("it is of term {term}, and an owner of term {seen} was seen"),
+        term => format!("it is of term {term}, and an owner of term {highest_term} was seen"),
     }
 }
 
--- a/crates/control-plane/src/client/fencing.rs
+++ b/crates/control-plane/src/client/fencing.rs
@@ -90,8 +90,10 @@
 /// The answer to an offer that was rejected for its term.
 fn reject_reason(reason: FencingRejected) -> RejectReason {
     match reason {
-        FencingRejected::StaleTerm { term, highest } => RejectReason::StaleTerm { term, seen: highest },
-        FencingRejected::MissingTerm => RejectReason::StaleTerm { term: 0, seen: 0 },
+        FencingRejected::StaleTerm { term, highest } => {
+            RejectReason::StaleTerm { term, highest_term: highest }
+        }
+        FencingRejected::MissingTerm => RejectReason::StaleTerm { term: 0, highest_term: 0 },
         FencingRejected::NotPersisted(error) => RejectReason::NotStored(error.to_string()),
         FencingRejected::QueueFull => RejectReason::NotStored(reason.to_string()),
     }
