--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -1,4 +1,4 @@
-//! Faults of a document by itself.
+//! The faults that the validation of a document by itself reports.
 
 use gaugestep_config::check::check;
 use gaugestep_config::{Document, text};
--- a/crates/config/tests/delta.rs
+++ b/crates/config/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Documents as differences.
+//! Documents as deltas to other documents.
 
 use gaugestep_config::Document;
 use gaugestep_config::delta::{apply, diff};
--- a/crates/config/tests/proxy_state.rs
+++ b/crates/config/tests/proxy_state.rs
@@ -1,4 +1,4 @@
-//! Documents against a proxy that runs.
+//! Documents validated against the state of a proxy, and the limits and routes that follow from them.
 
 use gaugestep_config::RejectReason;
 use gaugestep_config::effective_config::effective_config;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_is_in_use_cannot_be_removed() {
+fn classes_in_use_cannot_be_dropped_and_limits_and_names_must_fit_the_proxy() {
     let codes = |text| faults(text).iter().map(RejectReason::code).collect::<Vec<_>>();
     assert_eq!(codes(r#"classes: "load""#), ["class-in-use"]);
     assert_eq!(codes(r#"classes: "lookup""#), [] as [&str; 0]);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_settings_of_the_proxy_win() {
+fn a_document_cannot_exceed_the_limits_of_the_proxy_settings() {
     let document = parse(
         r#"tenants { name: "acme" quota_per_s: 99 } tenants { name: "zeta" quota_per_s: 7 }
            limits { max_open: 1000 max_attempts: 2 } retries { ratio: 0.9 }"#,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn routes_resolve_to_weighted_engines_and_allow_others_only_if_they_say_so() {
+fn routes_resolve_to_weighted_engines_and_allow_other_engines_only_if_set_to_any() {
     let document = parse(
         r#"routes { name: "a" classes: "load" targets { engine: "s-0" weight: 2 } targets { zone: "east" } }
            routes { name: "b" targets { zone: "west" } otherwise: ANY }
--- a/crates/config/tests/rollout.rs
+++ b/crates/config/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts over a small fleet: stages, halts, rollbacks and the takeover by another server.
+//! Rollouts over a small fleet: stages, halts, rollbacks and the change to another control server.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use gaugestep_config::schema::entry::State;
 use gaugestep_config::schema::{Plan, Refusal};
 
-/// The proxies of one server, and its clock.
+/// A control server with its proxies and its clock.
 struct Fleet {
     rollout: Rollout,
     now: Timestamp,
@@ -34,8 +34,8 @@
         fleet
     }
 
-    /// A server that finds one version under way in its store.
-    fn taking_over(now: Timestamp, number: u64, plan: Plan) -> Self {
+    /// A control server that starts with a rollout in progress in its store.
+    fn recovered(now: Timestamp, number: u64, plan: Plan) -> Self {
         let stored = StoredRollout { number, plan, state: State::Rolling, rolls_back_to: 0 };
         Fleet { rollout: Rollout::recover(now, [stored]), now }
     }
@@ -68,100 +68,109 @@
         self.handle(Event::Published { number, plan, rolls_back_to: 0 })
     }
 
-    /// Answers all offers among the actions, and those that follow.
-    fn answer(&mut self, actions: Vec<Action>, refusal: Option<&str>) -> Vec<Action> {
-        let mut rest = Vec::new();
+    /// Responds to all offers among the actions and to the offers that follow from the responses; returns the
+    /// other actions.
+    fn respond(&mut self, actions: Vec<Action>, refusal: Option<&str>) -> Vec<Action> {
+        let mut other_actions = Vec::new();
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             if let Action::Offer { proxy, stream, nonce, .. } = action {
                 let refusal = refusal.map(|code| Refusal { code: code.into(), ..Refusal::default() });
                 queue.extend(self.handle(Event::Responded { proxy, stream, nonce, refusal }));
             } else {
-                rest.push(action);
+                other_actions.push(action);
             }
         }
-        rest
+        other_actions
     }
 }
 
+/// The number of offers of a version among the actions.
 fn offers(actions: &[Action], number: u64) -> usize {
-    let of = |it: &&Action| matches!(it, Action::Offer { number: offered, .. } if *offered == number);
-    actions.iter().filter(of).count()
+    let is_offer =
+        |action: &&Action| matches!(action, Action::Offer { number: offered, .. } if *offered == number);
+    actions.iter().filter(is_offer).count()
 }
 
-fn staged() -> Plan {
+fn is_rollback(action: &Action) -> bool {
+    matches!(action, Action::RollBack { .. })
+}
+
+/// A plan with two canaries and a partial stage of half the fleet; each stage lasts 1 s.
+fn staged_plan() -> Plan {
     Plan { first: 2, share: 0.5, hold_ms: 1_000, worse_by: 0.05, ..Plan::default() }
 }
 
 #[test]
-fn a_version_goes_to_canaries_then_a_share_then_all_and_each_stage_holds() {
+fn a_version_goes_to_canaries_then_a_fraction_then_all_and_each_stage_lasts_its_time() {
     let mut fleet = Fleet::new(10);
-    let first = fleet.publish(1, staged());
+    let first = fleet.publish(1, staged_plan());
     assert_eq!(offers(&first, 1), 2);
-    assert!(fleet.answer(first, None).is_empty());
+    assert!(fleet.respond(first, None).is_empty());
     fleet.now = at(999.0);
-    assert!(fleet.handle(Event::Tick).is_empty(), "the stage has not held yet");
+    assert!(fleet.handle(Event::Tick).is_empty(), "the time of the stage has not elapsed");
     fleet.now = at(1_000.0);
     let share = fleet.handle(Event::Tick);
-    assert_eq!(offers(&share, 1), 3, "half of ten, less those that have it");
-    fleet.answer(share, None);
+    assert_eq!(offers(&share, 1), 3, "half of ten proxies, less the two canaries");
+    fleet.respond(share, None);
     fleet.now = at(2_000.0);
     let all = fleet.handle(Event::Tick);
     assert_eq!(offers(&all, 1), 5);
-    fleet.answer(all, None);
+    fleet.respond(all, None);
     assert_eq!(fleet.rollout.state(1), Some(State::Rolling));
     fleet.now = at(3_000.0);
     fleet.handle(Event::Tick);
     assert_eq!(fleet.rollout.state(1), Some(State::Complete));
-    assert_eq!(offers(&fleet.connect(20, 20, 0), 1), 1, "a newcomer gets it at once");
+    assert_eq!(offers(&fleet.connect(20, 20, 0), 1), 1, "a proxy that connects later is offered it at once");
 }
 
-/// The last proxy leaves while the version is held, or a server restarts: no proxy has it, and it is not complete.
+/// The last proxy disconnects during the time of a stage, or a control server restarts: the rollout must not
+/// become complete, as no connected proxy has the version in force.
 #[test]
 fn a_version_is_not_complete_while_no_proxy_is_connected() {
-    let hold = Plan { hold_ms: 60_000, ..Plan::default() };
+    let plan = Plan { hold_ms: 60_000, ..Plan::default() };
     let mut fleet = Fleet::new(1);
-    let offered = fleet.publish(1, hold);
-    fleet.answer(offered, None);
+    let offered = fleet.publish(1, plan);
+    fleet.respond(offered, None);
     fleet.handle(Event::Disconnected { proxy: name(0), stream: 0 });
     fleet.now = at(120_000.0);
     fleet.handle(Event::Tick);
     assert_eq!(fleet.rollout.state(1), Some(State::Rolling));
-    let mut next = Fleet::taking_over(at(0.0), 1, hold);
+    let mut next = Fleet::recovered(at(0.0), 1, plan);
     next.now = at(9_000.0);
     next.handle(Event::Tick);
-    assert_eq!(next.rollout.state(1), Some(State::Rolling), "proxies may be on their way here");
+    assert_eq!(next.rollout.state(1), Some(State::Rolling), "proxies may still reconnect");
     next.connect(0, 0, 0);
     next.now = at(20_000.0);
     next.handle(Event::Tick);
     assert_eq!(next.rollout.state(1), Some(State::Rolling));
 }
 
-/// Another server takes the rollout over in its partial stage and continues there, with what counts against it and the
-/// time for which the stage has held.
+/// Another control server takes the rollout over in its partial stage. It continues in that stage, with the
+/// objections so far and the time for which proxies have had the version in force.
 #[test]
-fn a_successor_continues_in_the_stage_it_finds() {
+fn the_next_control_server_continues_in_the_stage_that_is_stored() {
     let mut fleet = Fleet::new(10);
-    let plan = Plan { refusals: Some(2), ..staged() };
+    let plan = Plan { refusals: Some(2), ..staged_plan() };
     let first = fleet.publish(1, plan);
-    let chosen: Vec<String> = first
+    let canaries: Vec<String> = first
         .iter()
-        .map(|it| match it {
+        .map(|action| match action {
             Action::Offer { proxy, .. } => proxy.clone(),
             other => panic!("{other:?}"),
         })
         .collect();
-    fleet.answer(first[..1].to_vec(), None);
-    fleet.answer(first[1..].to_vec(), Some("no-usable-engine"));
+    fleet.respond(first[..1].to_vec(), None);
+    fleet.respond(first[1..].to_vec(), Some("no-usable-engine"));
     fleet.now = at(1_000.0);
     let share = fleet.handle(Event::Tick);
-    fleet.answer(share.clone(), None);
+    fleet.respond(share.clone(), None);
     assert!(!share.is_empty());
     let progress = fleet.rollout.progress().unwrap();
     assert_eq!((progress.step, progress.against.len()), (1, 1));
-    let mut next = Fleet::taking_over(at(50.0), 1, plan);
+    let mut next = Fleet::recovered(at(50.0), 1, plan);
     next.rollout.resume(progress.clone());
-    let rejecting = &chosen[1];
+    let rejecting = &canaries[1];
     let mut offered_again = Vec::new();
     for proxy in 0..10 {
         let has_version = progress.chosen.contains(&name(proxy)) && name(proxy) != *rejecting;
@@ -169,8 +178,8 @@
         offered_again.extend(next.connect_with(proxy, 0, in_force, Duration::from_millis(900)));
     }
     let before = next.rollout.progress().unwrap();
-    assert_eq!((before.step, before.against.len()), (1, 1), "no stage back, nothing forgotten");
-    assert_eq!(offers(&next.handle(Event::Tick), 1), 0, "the stage has held for 900 of 1,000 ms");
+    assert_eq!((before.step, before.against.len()), (1, 1), "the stage and the objections are restored");
+    assert_eq!(offers(&next.handle(Event::Tick), 1), 0, "only 900 of the 1,000 ms of the stage have elapsed");
     next.now = next.now + Duration::from_millis(100);
     let [Action::Offer { proxy, stream, nonce, .. }] = &offered_again[..] else {
         panic!("{offered_again:?}")
@@ -179,36 +188,36 @@
     let refusal = Some(Refusal { code: "no-usable-engine".into(), ..Refusal::default() });
     let (proxy, stream, nonce) = (proxy.clone(), *stream, *nonce);
     let advanced = next.handle(Event::Responded { proxy, stream, nonce, refusal });
-    assert!(offers(&advanced, 1) > 0, "and advances once it has held for all of them");
+    assert!(offers(&advanced, 1) > 0, "the rollout advances once no selected proxy is waited for");
 }
 
 #[test]
 fn a_rejection_halts_and_restores_the_last_complete_version_under_a_new_number() {
     let mut fleet = Fleet::new(10);
     let all = fleet.publish(1, Plan::default());
-    fleet.answer(all, None);
-    let first = fleet.publish(2, staged());
-    let halted = fleet.answer(first, Some("no-usable-engine"));
+    fleet.respond(all, None);
+    let first = fleet.publish(2, staged_plan());
+    let halted = fleet.respond(first, Some("no-usable-engine"));
     assert!(
-        halted.iter().any(|it| matches!(it, Action::RollBack { halted: 2, restored: 1, .. })),
+        halted.iter().any(|action| matches!(action, Action::RollBack { halted: 2, restored: 1, .. })),
         "{halted:?}"
     );
     assert_eq!(fleet.rollout.state(2), Some(State::Halted));
     assert_eq!(offers(&fleet.handle(Event::Tick), 2), 0);
-    let back = fleet.handle(Event::Published { number: 3, plan: staged(), rolls_back_to: 1 });
-    assert_eq!(offers(&back, 3), 10, "at once to all");
-    let ended = fleet.answer(back, Some("no-usable-engine"));
-    assert!(!ended.iter().any(|it| matches!(it, Action::RollBack { .. })), "never back and forth: {ended:?}");
+    let back = fleet.handle(Event::Published { number: 3, plan: staged_plan(), rolls_back_to: 1 });
+    assert_eq!(offers(&back, 3), 10, "a rollback is offered to all at once");
+    let ended = fleet.respond(back, Some("no-usable-engine"));
+    assert!(!ended.iter().any(is_rollback), "a rollback is never rolled back: {ended:?}");
 }
 
 #[test]
-fn a_proxy_that_never_answers_and_one_that_leaves_with_the_version_count_against_it() {
-    for leaves in [false, true] {
+fn a_proxy_that_never_responds_and_one_that_disconnects_with_the_version_count_against_it() {
+    for disconnects in [false, true] {
         let mut fleet = Fleet::new(4);
-        let first = fleet.publish(1, Plan { first: 1, ..staged() });
+        let first = fleet.publish(1, Plan { first: 1, ..staged_plan() });
         let [Action::Offer { proxy, stream, nonce, .. }] = &first[..] else { panic!("{first:?}") };
         let (proxy, stream, nonce) = (proxy.clone(), *stream, *nonce);
-        if leaves {
+        if disconnects {
             fleet.handle(Event::Responded { proxy: proxy.clone(), stream, nonce, refusal: None });
             fleet.handle(Event::Disconnected { proxy, stream });
         }
@@ -217,50 +226,51 @@
             fleet
                 .handle(Event::Tick)
                 .iter()
-                .any(|it| matches!(it, Action::RollBack { halted: 1, restored: 0, .. }))
+                .any(|action| matches!(action, Action::RollBack { halted: 1, restored: 0, .. }))
         );
     }
 }
 
-/// A version for all at once is halted too if a part of the fleet rejects it, but not by single proxies of many.
+/// A version that is offered to all at once halts if a fraction of the fleet rejects it, but not if only a
+/// few proxies do.
 #[test]
-fn a_version_for_all_at_once_is_halted_by_more_than_single_rejections() {
-    for (refuse, halts) in [(2, false), (3, true)] {
+fn a_version_offered_to_all_at_once_is_halted_by_five_percent_of_rejections() {
+    for (rejecting, halts) in [(2, false), (3, true)] {
         let mut fleet = Fleet::new(50);
         let offered = fleet.publish(1, Plan::default());
-        let (bad, good) = offered.split_at(refuse);
-        let seen = fleet.answer(bad.to_vec(), Some("no-usable-engine"));
-        assert_eq!(seen.iter().any(|it| matches!(it, Action::RollBack { .. })), halts, "{refuse} of 50");
-        fleet.answer(good.to_vec(), None);
+        let (rejected, acknowledged) = offered.split_at(rejecting);
+        let actions = fleet.respond(rejected.to_vec(), Some("no-usable-engine"));
+        assert_eq!(actions.iter().any(is_rollback), halts, "{rejecting} of 50");
+        fleet.respond(acknowledged.to_vec(), None);
     }
 }
 
 #[test]
-fn request_counts_that_worsen_halt_and_chance_does_not() {
+fn significantly_worse_request_counts_halt_a_rollout_and_small_differences_do_not() {
     for (unserved, halts) in [(300, true), (60, false)] {
         let mut fleet = Fleet::new(10);
-        let first = fleet.publish(1, staged());
-        fleet.answer(first, None);
+        let first = fleet.publish(1, staged_plan());
+        fleet.respond(first, None);
         let report = |fleet: &mut Fleet, served, unserved: u64| {
-            let mut seen = Vec::new();
+            let mut actions = Vec::new();
             for proxy in 0..10 {
-                let on = fleet.rollout.proxies()[&name(proxy)].in_force;
-                let unserved = if on == 1 { unserved } else { served / 20 };
+                let in_force = fleet.rollout.proxies()[&name(proxy)].in_force;
+                let unserved = if in_force == 1 { unserved } else { served / 20 };
                 let counts = RequestCounts { served, unserved };
-                let (proxy, stream, number) = (name(proxy), proxy, on);
-                seen.extend(fleet.handle(Event::RequestsCounted { proxy, stream, counts, number }));
+                let (proxy, stream, number) = (name(proxy), proxy, in_force);
+                actions.extend(fleet.handle(Event::RequestsCounted { proxy, stream, counts, number }));
             }
-            seen
+            actions
         };
         report(&mut fleet, 0, 0);
-        let seen = report(&mut fleet, 1_000, unserved);
-        let halted = seen.iter().any(|it| matches!(it, Action::RollBack { halted: 1, .. }));
+        let actions = report(&mut fleet, 1_000, unserved);
+        let halted = actions.iter().any(|action| matches!(action, Action::RollBack { halted: 1, .. }));
         assert_eq!(halted, halts, "{unserved} of 1,000 not served");
     }
 }
 
 #[test]
-fn a_server_from_an_older_backup_offers_nothing_lower_and_numbers_above_what_it_meets() {
+fn a_server_restored_from_an_older_backup_offers_and_publishes_only_higher_numbers() {
     let mut fleet = Fleet::new(0);
     fleet.publish(3, Plan::default());
     assert_eq!(offers(&fleet.connect(0, 0, 7), 3), 0);
@@ -271,14 +281,13 @@
 }
 
 #[test]
-fn a_slow_proxy_is_offered_only_the_newest_once_it_answers() {
+fn a_slow_proxy_is_offered_only_the_newest_version_once_it_responds() {
     let mut fleet = Fleet::new(1);
     let first = fleet.publish(1, Plan::default());
     assert_eq!(offers(&first, 1), 1);
     for number in 2..6 {
         assert_eq!(offers(&fleet.publish(number, Plan::default()), number), 0);
     }
-    let mut left = fleet.answer(first, None);
-    left.retain(|it| matches!(it, Action::Offer { .. }));
+    fleet.respond(first, None);
     assert_eq!(fleet.rollout.proxies()["n0"].in_force, 5);
 }
--- a/crates/config/tests/text.rs
+++ b/crates/config/tests/text.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_printed_document_reads_the_same() {
+fn a_printed_document_is_parsed_to_an_equal_document() {
     let text = r#"routes { name: "n" classes: "report" targets { zone: "east" weight: 2.5 } otherwise: ANY }
         tenants { name: "acme" quota_per_s: 40 } limits { max_open: 300 } retries { ratio: 0.1 }
         logging { level: DEBUG parts { name: "gaugestep::net" level: WARN } } classes: "report""#;
--- a/crates/config/tests/version_tracker.rs
+++ b/crates/config/tests/version_tracker.rs
@@ -1,5 +1,6 @@
-//! The version tracker under random interleavings: what is in force was always checked completely, every offer gets exactly
-//! one answer, versions never go backwards, and what was acknowledged survives a crash at any point.
+//! The version tracker under random interleavings: a document in force was always validated completely, every
+//! offer gets exactly one response, versions never decrease, and an acknowledged version survives a crash at
+//! any point.
 
 use std::collections::BTreeMap;
 
@@ -27,12 +28,13 @@
     }
 }
 
-/// A document that names an engine; not all are valid, and not all are at all times.
-fn document(which: u8, number: u64) -> Document {
+/// One of four documents: without routes, with a route to an engine that is up, with a route to an engine
+/// that may be draining, or invalid.
+fn document(kind: u8, number: u64) -> Document {
     let target = |name: &str| Target { which: Some(Which::Engine(name.into())), weight: Some(1.0) };
     let route = |name: &str, targets| Route { name: name.into(), targets, ..Route::default() };
     let limits = Some(Limits { max_open: Some(100 + number as u32), max_attempts: None });
-    let routes = match which % 4 {
+    let routes = match kind % 4 {
         0 => vec![],
         1 => vec![route("r", vec![target("s-0")])],
         2 => vec![route("r", vec![target("s-1")])],
@@ -41,28 +43,27 @@
     Document { routes, limits, ..Document::default() }
 }
 
+/// One step of a random interleaving.
 #[derive(Clone, Debug)]
 enum Step {
-    Offer {
-        ahead: u64,
-        which: u8,
-        form: u8,
-    },
-    EndStore {
-        fails: bool,
-    },
+    /// A version is offered, `ahead` above the highest number so far, or below it where `form` says so.
+    Offer { ahead: u64, document_kind: u8, form: u8 },
+    /// The oldest pending store operation ends.
+    EndStore { fails: bool },
+    /// An engine begins or stops draining.
     Drain(bool),
+    /// The number of open requests changes.
     Open(u64),
+    /// The stream ends and the next one begins.
     Reconnect,
-    /// The process ends; the store operation under way may have been done by then.
-    Crash {
-        stored: bool,
-    },
+    /// The process ends. `stored` says whether a pending commit took effect before that.
+    Crash { stored: bool },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        5 => (0u64..4, any::<u8>(), 0u8..6).prop_map(|(ahead, which, form)| Step::Offer { ahead, which, form }),
+        5 => (0u64..4, any::<u8>(), 0u8..6)
+            .prop_map(|(ahead, document_kind, form)| Step::Offer { ahead, document_kind, form }),
         6 => prop::bool::weighted(0.15).prop_map(|fails| Step::EndStore { fails }),
         2 => any::<bool>().prop_map(Step::Drain),
         1 => (0u64..200).prop_map(Step::Open),
@@ -71,74 +72,76 @@
     ]
 }
 
-/// What the embedder finds stored, which it stored itself.
+/// Decodes a version that the embedder has stored.
 fn decode(bytes: &[u8]) -> AcceptedVersion {
-    AcceptedVersion::decode(bytes).expect("what was stored is intact")
+    AcceptedVersion::decode(bytes).expect("the stored version is intact")
 }
 
-/// The embedder, its store and the checks.
-struct World {
+/// The embedder with its store, which checks the guarantees at each action.
+struct Embedder {
     tracker: VersionTracker,
     proxy: ProxyState,
     stream: u64,
     nonce: u64,
     number: u64,
-    /// Documents by number, as they were offered.
+    /// The offered documents, by number.
     offered: BTreeMap<u64, Vec<Document>>,
-    answers: BTreeMap<OfferId, u32>,
-    /// The store: staged, what a start finds, and what was there before.
+    /// The number of responses to each offer.
+    responses: BTreeMap<OfferId, u32>,
+    /// The store: the staged version, the one that a restart reads first, and the fallback.
     staged: Option<(u64, Vec<u8>)>,
     current: Option<Vec<u8>>,
     previous: Option<Vec<u8>>,
-    /// Store operations under way, in order.
-    storing: Vec<Action>,
+    /// Pending store operations, in order.
+    pending_stores: Vec<Action>,
     applied: Document,
+    /// The highest acknowledged version.
     acknowledged: u64,
 }
 
-impl World {
+impl Embedder {
     fn handle(&mut self, event: Event) {
-        let was = self.tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
+        let previous = self.tracker.in_force().map(|accepted| accepted.document.clone()).unwrap_or_default();
         let actions = self.tracker.handle(Timestamp::default(), event, &self.proxy);
         for action in actions {
             match action {
                 Action::Apply(document) => {
                     let valid = check::check(&document).is_empty()
                         && proxy_check::check(&document, &self.proxy).is_empty();
-                    let known = self.offered.values().flatten().any(|it| *it == *document);
-                    // A document that was in force, or none at all, may come back as it was.
-                    let again = *document == was || *document == Document::default() || {
+                    let was_offered = self.offered.values().flatten().any(|offered| *offered == *document);
+                    // The previous document, or the empty one, may be restored without validation.
+                    let is_restored = *document == previous || *document == Document::default() || {
                         let stored = self.current.as_deref().map(decode);
                         stored.is_some_and(|stored| stored.document == *document)
                     };
-                    assert!(valid && known || again, "in force without a check: {document:?}");
+                    assert!(valid && was_offered || is_restored, "in force without validation: {document:?}");
                     self.applied = *document;
                 }
                 Action::Respond { offer, number, outcome } => {
-                    *self.answers.entry(offer).or_default() += 1;
+                    *self.responses.entry(offer).or_default() += 1;
                     if outcome.is_ok() {
                         let current = decode(self.current.as_deref().expect("a version was committed"));
                         assert_eq!(
                             current.version.number, number,
-                            "acknowledged, and a start would not find it"
+                            "an acknowledged version is found after a restart"
                         );
-                        assert!(number >= self.acknowledged, "versions never go backwards");
+                        assert!(number >= self.acknowledged, "versions never decrease");
                         self.acknowledged = number;
                     }
                 }
-                store => self.storing.push(store),
+                store => self.pending_stores.push(store),
             }
         }
-        let in_force = self.tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
-        assert_eq!(in_force, self.applied, "half applied");
+        let in_force = self.tracker.in_force().map(|accepted| accepted.document.clone()).unwrap_or_default();
+        assert_eq!(in_force, self.applied, "the applied document is the one in force");
     }
 
     fn end_store(&mut self, fails: bool) {
-        if self.storing.is_empty() {
+        if self.pending_stores.is_empty() {
             return;
         }
         let result = if fails { Err(StorageFailure::new("disk full")) } else { Ok(()) };
-        match self.storing.remove(0) {
+        match self.pending_stores.remove(0) {
             Action::Stage { number, bytes } => {
                 if !fails {
                     self.staged = Some((number, bytes));
@@ -147,7 +150,7 @@
             }
             Action::Commit { number } => {
                 if !fails {
-                    let (staged, bytes) = self.staged.take().expect("something is staged");
+                    let (staged, bytes) = self.staged.take().expect("a version is staged");
                     assert_eq!(staged, number);
                     self.previous = self.current.replace(bytes);
                 }
@@ -157,16 +160,19 @@
         }
     }
 
-    fn offer(&mut self, ahead: u64, which: u8, form: u8) {
+    /// Offers a version: form 0 is a delta, 1 a delta to a version that is not in force, 2 has a wrong
+    /// digest, 3 may have no content, 5 has a number that is not above the highest one, and the rest are
+    /// complete documents.
+    fn offer(&mut self, ahead: u64, document_kind: u8, form: u8) {
         let number = if form == 5 { self.number.saturating_sub(ahead) } else { self.number + ahead };
         self.number = self.number.max(number);
-        let document = document(which, number);
+        let document = document(document_kind, number);
         self.offered.entry(number).or_default().push(document.clone());
         self.nonce += 1;
         let mut offered = version(number, &document);
         let in_force = self.tracker.in_force();
-        let base = in_force.map_or(0, |taken| taken.version.number);
-        let old = in_force.map(|taken| taken.document.clone()).unwrap_or_default();
+        let base = in_force.map_or(0, |accepted| accepted.version.number);
+        let old = in_force.map(|accepted| accepted.document.clone()).unwrap_or_default();
         let content = match form {
             0 => Content::Delta(delta::diff(base, &old, &document)),
             1 => Content::Delta(delta::diff(base + 1, &old, &document)),
@@ -175,9 +181,9 @@
         if form == 2 {
             offered.digest[0] ^= 1;
         }
-        let content = (form != 3 || which % 3 > 0).then_some(content);
+        let content = (form != 3 || document_kind % 3 > 0).then_some(content);
         let id = OfferId { stream: self.stream, nonce: self.nonce };
-        self.answers.insert(id, 0);
+        self.responses.insert(id, 0);
         let (version, nonce) = (Some(offered), self.nonce);
         let offer = Offer { version, nonce, content, rolls_back_to: 0, term: 1 };
         self.handle(Event::Offered { stream: self.stream, offer: Box::new(offer) });
@@ -186,31 +192,31 @@
     fn reconnect(&mut self) {
         self.handle(Event::StreamEnded { stream: self.stream });
         let ended = self.stream;
-        self.answers.retain(|id, answers| id.stream != ended || *answers > 0);
+        self.responses.retain(|id, responses| id.stream != ended || *responses > 0);
         self.stream += 1;
     }
 
     fn crash(&mut self, stored: bool) {
         if let (true, Some(Action::Commit { .. }), Some((_, bytes))) =
-            (stored, self.storing.first(), &self.staged)
+            (stored, self.pending_stores.first(), &self.staged)
         {
             self.previous = self.current.replace(bytes.clone());
         }
-        self.storing.clear();
+        self.pending_stores.clear();
         self.staged = None;
         let stored_versions: Vec<Result<Vec<u8>, StorageFailure>> =
             [&self.current, &self.previous].into_iter().flatten().map(|bytes| Ok(bytes.clone())).collect();
-        // The list has not arrived yet when a proxy starts, and nothing is open.
-        let start = ProxyState { engines: None, ..proxy(false, 0) };
+        // When a proxy starts, the discovery list has not arrived and no requests are open.
+        let at_start = ProxyState { engines: None, ..proxy(false, 0) };
         let Recovery { tracker, unusable } =
-            VersionTracker::recover(Timestamp::default(), stored_versions, &start);
+            VersionTracker::recover(Timestamp::default(), stored_versions, &at_start);
         assert!(unusable.is_empty(), "{unusable:?}");
-        let found = tracker.in_force().map_or(0, |taken| taken.version.number);
-        assert!(found >= self.acknowledged, "a start finds what was acknowledged, or a later version");
-        self.acknowledged = found;
-        self.applied = tracker.in_force().map(|it| it.document.clone()).unwrap_or_default();
+        let recovered = tracker.in_force().map_or(0, |accepted| accepted.version.number);
+        assert!(recovered >= self.acknowledged, "a restart finds the acknowledged version or a later one");
+        self.acknowledged = recovered;
+        self.applied = tracker.in_force().map(|accepted| accepted.document.clone()).unwrap_or_default();
         self.tracker = tracker;
-        self.answers.retain(|_, answers| *answers > 0);
+        self.responses.retain(|_, responses| *responses > 0);
         self.stream += 1;
         self.proxy = proxy(false, 0);
     }
@@ -221,47 +227,49 @@
 
     #[test]
     fn the_guarantees_hold_for_any_order_of_events(steps in prop::collection::vec(step(), 1..60)) {
-        let mut world = World {
+        let mut embedder = Embedder {
             tracker: VersionTracker::new(),
             proxy: proxy(false, 0),
             stream: 0,
             nonce: 0,
             number: 1,
             offered: BTreeMap::new(),
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             staged: None,
             current: None,
             previous: None,
-            storing: Vec::new(),
+            pending_stores: Vec::new(),
             applied: Document::default(),
             acknowledged: 0,
         };
         for step in steps {
             match step {
-                Step::Offer { ahead, which, form } => world.offer(ahead, which, form),
-                Step::EndStore { fails } => world.end_store(fails),
-                Step::Drain(draining) => world.proxy = proxy(draining, world.proxy.open),
+                Step::Offer { ahead, document_kind, form } => embedder.offer(ahead, document_kind, form),
+                Step::EndStore { fails } => embedder.end_store(fails),
+                Step::Drain(draining) => embedder.proxy = proxy(draining, embedder.proxy.open),
                 Step::Open(open) => {
-                    let draining = world.proxy.engines.as_ref().is_some_and(|it| it[1].state == EngineState::Draining);
-                    world.proxy = proxy(draining, open);
+                    let engines = embedder.proxy.engines.as_ref();
+                    let draining = engines.is_some_and(|engines| engines[1].state == EngineState::Draining);
+                    embedder.proxy = proxy(draining, open);
                 }
-                Step::Reconnect => world.reconnect(),
-                Step::Crash { stored } => world.crash(stored),
+                Step::Reconnect => embedder.reconnect(),
+                Step::Crash { stored } => embedder.crash(stored),
             }
-            prop_assert!(world.storing.len() <= 1, "one store operation at a time");
+            prop_assert!(embedder.pending_stores.len() <= 1, "one store operation at a time");
         }
-        while !world.storing.is_empty() {
-            world.end_store(false);
+        while !embedder.pending_stores.is_empty() {
+            embedder.end_store(false);
         }
-        for (id, answers) in &world.answers {
-            prop_assert_eq!(*answers, 1, "{:?}", id);
+        for (id, responses) in &embedder.responses {
+            prop_assert_eq!(*responses, 1, "{:?}", id);
         }
     }
 }
 
-/// A proxy whose last good version is truncated starts on the one before, and says why.
+/// A proxy whose last stored version is truncated, at any byte, starts with the version before it and reports
+/// why.
 #[test]
-fn a_truncated_last_good_version_leaves_the_one_before() {
+fn a_proxy_with_a_truncated_last_version_recovers_the_version_before() {
     let document = document(1, 4);
     let good = AcceptedVersion { version: version(4, &document), document };
     let complete = good.encode();
@@ -281,7 +289,8 @@
     assert_eq!(unusable.iter().map(|version| version.reason.code()).collect::<Vec<_>>(), ["unreadable"; 2]);
 }
 
-/// An offer that is truncated at any byte, in a frame that hides it, is no message or is rejected.
+/// An offer that was truncated at any byte, without a frame length that would reveal it, cannot be decoded or
+/// is rejected.
 #[test]
 fn an_offer_truncated_at_any_byte_is_never_accepted() {
     let document = document(1, 3);
@@ -293,11 +302,11 @@
         term: 1,
     };
     let complete = offer.encode_to_vec();
-    let mut messages = 0;
+    let mut rejected = 0;
     for cut in 0..complete.len() {
         let Ok(offer) = Offer::decode(&complete[..cut]) else { continue };
-        // All but the last field may be there: then the version is complete.
-        let all = offer.content.is_some() && offer.version.is_some();
+        // If only fields after the content are cut off, the version is complete.
+        let has_version = offer.content.is_some() && offer.version.is_some();
         let mut tracker = VersionTracker::new();
         let actions = tracker.handle(
             Timestamp::default(),
@@ -305,15 +314,15 @@
             &proxy(false, 0),
         );
         match &actions[..] {
-            [Action::Respond { outcome: Err(_), .. }] => messages += 1,
-            [Action::Stage { number: 3, .. }] if all => {}
+            [Action::Respond { outcome: Err(_), .. }] => rejected += 1,
+            [Action::Stage { number: 3, .. }] if has_version => {}
             other => panic!("cut at byte {cut}: {other:?}"),
         }
     }
-    assert!(messages > 0);
+    assert!(rejected > 0);
 }
 
-/// The drain notice that arrives between the two checks.
+/// A drain notice that arrives between the two validations must not be missed.
 #[test]
 fn a_version_is_rejected_if_its_engine_drains_while_it_is_stored() {
     let mut tracker = VersionTracker::new();
