--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -209,8 +209,8 @@
         }
         let times = [
             ("answer_slack", settings.answer_slack),
-            ("cold.warm_within", settings.slow_start.warm_up),
-            ("cold.span", settings.slow_start.window),
+            ("cold.warm_within", settings.slow_start.warm_up_ms),
+            ("cold.span", settings.slow_start.window_ms),
             ("order_pause", settings.order_pause),
             ("max_retry_after", settings.max_retry_after),
             ("budget.span", settings.retry_budget.map_or(0.0, |budget| budget.window)),
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -130,9 +130,9 @@
         answer_slack: 20.0,
         slow_start: SlowStartSettings {
             initial_fraction: 0.3,
-            warm_up: 14_000.0,
+            warm_up_ms: 14_000.0,
             capacity_multiple: 3.0,
-            window: 1_500.0,
+            window_ms: 1_500.0,
         },
         order_pause: 500.0,
         retry_budget: None,
@@ -268,9 +268,9 @@
 fn cold_fleet() -> Profile {
     let cold = SlowStartSettings {
         initial_fraction: 0.1,
-        warm_up: 20_000.0,
+        warm_up_ms: 20_000.0,
         capacity_multiple: 2.5,
-        window: 2_000.0,
+        window_ms: 2_000.0,
     };
     let settings = Settings { slow_start: cold, dispatchers: 4, ..settings(two_classes()) };
     let traffic = Traffic { fleet_change: 0.3, arrival_gap: 40.0, ..USUAL_TRAFFIC };
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -40,9 +40,9 @@
         answer_slack: 20.0,
         slow_start: SlowStartSettings {
             initial_fraction: 0.3,
-            warm_up: 14_000.0,
+            warm_up_ms: 14_000.0,
             capacity_multiple: 3.0,
-            window: 1_500.0,
+            window_ms: 1_500.0,
         },
         order_pause: 500.0,
         retry_budget: None,
--- a/crates/dispatch/tests/dispatcher/answers.rs
+++ b/crates/dispatch/tests/dispatcher/answers.rs
@@ -33,7 +33,7 @@
     endless.order_pause = f64::INFINITY;
     assert_eq!(Dispatcher::new(endless, 1).err().unwrap().field, "order_pause");
     let mut negative = settings(vec![class(Effect::Safe, 1.0)]);
-    negative.slow_start.window = -1.0;
+    negative.slow_start.window_ms = -1.0;
     assert_eq!(Dispatcher::new(negative, 1).err().unwrap().field, "cold.span");
     let mut nobody = settings(vec![class(Effect::Safe, 1.0)]);
     nobody.dispatchers = 0;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -139,9 +139,9 @@
 fn slow_start(rules: &Rules) -> Result<SlowStartSettings, SettingError> {
     Ok(SlowStartSettings {
         initial_fraction: rules.cold_share.or("cold_share", 1.0)?,
-        warm_up: rules.warm_within_ms.or("warm_within_ms", 0.0)?,
+        warm_up_ms: rules.warm_within_ms.or("warm_within_ms", 0.0)?,
         capacity_multiple: rules.tip_multiple.or("tip_multiple", 0.0)?,
-        window: rules.overload_for_ms.or("overload_for_ms", 0.0)?,
+        window_ms: rules.overload_for_ms.or("overload_for_ms", 0.0)?,
     })
 }
 
--- a/crates/subsetting/src/slow_start.rs
+++ b/crates/subsetting/src/slow_start.rs
@@ -50,21 +50,22 @@
     pub initial_fraction: f64,
     /// The age at which an engine has warmed up, in milliseconds; 0: engines have their full capacity from
     /// the start.
-    pub warm_up: f64,
+    pub warm_up_ms: f64,
     /// An engine is overloaded by work of more than this multiple of its present capacity within one window;
     /// 0: no limit applies.
     pub capacity_multiple: f64,
     /// The length of that window, in milliseconds.
-    pub window: f64,
+    pub window_ms: f64,
 }
 
 impl SlowStartSettings {
     /// The lower bound of the fraction of its capacity that an engine of this age has, from 0.05 to 1.
     pub fn capacity_fraction(&self, age_ms: f64) -> f64 {
-        if age_ms >= self.warm_up {
+        if age_ms >= self.warm_up_ms {
             return 1.0;
         }
-        let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * age_ms.max(0.0) / self.warm_up;
+        let fraction =
+            self.initial_fraction + (1.0 - self.initial_fraction) * age_ms.max(0.0) / self.warm_up_ms;
         fraction.clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 }
@@ -98,15 +99,15 @@
 impl SlowStartLimit {
     /// The work that may reach the engine within the window that begins at this age.
     pub fn window_limit(&self, age_ms: f64) -> f64 {
-        self.accrued(age_ms + self.settings.window) - self.accrued(age_ms)
+        self.accrued(age_ms + self.settings.window_ms) - self.accrued(age_ms)
     }
 
     /// The work that may reach the engine from its start up to this age.
     pub fn accrued(&self, age_ms: f64) -> f64 {
-        let (age_ms, warm_up) = (age_ms.max(0.0), self.settings.warm_up.max(1.0));
-        let warming = age_ms.min(warm_up);
+        let (age_ms, warm_up_ms) = (age_ms.max(0.0), self.settings.warm_up_ms.max(1.0));
+        let warming = age_ms.min(warm_up_ms);
         // The integral of the capacity gained since the start, as a fraction of the full capacity.
-        let gained = (1.0 - self.settings.initial_fraction) * warming * warming / (2.0 * warm_up);
+        let gained = (1.0 - self.settings.initial_fraction) * warming * warming / (2.0 * warm_up_ms);
         self.settings.capacity_multiple
             * self.cores
             * (self.settings.initial_fraction * warming + gained + age_ms - warming)
@@ -115,8 +116,8 @@
     /// The work that may reach the engine in the first window if its capacity stayed as it is at its start;
     /// at least 1.
     fn first_window_limit(&self) -> f64 {
-        let SlowStartSettings { initial_fraction, capacity_multiple, window, .. } = self.settings;
-        (capacity_multiple * self.cores * initial_fraction * window).max(1.0)
+        let SlowStartSettings { initial_fraction, capacity_multiple, window_ms, .. } = self.settings;
+        (capacity_multiple * self.cores * initial_fraction * window_ms).max(1.0)
     }
 
     fn is_light(&self, work: f64) -> bool {
@@ -149,7 +150,7 @@
         let fraction = if exclusive { EXCLUSIVE_FRACTION } else { RANDOM_SLOT_FRACTION };
         let total = self.accrued(age_ms) * fraction;
         let Some(heavy_size) = sizes.heavy else { return CreditedWork { light: total, heavy: 0.0 } };
-        let at_initial_rate = self.first_window_limit() / self.settings.window * age_ms.max(0.0);
+        let at_initial_rate = self.first_window_limit() / self.settings.window_ms * age_ms.max(0.0);
         let light =
             sizes.light.map_or(0.0, |_| at_initial_rate * LIGHT_FRACTION * fraction / EXCLUSIVE_FRACTION);
         // Credits above the largest size become due less often: two of them within a window exceed the limit
@@ -208,7 +209,7 @@
         let RotationSlot { index, count, .. } = self.slot;
         let completed_rounds = ((self.due_number(age_ms) - index) / count).floor();
         let number = completed_rounds * count + index;
-        let expired_up_to = self.due_number(age_ms - CREDIT_LIFETIME_WINDOWS * self.limit.settings.window);
+        let expired_up_to = self.due_number(age_ms - CREDIT_LIFETIME_WINDOWS * self.limit.settings.window_ms);
         // A credit that was due before this process started may have been used by the process before it.
         let unusable_up_to = expired_up_to.max(self.due_number(first_refresh_age_ms));
         let usable = number > unusable_up_to && number >= 0.0;
@@ -218,7 +219,8 @@
 
     /// Whether the reservation of a credit for heavy requests has ended.
     fn usable_by_light(&self, age_ms: f64, credit: Option<AccruedCredit>) -> bool {
-        let reserved_for = HEAVY_RESERVATION_FRACTION * CREDIT_LIFETIME_WINDOWS * self.limit.settings.window;
+        let reserved_for =
+            HEAVY_RESERVATION_FRACTION * CREDIT_LIFETIME_WINDOWS * self.limit.settings.window_ms;
         credit.is_some_and(|credit| credit.number <= self.due_number(age_ms - reserved_for))
     }
 }
@@ -234,7 +236,7 @@
         typical_works: impl Iterator<Item = f64>,
         work: f64,
     ) -> bool {
-        if age_ms >= limit.settings.warm_up || limit.settings.capacity_multiple <= 0.0 {
+        if age_ms >= limit.settings.warm_up_ms || limit.settings.capacity_multiple <= 0.0 {
             *self = SlowStartBudget::default();
             return true;
         }
--- a/crates/subsetting/tests/decisions.rs
+++ b/crates/subsetting/tests/decisions.rs
@@ -74,9 +74,9 @@
     for _ in 0..60 {
         let settings = SlowStartSettings {
             initial_fraction: 0.2 + 0.4 * random.rand_float(),
-            warm_up: 8_000.0 + 6_000.0 * random.rand_float(),
+            warm_up_ms: 8_000.0 + 6_000.0 * random.rand_float(),
             capacity_multiple: 1.5 + 2.0 * random.rand_float(),
-            window: 1_500.0 + 2_000.0 * random.rand_float(),
+            window_ms: 1_500.0 + 2_000.0 * random.rand_float(),
         };
         let limit = SlowStartLimit { cores: 4.0 + 12.0 * random.rand_float(), settings };
         let first = limit.window_limit(0.0);
@@ -89,7 +89,7 @@
         (slot.index, slot.count) = (slot.index % 5.0, slot.count.min(5.0));
         let mut budget = SlowStartBudget::default();
         let mut age = -500.0;
-        while age < settings.warm_up + 500.0 {
+        while age < settings.warm_up_ms + 500.0 {
             age += 150.0 * random.rand_float();
             digest.add(limit.accrued(age).to_bits());
             digest.add(settings.capacity_fraction(age).to_bits());
--- a/crates/subsetting/tests/slow_start.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -86,7 +86,7 @@
         let phase = random.rand_float() * 4_000.0;
         let mut budget = SlowStartBudget::default();
         let mut now = random.rand_float() * STEP_MS;
-        while now + STEP_MS < self.limit.settings.warm_up {
+        while now + STEP_MS < self.limit.settings.warm_up_ms {
             now += STEP_MS;
             let sends = behaviour.sends(now, phase, random);
             if self.restarts && random.rand_float() < 0.002 {
@@ -109,21 +109,22 @@
 
 /// The largest ratio of the work sent within a window to the limit of that window.
 fn worst_window(sent: &[Sent], limit: &SlowStartLimit) -> f64 {
-    let window = limit.settings.window;
+    let window_ms = limit.settings.window_ms;
     let (mut first, mut sum, mut worst) = (0, 0.0, 0.0f64);
     for Sent { at, work } in sent {
         sum += work;
-        while sent[first].at <= at - window {
+        while sent[first].at <= at - window_ms {
             sum -= sent[first].work;
             first += 1;
         }
-        worst = worst.max(sum / limit.window_limit((at - window).max(0.0)));
+        worst = worst.max(sum / limit.window_limit((at - window_ms).max(0.0)));
     }
     worst
 }
 
-fn limit(cores: f64, initial_fraction: f64, window: f64, capacity_multiple: f64) -> SlowStartLimit {
-    let settings = SlowStartSettings { initial_fraction, warm_up: WARM_UP_MS, capacity_multiple, window };
+fn limit(cores: f64, initial_fraction: f64, window_ms: f64, capacity_multiple: f64) -> SlowStartLimit {
+    let settings =
+        SlowStartSettings { initial_fraction, warm_up_ms: WARM_UP_MS, capacity_multiple, window_ms };
     SlowStartLimit { cores, settings }
 }
 
@@ -147,14 +148,14 @@
 
     #[test]
     fn no_window_exceeds_the_limit_for_any_behaviour_skew_and_restarts(
-        (proxies, cores, share, window) in (2..150u32, 4.0..17.0f64, 0.2..0.6f64, 1_500.0..3_500.0f64),
+        (proxies, cores, share, window_ms) in (2..150u32, 4.0..17.0f64, 0.2..0.6f64, 1_500.0..3_500.0f64),
         (multiple, heavy, light, skew) in (1.5..4.0f64, 0.05..0.3f64, 0.001..0.03f64, 0.0..1.0f64),
         (behaviours, restarts, seed) in (behaviours(), any::<bool>(), any::<u64>()),
     ) {
-        let limit = limit(cores, share, window, multiple);
-        let first_window = multiple * cores * share * window;
+        let limit = limit(cores, share, window_ms, multiple);
+        let first_window = multiple * cores * share * window_ms;
         let class_works = vec![heavy * first_window, light * first_window];
-        let skew = skew * MAX_CLOCK_SKEW_WINDOWS * window;
+        let skew = skew * MAX_CLOCK_SKEW_WINDOWS * window_ms;
         let fleet = Fleet { proxies, skew, limit, class_works, behaviours, exclusive: true, restarts };
         let worst = worst_window(&fleet.simulate(seed), &limit);
         prop_assert!(worst <= 1.0, "{worst} of the limit");
