--- a/crates/config/src/rollout/mod.rs
+++ b/crates/config/src/rollout/mod.rs
@@ -113,7 +113,7 @@
     }
 
     /// The newest version below `number` whose rollout is complete; 0 if there is none.
-    pub fn complete_before(&self, number: u64) -> u64 {
+    pub fn newest_complete_before(&self, number: u64) -> u64 {
         let mut earlier = self.versions.range(..number).rev();
         earlier.find(|(_, version)| version.state == State::Complete).map_or(0, |(number, _)| *number)
     }
--- a/crates/config/src/rollout/stages.rs
+++ b/crates/config/src/rollout/stages.rs
@@ -37,7 +37,7 @@
             actions.push(Action::StateChanged { number, state: version.state, reason: reason.clone() });
             // The rollback is needed even if no proxy has acknowledged the version: one may have applied it
             // already.
-            let restored = self.complete_before(number);
+            let restored = self.newest_complete_before(number);
             actions.push(Action::RollBack { halted: number, restored, reason });
             return;
         }
--- a/crates/control-plane/src/server/publication.rs
+++ b/crates/control-plane/src/server/publication.rs
@@ -29,7 +29,7 @@
         let rollout = &state.rollout_lease.rollout;
         let newest = self.replica.with_state(GroupState::newest_version);
         let mut needed: Vec<u64> = rollout.proxies().values().map(|proxy| proxy.in_force).collect();
-        needed.push(rollout.complete_before(newest + 1));
+        needed.push(rollout.newest_complete_before(newest + 1));
         needed.sort_unstable();
         needed.dedup();
         NewVersion {
