--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -32,7 +32,7 @@
     pub const OPEN_REQUESTS: RangeInclusive<f64> = 1.0..=1e9;
     /// Limit on attempts per request.
     pub const ATTEMPTS: RangeInclusive<f64> = 1.0..=100.0;
-    /// Retries per request.
+    /// Retries allowed per request.
     pub const RETRY_RATIO: RangeInclusive<f64> = 0.0..=1.0;
     /// Retries allowed in addition to these.
     pub const FREE_RETRIES: RangeInclusive<f64> = 0.0..=1e6;
@@ -213,7 +213,7 @@
 
 /// Whether the earlier route matches every request that the later route matches.
 fn shadows(earlier: &schema::Route, later: &schema::Route) -> bool {
-    // An empty list stands for all classes or tenants.
+    // An empty list matches all classes or tenants.
     let covers = |wide: &[String], narrow: &[String]| {
         wide.is_empty() || !narrow.is_empty() && narrow.iter().all(|name| wide.contains(name))
     };
--- a/crates/config/src/proxy_check.rs
+++ b/crates/config/src/proxy_check.rs
@@ -6,7 +6,7 @@
 use crate::schema::target::Which;
 use crate::{Document, RejectReason, routing, schema};
 
-/// Returns the faults for which the document must not be in force at the proxy now, in the order of its
+/// Returns the faults that prevent the document from being in force at the proxy now, in the order of its
 /// fields; empty if there are none. The document must have passed [`crate::check`].
 ///
 /// The engines of routes are not checked before the first discovery list has arrived: a proxy that starts on
--- a/crates/config/src/proxy_state.rs
+++ b/crates/config/src/proxy_state.rs
@@ -3,49 +3,49 @@
 /// Whether an engine accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
-    /// It accepts work.
+    /// The engine accepts work.
     Up,
-    /// It accepts no new work and finishes what it has.
+    /// The engine accepts no new work and finishes the attempts in flight.
     Draining,
 }
 
 /// An engine of the discovery list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Its id in the discovery list.
+    /// The id of the engine in the discovery list.
     pub name: String,
-    /// The kind of the machine that it runs on.
+    /// The kind of the machine that the engine runs on.
     pub kind: String,
-    /// Its zone.
+    /// The zone of the engine.
     pub zone: String,
-    /// Its cell.
+    /// The number of the cell of the engine.
     pub cell: u64,
-    /// Whether it accepts work.
+    /// Whether the engine accepts work.
     pub state: EngineState,
 }
 
 /// A request class of the proxy's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// The number of its open requests.
+    /// The number of open requests of the class.
     pub open: u64,
 }
 
 /// A tenant of the proxy's own settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its quota in requests per second; `None` if the settings give it none.
+    /// The quota of the tenant in requests per second; `None` if the settings give it none.
     pub quota_per_s: Option<f64>,
 }
 
 /// The retries allowed within the window that the proxy's settings name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries per request.
+    /// Retries allowed per request.
     pub ratio: f64,
     /// Retries allowed in addition to these, however few requests there are.
     pub free: f64,
@@ -69,7 +69,7 @@
 pub struct ProxyState {
     /// The engines of the discovery list; `None` before the first list has arrived.
     pub engines: Option<Vec<Engine>>,
-    /// The request classes.
+    /// The request classes of the settings.
     pub classes: Vec<Class>,
     /// The number of open requests of all classes.
     pub open: u64,
--- a/crates/config/src/reject_reason.rs
+++ b/crates/config/src/reject_reason.rs
@@ -27,17 +27,17 @@
     /// The offer is a delta to a version that is not in force: the complete document is needed.
     #[error("is a change to version {base}, and version {in_force} is in force")]
     WrongBase {
-        /// The version that the delta applies to.
+        /// The number of the version that the delta applies to.
         base: u64,
-        /// The version in force; 0 if there is none.
+        /// The number of the version in force; 0 if there is none.
         in_force: u64,
     },
     /// The version is older than the one in force: the number of the version in force never decreases.
     #[error("version {offered} is not newer than version {in_force}, which is in force")]
     NotNewer {
-        /// The version offered.
+        /// The number of the offered version.
         offered: u64,
-        /// The version in force.
+        /// The number of the version in force.
         in_force: u64,
     },
     /// The version has the number of the version in force, but other content: two control servers assign
@@ -50,7 +50,7 @@
     /// A newer version was offered before this one was in force.
     #[error("version {by} came before this one was in force")]
     Superseded {
-        /// The newer version.
+        /// The number of the newer version.
         by: u64,
     },
     /// The version was offered under a term that is not the highest one so far, or without a term.
@@ -69,15 +69,15 @@
     /// A required field is absent or empty.
     #[error("'{path}' is missing")]
     Missing {
-        /// The field.
+        /// The path of the field.
         path: String,
     },
     /// A number is out of its range.
     #[error("'{path}' is {value}, not a number from {least} to {most}")]
     OutOfRange {
-        /// The field.
+        /// The path of the field.
         path: String,
-        /// Its value.
+        /// The value of the field.
         value: f64,
         /// The smallest value allowed.
         least: f64,
@@ -87,7 +87,7 @@
     /// A name is too long or contains a character that names must not contain.
     #[error("'{path}' is '{name}', which is no name")]
     BadName {
-        /// The field.
+        /// The path of the field.
         path: String,
         /// The first characters of the name.
         name: String,
@@ -95,15 +95,15 @@
     /// A name occurs twice where names must be unique.
     #[error("'{path}': '{name}' occurs twice")]
     Duplicate {
-        /// The field of the second occurrence.
+        /// The path of the second occurrence.
         path: String,
-        /// The name.
+        /// The name that occurs twice.
         name: String,
     },
     /// A list has more entries than allowed.
     #[error("'{path}' has {entries} entries, {most} are allowed")]
     TooMany {
-        /// The list.
+        /// The path of the list.
         path: String,
         /// The number of its entries.
         entries: usize,
@@ -113,15 +113,15 @@
     /// An enum value is not defined in this build.
     #[error("'{path}' is {value}, which this build does not know")]
     Unknown {
-        /// The field.
+        /// The path of the field.
         path: String,
-        /// Its value.
+        /// The value of the field.
         value: i32,
     },
     /// A route can never apply, as an earlier route matches every request that it matches.
     #[error("'{path}' is never reached: '{earlier}' holds for all that it names")]
     Unreachable {
-        /// The route.
+        /// The path of the route.
         path: String,
         /// The name of the earlier route.
         earlier: String,
@@ -131,11 +131,11 @@
     /// The proxy has no class or tenant of this name.
     #[error("'{path}': '{name}' is no {kind} of this proxy")]
     UnknownName {
-        /// The field.
+        /// The path of the field.
         path: String,
         /// The kind of object that the name refers to: `class` or `tenant`.
         kind: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
     /// A class would have no engine that accepts work: all engines that the route names are draining or not
@@ -146,21 +146,21 @@
         name_list("; not listed: ", .unlisted)
     )]
     NoUsableEngine {
-        /// The list of the route's targets.
+        /// The path of the route's targets.
         path: String,
-        /// A class that the route applies to.
+        /// The name of a class that the route applies to.
         class: String,
-        /// The engines of the route that are draining.
+        /// The names of the engines of the route that are draining.
         draining: Vec<String>,
-        /// The engines that the route names and that are not in the discovery list.
+        /// The names of engines that the route targets and that are not in the discovery list.
         unlisted: Vec<String>,
     },
     /// A limit is below the number in use.
     #[error("'{path}' is {limit}, below the {in_use} in use")]
     BelowUse {
-        /// The field.
+        /// The path of the field.
         path: String,
-        /// The limit.
+        /// The value of the field, a limit.
         limit: u64,
         /// The number in use.
         in_use: u64,
@@ -168,9 +168,9 @@
     /// A class that has open requests would no longer be served.
     #[error("'{path}' drops class '{class}', which has {open} requests open")]
     ClassInUse {
-        /// The list of served classes.
+        /// The path of the list of served classes.
         path: String,
-        /// The class.
+        /// The name of the class.
         class: String,
         /// The number of its open requests.
         open: u64,
@@ -178,9 +178,9 @@
     /// A value exceeds the limit of the proxy's own settings.
     #[error("'{path}' is {value}, more than the {platform_limit} that the platform allows")]
     BeyondRule {
-        /// The field.
+        /// The path of the field.
         path: String,
-        /// Its value.
+        /// The value of the field.
         value: f64,
         /// The limit of the settings.
         platform_limit: f64,
--- a/crates/config/src/rollout/events.rs
+++ b/crates/config/src/rollout/events.rs
@@ -23,16 +23,16 @@
     Connected(ConnectedProxy),
     /// A stream has ended.
     Disconnected {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// The stream.
+        /// The number of the stream.
         stream: u64,
     },
     /// A proxy has responded to an offer.
     Responded {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// The stream.
+        /// The number of the stream.
         stream: u64,
         /// The nonce of the offer.
         nonce: u64,
@@ -41,9 +41,9 @@
     },
     /// A proxy has reported the outcomes of its requests.
     RequestsCounted {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// The stream.
+        /// The number of the stream.
         stream: u64,
         /// The outcomes of requests since the start of the proxy.
         counts: RequestCounts,
@@ -65,7 +65,7 @@
     pub in_force: ReportedVersion,
     /// The build that the proxy runs.
     pub build: String,
-    /// How long that version has been in force at the proxy.
+    /// The time for which that version has been in force at the proxy.
     pub in_force_for: Duration,
 }
 
@@ -95,13 +95,13 @@
 pub enum Action {
     /// Offer a version to a proxy.
     Offer {
-        /// The proxy.
+        /// The name of the proxy.
         proxy: String,
-        /// Its stream.
+        /// The number of its stream.
         stream: u64,
         /// The nonce that identifies the offer in the proxy's response.
         nonce: u64,
-        /// The version.
+        /// The number of the version.
         number: u64,
         /// The version in force at the proxy, to which a delta may be sent; 0 if the complete document must
         /// be sent.
@@ -109,18 +109,18 @@
     },
     /// Store the changed state of a version's rollout.
     StateChanged {
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// The new state.
+        /// The new state of the rollout.
         state: State,
         /// Why the rollout halted; empty if the new state is not halted.
         reason: String,
     },
     /// Publish the content of version `restored` as the next version, to all proxies at once.
     RollBack {
-        /// The version that was halted.
+        /// The number of the version that was halted.
         halted: u64,
-        /// The version whose content is restored; 0 stands for an empty document.
+        /// The version whose content is restored; 0 for an empty document.
         restored: u64,
         /// Why the rollout halted.
         reason: String,
--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -15,11 +15,11 @@
 /// The status of a proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyStatus {
-    /// Its stream; `None` while it is disconnected.
+    /// The number of its stream; `None` while it is disconnected.
     pub stream: Option<u64>,
     /// The build that it runs.
     pub build: String,
-    /// The version in force at the proxy; 0 if there is none.
+    /// The number of the version in force at the proxy; 0 if there is none.
     pub in_force: u64,
     /// When that version came in force, by the report of the proxy.
     pub in_force_since: Timestamp,
@@ -31,7 +31,7 @@
     pub last_seen: Timestamp,
     /// Whether it has a version in force that this control server has not published.
     pub is_ahead: bool,
-    /// Its last report of request outcomes on the present stream.
+    /// The last report of request outcomes on the present stream.
     last_counts: Option<CountReport>,
     /// The highest version that it rejected on the present stream; no version up to this one is offered.
     pub(super) skipped_up_to: u64,
@@ -42,7 +42,7 @@
 pub struct PendingOffer {
     /// The nonce that identifies the offer in the proxy's response.
     pub nonce: u64,
-    /// The version offered.
+    /// The number of the offered version.
     pub number: u64,
     /// When it was offered.
     pub offered_at: Timestamp,
@@ -59,7 +59,7 @@
 /// A version that a proxy has rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejection {
-    /// The version.
+    /// The number of the rejected version.
     pub number: u64,
     /// Why it was rejected.
     pub refusal: Refusal,
--- a/crates/config/src/rollout/version.rs
+++ b/crates/config/src/rollout/version.rs
@@ -14,11 +14,11 @@
 /// The stage of a rollout: which proxies the version is offered to. The values are stored in [`Progress`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Stage {
-    /// A fixed number of proxies.
+    /// The version is offered to a fixed number of proxies.
     Canary = 0,
-    /// A fraction of all proxies.
+    /// The version is offered to a fraction of all proxies.
     Partial = 1,
-    /// All proxies.
+    /// The version is offered to all proxies.
     Full = 2,
 }
 
--- a/crates/config/src/routing.rs
+++ b/crates/config/src/routing.rs
@@ -40,16 +40,16 @@
 /// An engine with its weight in a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedEngine {
-    /// The engine's name.
+    /// The id of the engine in the discovery list.
     pub name: String,
-    /// Its weight relative to the other engines of the route.
+    /// The weight of the engine relative to the other engines of the route.
     pub weight: f64,
 }
 
 /// A route with the engines of the discovery list that it matches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedRoute {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
     /// The classes that it applies to; empty if it applies to all.
     pub classes: Vec<String>,
--- a/crates/config/src/version_tracker/events.rs
+++ b/crates/config/src/version_tracker/events.rs
@@ -32,19 +32,19 @@
 pub enum Event {
     /// An offer was received on a stream.
     Offered {
-        /// The stream.
+        /// The number of the stream.
         stream: u64,
-        /// The offer.
+        /// The offer as received.
         offer: Box<schema::Offer>,
     },
-    /// [`Action::Stage`] has ended.
+    /// The execution of [`Action::Stage`] has ended.
     Staged {
         /// The number of the version.
         number: u64,
         /// Whether the version was stored.
         result: Result<(), StorageFailure>,
     },
-    /// [`Action::Commit`] has ended.
+    /// The execution of [`Action::Commit`] has ended.
     Committed {
         /// The number of the version.
         number: u64,
@@ -53,7 +53,7 @@
     },
     /// A stream has ended; its offers need no response any more.
     StreamEnded {
-        /// The stream.
+        /// The number of the stream.
         stream: u64,
     },
 }
@@ -78,7 +78,7 @@
     },
     /// Respond to an offer.
     Respond {
-        /// The offer.
+        /// The offer that is responded to.
         offer: OfferId,
         /// The number of the offered version; 0 if the offer has none.
         number: u64,
--- a/crates/config/src/version_tracker/history.rs
+++ b/crates/config/src/version_tracker/history.rs
@@ -10,19 +10,19 @@
 /// The status of an offered version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VersionStatus {
-    /// It was offered and waits until the pending version is processed.
+    /// The version was offered and waits until the pending version is processed.
     Offered,
-    /// It was valid when it was offered, and is being stored.
+    /// The version was valid when it was offered, and is being stored.
     Checked,
-    /// It was stored, validated again and applied, and is being committed.
+    /// The version was stored, validated again and applied, and is being committed.
     Staged,
-    /// It is in force.
+    /// The version is in force.
     InForce,
-    /// It was in force until a newer version replaced it.
+    /// The version was in force until a newer version replaced it.
     Replaced,
-    /// It was in force until a rollback replaced it.
+    /// The version was in force until a rollback replaced it.
     RolledBack,
-    /// It was rejected.
+    /// The version was rejected, for this reason.
     Rejected(RejectReason),
 }
 
@@ -31,11 +31,11 @@
 pub struct VersionRecord {
     /// The number of the version.
     pub number: u64,
-    /// The first bytes of its digest, in hexadecimal.
+    /// The first bytes of the digest, in hexadecimal.
     pub digest: String,
-    /// Its status.
+    /// The status of the version.
     pub status: VersionStatus,
-    /// When it got this status.
+    /// The time at which the version got this status.
     pub since: Timestamp,
 }
 
--- a/crates/config/tests/rollout.rs
+++ b/crates/config/tests/rollout.rs
@@ -110,9 +110,9 @@
     fleet.now = at(999.0);
     assert!(fleet.handle(Event::Tick).is_empty(), "the time of the stage has not elapsed");
     fleet.now = at(1_000.0);
-    let share = fleet.handle(Event::Tick);
-    assert_eq!(offers(&share, 1), 3, "half of ten proxies, less the two canaries");
-    fleet.respond(share, None);
+    let partial = fleet.handle(Event::Tick);
+    assert_eq!(offers(&partial, 1), 3, "half of ten proxies, less the two canaries");
+    fleet.respond(partial, None);
     fleet.now = at(2_000.0);
     let all = fleet.handle(Event::Tick);
     assert_eq!(offers(&all, 1), 5);
@@ -163,9 +163,9 @@
     fleet.respond(first[..1].to_vec(), None);
     fleet.respond(first[1..].to_vec(), Some("no-usable-engine"));
     fleet.now = at(1_000.0);
-    let share = fleet.handle(Event::Tick);
-    fleet.respond(share.clone(), None);
-    assert!(!share.is_empty());
+    let partial = fleet.handle(Event::Tick);
+    fleet.respond(partial.clone(), None);
+    assert!(!partial.is_empty());
     let progress = fleet.rollout.progress().unwrap();
     assert_eq!((progress.step, progress.against.len()), (1, 1));
     let mut next = Fleet::recovered(at(50.0), 1, plan);
--- a/crates/subsetting/src/assignment.rs
+++ b/crates/subsetting/src/assignment.rs
@@ -30,9 +30,9 @@
     pub id: u32,
     /// The engine's key, the same at every proxy; see [`crate::key`].
     pub key: u64,
-    /// Its size relative to the other engines, above 0.
+    /// The size of the engine relative to the other engines, above 0.
     pub size: f64,
-    /// Its zone.
+    /// The zone of the engine.
     pub zone: u64,
 }
 
--- a/crates/subsetting/src/ordinal_lease.rs
+++ b/crates/subsetting/src/ordinal_lease.rs
@@ -27,7 +27,7 @@
 /// A position that a proxy may use until its lease expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeasedPosition {
-    /// The position.
+    /// The position that the proxy may use.
     pub position: FleetPosition,
     /// When the lease expires.
     pub expires_at: Timestamp,
--- a/crates/subsetting/src/rotation.rs
+++ b/crates/subsetting/src/rotation.rs
@@ -12,7 +12,7 @@
 }
 
 impl RotationSlot {
-    /// The slot in a rotation that nothing is known about: the only one, but not exclusive.
+    /// The slot in a rotation of unknown size: the only one, but not exclusive.
     pub(crate) const UNKNOWN: RotationSlot = RotationSlot { index: 0.0, count: 1.0, exclusive: false };
 
     /// The factor by which the proxy multiplies a pause that all proxies begin at the same moment, so that
--- a/crates/subsetting/src/slow_start.rs
+++ b/crates/subsetting/src/slow_start.rs
@@ -83,9 +83,9 @@
 /// The sizes of credits, in milliseconds of work; `None` if no request class needs credits of that kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CreditSizes {
-    /// For light requests.
+    /// The size of credits for light requests.
     pub light: Option<f64>,
-    /// For heavy requests.
+    /// The size of credits for heavy requests.
     pub heavy: Option<f64>,
 }
 
@@ -163,7 +163,8 @@
 /// A credit that is due and has not expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct AccruedCredit {
-    /// Its number among the credits of its size, counted from the engine's start over all proxies.
+    /// The number of the credit among the credits of its size, counted from the engine's start over all
+    /// proxies.
     number: f64,
     /// The work that may still be sent under it.
     remaining: f64,
--- a/crates/subsetting/tests/slow_start.rs
+++ b/crates/subsetting/tests/slow_start.rs
@@ -148,12 +148,13 @@
 
     #[test]
     fn no_window_exceeds_the_limit_for_any_behaviour_skew_and_restarts(
-        (proxies, cores, share, window_ms) in (2..150u32, 4.0..17.0f64, 0.2..0.6f64, 1_500.0..3_500.0f64),
+        (proxies, cores, initial_fraction, window_ms) in
+            (2..150u32, 4.0..17.0f64, 0.2..0.6f64, 1_500.0..3_500.0f64),
         (multiple, heavy, light, skew) in (1.5..4.0f64, 0.05..0.3f64, 0.001..0.03f64, 0.0..1.0f64),
         (behaviours, restarts, seed) in (behaviours(), any::<bool>(), any::<u64>()),
     ) {
-        let limit = limit(cores, share, window_ms, multiple);
-        let first_window = multiple * cores * share * window_ms;
+        let limit = limit(cores, initial_fraction, window_ms, multiple);
+        let first_window = multiple * cores * initial_fraction * window_ms;
         let class_works = vec![heavy * first_window, light * first_window];
         let skew = skew * MAX_CLOCK_SKEW_WINDOWS * window_ms;
         let fleet = Fleet { proxies, skew, limit, class_works, behaviours, exclusive: true, restarts };
