--- a/crates/config/src/rollout/mod.rs
+++ b/crates/config/src/rollout/mod.rs
@@ -119,7 +119,7 @@
     }
 
     /// Discards versions below `number`, which the embedder no longer keeps.
-    pub fn forget_below(&mut self, number: u64) {
+    pub fn discard_below(&mut self, number: u64) {
         self.versions.retain(|kept, _| *kept >= number);
     }
 
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -90,7 +90,7 @@
     /// Old versions are not kept any more.
     pub(crate) fn on_versions_dropped(&self, state: &mut ServerState) {
         let oldest = self.replica.with_state(|group| group.versions.keys().next().copied().unwrap_or(0));
-        state.rollout_lease.rollout.forget_below(oldest);
+        state.rollout_lease.rollout.discard_below(oldest);
     }
 
     /// Makes a proxy known to the rollout, if its process holds its name and it has seen no later term.
