--- a/crates/config/src/proxy_state.rs
+++ b/crates/config/src/proxy_state.rs
@@ -1,79 +1,79 @@
-//! The proxy as it runs: the validation context of a version.
+//! The present state of a proxy, against which documents are validated.
 
-/// Whether an engine takes work.
+/// Whether an engine accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineState {
-    /// It does.
+    /// The engine accepts work.
     Up,
-    /// It finishes what it has.
+    /// The engine accepts no new work and finishes the attempts in flight.
     Draining,
 }
 
-/// An engine that is listed; those that have left are not.
+/// An engine of the discovery list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Its id in the list.
+    /// The id of the engine in the discovery list.
     pub name: String,
-    /// Its kind of machine.
+    /// The kind of the machine that the engine runs on.
     pub kind: String,
-    /// Its zone.
+    /// The zone of the engine.
     pub zone: String,
-    /// Its cell.
+    /// The number of the cell of the engine.
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether the engine accepts work.
     pub state: EngineState,
 }
 
 /// A request class of the proxy's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its open requests.
+    /// The number of open requests of the class.
     pub open: u64,
 }
 
 /// A tenant of the proxy's own settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its requests per second, where the settings give it a quota.
+    /// The quota of the tenant in requests per second; `None` if the settings give it none.
     pub quota_per_s: Option<f64>,
 }
 
-/// How many retries are allowed.
+/// The retries allowed within the window that the proxy's settings name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries on top of these.
+    /// Retries allowed in addition to these, however few requests there are.
     pub free: f64,
 }
 
-/// What the proxy's own settings allow. A document may tighten these limits, but not exceed them.
+/// The limits of the proxy's own settings. A document may tighten them, but not exceed them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformLimits {
     /// The tenants, in the order of the settings.
     pub tenants: Vec<Tenant>,
-    /// Requests that may be open together.
+    /// The largest number of requests open at the same time.
     pub max_open: u64,
-    /// Attempts for one request.
+    /// The largest number of attempts per request.
     pub max_attempts: u64,
-    /// The retries allowed; `None` if they are not limited.
+    /// The retry budget; `None` if retries are not limited.
     pub retries: Option<RetryBudget>,
 }
 
-/// The proxy as it runs.
+/// The present state of a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyState {
-    /// The engines that are listed; `None` before the first list has arrived.
+    /// The engines of the discovery list; `None` before the first list has arrived.
     pub engines: Option<Vec<Engine>>,
-    /// The request classes.
+    /// The request classes of the settings.
     pub classes: Vec<Class>,
-    /// Open requests.
+    /// The number of open requests of all classes.
     pub open: u64,
-    /// What the proxy's own settings allow.
+    /// The limits of the proxy's own settings.
     pub platform: PlatformLimits,
 }
 
--- a/crates/control-plane/src/client/fencing.rs
+++ b/crates/control-plane/src/client/fencing.rs
@@ -93,8 +93,10 @@
 /// The reject reason that is sent for an offer which fencing rejected.
 fn reject_reason(reason: FencingRejected) -> RejectReason {
     match reason {
-        FencingRejected::StaleTerm { term, highest } => RejectReason::StaleTerm { term, seen: highest },
-        FencingRejected::MissingTerm => RejectReason::StaleTerm { term: 0, seen: 0 },
+        FencingRejected::StaleTerm { term, highest } => {
+            RejectReason::StaleTerm { term, highest_term: highest }
+        }
+        FencingRejected::MissingTerm => RejectReason::StaleTerm { term: 0, highest_term: 0 },
         FencingRejected::NotPersisted(error) => RejectReason::NotStored(error.to_string()),
         FencingRejected::QueueFull => RejectReason::NotStored(reason.to_string()),
     }
--- a/crates/dispatch/benches/subsets.rs
+++ b/crates/dispatch/benches/subsets.rs
@@ -10,7 +10,7 @@
 use gaugestep_dispatch::Dispatcher;
 use gaugestep_dispatch::interface::*;
 use gaugestep_subsetting::key;
-use gaugestep_subsetting::subset::{Member, Subset};
+use gaugestep_subsetting::subset::{CandidateEngine, Subset};
 
 /// The median of five measurements of the time of one run, in microseconds; each measurement repeats `run`
 /// `times` times.
@@ -47,10 +47,10 @@
 fn main() {
     println!("one request, sent and served: {:.2} us", request_micros());
     for (proxies, engines) in [(10, 40), (100, 60), (300, 80), (1_000, 80)] {
-        let member = |id: u32| Member { id, key: key(&format!("s-{id}")), size: 8.0, zone: 0 };
-        let members: Vec<Member> = (0..engines).map(member).collect();
+        let member = |id: u32| CandidateEngine { id, key: key(&format!("s-{id}")), size: 8.0, zone: 0 };
+        let members: Vec<CandidateEngine> = (0..engines).map(member).collect();
         let position = FleetPosition::ordinal(3, proxies).expect("the ordinal is valid");
-        let micros = micros(20, || drop(Subset::draw(position, proxies as usize, &members, 8)));
+        let micros = micros(20, || drop(Subset::compute(position, proxies as usize, &members, 8)));
         println!("{proxies} proxies, {engines} engines: drawing the subset takes {micros:.0} us");
     }
 }
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -214,8 +214,8 @@
         }
         let times = [
             ("answer_slack", settings.response_slack),
-            ("cold.warm_within", settings.slow_start.warm_up),
-            ("cold.span", settings.slow_start.window),
+            ("cold.warm_within", settings.slow_start.warm_up_ms),
+            ("cold.span", settings.slow_start.window_ms),
             ("order_pause", settings.order_pause),
             ("max_retry_after", settings.max_retry_after),
             ("budget.span", settings.retry_budget.map_or(0.0, |budget| budget.window)),
@@ -228,7 +228,7 @@
         if settings.dispatchers == 0 {
             return fail("dispatchers", "must be 1 or more");
         }
-        if !(0.0..=1.0).contains(&settings.slow_start.initial_share) {
+        if !(0.0..=1.0).contains(&settings.slow_start.initial_fraction) {
             return fail("cold.share", "must lie between 0 and 1");
         }
         if !is_valid(settings.slow_start.capacity_multiple) {
--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet of engines, and the subset of them that this dispatcher sends to, which limits its connections.
 
-use gaugestep_subsetting::subset::{Member, Subset};
+use gaugestep_subsetting::subset::{CandidateEngine, Subset};
 
 use super::load::MAX_REPORTERS;
 use super::outlier::BASE_EJECTION_TIME;
@@ -89,10 +89,10 @@
     pub fn draw_subset(&mut self, context: &Context) {
         let listed = self.engines.values().filter(|engine| engine.is_up()).map(|engine| &engine.entry);
         let to_member = |entry: &EngineEntry| entry.subset_member(context.settings.machine_type(entry).cores);
-        let members: Vec<Member> = listed.map(to_member).collect();
+        let members: Vec<CandidateEngine> = listed.map(to_member).collect();
         let size = if self.uses_subset(context) { SUBSET_SIZE } else { usize::MAX };
         let position = self.subset.position(context.now, context.settings.fleet_position);
-        self.subset.drawn = Subset::draw(position, context.settings.dispatchers, &members, size);
+        self.subset.drawn = Subset::compute(position, context.settings.dispatchers, &members, size);
         self.subset.refresh_at = context.now;
     }
 
--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -11,7 +11,7 @@
     /// The fraction of its full capacity that the engine has now at the least, up to 1.
     pub fn capacity_fraction(&self, context: &Context) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        context.settings.slow_start.capacity_share(context.now - started_at)
+        context.settings.slow_start.capacity_fraction(context.now - started_at)
     }
 }
 
--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -130,10 +130,10 @@
         cross_zone_penalty: 0.0,
         response_slack: 20.0,
         slow_start: SlowStartSettings {
-            initial_share: 0.3,
-            warm_up: 14_000.0,
+            initial_fraction: 0.3,
+            warm_up_ms: 14_000.0,
             capacity_multiple: 3.0,
-            window: 1_500.0,
+            window_ms: 1_500.0,
         },
         order_pause: 500.0,
         retry_budget: None,
@@ -267,8 +267,12 @@
 }
 
 fn warming_fleet() -> Profile {
-    let slow_start =
-        SlowStartSettings { initial_share: 0.1, warm_up: 20_000.0, capacity_multiple: 2.5, window: 2_000.0 };
+    let slow_start = SlowStartSettings {
+        initial_fraction: 0.1,
+        warm_up_ms: 20_000.0,
+        capacity_multiple: 2.5,
+        window_ms: 2_000.0,
+    };
     let settings = Settings { slow_start, dispatchers: 4, ..settings(two_classes()) };
     let traffic = Traffic { fleet_change: 0.3, mean_arrival_interval: 40.0, ..DEFAULT_TRAFFIC };
     Profile { traffic, has_roster: true, ..default_profile("cold_fleet", settings, 8) }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -39,10 +39,10 @@
         cross_zone_penalty: 0.0,
         response_slack: 20.0,
         slow_start: SlowStartSettings {
-            initial_share: 0.3,
-            warm_up: 14_000.0,
+            initial_fraction: 0.3,
+            warm_up_ms: 14_000.0,
             capacity_multiple: 3.0,
-            window: 1_500.0,
+            window_ms: 1_500.0,
         },
         order_pause: 500.0,
         retry_budget: None,
--- a/crates/dispatch/tests/dispatcher/answers.rs
+++ b/crates/dispatch/tests/dispatcher/answers.rs
@@ -33,14 +33,14 @@
     infinite.order_pause = f64::INFINITY;
     assert_eq!(Dispatcher::new(infinite, 1).err().unwrap().field, "order_pause");
     let mut negative = settings(vec![class(Idempotency::Safe, 1.0)]);
-    negative.slow_start.window = -1.0;
+    negative.slow_start.window_ms = -1.0;
     assert_eq!(Dispatcher::new(negative, 1).err().unwrap().field, "cold.span");
     let mut empty_fleet = settings(vec![class(Idempotency::Safe, 1.0)]);
     empty_fleet.dispatchers = 0;
     assert_eq!(Dispatcher::new(empty_fleet, 1).err().unwrap().field, "dispatchers");
     for fraction in [-0.1, 1.1, f64::NAN] {
         let mut out_of_range = settings(vec![class(Idempotency::Safe, 1.0)]);
-        out_of_range.slow_start.initial_share = fraction;
+        out_of_range.slow_start.initial_fraction = fraction;
         assert_eq!(Dispatcher::new(out_of_range, 1).err().unwrap().field, "cold.share");
     }
 }
