--- a/crates/control-plane/src/cli/proxies.rs
+++ b/crates/control-plane/src/cli/proxies.rs
@@ -101,10 +101,10 @@
             remarks.push("ahead of this control server".into());
         }
         if self.is_superseded {
-            remarks.push(format!("another process has its name (this is process {})", self.process));
+            remarks.push(format!("its name is another's (process {})", self.process));
         }
         if self.newer_term_seen > 0 {
-            remarks.push(format!("has seen a newer lease holder, of term {}", self.newer_term_seen));
+            remarks.push(format!("has seen a later owner, of term {}", self.newer_term_seen));
         }
         if self.rejected > 0 {
             let reason = self.rejection.as_ref().map_or("", |rejection| &rejection.reason);
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -98,11 +98,11 @@
         match &response {
             Response::Served(_) => self.query.class.record_succeeded(),
             Response::Rejected(rejection) => {
-                tracing::debug!(id, class, reason = ?rejection.reason, "request rejected");
+                tracing::debug!(id, class, reason = ?rejection.reason, "rejected");
                 self.query.class.record_rejected();
             }
             Response::Failed | Response::Duplicate => {
-                tracing::debug!(id, class, "request failed");
+                tracing::debug!(id, class, "failed");
                 self.query.class.record_failed();
             }
         }
