--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -143,7 +143,7 @@
     /// True if the engines apply the priority of [`Action::SetAttemptOptions`].
     pub priorities: bool,
     /// The fraction of the priority weight that a request above its tenant's quota keeps.
-    pub over_quota_fraction: f64,
+    pub over_quota_weight_factor: f64,
     /// The penalty for an attempt on an engine in another zone, as a fraction of the value of a first
     /// attempt; 0 for none. Placement raises the load of engines in other zones in proportion to it.
     pub cross_zone_penalty: f64,
--- a/crates/dispatch/src/policy/ranking.rs
+++ b/crates/dispatch/src/policy/ranking.rs
@@ -41,7 +41,8 @@
     let is_late = expected_end > target.min(request.new.deadline);
     let late_fraction = if is_late { class.late_fraction } else { 1.0 };
     let over_quota_fraction = 1.0 - request.in_quota_fraction;
-    let quota_factor = request.in_quota_fraction + over_quota_fraction * context.settings.over_quota_fraction;
+    let quota_factor =
+        request.in_quota_fraction + over_quota_fraction * context.settings.over_quota_weight_factor;
     let queue_length = queues.queue_length(context, &request.new) as f64;
     class.priority_weight * late_fraction * quota_factor * queue_length / (run_time * class.threads)
 }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -35,7 +35,7 @@
         memory_queueing: false,
         memory_grants: true,
         priorities: true,
-        over_quota_fraction: 0.1,
+        over_quota_weight_factor: 0.1,
         cross_zone_penalty: 0.0,
         response_slack: 20.0,
         slow_start: SlowStartSettings {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -59,7 +59,7 @@
         memory_queueing: text(&family.out_of_memory) == Some("queue"),
         memory_grants: flag(&family.takes_grants),
         priorities: flag(&family.lanes_count),
-        over_quota_fraction: document.over_share_worth.or("over_share_worth", 1.0)?,
+        over_quota_weight_factor: document.over_share_worth.or("over_share_worth", 1.0)?,
         cross_zone_penalty: document.prices.0.cross_zone.or("cross_zone", 0.0)?,
         response_slack: rules.answer_slack_ms.or("answer_slack_ms", 0.0)?,
         slow_start: slow_start(rules)?,
