--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -70,9 +70,9 @@
         Ok(dispatcher)
     }
 
-    /// Handles one event and appends the resulting actions to `out`. While many requests are open, the
-    /// waiting ones are not placed after each event, which would use more than one core:
-    /// [`Dispatcher::run_pending`] must be called soon after.
+    /// Handles one event and appends the resulting actions to `out`. While many requests are open, placing
+    /// the waiting ones after each event would use more than one core. [`Dispatcher::run_pending`] does it
+    /// then, and must be called soon after.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.advance_to(now);
         let position = self.fleet.subset.position(self.context.now, self.context.settings.fleet_position);
--- a/crates/dispatch/src/engines.rs
+++ b/crates/dispatch/src/engines.rs
@@ -30,7 +30,7 @@
 }
 
 impl Engine {
-    /// An engine without history. `started_at` is its start if that was recent, else `None`.
+    /// An engine without history. `started_at` is when it started; `None` if it counts as warmed up.
     pub fn new(entry: EngineEntry, started_at: Option<Millis>) -> Self {
         Engine { entry, warm_up: WarmUp::new(started_at), ..Engine::default() }
     }
@@ -57,14 +57,14 @@
 /// The slow start of one engine.
 #[derive(Debug, Default)]
 pub struct WarmUp {
-    /// When the engine started; `None` if that was long ago.
+    /// When the engine started; `None` if that is unknown, so that it counts as warmed up.
     pub started_at: Option<Millis>,
     /// What this dispatcher may send to the engine while it warms up.
     pub budget: SlowStartBudget,
 }
 
 impl WarmUp {
-    /// The slow start of an engine that started at this time, with nothing sent yet.
+    /// The slow start of an engine that started at this time, with nothing sent yet; no slow start if `None`.
     pub fn new(started_at: Option<Millis>) -> Self {
         WarmUp { started_at, budget: SlowStartBudget::default() }
     }
@@ -91,7 +91,7 @@
     /// Mean queries in flight per core over the fleet. Where engines report their load it counts the queries
     /// of other dispatchers only; where none does it is an estimate for all dispatchers together.
     pub fleet_queries_per_core: SmoothedValue,
-    /// Exponentially decaying sum of the demands of ended attempts, each multiplied by its milliseconds in
+    /// Exponential moving average of the demands of ended attempts, each multiplied by its milliseconds in
     /// flight. Threads over queries and memory over queries are the means of the typical query in flight.
     pub weighted_demands: InFlightLoad,
 }
@@ -123,6 +123,6 @@
 pub struct Candidate {
     /// The engine.
     pub engine: EngineId,
-    /// Its score; the lowest one is preferred.
+    /// Its score; the lowest one is preferred. Until the score is computed, the random factor in it.
     pub score: f64,
 }
--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The state of an engine in the discovery list.
+/// The state of an engine in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
     /// The engine accepts new attempts.
@@ -14,7 +14,7 @@
     Gone,
 }
 
-/// One entry of the discovery list.
+/// One entry of the endpoint list, which discovery provides.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineEntry {
     /// The engine that the entry describes.
@@ -155,9 +155,9 @@
 /// An event that the embedder reports to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The complete discovery list; engines that are not in it are removed.
+    /// The complete endpoint list; engines that are not in it are removed.
     EngineList(Vec<EngineEntry>),
-    /// The entries of the discovery list that changed.
+    /// The entries of the endpoint list that changed.
     EngineChanges(Vec<EngineEntry>),
     /// A client sent a request.
     Request(NewRequest),
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -59,7 +59,8 @@
     pub ordered: bool,
     /// True if a query locks its tables on its engine while it runs, as loads do.
     pub locks_tables: bool,
-    /// True if a query is blocked on an engine while a load there locks its tables.
+    /// True if a query is blocked on an engine while a load there locks its tables. No policy of the
+    /// dispatcher reads it.
     pub waits_for_loads: bool,
     /// The zones of the engines that the class may be sent to. None allows all zones.
     pub zones: Option<Vec<ZoneId>>,
@@ -142,7 +143,8 @@
     pub memory_queueing: bool,
     /// True if the engines apply the priority of [`Action::SetAttemptOptions`].
     pub priorities: bool,
-    /// The fraction of the priority weight that a request above its tenant's quota keeps.
+    /// The factor on the priority weight of requests beyond their tenant's quota; with 1 quotas have
+    /// no effect.
     pub over_quota_weight_factor: f64,
     /// The penalty for an attempt on an engine in another zone, as a fraction of the value of a first
     /// attempt; 0 for none. Placement raises the load of engines in other zones in proportion to it.
--- a/crates/dispatch/src/policy/admission.rs
+++ b/crates/dispatch/src/policy/admission.rs
@@ -26,8 +26,9 @@
         let Some(settings) = settings.filter(|settings| settings.quota_per_s > 0.0) else { return 1.0 };
         let Some(recent_requests) = self.0.get_mut(tenant.0) else { return 1.0 };
         recent_requests.add(1.0, context.now, QUOTA_HORIZON);
-        let quota = settings.quota_per_s / 1000.0 * QUOTA_HORIZON / context.settings.dispatchers as f64;
-        let tolerated_requests = quota + QUOTA_TOLERANCE * quota.sqrt() + 1.0;
+        let quota_requests =
+            settings.quota_per_s / 1000.0 * QUOTA_HORIZON / context.settings.dispatchers as f64;
+        let tolerated_requests = quota_requests + QUOTA_TOLERANCE * quota_requests.sqrt() + 1.0;
         (tolerated_requests / recent_requests.weight).min(1.0)
     }
 }
--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -19,6 +19,9 @@
 pub const RANDOM_CANDIDATES: usize = 2;
 /// Number of engines in the subset.
 const SUBSET_SIZE: usize = 8;
+/// Milliseconds after which the available members of the subset are chosen again: the mean duration of a
+/// first ejection, as ejections decide which members are available.
+const SUBSET_REFRESH_INTERVAL: Millis = BASE_EJECTION_TIME;
 /// Lower bound of an engine's slowness.
 const MIN_SLOWNESS: f64 = 0.5;
 /// Upper bound of an engine's slowness, so that a few slow runs do not stop all traffic to it.
@@ -61,7 +64,7 @@
         if context.now >= self.subset.refresh_at {
             let is_available = |engine: &&Engine| self.outliers.is_available(engine, context.now);
             self.subset.available_members = self.subset_members(is_available);
-            self.subset.refresh_at = context.now + BASE_EJECTION_TIME;
+            self.subset.refresh_at = context.now + SUBSET_REFRESH_INTERVAL;
         }
         for request in requests.values() {
             let demand = work.demand(context, &request.new);
--- a/crates/dispatch/src/policy/lifecycle.rs
+++ b/crates/dispatch/src/policy/lifecycle.rs
@@ -28,13 +28,13 @@
 /// Milliseconds between reviews, which choose the timeouts again and log how many requests were not served.
 const REVIEW_INTERVAL: Millis = 1_000.0;
 /// Up to this many open requests, the waiting ones are placed after each event; with more, that is deferred.
-const MAX_OPEN_FOR_EACH_EVENT: usize = 300;
+const MAX_OPEN_FOR_IMMEDIATE_PLACEMENT: usize = 300;
 /// Fraction of `max_open` from which only requests of the highest priority are sent, so that slow ones cannot
 /// use up the limit.
 const URGENT_ONLY_FRACTION: f64 = 0.85;
 /// Milliseconds by which a timer may fire early.
 const TIMER_TOLERANCE: Millis = 1e-3;
-/// Milliseconds after the timeout of a run at which the timer for it is set.
+/// Milliseconds from the timeout of a run until the timer that cancels the run is due.
 const TIMEOUT_TIMER_DELAY: Millis = 0.5;
 /// Least delay of a timer in milliseconds.
 const MIN_TIMER_DELAY: Millis = 1.0;
@@ -43,7 +43,7 @@
     /// Places the waiting requests after an event, or defers that to `run_pending` while many requests are
     /// open.
     pub(crate) fn place_or_defer(&mut self, out: &mut Vec<Action>) {
-        self.placement_pending = self.requests.len() > MAX_OPEN_FOR_EACH_EVENT;
+        self.placement_pending = self.requests.len() > MAX_OPEN_FOR_IMMEDIATE_PLACEMENT;
         if !self.placement_pending {
             self.place_and_set_timer(out);
         }
@@ -229,8 +229,9 @@
         self.attempt_to_cancel(request).map(DueAction::Cancel)
     }
 
-    /// The first run of a request, if it has passed the timeout and a relaunch is possible: the relaunch can
-    /// end before the deadline, another engine is eligible for it, and the retry rules allow it.
+    /// The first run of a request, if it is to be cancelled by [`is_timeout_due`] and a relaunch is possible:
+    /// the relaunch can end before the deadline, another engine is eligible for it, and the retry rules allow
+    /// it.
     fn attempt_to_cancel(&self, request: &Request) -> Option<AttemptNo> {
         let context = &self.context;
         let history = &self.timeouts.0[request.new.class.0];
@@ -295,6 +296,8 @@
                 let slowness = slowness.get(&attempt.engine).unwrap_or(&1.0);
                 attempt.sent_at + timeout_ratio * nominal * slowness + TIMEOUT_TIMER_DELAY
             });
+            // A run that has passed its timeout without being cancelled gets no timer for it, which would
+            // fire again and again.
             let future_due_at = if due_at > now { due_at } else { f64::INFINITY };
             next_due = next_due.min(future_due_at).min(self.respond_by(request)).min(now + REVIEW_INTERVAL);
         }
@@ -333,7 +336,8 @@
         // the course of the loop. That holds only if all engines were compared.
         let mut memory_without_capacity_mb = vec![f64::INFINITY; settings.classes.len()];
         let compares_all_engines = settings.dispatchers <= MAX_DISPATCHERS_COMPARING_ALL;
-        let skips_after_failure = self.requests.len() > MAX_OPEN_FOR_EACH_EVENT && compares_all_engines;
+        let skips_after_failure =
+            self.requests.len() > MAX_OPEN_FOR_IMMEDIATE_PLACEMENT && compares_all_engines;
         let is_in_flight = |request: &&Request| !request.finished && request.is_in_flight();
         let mut requests_in_flight = self.requests.values().filter(is_in_flight).count();
         let mut not_sent = Vec::new();
--- a/crates/dispatch/src/policy/load.rs
+++ b/crates/dispatch/src/policy/load.rs
@@ -19,8 +19,8 @@
 const MIN_DEMAND_WEIGHT: Millis = 1.0;
 
 impl LoadTracker {
-    /// Stores a load report, as the number of queries of other dispatchers on the engine, and makes the
-    /// engine the latest reporter.
+    /// Adds a load report, as the number of queries of other dispatchers on the engine, to the engine's
+    /// decaying mean, and makes the engine the latest reporter.
     pub fn on_report(&mut self, engine: &mut Engine, queries_of_other_dispatchers: f64, now: Millis) {
         let reported = &mut engine.reported_queries_of_other_dispatchers;
         reported.add(queries_of_other_dispatchers, now, REPORT_HORIZON);
@@ -46,7 +46,9 @@
             let confidence = reported.confidence(context.now, REPORT_HORIZON);
             // The first engine counts as if it had also just reported that it is idle. Without fresh reports
             // the mean is then low, requests are sent, and their responses bring reports.
-            reporting_cores += cores * confidence + if reporting_cores == 0.0 { cores } else { 0.0 };
+            let is_first = reporting_cores == 0.0;
+            let idle_report_cores = if is_first { cores } else { 0.0 };
+            reporting_cores += cores * confidence + idle_report_cores;
             reported_queries += reported.value.max(0.0) * confidence;
             if self.reporters.is_empty() {
                 own_queries.push(OwnQueries { queries: engine.own_load.queries, cores });
--- a/crates/dispatch/src/policy/outlier.rs
+++ b/crates/dispatch/src/policy/outlier.rs
@@ -10,8 +10,8 @@
 const REJECTION_WEIGHT: u32 = MAX_CONSECUTIVE_FAILURES;
 /// Weight of a failed connect: two of them eject the engine.
 const CONNECT_FAILURE_WEIGHT: u32 = 2;
-/// An error or a reset counts only if it occurs at least this many milliseconds after the previous failure.
-/// Those of one connection, or of one malformed request, occur at the same moment.
+/// An error or a reset counts only if it occurs at least this many milliseconds after the latest failure that
+/// counted. Those of one connection, or of one malformed request, occur at the same moment.
 const FAILURE_INTERVAL: Millis = 100.0;
 /// Failure fraction above which an engine is ejected, if the fleet's mean is less than half as high. Without
 /// this an engine that fails fast attracts more and more requests.
--- a/crates/dispatch/src/policy/placement.rs
+++ b/crates/dispatch/src/policy/placement.rs
@@ -7,7 +7,7 @@
 use super::ranking::HIGHEST_PRIORITY;
 use crate::dispatcher::Context;
 use crate::engines::{Candidate, Engine, Fleet};
-use crate::interface::{DedupGroup, EngineId, Idempotency, NewRequest, Settings};
+use crate::interface::{DedupGroup, EngineId, Idempotency, MachineTypeId, NewRequest, Settings};
 use crate::requests::{Attempt, Request, Requests};
 use crate::stats::InFlightLoad;
 
@@ -25,8 +25,8 @@
 /// Largest random fraction that is added to a score, so that dispatchers with the same load reports do not
 /// all choose the same engine.
 const SCORE_JITTER: f64 = 0.15;
-/// Weight of the price of crossing zones in a score.
-const ZONE_CROSSING_WEIGHT: f64 = 4.0;
+/// Weight of the penalty for another zone in a score.
+const CROSS_ZONE_WEIGHT: f64 = 4.0;
 /// An engine with fewer own queries than this counts as idle, if other dispatchers have none there either.
 const MIN_BUSY_OWN_QUERIES: f64 = 1.0;
 /// An engine with fewer queries of other dispatchers than this counts as not used by them. The number is an
@@ -53,10 +53,10 @@
             }
             let Some(load) = self.load_if_capacity(context, engine, demand, priority) else { return false };
             let crosses_zones = engine.entry.zone != settings.zone;
-            let price = if crosses_zones { ZONE_CROSSING_WEIGHT * settings.cross_zone_penalty } else { 0.0 };
+            let penalty = if crosses_zones { CROSS_ZONE_WEIGHT * settings.cross_zone_penalty } else { 0.0 };
             let weight = settings.route_weight(&request.new, candidate.engine);
             let jitter = candidate.score;
-            candidate.score = load * (1.0 + price) * jitter / weight;
+            candidate.score = load * (1.0 + penalty) * jitter / weight;
             true
         });
         candidates.sort_by(|a, b| a.score.total_cmp(&b.score));
@@ -95,25 +95,23 @@
         !was_tried && !trial_in_flight && self.is_eligible(context, engine, request)
     }
 
-    /// Whether the engine is available, and the request's class, route and effect permit it there. A keyed
-    /// request whose earlier attempts may have run stays with engines that drop its repeats.
+    /// Whether the engine is available, and the request's class, route and idempotency permit the request
+    /// there. A keyed request whose earlier attempts may have run stays with engines that deduplicate it.
     pub fn is_eligible(&self, context: &Context, engine: &Engine, request: &Request) -> bool {
         let class = context.settings.class(&request.new);
         let entry = &engine.entry;
-        let drops_repeat_of = |attempt: &Attempt| match class.idempotency {
+        let deduplicates_with = |attempt: &Attempt| match class.idempotency {
             Idempotency::Keyed(DedupGroup::All, _) | Idempotency::Safe | Idempotency::Unsafe => true,
             Idempotency::Keyed(group, _) => {
                 let earlier = self.engines.get(&attempt.engine);
                 earlier.is_some_and(|earlier| group.contains_both(&earlier.entry, entry))
             }
         };
+        let contains_machine_type = |types: &Vec<MachineTypeId>| types.contains(&entry.machine_type);
         self.outliers.is_available(engine, context.now)
             && class.zones.as_ref().is_none_or(|zones| zones.contains(&entry.zone))
-            && class
-                .machine_types
-                .as_ref()
-                .is_none_or(|machine_types| machine_types.contains(&entry.machine_type))
-            && request.attempts.iter().all(|attempt| attempt.never_ran() || drops_repeat_of(attempt))
+            && class.machine_types.as_ref().is_none_or(contains_machine_type)
+            && request.attempts.iter().all(|attempt| attempt.never_ran() || deduplicates_with(attempt))
             && context.settings.route_weight(&request.new, entry.engine) > 0.0
     }
 
--- a/crates/dispatch/src/policy/ranking.rs
+++ b/crates/dispatch/src/policy/ranking.rs
@@ -30,19 +30,20 @@
     }
 }
 
-/// The rank of a request: the priority weight that serving it now would give per unit of its work. The weight
-/// is lower for a request that would end after its target latency, and for one beyond its tenant's quota. It
-/// is multiplied by the number of requests in an ordered queue, as they all wait for the first one.
+/// The rank of a request: the priority weight that serving it now would give, per millisecond of its work on
+/// one thread. The weight is lower for a request that would end after its target latency, and for one beyond
+/// its tenant's quota. It is multiplied by the number of requests in an ordered queue, as they all wait for
+/// the first one.
 pub fn rank(context: &Context, work: &WorkEstimator, queues: &OrderedQueues, request: &Request) -> f64 {
     let class = context.settings.class(&request.new);
     let run_time = work.unloaded_run_time(context, &request.new);
     let target = request.arrived_at + class.target_latency + class.target_stretch * run_time;
     let expected_end = context.now + work.expected_run_time(context, &request.new);
     let is_late = expected_end > target.min(request.new.deadline);
-    let late_fraction = if is_late { class.late_fraction } else { 1.0 };
+    let late_factor = if is_late { class.late_fraction } else { 1.0 };
     let over_quota_fraction = 1.0 - request.in_quota_fraction;
     let quota_factor =
         request.in_quota_fraction + over_quota_fraction * context.settings.over_quota_weight_factor;
     let queue_length = queues.queue_length(context, &request.new) as f64;
-    class.priority_weight * late_fraction * quota_factor * queue_length / (run_time * class.threads)
+    class.priority_weight * late_factor * quota_factor * queue_length / (run_time * class.threads)
 }
--- a/crates/dispatch/src/policy/retry.rs
+++ b/crates/dispatch/src/policy/retry.rs
@@ -1,4 +1,5 @@
-//! Retries: whether a request may have another attempt, by its effect, its failures and the retry budget.
+//! Retries: whether a request may have another attempt, by its class's idempotency, its failures and the
+//! retry budget.
 
 use super::TIMER_SLACK;
 use crate::dispatcher::Context;
@@ -45,9 +46,9 @@
         let failures = request.attempts.iter().filter(|attempt| failed(attempt.outcome)).count();
         let within_limits = failures < MAX_FAILED_ATTEMPTS && attempts < request.max_attempts;
         let may_run_concurrently = context.settings.concurrent_attempts && request.running().next().is_none();
-        let is_alone = !request.is_in_flight() || after_cancel || may_run_concurrently;
+        let concurrency_allowed = !request.is_in_flight() || after_cancel || may_run_concurrently;
         let may_repeat = context.now < may_repeat_until(context, request, attempts);
-        within_limits && is_alone && may_repeat && self.has_budget(context)
+        within_limits && concurrency_allowed && may_repeat && self.has_budget(context)
     }
 
     /// Whether the retry budget permits one more retry; always true without a budget.
@@ -61,8 +62,8 @@
     }
 }
 
-/// Until when one more attempt may follow the first `count` ones of the request, by its class's effect. It
-/// lies one timer slack before the end of the window in which engines drop repeats.
+/// Until when one more attempt may follow the first `count` ones of the request, by its class's idempotency.
+/// It lies one timer slack before the end of the window in which engines deduplicate the request.
 pub fn may_repeat_until(context: &Context, request: &Request, count: usize) -> Millis {
     request.repeatable_until(context.settings.class(&request.new).idempotency, count) - TIMER_SLACK
 }
--- a/crates/dispatch/src/policy/timeout.rs
+++ b/crates/dispatch/src/policy/timeout.rs
@@ -2,14 +2,18 @@
 //! "Stability and Optimization of Speculative Queueing Networks". Run times are ratios to the estimate times
 //! the slowness of the engine, because load or faults that slow down all queries of an engine, or of the
 //! fleet, do not make a query a straggler.
+//!
+//! An attempt after a timeout cancel is a relaunch. The attempts before it are first runs, also those that
+//! are retries.
 
 use crate::interface::{ClassId, Millis};
 use crate::requests::{FirstRun, OngoingRun, RunHistory};
 use crate::stats::{Histogram, SurvivalPoint, bin_of, push_bounded};
 
-/// Number of served first runs of a class before any is cancelled. With fewer samples a tail of a few percent
-/// cannot be estimated.
-const MIN_SERVED_RUNS: usize = 20;
+/// Least number of first runs with an observed or predicted end from which a timeout is chosen. A class of
+/// which fewer have been served uses the first runs of all classes. With fewer samples a tail of a few
+/// percent cannot be estimated.
+const MIN_FIRST_RUNS: usize = 20;
 /// Number of first runs that are stored for each class: a minute or more of its traffic, so that rare
 /// stragglers are among them.
 const MAX_FIRST_RUNS: usize = 1000;
@@ -81,7 +85,7 @@
         let max_load_fraction =
             if history.timeout_ratio.is_some() { 1.0 } else { MAX_LOAD_FRACTION_TO_START };
         let max_load = curve.mean * max_load_fraction;
-        let may_cancel = histogram.ended() >= MIN_SERVED_RUNS && cancellation_enabled;
+        let may_cancel = histogram.ended() >= MIN_FIRST_RUNS && cancellation_enabled;
         let gains = |load: f64| may_cancel && load < max_load;
         let timeout_ratio = least_load.filter(|(load, _)| gains(*load)).map(|(_, run_ratio)| run_ratio);
         let previous = std::mem::replace(&mut history.timeout_ratio, timeout_ratio);
@@ -93,7 +97,7 @@
     /// those of all classes.
     fn histogram(&self, class: ClassId, ongoing: &[OngoingRun]) -> Histogram {
         let served = self.0[class.0].first_runs.iter().filter(|run| run.served).count();
-        let is_included = |number: usize| number == class.0 || served < MIN_SERVED_RUNS;
+        let is_included = |number: usize| number == class.0 || served < MIN_FIRST_RUNS;
         let mut histogram = Histogram::default();
         for (_, history) in self.0.iter().enumerate().filter(|(number, _)| is_included(*number)) {
             for run in &history.first_runs {
--- a/crates/dispatch/src/policy/work.rs
+++ b/crates/dispatch/src/policy/work.rs
@@ -15,7 +15,7 @@
 /// whose run time is unknown must not count as hopeless: all its requests would be rejected, and nothing
 /// would be learned about it.
 const MIN_KNOWN_WEIGHT: f64 = 0.5;
-/// Least run time in milliseconds that is compared with the actual work.
+/// Lower bound of a run time, in milliseconds, before its logarithm is taken.
 const MIN_RUN_TIME: Millis = 0.1;
 /// Fraction by which each served attempt that reports its memory moves the class's memory bias: about 20
 /// attempts determine it.
@@ -38,7 +38,8 @@
 
 impl WorkEstimator {
     /// The run time of a request on an engine without other load, by its own estimate. For a request without
-    /// one it is chosen so that [`Self::unloaded_run_time`] gives the actual run time of such requests.
+    /// one it is chosen so that [`Self::unloaded_run_time`] gives the geometric mean of the class's served
+    /// requests.
     pub fn nominal_run_time(&self, context: &Context, new: &NewRequest) -> Millis {
         let class = &self.0[new.class.0];
         let default_work = DEFAULT_WORK * class.default_work_bias.factor / class.work_bias.factor;
@@ -84,20 +85,20 @@
         let nominal = self.nominal_run_time(context, new);
         let threads = context.settings.class(new).threads;
         let class = &mut self.0[new.class.0];
-        let mut actual = nominal;
+        let mut unloaded_run_time = nominal;
         if let Some(cost) = end.cost.filter(|cost| cost.work > 0.0) {
-            actual = cost.work / threads;
-            class.work_bias.add_log((actual / nominal).ln(), context.now, CLASS_HORIZON);
+            unloaded_run_time = cost.work / threads;
+            class.work_bias.add_log((unloaded_run_time / nominal).ln(), context.now, CLASS_HORIZON);
             if new.memory_mb > 0.0 && cost.memory_mb > 0.0 {
                 class.memory_bias.step_towards((cost.memory_mb / new.memory_mb).ln(), MEMORY_STEP);
             }
         } else {
             class.memory_bias.set_log((class.memory_bias.log - MEMORY_LOG_DECREASE).max(MIN_MEMORY_LOG));
         }
-        let log_stretch = (end.elapsed.max(MIN_RUN_TIME) / actual).ln();
+        let log_stretch = (end.elapsed.max(MIN_RUN_TIME) / unloaded_run_time).ln();
         let previous = class.run_time_stretch.log_mean;
         class.run_time_stretch.add_log(log_stretch, context.now, CLASS_HORIZON);
-        let log_default_work_bias = (actual * threads / DEFAULT_WORK).ln();
+        let log_default_work_bias = (unloaded_run_time * threads / DEFAULT_WORK).ln();
         class.default_work_bias.add_log(log_default_work_bias, context.now, CLASS_HORIZON);
         (previous.weight > 0.0).then_some(log_stretch - previous.value)
     }
--- a/crates/dispatch/src/requests.rs
+++ b/crates/dispatch/src/requests.rs
@@ -75,7 +75,7 @@
     pub in_quota_fraction: f64,
     /// True if its first run is never cancelled at the timeout.
     pub exempt_from_timeout: bool,
-    /// True if its final response was sent, or none is needed.
+    /// True if its final response was sent or is streaming, or none is needed.
     pub finished: bool,
     /// The most attempts that it may have, by the settings in force when it arrived.
     pub max_attempts: usize,
@@ -130,9 +130,9 @@
 
     /// Until when one more attempt may follow the first `count` ones without the risk of a repeated effect.
     /// For keyed requests that is one window after the earliest attempt that may have run, because engines
-    /// drop repeats for that time only.
-    pub fn repeatable_until(&self, effect: Idempotency, count: usize) -> Millis {
-        let window = match effect {
+    /// deduplicate a request for that time only.
+    pub fn repeatable_until(&self, idempotency: Idempotency, count: usize) -> Millis {
+        let window = match idempotency {
             Idempotency::Safe => f64::INFINITY,
             Idempotency::Keyed(_, window) => window,
             Idempotency::Unsafe => f64::NEG_INFINITY,
@@ -233,7 +233,7 @@
     pub work_bias: GeometricMean,
     /// Actual work over the default work of a request without an estimate.
     pub default_work_bias: GeometricMean,
-    /// Run time over actual work per thread.
+    /// Run time over the run time without other load, which is the actual work per thread.
     pub run_time_stretch: GeometricMean,
     /// Needed memory over estimated memory.
     pub memory_bias: LogFactor,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -25,7 +25,7 @@
     pub me: Number,
     /// The zone of this dispatcher.
     pub zone: Number,
-    /// The fraction of the priority weight that a request above its tenant's quota keeps.
+    /// The factor on the priority weight of requests beyond their tenant's quota.
     pub over_share_worth: Number,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -34,7 +34,8 @@
 ///
 /// # Errors
 ///
-/// A [`SettingError`] for the first setting, in the order of decoding, that is read as a number and is none.
+/// A [`SettingError`] for the first setting, in the order of decoding, that is read as a number and is not
+/// one.
 pub fn decode(json: &Value) -> Result<Settings, SettingError> {
     // Every field of the document accepts any value, so that decoding cannot fail before a number is read.
     let Section(document) = Section::<Document>::deserialize(json).unwrap_or_default();
