--- a/crates/proxy/src/facade/mailbox.rs
+++ b/crates/proxy/src/facade/mailbox.rs
@@ -21,7 +21,7 @@
     Fail,
     /// The deadline has passed while this attempt was in flight.
     Deadline(AttemptNo),
-    /// The client has disconnected.
+    /// The client has disconnected or cancelled the request.
     ClientGone,
     /// A connection to an engine reports an event of this attempt.
     Upstream(AttemptNo, Upstream),
@@ -37,14 +37,14 @@
     /// The attempt's priority, from 0 to 3; `None` if the engines ignore priorities, by the settings.
     pub priority: Option<u8>,
     /// How long the attempt may still be sent. `None` means without limit; a limit applies where engines
-    /// detect repeated requests for a limited time only.
+    /// deduplicate a request for a limited time only.
     pub sendable_for: Option<Duration>,
 }
 
-/// The rejection of a request that was not executed.
+/// The rejection of a request: it did not run, or it is safe to run it again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// How long the client should wait before it retries.
+    /// How long the client should wait before it retries; 0 if no retry delay is sent.
     pub retry_after: Millis,
     /// Why the request was rejected.
     pub reason: RejectReason,
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -107,8 +107,8 @@
         self.dispatch(lock(&self.state), Some(Event::Progress(id.clone(), attempt, report)));
     }
 
-    /// Reports that the client of a request has disconnected: the request gets no response. If an attempt is
-    /// in flight, the dispatcher cancels it with a [`RequestEvent::Cancel`].
+    /// Reports that the client of a request has disconnected or cancelled it: the request gets no response.
+    /// If an attempt is in flight, the dispatcher cancels it with a [`RequestEvent::Cancel`].
     pub fn client_gone(&self, id: &RequestId) {
         let mut state = lock(&self.state);
         if state.client_gone(id) {
--- a/crates/proxy/src/facade/state.rs
+++ b/crates/proxy/src/facade/state.rs
@@ -33,8 +33,8 @@
 struct RequestEntry<Upstream> {
     events: Sender<RequestEvent<Upstream>>,
     deadline: Millis,
-    /// True once the final response is decided or the client has disconnected. The entry is kept until the
-    /// attempt in flight ends.
+    /// True once the final response is decided or the client is gone. The entry is kept until the attempt in
+    /// flight ends.
     is_finished: bool,
     in_flight: Option<InFlightAttempt>,
     /// Attempts that the dispatcher has ordered, including those that could not be sent.
@@ -168,8 +168,8 @@
         Some(EndedAttempt { attempt, was_finished, is_finished })
     }
 
-    /// Marks a request as finished because its client has disconnected. Returns false if the request is not
-    /// open.
+    /// Marks a request as finished because its client has disconnected or cancelled it. Returns false if the
+    /// request is not open.
     pub fn client_gone(&mut self, id: &RequestId) -> bool {
         let Some(entry) = self.requests.get_mut(id) else { return false };
         entry.is_finished = true;
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -21,7 +21,7 @@
     pub facade: Facade<UpstreamEvent>,
     /// The connections to engines.
     pub upstream_pool: Arc<UpstreamPool>,
-    /// The names of zones and of machine kinds in the configuration, as of the start of the proxy.
+    /// The names of zones and machine types in the configuration, as of the start of the proxy.
     pub names: Names,
     /// The classes and tenants of the current settings.
     pub classes: ClassRegistry,
--- a/crates/proxy/src/upstream/line_protocol/attempt.rs
+++ b/crates/proxy/src/upstream/line_protocol/attempt.rs
@@ -152,8 +152,8 @@
         if *missing_pages > 0 {
             return Ok(None);
         }
-        let complete = AttemptResult::from(Termination::Served);
-        Ok(Some(std::mem::replace(result, complete)))
+        let placeholder = AttemptResult::from(Termination::Served);
+        Ok(Some(std::mem::replace(result, placeholder)))
     }
 
     /// The end of an attempt that the engine reports as not run.
--- a/crates/proxy/src/upstream/line_protocol/command.rs
+++ b/crates/proxy/src/upstream/line_protocol/command.rs
@@ -25,7 +25,7 @@
     let _ = write!(out, "cancel {id}\r\n");
 }
 
-/// Tells the engine to discard the remaining pages of a result.
+/// Requests that the engine discard the remaining pages of a result.
 pub fn release(out: &mut Vec<u8>, id: &str) {
     let _ = write!(out, "release {id}\r\n");
 }
