--- a/crates/dispatch/tests/fleet_slow_start.rs
+++ b/crates/dispatch/tests/fleet_slow_start.rs
@@ -98,8 +98,9 @@
     total
 }
 
-/// The largest ratio of the work sent in one window of 1.5 s to the limit of that window, without the tolerance
-/// for chance. The limit is 3 times the capacity of the engine, which at its start is 30% of 8 cores.
+/// The largest ratio of the work sent in one window of 1.5 s to the limit of that window, without the
+/// tolerance for chance. The limit is 3 times the capacity of the engine, which at its start is 30% of 8
+/// cores.
 fn worst_window(sent: &SentWork) -> f64 {
     let window = (1_500.0 / STEP) as u64;
     let budget =
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -195,7 +195,8 @@
     };
     let content_type = if body.starts_with('{') { "application/json" } else { "text/plain" };
     let head = format!(
-        "HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+        "HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\n\
+         Connection: close\r\n\r\n",
         body.len()
     );
     // The response fits into the socket's send buffer, so the write does not wait for the client.
--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -43,7 +43,7 @@
             classes: names(settings_json, "services"),
             tenants: names(settings_json, "orgs"),
             zones: names(settings_json, "areas"),
-            machines: names(settings_json, "kinds"),
+            machine_types: names(settings_json, "kinds"),
         },
         limits,
     })
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -45,7 +45,7 @@
     /// Names of zones.
     pub zones: Vec<String>,
     /// Names of machine types.
-    pub machines: Vec<String>,
+    pub machine_types: Vec<String>,
 }
 
 /// The decoded configuration file.
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -203,7 +203,7 @@
     let is_up = endpoint.readiness == Readiness::Up;
     Engine {
         name: name.into(),
-        kind: endpoint.kind.clone(),
+        kind: endpoint.machine_type.clone(),
         zone: endpoint.zone.clone(),
         cell: endpoint.cell,
         state: if is_up { EngineState::Up } else { EngineState::Draining },
--- a/crates/proxy/src/discovery/coordinator_stream.rs
+++ b/crates/proxy/src/discovery/coordinator_stream.rs
@@ -117,7 +117,8 @@
         }
         let last_event = self.list.last_event();
         let request = format!(
-            "GET /v2/stream HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {last_event}\r\n\r\n"
+            "GET /v2/stream HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\n\
+             Last-Event-ID: {last_event}\r\n\r\n"
         );
         socket.write_all(request.as_bytes())?;
         let mut input = Vec::new();
--- a/crates/proxy/src/discovery/endpoint.rs
+++ b/crates/proxy/src/discovery/endpoint.rs
@@ -12,8 +12,8 @@
     pub engine: EngineId,
     /// Name of the engine's zone; empty if the list has none.
     pub zone: String,
-    /// Name of the kind of machine that the engine runs on; empty if the list has none.
-    pub kind: String,
+    /// Name of the engine's machine type; empty if the list has none.
+    pub machine_type: String,
     /// Number of the engine's cell; 0 if the list has none.
     pub cell: u64,
     /// Whether the engine accepts attempts.
@@ -40,8 +40,8 @@
     pub address: Option<SocketAddr>,
     /// Name of the engine's zone; `None` if it is missing.
     pub zone: Option<&'a str>,
-    /// Name of the kind of machine that the engine runs on; `None` if it is missing.
-    pub kind: Option<&'a str>,
+    /// Name of the engine's machine type; `None` if it is missing.
+    pub machine_type: Option<&'a str>,
     /// Number of the engine's cell; 0 if it is missing.
     pub cell: u64,
     /// Whether the engine accepts attempts, or has been removed.
@@ -68,7 +68,7 @@
             name,
             address: member["host_port"].as_str().and_then(|text| text.parse().ok()),
             zone: member["locality"].as_str(),
-            kind: member["flavor"].as_str(),
+            machine_type: member["flavor"].as_str(),
             cell: member["cell"].as_u64().unwrap_or(0),
             readiness,
             up_since: member["up_since_ms"].as_f64().filter(|at| *at > 0.0),
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -132,7 +132,9 @@
         Some(EngineEntry {
             engine,
             zone: ZoneId(name_index(&names.zones, update.zone).unwrap_or(0)),
-            machine_type: MachineTypeId(name_index(&names.machines, update.kind).unwrap_or(usize::MAX)),
+            machine_type: MachineTypeId(
+                name_index(&names.machine_types, update.machine_type).unwrap_or(usize::MAX),
+            ),
             cell: CellId(update.cell),
             readiness,
             started_at: update.up_since.map(|at| self.handler.facade.unix_to_clock(at)),
@@ -157,7 +159,7 @@
         let endpoint = Endpoint {
             engine,
             zone: update.zone.unwrap_or_default().to_owned(),
-            kind: update.kind.unwrap_or_default().to_owned(),
+            machine_type: update.machine_type.unwrap_or_default().to_owned(),
             cell: update.cell,
             readiness: update.readiness,
         };
--- a/crates/proxy/tests/unit/endpoint.rs
+++ b/crates/proxy/tests/unit/endpoint.rs
@@ -8,14 +8,14 @@
 #[test]
 fn all_fields_of_an_endpoint_are_decoded() {
     let member = json!({
-        "id": "s-0", "phase": "DRAINING", "host_port": "127.0.0.1:7", "locality": "dc", "flavor": "k", "cell": 3,
-        "up_since_ms": 5.5
+        "id": "s-0", "phase": "DRAINING", "host_port": "127.0.0.1:7", "locality": "dc", "flavor": "k",
+        "cell": 3, "up_since_ms": 5.5
     });
     let expected = EndpointUpdate {
         name: "s-0",
         address: Some(([127, 0, 0, 1], 7).into()),
         zone: Some("dc"),
-        kind: Some("k"),
+        machine_type: Some("k"),
         cell: 3,
         readiness: Readiness::Draining,
         up_since: Some(5.5),
@@ -31,7 +31,7 @@
     for member in [json!({ "id": "s-0", "phase": "SERVING" }), malformed] {
         let update = EndpointUpdate::decode(&member).unwrap();
         assert_eq!((update.name, update.readiness), ("s-0", Readiness::Up));
-        assert_eq!((update.address, update.zone, update.kind), (None, None, None));
+        assert_eq!((update.address, update.zone, update.machine_type), (None, None, None));
         assert_eq!((update.cell, update.up_since), (0, None));
     }
 }
