--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -153,9 +153,9 @@
     fn update_settings(&mut self, settings: Settings) {
         let old = std::mem::replace(&mut self.context.settings, settings);
         let new = &self.context.settings;
-        reset_changed(&mut self.work.0, &old.classes, &new.classes);
-        reset_changed(&mut self.timeouts.0, &old.classes, &new.classes);
-        self.quotas.0.resize(new.tenants.len(), DecayingMean::default());
+        reset_changed(&mut self.work.corrections, &old.classes, &new.classes);
+        reset_changed(&mut self.timeouts.histories, &old.classes, &new.classes);
+        self.quotas.recent_requests.resize(new.tenants.len(), DecayingMean::default());
         self.fleet.draw_subset(&self.context);
     }
 }
--- a/crates/dispatch/src/policy/admission.rs
+++ b/crates/dispatch/src/policy/admission.rs
@@ -13,10 +13,13 @@
 /// progress reports are wrong by less than that.
 const HOPELESS_RATIO: f64 = 2.0;
 
-/// The recent requests of each tenant, by tenant number. The weight of each mean is the number of requests.
-/// They protect tenants from a flood of requests from another one.
+/// Finds the requests beyond their tenant's quota, to protect tenants from a flood of requests from another
+/// one.
 #[derive(Default)]
-pub struct TenantQuotas(pub Vec<DecayingMean>);
+pub struct TenantQuotas {
+    /// The recent requests of each tenant, by tenant number. The weight of a mean is the number of requests.
+    pub recent_requests: Vec<DecayingMean>,
+}
 
 impl TenantQuotas {
     /// Counts a request. Returns the fraction of its tenant's recent traffic that is within this dispatcher's
@@ -24,7 +27,7 @@
     pub fn on_request(&mut self, context: &Context, tenant: TenantId) -> f64 {
         let settings = context.settings.tenants.get(tenant.0);
         let Some(settings) = settings.filter(|settings| settings.quota_per_s > 0.0) else { return 1.0 };
-        let Some(recent_requests) = self.0.get_mut(tenant.0) else { return 1.0 };
+        let Some(recent_requests) = self.recent_requests.get_mut(tenant.0) else { return 1.0 };
         recent_requests.add(1.0, context.now, QUOTA_HORIZON);
         let quota_requests =
             settings.quota_per_s / 1000.0 * QUOTA_HORIZON / context.settings.dispatchers as f64;
--- a/crates/dispatch/src/policy/lifecycle.rs
+++ b/crates/dispatch/src/policy/lifecycle.rs
@@ -234,7 +234,7 @@
     /// it.
     fn attempt_to_cancel(&self, request: &Request) -> Option<AttemptNo> {
         let context = &self.context;
-        let history = &self.timeouts.0[request.new.class.0];
+        let history = &self.timeouts.histories[request.new.class.0];
         let timeout_ratio = history.timeout_ratio?;
         let (index, attempt) = request.in_flight().next()?;
         if request.exempt_from_timeout || attempt.timeout_cancelled || request.is_relaunch(index) {
@@ -290,7 +290,8 @@
         let slowness: BTreeMap<_, _> = engines.map(|id| (*id, self.fleet.slowness(*id, now))).collect();
         let mut next_due = f64::INFINITY;
         for request in self.requests.values().filter(|request| !request.finished) {
-            let timeout_ratio = self.timeouts.0[request.new.class.0].timeout_ratio.unwrap_or(f64::INFINITY);
+            let timeout_ratio =
+                self.timeouts.histories[request.new.class.0].timeout_ratio.unwrap_or(f64::INFINITY);
             let due_at = request.running().next().map_or(now + PLACEMENT_INTERVAL, |(_, attempt)| {
                 let nominal = self.work.nominal_run_time(&self.context, &request.new);
                 let slowness = slowness.get(&attempt.engine).unwrap_or(&1.0);
--- a/crates/dispatch/src/policy/load.rs
+++ b/crates/dispatch/src/policy/load.rs
@@ -5,7 +5,8 @@
 use crate::engines::{Engine, LoadTracker};
 use crate::interface::Millis;
 use crate::stats::{
-    InFlightLoad, OwnQueries, estimate_fleet_queries_per_core, push_bounded, queries_of_other_dispatchers,
+    InFlightLoad, OwnQueries, estimate_fleet_queries_per_core, estimate_queries_of_other_dispatchers,
+    push_bounded,
 };
 
 /// Horizon in milliseconds over which a load report loses its weight: about the run time of a heavy query.
@@ -73,7 +74,7 @@
         let fleet_mean = self.fleet_queries_per_core.value * cores * capacity_fraction;
         if self.reporters.is_empty() {
             let dispatchers = context.settings.dispatchers;
-            return queries_of_other_dispatchers(engine.own_load.queries, fleet_mean, dispatchers);
+            return estimate_queries_of_other_dispatchers(engine.own_load.queries, fleet_mean, dispatchers);
         }
         let reported = &engine.reported_queries_of_other_dispatchers;
         let difference = reported.value - fleet_mean;
--- a/crates/dispatch/src/policy/outlier.rs
+++ b/crates/dispatch/src/policy/outlier.rs
@@ -80,21 +80,24 @@
     }
 }
 
-/// Compares the failure fractions of engines with the fleet's mean, which it stores.
+/// Compares the failure fractions of engines with the fleet's mean.
 #[derive(Debug, Default)]
-pub struct OutlierDetector(f64);
+pub struct OutlierDetector {
+    /// The mean failure fraction of the fleet, from 0 to 1, as of the latest update.
+    mean_failure_fraction: f64,
+}
 
 impl OutlierDetector {
     /// Recomputes the mean failure fraction of the fleet.
     pub fn update(&mut self, engines: &Engines, now: Millis) {
         let fractions = engines.values().map(|engine| failure_fraction(engine, now));
-        self.0 = fractions.sum::<f64>() / engines.len().max(1) as f64;
+        self.mean_failure_fraction = fractions.sum::<f64>() / engines.len().max(1) as f64;
     }
 
     /// Whether an engine may be sent requests: the endpoint list says that it accepts them, it is not
     /// ejected, and its failure fraction is not an outlier.
     pub fn is_available(&self, engine: &Engine, now: Millis) -> bool {
-        let max_fraction = MAX_FAILURE_FRACTION.max(FLEET_FAILURE_MULTIPLE * self.0);
+        let max_fraction = MAX_FAILURE_FRACTION.max(FLEET_FAILURE_MULTIPLE * self.mean_failure_fraction);
         engine.is_up() && now >= engine.health.ejected_until && failure_fraction(engine, now) <= max_fraction
     }
 }
--- a/crates/dispatch/src/policy/ranking.rs
+++ b/crates/dispatch/src/policy/ranking.rs
@@ -13,19 +13,22 @@
 /// Lower bound of a rank before its logarithm is taken.
 const MIN_RANK: f64 = 1e-9;
 
-/// The typical rank: the geometric mean of recent requests' ranks at their arrival.
+/// Gives priorities to ranks by comparison with the typical rank.
 #[derive(Default)]
-pub struct Ranking(GeometricMean);
+pub struct Ranking {
+    /// The geometric mean of recent requests' ranks at their arrival.
+    typical_rank: GeometricMean,
+}
 
 impl Ranking {
     /// Adds the rank of a request that arrives to the typical rank.
     pub fn on_request(&mut self, rank: f64, now: Millis) {
-        self.0.add_log(rank.max(MIN_RANK).ln(), now, CLASS_HORIZON);
+        self.typical_rank.add_log(rank.max(MIN_RANK).ln(), now, CLASS_HORIZON);
     }
 
     /// The priority for a rank, from 0 to 3, by its ratio to the typical rank.
     pub fn priority(&self, rank: f64) -> u8 {
-        let relative_rank = rank / self.0.factor;
+        let relative_rank = rank / self.typical_rank.factor;
         PRIORITY_STEPS.iter().filter(|step| relative_rank >= **step).count() as u8
     }
 }
--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -25,7 +25,7 @@
         let cores = context.settings.machine_type(&engine.entry).cores;
         let limit = SlowStartLimit { cores, settings: context.settings.slow_start };
         let age = context.now - started_at;
-        let work_of_classes = (0..work.0.len()).map(|class| work.typical_work(ClassId(class)));
+        let work_of_classes = (0..work.corrections.len()).map(|class| work.typical_work(ClassId(class)));
         let work_of_request = work.typical_work(class);
         engine.warm_up.budget.available(&limit, rotation_slot, age, work_of_classes, work_of_request)
     }
--- a/crates/dispatch/src/policy/timeout.rs
+++ b/crates/dispatch/src/policy/timeout.rs
@@ -33,9 +33,12 @@
 /// Horizon in milliseconds of the mean run time of relaunches; long, because relaunches are rare.
 const RELAUNCH_HORIZON: Millis = 80_000.0;
 
-/// The run times of each class and the timeouts chosen from them, by class number.
+/// Chooses the timeout of each class from the run times of its requests.
 #[derive(Default)]
-pub struct TimeoutEstimator(pub Vec<RunHistory>);
+pub struct TimeoutEstimator {
+    /// The run times and the timeout of each class, by class number.
+    pub histories: Vec<RunHistory>,
+}
 
 impl TimeoutEstimator {
     /// Stores the run time of a first run or a relaunch that has ended. The time of a run that was not served
@@ -49,7 +52,7 @@
         served: bool,
         now: Millis,
     ) {
-        let history = &mut self.0[class.0];
+        let history = &mut self.histories[class.0];
         if is_relaunch {
             history.relaunch_ratio.add(run_ratio, now, RELAUNCH_HORIZON);
         } else {
@@ -72,7 +75,7 @@
     ) -> Option<String> {
         let histogram = self.histogram(class, ongoing);
         let curve = histogram.survival();
-        let history = &mut self.0[class.0];
+        let history = &mut self.histories[class.0];
         let relaunches = history.relaunch_ratio;
         let weighted_relaunches = curve.mean * PRIOR_RELAUNCHES + relaunches.value * relaunches.weight;
         let relaunch_ratio = weighted_relaunches / (PRIOR_RELAUNCHES + relaunches.weight);
@@ -96,10 +99,10 @@
     /// The first runs of a class, ended and ongoing. Until enough of its own have been served, it contains
     /// those of all classes.
     fn histogram(&self, class: ClassId, ongoing: &[OngoingRun]) -> Histogram {
-        let served = self.0[class.0].first_runs.iter().filter(|run| run.served).count();
+        let served = self.histories[class.0].first_runs.iter().filter(|run| run.served).count();
         let is_included = |number: usize| number == class.0 || served < MIN_FIRST_RUNS;
         let mut histogram = Histogram::default();
-        for (_, history) in self.0.iter().enumerate().filter(|(number, _)| is_included(*number)) {
+        for (_, history) in self.histories.iter().enumerate().filter(|(number, _)| is_included(*number)) {
             for run in &history.first_runs {
                 histogram.add(run.bin, run.served);
             }
--- a/crates/dispatch/src/policy/work.rs
+++ b/crates/dispatch/src/policy/work.rs
@@ -32,16 +32,19 @@
 /// Upper bound of the logarithm of the memory bias after a spill.
 const MAX_MEMORY_LOG: f64 = 1.0;
 
-/// The corrections of each class's estimates, by class number.
+/// Estimates the work of requests, with corrections that are learned for each class.
 #[derive(Default)]
-pub struct WorkEstimator(pub Vec<ClassCorrections>);
+pub struct WorkEstimator {
+    /// The corrections of each class's estimates, by class number.
+    pub corrections: Vec<ClassCorrections>,
+}
 
 impl WorkEstimator {
     /// The run time of a request on an engine without other load, by its own estimate. For a request without
     /// one it is chosen so that [`Self::unloaded_run_time`] gives the geometric mean of the class's served
     /// requests.
     pub fn nominal_run_time(&self, context: &Context, new: &NewRequest) -> Millis {
-        let class = &self.0[new.class.0];
+        let class = &self.corrections[new.class.0];
         let default_work = DEFAULT_WORK * class.default_work_bias.factor / class.work_bias.factor;
         let work = if new.estimate > 0.0 { new.estimate } else { default_work };
         work / context.settings.class(new).threads
@@ -50,12 +53,12 @@
     /// The run time of a request on an engine without other load, corrected by the bias of its class's
     /// estimates.
     pub fn unloaded_run_time(&self, context: &Context, new: &NewRequest) -> Millis {
-        self.nominal_run_time(context, new) * self.0[new.class.0].work_bias.factor
+        self.nominal_run_time(context, new) * self.corrections[new.class.0].work_bias.factor
     }
 
     /// The run time to expect at the fleet's present load; 0 if no request of the class was served recently.
     pub fn expected_run_time(&self, context: &Context, new: &NewRequest) -> Millis {
-        let stretch = &self.0[new.class.0].run_time_stretch;
+        let stretch = &self.corrections[new.class.0].run_time_stretch;
         let is_known = stretch.log_mean.weight_at(context.now, CLASS_HORIZON) >= MIN_KNOWN_WEIGHT;
         if is_known { self.unloaded_run_time(context, new) * stretch.factor } else { 0.0 }
     }
@@ -63,20 +66,20 @@
     /// The mean work of the class's requests, in milliseconds on one thread. Estimates that are too low are
     /// corrected; those that are too high are not.
     pub fn typical_work(&self, class: ClassId) -> Millis {
-        let class = &self.0[class.0];
+        let class = &self.corrections[class.0];
         class.estimated_work.value * class.work_bias.factor.max(1.0)
     }
 
     /// The load that one run of the request puts on an engine. The memory includes a margin.
     pub fn demand(&self, context: &Context, new: &NewRequest) -> InFlightLoad {
-        let memory_mb = new.memory_mb * self.0[new.class.0].memory_bias.factor * MEMORY_MARGIN;
+        let memory_mb = new.memory_mb * self.corrections[new.class.0].memory_bias.factor * MEMORY_MARGIN;
         InFlightLoad { queries: 1.0, threads: context.settings.class(new).threads, memory_mb }
     }
 
     /// Adds the estimated work of a request that arrives to the mean of its class.
     pub fn on_request(&mut self, context: &Context, new: &NewRequest) {
         let work = self.nominal_run_time(context, new) * context.settings.class(new).threads;
-        self.0[new.class.0].estimated_work.add(work, context.now, CLASS_HORIZON);
+        self.corrections[new.class.0].estimated_work.add(work, context.now, CLASS_HORIZON);
     }
 
     /// Learns from a served attempt. Returns the natural logarithm of its stretch over the class's mean
@@ -84,7 +87,7 @@
     pub fn on_served(&mut self, context: &Context, new: &NewRequest, end: &AttemptEnd) -> Option<f64> {
         let nominal = self.nominal_run_time(context, new);
         let threads = context.settings.class(new).threads;
-        let class = &mut self.0[new.class.0];
+        let class = &mut self.corrections[new.class.0];
         let mut unloaded_run_time = nominal;
         if let Some(cost) = end.cost.filter(|cost| cost.work > 0.0) {
             unloaded_run_time = cost.work / threads;
@@ -105,7 +108,7 @@
 
     /// Raises the memory bias of a class after one of its queries spilled for lack of memory.
     pub fn on_spill(&mut self, class: ClassId) {
-        let memory_bias = &mut self.0[class.0].memory_bias;
+        let memory_bias = &mut self.corrections[class.0].memory_bias;
         memory_bias.set_log((memory_bias.log + SPILL_MEMORY_LOG_INCREASE).min(MAX_MEMORY_LOG));
     }
 }
--- a/crates/dispatch/src/stats.rs
+++ b/crates/dispatch/src/stats.rs
@@ -252,7 +252,7 @@
 /// dispatchers on an engine of its size, on average over the fleet. The queries of all dispatchers on the
 /// engine are estimated as the mean of a Gamma distribution around `mean_queries`, updated by `own_queries`
 /// as a Poisson sample of one part in `dispatchers`. The result is that estimate minus `own_queries`.
-pub fn queries_of_other_dispatchers(own_queries: f64, mean_queries: f64, dispatchers: usize) -> f64 {
+pub fn estimate_queries_of_other_dispatchers(own_queries: f64, mean_queries: f64, dispatchers: usize) -> f64 {
     if mean_queries <= 0.0 || dispatchers <= 1 {
         return 0.0;
     }
--- a/crates/dispatch/tests/parts/admission.rs
+++ b/crates/dispatch/tests/parts/admission.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn tenant_below_its_quota_is_within_it() {
-    let mut quotas = TenantQuotas(vec![DecayingMean::default()]);
+    let mut quotas = TenantQuotas { recent_requests: vec![DecayingMean::default()] };
     for number in 0..200 {
         let in_quota = quotas.on_request(&one_tenant(f64::from(number) * 100.0, 10.0, 1), TenantId(0));
         assert_eq!(in_quota, 1.0, "10 requests a second are the quota");
@@ -23,7 +23,7 @@
 /// At ten times the quota, a tenth of the traffic is within it, and somewhat more with the tolerance.
 #[test]
 fn fraction_in_quota_falls_for_a_tenant_above_its_quota() {
-    let mut quotas = TenantQuotas(vec![DecayingMean::default()]);
+    let mut quotas = TenantQuotas { recent_requests: vec![DecayingMean::default()] };
     let mut in_quota = 1.0;
     for number in 0..4_000 {
         in_quota = quotas.on_request(&one_tenant(f64::from(number) * 10.0, 10.0, 1), TenantId(0));
@@ -33,7 +33,7 @@
 
 #[test]
 fn quota_is_split_among_dispatchers() {
-    let mut quotas = TenantQuotas(vec![DecayingMean::default()]);
+    let mut quotas = TenantQuotas { recent_requests: vec![DecayingMean::default()] };
     let mut in_quota = 1.0;
     for number in 0..4_000 {
         in_quota = quotas.on_request(&one_tenant(f64::from(number) * 100.0, 10.0, 10), TenantId(0));
@@ -43,7 +43,7 @@
 
 #[test]
 fn tenant_without_a_quota_or_unknown_is_not_limited() {
-    let mut quotas = TenantQuotas(vec![DecayingMean::default()]);
+    let mut quotas = TenantQuotas { recent_requests: vec![DecayingMean::default()] };
     for _ in 0..1_000 {
         assert_eq!(quotas.on_request(&one_tenant(0.0, 0.0, 1), TenantId(0)), 1.0);
         assert_eq!(quotas.on_request(&one_tenant(0.0, 1.0, 1), TenantId(7)), 1.0);
--- a/crates/dispatch/tests/parts/fleet.rs
+++ b/crates/dispatch/tests/parts/fleet.rs
@@ -64,7 +64,7 @@
 
 #[test]
 fn ejected_engines_of_the_subset_are_replaced_until_they_return() {
-    let work = WorkEstimator(vec![ClassCorrections::default()]);
+    let work = WorkEstimator { corrections: vec![ClassCorrections::default()] };
     let context = many_dispatchers(0.0);
     let mut fleet = listed(&context, 40);
     fleet.update_statistics(&context, &Requests::default(), &work);
@@ -82,7 +82,7 @@
 
 #[test]
 fn requests_in_flight_are_summed_by_engine() {
-    let (context, work) = (safe_class(0.0), WorkEstimator(vec![ClassCorrections::default()]));
+    let (context, work) = (safe_class(0.0), WorkEstimator { corrections: vec![ClassCorrections::default()] });
     let mut fleet = listed(&context, 2);
     let mut cancelled = Attempt::new(EngineId(0), 0.0);
     cancelled.timeout_cancelled = true;
--- a/crates/dispatch/tests/parts/ranking.rs
+++ b/crates/dispatch/tests/parts/ranking.rs
@@ -6,7 +6,7 @@
 use crate::requests::{ClassCorrections, OrderedQueues};
 
 fn estimator(classes: usize) -> WorkEstimator {
-    WorkEstimator((0..classes).map(|_| ClassCorrections::default()).collect())
+    WorkEstimator { corrections: (0..classes).map(|_| ClassCorrections::default()).collect() }
 }
 
 fn rank_of(context: &Context, request: &Request) -> f64 {
--- a/crates/dispatch/tests/parts/slow_start.rs
+++ b/crates/dispatch/tests/parts/slow_start.rs
@@ -14,8 +14,8 @@
 }
 
 fn estimator(work: Millis) -> WorkEstimator {
-    let mut estimator = WorkEstimator(vec![ClassCorrections::default()]);
-    estimator.0[0].estimated_work.add(work, 0.0, 1.0);
+    let mut estimator = WorkEstimator { corrections: vec![ClassCorrections::default()] };
+    estimator.corrections[0].estimated_work.add(work, 0.0, 1.0);
     estimator
 }
 
--- a/crates/dispatch/tests/parts/timeout.rs
+++ b/crates/dispatch/tests/parts/timeout.rs
@@ -6,7 +6,7 @@
 
 /// An estimator of two classes with these served first runs of the first one.
 fn trained(runs: impl IntoIterator<Item = f64>) -> TimeoutEstimator {
-    let mut timeouts = TimeoutEstimator(vec![RunHistory::default(), RunHistory::default()]);
+    let mut timeouts = TimeoutEstimator { histories: vec![RunHistory::default(), RunHistory::default()] };
     for ratio in runs {
         timeouts.on_run_ended(ClassId(0), ratio, false, true, 0.0);
     }
@@ -20,7 +20,7 @@
 
 fn choose(timeouts: &mut TimeoutEstimator, class: usize) -> Option<f64> {
     timeouts.choose_timeout(ClassId(class), &[], true);
-    timeouts.0[class].timeout_ratio
+    timeouts.histories[class].timeout_ratio
 }
 
 #[test]
@@ -35,7 +35,7 @@
     assert_eq!(choose(&mut trained(with_stragglers(19)), 0), None);
     let mut timeouts = trained(with_stragglers(60));
     timeouts.choose_timeout(ClassId(0), &[], false);
-    assert_eq!(timeouts.0[0].timeout_ratio, None);
+    assert_eq!(timeouts.histories[0].timeout_ratio, None);
 }
 
 #[test]
@@ -73,7 +73,7 @@
         let mut timeouts = trained([1.0; 30]);
         let run = || OngoingRun { class: ClassId(0), run_ratio: 40.0, end_is_predicted };
         timeouts.choose_timeout(ClassId(0), &[run(), run(), run()], true);
-        assert!(timeouts.0[0].timeout_ratio.is_some(), "{end_is_predicted}");
+        assert!(timeouts.histories[0].timeout_ratio.is_some(), "{end_is_predicted}");
     }
 }
 
--- a/crates/dispatch/tests/parts/work.rs
+++ b/crates/dispatch/tests/parts/work.rs
@@ -6,7 +6,7 @@
 use crate::requests::ClassCorrections;
 
 fn estimator() -> WorkEstimator {
-    WorkEstimator(vec![ClassCorrections::default()])
+    WorkEstimator { corrections: vec![ClassCorrections::default()] }
 }
 
 /// Serves a request with this estimate, cost and run time. Returns the logarithm of its stretch over the
