--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -109,9 +109,9 @@
 
     /// Reports that the client of a request has disconnected or cancelled it: the request gets no response.
     /// If an attempt is in flight, the dispatcher cancels it with a [`RequestEvent::Cancel`].
-    pub fn client_gone(&self, id: &RequestId) {
+    pub fn on_client_gone(&self, id: &RequestId) {
         let mut state = lock(&self.state);
-        if state.client_gone(id) {
+        if state.on_client_gone(id) {
             self.dispatch(state, Some(Event::ClientGone(id.clone())));
         }
     }
@@ -181,7 +181,7 @@
                 RequestEvent::Reject(rejection) => return NextStep::Reject(rejection),
                 RequestEvent::Fail => return NextStep::Fail,
                 RequestEvent::ClientGone => {
-                    self.client_gone(id);
+                    self.on_client_gone(id);
                     self.end_unsent_attempts(id, mailbox);
                     return NextStep::Finished;
                 }
--- a/crates/proxy/src/facade/state.rs
+++ b/crates/proxy/src/facade/state.rs
@@ -170,7 +170,7 @@
 
     /// Marks a request as finished because its client has disconnected or cancelled it. Returns false if the
     /// request is not open.
-    pub fn client_gone(&mut self, id: &RequestId) -> bool {
+    pub fn on_client_gone(&mut self, id: &RequestId) -> bool {
         let Some(entry) = self.requests.get_mut(id) else { return false };
         entry.is_finished = true;
         if entry.in_flight.is_none() {
--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -197,7 +197,7 @@
     /// Drops the response callback and informs the facade that the client has disconnected or cancelled.
     fn on_client_gone(&mut self) {
         self.send_response = None;
-        self.handler.facade.client_gone(&self.query.request.id);
+        self.handler.facade.on_client_gone(&self.query.request.id);
     }
 
     /// Reports the end of the attempt in flight to the facade, and blocks until the facade has decided the
