--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -19,8 +19,8 @@
 pub const RANDOM_CANDIDATES: usize = 2;
 /// Number of engines in the subset.
 const SUBSET_SIZE: usize = 8;
-/// Milliseconds after which the available members of the subset are chosen again: the mean duration of a
-/// first ejection, as ejections decide which members are available.
+/// Milliseconds after which the available members of the subset are chosen again. It is the mean duration of
+/// a first ejection.
 const SUBSET_REFRESH_INTERVAL: Millis = BASE_EJECTION_TIME;
 /// Lower bound of an engine's slowness.
 const MIN_SLOWNESS: f64 = 0.5;
