--- a/crates/proxy/src/request_lifecycle.rs
+++ b/crates/proxy/src/request_lifecycle.rs
@@ -21,7 +21,7 @@
     pub facade: Facade<UpstreamEvent>,
     /// The connections to engines.
     pub upstream_pool: Arc<UpstreamPool>,
-    /// The names of zones and of machine kinds in the configuration, as of the start of the proxy.
+    /// The names of zones and machine types in the configuration, as of the start of the proxy.
     pub names: Names,
     /// The classes and tenants of the current settings.
     pub classes: ClassRegistry,
@@ -98,11 +98,11 @@
         match &response {
             Response::Served(_) => self.query.class.record_succeeded(),
             Response::Rejected(rejection) => {
-                tracing::debug!(id, class, reason = ?rejection.reason, "request rejected");
+                tracing::debug!(id, class, reason = ?rejection.reason, "rejected");
                 self.query.class.record_rejected();
             }
             Response::Failed | Response::Duplicate => {
-                tracing::debug!(id, class, "request failed");
+                tracing::debug!(id, class, "failed");
                 self.query.class.record_failed();
             }
         }
@@ -197,7 +197,7 @@
     /// Drops the response callback and informs the facade that the client has disconnected or cancelled.
     fn on_client_gone(&mut self) {
         self.send_response = None;
-        self.handler.facade.client_gone(&self.query.request.id);
+        self.handler.facade.on_client_gone(&self.query.request.id);
     }
 
     /// Reports the end of the attempt in flight to the facade, and blocks until the facade has decided the
