--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be bound, or the coroutine cannot be started.
+/// Returns an error if the address cannot be bound, or the coroutine cannot be started.
 pub fn start(address: SocketAddr, server: Arc<Server>) -> Result<(), ListenError> {
     let listen_error = |source| ListenError { address, source };
     let listener = TcpListener::bind(address).map_err(listen_error)?;
--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 ///
-/// If a required key is missing, or the value of a key is invalid.
+/// Returns an error if a required key is missing, or the value of a key is invalid.
 pub fn decode(json: &Value) -> Result<Config, DecodeError> {
     let settings_json = &json["settings"];
     if !settings_json.is_object() {
@@ -95,7 +95,8 @@
     Ok(limits)
 }
 
-/// Returns the longest deadline of all classes, in milliseconds; infinite if no class has a deadline.
+/// Returns the longest deadline of all classes, in milliseconds; infinite if no class has a deadline. Fails
+/// if a class has no name or an invalid deadline.
 fn longest_deadline_ms(classes: &Value) -> Result<f64, DecodeError> {
     let mut longest: Option<f64> = None;
     for class in classes.as_array().into_iter().flatten() {
@@ -141,7 +142,8 @@
     }
 }
 
-/// Returns the names in a list whose entries are names or objects with the key `name`.
+/// Returns the names in a list whose entries are names or objects with the key `name`. An entry without a
+/// name yields an empty one.
 fn names(json: &Value, key: &str) -> Vec<String> {
     let name = |entry: &Value| entry.as_str().or(entry["name"].as_str()).unwrap_or_default().to_owned();
     json[key].as_array().map_or_else(Vec::new, |entries| entries.iter().map(name).collect())
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or is not a valid configuration.
+    /// Returns an error if the file cannot be read, or is not a valid configuration.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let json = read_json(path)?;
         Self::decode(&json, path)
@@ -108,7 +108,7 @@
 ///
 /// # Errors
 ///
-/// If the file cannot be read, or is not JSON.
+/// Returns an error if the file cannot be read, or is not JSON.
 pub fn read_json(path: &Path) -> Result<Value, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Applies the platform's file and the operators' document to the proxy, each time that one of them changes.
+/// Applies the platform's file and the operators' document to the proxy whenever one of them changes.
 pub struct ConfigApplier {
     handler: Arc<RequestHandler>,
     endpoint_list: Arc<EndpointList>,
@@ -68,7 +68,7 @@
 
 impl ConfigApplier {
     /// Creates an applier for a proxy to which only the platform's file applies so far. From now on, the
-    /// routes of the document are resolved again whenever the list of endpoints changes.
+    /// routes of the document are resolved again whenever the endpoint list changes.
     pub fn start(
         handler: Arc<RequestHandler>,
         endpoint_list: Arc<EndpointList>,
--- a/crates/proxy/src/discovery/coordinator_stream.rs
+++ b/crates/proxy/src/discovery/coordinator_stream.rs
@@ -19,10 +19,11 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two connection attempts, before staggering.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// Number of reads after which other coroutines run. Without it, a stream that never pauses would block them.
-const READS_PER_TURN: u64 = 16;
-/// How long the coroutine sleeps after that many reads, so that other coroutines run.
-const TURN_PAUSE: Duration = Duration::from_millis(1);
+/// Number of reads before the coroutine pauses. Without pauses, a coordinator that keeps sending
+/// would block the other coroutines.
+const READ_BATCH_SIZE: u64 = 16;
+/// How long the coroutine pauses after a batch of reads.
+const READ_BATCH_PAUSE: Duration = Duration::from_millis(1);
 /// Maximum number of bytes per read.
 const READ_LENGTH: usize = 4096;
 /// Maximum number of bytes of a response that are buffered until they can be decoded.
@@ -53,7 +54,7 @@
     socket: Option<std::net::TcpStream>,
 }
 
-/// Receives the coordinator's events and applies them to the list of endpoints.
+/// Receives the coordinator's events and applies them to the endpoint list.
 pub struct CoordinatorStream {
     list: Arc<EndpointList>,
     link: Mutex<CoordinatorLink>,
@@ -61,7 +62,7 @@
 }
 
 impl CoordinatorStream {
-    /// A stream from the coordinator at `address`, whose events are applied to `list`.
+    /// Creates a stream from the coordinator at `address`, whose events are applied to `list`.
     ///
     /// The pause between connection attempts is multiplied by `stagger_factor`, which differs between
     /// proxies: all of them lose the coordinator at the same time and should not reconnect at the same time.
@@ -115,7 +116,7 @@
             }
             link.socket = Some(socket.inner().try_clone()?);
         }
-        let last_event = self.list.last_event();
+        let last_event = self.list.last_event_index();
         let request = format!(
             "GET /v2/stream HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\n\
              Last-Event-ID: {last_event}\r\n\r\n"
@@ -144,8 +145,8 @@
                 return Err(EventTooLong.into());
             }
             reads += 1;
-            if reads % READS_PER_TURN == 0 {
-                task::sleep(TURN_PAUSE);
+            if reads % READ_BATCH_SIZE == 0 {
+                task::sleep(READ_BATCH_PAUSE);
             }
             read(socket, &mut input)?;
         }
@@ -156,8 +157,8 @@
     /// sends it again on the next one.
     fn apply(&self, event: &StreamEvent) -> Result<(), StreamError> {
         let json = serde_json::from_str::<Value>(&event.data)?;
-        let number = event.id.or(json["index"].as_u64());
-        self.list.apply_event(number, &json);
+        let index = event.id.or(json["index"].as_u64());
+        self.list.apply_event(index, &json);
         Ok(())
     }
 }
--- a/crates/proxy/src/discovery/endpoint.rs
+++ b/crates/proxy/src/discovery/endpoint.rs
@@ -55,7 +55,8 @@
     ///
     /// # Errors
     ///
-    /// If the entry has no id or no known phase. All other fields may be missing or malformed.
+    /// Returns an error if the entry has no id or no known phase. All other fields may be missing or
+    /// malformed.
     pub fn decode(member: &'a Value) -> Result<Self, EndpointError> {
         let name = member["id"].as_str().ok_or(EndpointError::MissingId)?;
         let readiness = match member["phase"].as_str() {
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints. Its changes are applied to the dispatcher and to the connections to engines.
+//! The endpoint list. Its changes are applied to the dispatcher and to the connections to engines.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -23,8 +23,8 @@
 /// The content of the list.
 #[derive(Default)]
 struct ListState {
-    /// Number of the last event that was applied; 0 before the first one.
-    last_event: u64,
+    /// Index of the last event that was applied; 0 before the first one.
+    last_event_index: u64,
     /// The listed endpoints by name. A removed endpoint is deleted, and its engine id is not used again.
     endpoints: HashMap<String, Endpoint>,
     /// Engine id for the next new endpoint.
@@ -32,22 +32,22 @@
 }
 
 impl EndpointList {
-    /// An empty list, whose changes are applied to the dispatcher and the connections of `handler`.
+    /// Creates an empty list, whose changes are applied to the dispatcher and the connections of `handler`.
     pub fn new(handler: Arc<RequestHandler>) -> Self {
         EndpointList { handler, state: Mutex::default(), on_change: OnceLock::new() }
     }
 
-    /// Number of listed engines.
+    /// Returns the number of listed engines.
     pub fn len(&self) -> usize {
         lock(&self.state).endpoints.len()
     }
 
-    /// The endpoints with their names; `None` before the first event has been applied.
+    /// Returns the endpoints with their names; `None` before the first event has been applied.
     pub fn endpoints(&self) -> Option<Vec<(String, Endpoint)>> {
         let state = lock(&self.state);
         let entries = state.endpoints.iter();
         let endpoints = entries.map(|(name, endpoint)| (name.clone(), endpoint.clone())).collect();
-        (state.last_event > 0).then_some(endpoints)
+        (state.last_event_index > 0).then_some(endpoints)
     }
 
     /// Sets the function that is called after each change of the list, while [`RequestHandler::update_lock`]
@@ -56,32 +56,32 @@
         let _ = self.on_change.set(listener);
     }
 
-    /// Number of the last event that was applied; 0 before the first one.
-    pub fn last_event(&self) -> u64 {
-        lock(&self.state).last_event
+    /// Returns the index of the last event that was applied; 0 before the first one.
+    pub fn last_event_index(&self) -> u64 {
+        lock(&self.state).last_event_index
     }
 
-    /// Applies the events of a configuration file, whose last event has the number `last_event`. Events that
-    /// have been applied before are skipped.
-    pub fn apply_configured_events(&self, last_event: u64, events: &[Value]) {
+    /// Applies the events of a configuration file, whose last event has the index `last_event_index`.
+    /// Events that have been applied before are skipped.
+    pub fn apply_configured_events(&self, last_event_index: u64, events: &[Value]) {
         for event in events {
-            // An event without its own number has that of the last event.
-            self.apply_event(event["index"].as_u64().or(Some(last_event)), event);
+            // An event without its own index has that of the last event.
+            self.apply_event(event["index"].as_u64().or(Some(last_event_index)), event);
         }
         let mut state = lock(&self.state);
-        state.last_event = state.last_event.max(last_event);
+        state.last_event_index = state.last_event_index.max(last_event_index);
     }
 
     /// Applies an event, unless this or a later event has been applied: the coordinator may send an event
     /// twice, and a new configuration file may contain earlier events.
-    pub fn apply_event(&self, number: Option<u64>, event: &Value) {
-        let Some(number) = number else { return tracing::warn!("discovery event without a number ignored") };
+    pub fn apply_event(&self, index: Option<u64>, event: &Value) {
+        let Some(index) = index else { return tracing::warn!("discovery event without an index ignored") };
         {
             let mut state = lock(&self.state);
-            if number <= state.last_event {
+            if index <= state.last_event_index {
                 return;
             }
-            state.last_event = number;
+            state.last_event_index = index;
         }
         self.apply(event);
     }
@@ -168,7 +168,7 @@
     }
 }
 
-/// Index of `name` in `names`; `None` if it is absent.
+/// Returns the index of `name` in `names`; `None` if it is absent.
 fn name_index(names: &[String], name: Option<&str>) -> Option<usize> {
     names.iter().position(|other| Some(other.as_str()) == name)
 }
--- a/crates/proxy/src/discovery/event_parser.rs
+++ b/crates/proxy/src/discovery/event_parser.rs
@@ -38,7 +38,7 @@
 }
 
 impl EventParser {
-    /// The buffer to which received text is appended.
+    /// Returns the buffer to which received text is appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.text
     }
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// If it exceeds [`MAX_EVENT_LENGTH`].
+    /// Returns an error if it exceeds [`MAX_EVENT_LENGTH`].
     pub fn check_length(&self) -> Result<(), EventTooLong> {
         let length = self.text.len() + self.incomplete.data.len();
         if length > MAX_EVENT_LENGTH { Err(EventTooLong) } else { Ok(()) }
--- a/crates/proxy/src/discovery/http_body.rs
+++ b/crates/proxy/src/discovery/http_body.rs
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// If the head is malformed or too long, or if the status is not 200.
+    /// Returns an error if the head is malformed or too long, or if the status is not 200.
     pub fn parse(input: &[u8]) -> Result<Option<Self>, ResponseError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -86,7 +86,7 @@
 }
 
 impl BodyDecoder {
-    /// The decoder for the body after this head.
+    /// Creates the decoder for the body after this head.
     pub fn new(head: ResponseHead) -> Self {
         if head.is_chunked { BodyDecoder::Chunked { remaining: 0 } } else { BodyDecoder::Plain }
     }
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// If a chunk is malformed or too long.
+    /// Returns an error if a chunk is malformed or too long.
     pub fn decode(&mut self, input: &mut Vec<u8>, text: &mut Vec<u8>) -> Result<BodyState, ResponseError> {
         match self {
             BodyDecoder::Plain => {
@@ -107,6 +107,7 @@
     }
 }
 
+/// Decodes the chunks that have been received; `remaining` is as in [`BodyDecoder::Chunked`].
 fn decode_chunks(
     remaining: &mut usize,
     input: &mut Vec<u8>,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery of engines: the coordinator reports its list of endpoints in a stream of server-sent events.
+//! Discovery of engines: the coordinator reports its endpoint list in a stream of server-sent events.
 //!
 //! [`coordinator_stream`] maintains the connection to the coordinator, [`http_body`] and [`event_parser`]
 //! parse the events that it receives, [`endpoint`] decodes the endpoints in an event, and [`endpoint_list`]
--- a/crates/proxy/src/downstream/postgres/cancel_registry.rs
+++ b/crates/proxy/src/downstream/postgres/cancel_registry.rs
@@ -29,9 +29,9 @@
 pub struct SessionStatus {
     /// The phase of the session.
     pub phase: Phase,
-    /// Since when the session has made no progress: since its incomplete message began or, without one,
-    /// since output was last written or was last not pending.
-    pub phase_since: Instant,
+    /// Since when the session has made no progress. In [`Phase::StartingOrClosing`], since its incomplete
+    /// message began, if it has one. Otherwise, since output was last written or was last not pending.
+    pub no_progress_since: Instant,
     /// When the session must be woken to check its timeouts. `None` if no timeout is running.
     pub wake_at: Option<Instant>,
 }
@@ -85,8 +85,8 @@
         self.stream.upgrade().is_none_or(|stream| peer_closed(stream.socket()))
     }
 
-    /// Whether a query is running, or has arrived in full or in part. A session that is starting or closing
-    /// counts too.
+    /// Whether a query is running, or has arrived in full or in part. A session that is starting or closing,
+    /// or that has unwritten output, counts too.
     fn has_query(&self) -> bool {
         let SessionStatus { phase, wake_at, .. } = *lock(&self.status);
         let has_input = || self.stream.upgrade().is_some_and(|stream| readable(stream.socket()));
@@ -160,7 +160,7 @@
             .filter(|handle| !handle.is_evicted())
             .map(|handle| (*lock(&handle.status), handle))
             .filter(|(status, _)| status.phase != Phase::Busy);
-        let Some((_, handle)) = candidates.min_by_key(|(status, _)| (status.phase, status.phase_since))
+        let Some((_, handle)) = candidates.min_by_key(|(status, _)| (status.phase, status.no_progress_since))
         else {
             return false;
         };
--- a/crates/proxy/src/downstream/postgres/error.rs
+++ b/crates/proxy/src/downstream/postgres/error.rs
@@ -44,7 +44,7 @@
     /// A cancel request contains no complete cancel key.
     #[error("invalid cancel request")]
     MalformedCancelRequest,
-    /// The client requested encryption again after the proxy had rejected each kind of it.
+    /// The client requested encryption again after the proxy had rejected it twice.
     #[error("encryption was asked for more than once")]
     RepeatedEncryptionRequest,
     /// The length of a message is less than the size of its length field.
--- a/crates/proxy/src/downstream/postgres/session/closing.rs
+++ b/crates/proxy/src/downstream/postgres/session/closing.rs
@@ -31,7 +31,7 @@
 /// Returns the status of a session that started at `started_at` and has read no input yet.
 pub fn initial_status(started_at: Instant) -> SessionStatus {
     let wake_at = Some(started_at + MESSAGE_TIMEOUT);
-    SessionStatus { phase: Phase::StartingOrClosing, phase_since: started_at, wake_at }
+    SessionStatus { phase: Phase::StartingOrClosing, no_progress_since: started_at, wake_at }
 }
 
 impl Session<'_> {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Handles the state in which all output has been written: shuts down the sending side if the session
-    /// must end.
+    /// Shuts down the sending side if the session must end, now that all output has been written. Fails if
+    /// the client has closed its side: the connection can then be closed at once.
     pub(super) fn on_output_written(&mut self) -> Result<(), Disconnected> {
         let response_written = self.unsent_response_guard.take().is_some();
         if self.client_closed {
@@ -128,8 +128,8 @@
             Some(Deadline::Connection(at) | Deadline::Message(at)) => Some(at),
             None => None,
         };
-        let (phase, phase_since) = self.current_phase();
-        self.handle.set_status(SessionStatus { phase, phase_since, wake_at });
+        let (phase, no_progress_since) = self.current_phase();
+        self.handle.set_status(SessionStatus { phase, no_progress_since, wake_at });
         Ok(())
     }
 
--- a/crates/proxy/src/downstream/postgres/session/mod.rs
+++ b/crates/proxy/src/downstream/postgres/session/mod.rs
@@ -25,8 +25,8 @@
 
 pub use self::closing::initial_status;
 
-/// Limit of the input that is buffered ahead of the running query, apart from one longer message, and of
-/// the unwritten output beyond which no further message is processed.
+/// Length of the buffered input from which a session reads no more, except for the rest of one longer
+/// message; also the length of the unwritten output from which it processes no further message.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 /// Maximum number of reads in one iteration of the event loop.
 const READS_PER_ITERATION: usize = 16;
--- a/crates/proxy/src/downstream/postgres/session_manager.rs
+++ b/crates/proxy/src/downstream/postgres/session_manager.rs
@@ -122,7 +122,8 @@
         spawned
     }
 
-    /// Records that an admitted connection has been read from for the first time.
+    /// Records that an admitted connection has been read from for the first time, or that its session cannot
+    /// be started.
     pub(super) fn on_first_read(&self) {
         self.unread_connections.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/proxy/src/facade/mod.rs
+++ b/crates/proxy/src/facade/mod.rs
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// If the settings are invalid.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let state = Mutex::new(FacadeState::new(settings, seed)?);
         let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// If the descriptor is not a listening socket, or the address cannot be bound.
+/// Returns an error if the descriptor is not a listening socket, or the address cannot be bound.
 pub fn open(address: SocketAddr, inherited: Option<RawFd>) -> io::Result<TcpListener> {
     match inherited {
         Some(descriptor) => inherit(descriptor),
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -88,7 +88,8 @@
     ///
     /// # Errors
     ///
-    /// If the proxy cannot listen, the settings are invalid, or a coroutine or thread cannot be started.
+    /// Returns an error if the proxy cannot listen, the settings are invalid, or a coroutine or thread cannot
+    /// be started.
     pub fn start(
         config: Config,
         inherited: Option<RawFd>,
@@ -150,8 +151,8 @@
     }
 
     /// Applies a reloaded configuration: the settings, the coordinator's address and the initial events.
-    /// Everything else is fixed at the start. Sessions continue, and open requests keep the rules under which
-    /// they were opened.
+    /// Everything else is fixed at the start. Sessions continue, and open requests keep the settings of their
+    /// class under which they were accepted.
     pub fn reconfigure(&self, config: Config) {
         let platform = PlatformConfig::new(&config);
         {
--- a/crates/proxy/src/upstream/line_protocol/connection.rs
+++ b/crates/proxy/src/upstream/line_protocol/connection.rs
@@ -24,11 +24,11 @@
 /// Duration of one deferral. The coroutine sleeps instead of yielding, because under load a coroutine that
 /// yields runs again before any input is read.
 const WRITE_DEFERRAL: Duration = Duration::from_millis(1);
-/// Maximum number of reads from one engine before other coroutines run. Without it, an engine that never
-/// stops sending would block them.
-const MAX_READS_PER_TURN: usize = 4;
-/// How long the coroutine sleeps after that many reads, so that other coroutines run.
-const TURN_PAUSE: Duration = Duration::from_millis(1);
+/// Number of reads before the coroutine pauses. Without pauses, an engine that never stops sending would
+/// block the other coroutines.
+const READ_BATCH_SIZE: usize = 4;
+/// How long the coroutine pauses after a batch of reads.
+const READ_BATCH_PAUSE: Duration = Duration::from_millis(1);
 
 /// A connection to an engine.
 pub struct Connection {
@@ -173,14 +173,14 @@
     /// Reads and writes until the connection ends.
     fn run(mut self) -> Termination {
         loop {
-            if let ControlFlow::Break(termination) = self.turn() {
+            if let ControlFlow::Break(termination) = self.run_iteration() {
                 return termination;
             }
         }
     }
 
     /// Reads and writes what the socket allows now, then waits until it is ready or the coroutine is woken.
-    fn turn(&mut self) -> ControlFlow<Termination> {
+    fn run_iteration(&mut self) -> ControlFlow<Termination> {
         let has_more_input = self.read()?;
         if let WriteOutcome::Deferred = self.write()? {
             task::sleep(WRITE_DEFERRAL);
@@ -192,7 +192,7 @@
             self.input = Vec::new();
         }
         if has_more_input {
-            task::sleep(TURN_PAUSE);
+            task::sleep(READ_BATCH_PAUSE);
         } else if !self.write_failed {
             self.stream.wait_io();
         }
@@ -201,7 +201,7 @@
 
     /// Reads and handles input. Returns true if more input may be available.
     fn read(&mut self) -> ControlFlow<Termination, bool> {
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..READ_BATCH_SIZE {
             match read_into(self.stream.socket(), &mut self.input) {
                 Ok(ReadOutcome::Data) => self.handle_input()?,
                 Ok(ReadOutcome::WouldBlock) if self.write_failed => {
--- a/crates/proxy/src/upstream/line_protocol/connection_state.rs
+++ b/crates/proxy/src/upstream/line_protocol/connection_state.rs
@@ -181,7 +181,7 @@
     ///
     /// # Errors
     ///
-    /// If a message is invalid. All messages before it have been handled.
+    /// Returns an error if a message is invalid. All messages before it have been handled.
     pub fn on_input(&mut self, input: &[u8]) -> Result<usize, MessageError> {
         let mut consumed = 0;
         self.health.on_read(Instant::now());
--- a/crates/proxy/src/upstream/line_protocol/message.rs
+++ b/crates/proxy/src/upstream/line_protocol/message.rs
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// If `input` does not begin with a valid message.
+    /// Returns an error if `input` does not begin with a valid message.
     pub fn parse(input: &'a [u8]) -> Result<Option<Self>, MessageError> {
         let line_end = input.windows(LINE_END.len()).take(MAX_LINE_LENGTH).position(|pair| pair == LINE_END);
         let Some(line_end) = line_end else {
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     ///
-    /// If it is not a whole number.
+    /// Returns an error if it is not a whole number.
     pub fn page_count(&self) -> Result<Option<usize>, MessageError> {
         self.whole_number("total")
     }
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// If it is missing or not a whole number.
+    /// Returns an error if it is missing or not a whole number.
     pub fn page_index(&self) -> Result<usize, MessageError> {
         self.whole_number("index")?.ok_or(MessageError::MalformedNumber)
     }
@@ -163,8 +163,8 @@
     ///
     /// # Errors
     ///
-    /// If the page does not consist of complete rows of printable text. Invalid data must not reach a client
-    /// as a result.
+    /// Returns an error if the page does not consist of complete rows of printable text. Invalid data must
+    /// not reach a client as a result.
     pub fn page(&self) -> Result<Vec<u8>, MessageError> {
         let text = std::str::from_utf8(self.body).map_err(|_| MessageError::NotUtf8)?;
         let is_printable = text.chars().all(|c| !c.is_control() || c == '\t' || c == '\n');
--- a/crates/proxy/tests/unit/config_shape.rs
+++ b/crates/proxy/tests/unit/config_shape.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn keys_of_the_coordinator_s_events_may_differ() {
+fn keys_of_coordinator_events_may_differ() {
     let shape = json!({ "known": { "index": 1, "updates": [{ "index": 1 }] } });
     assert_eq!(missing_key(&shape, &json!({ "known": {} })), None);
     assert_eq!(missing_key(&shape, &json!({})), Some("known".into()));
