--- a/crates/dispatch/tests/action_digest/profiles.rs
+++ b/crates/dispatch/tests/action_digest/profiles.rs
@@ -33,7 +33,7 @@
     /// The shortest and the longest work of a request.
     pub work: (Millis, Millis),
     /// The shortest and the longest time that a client waits for its response.
-    pub patience: (Millis, Millis),
+    pub time_budget: (Millis, Millis),
     /// The probability that a run takes many times its usual time.
     pub straggler: f64,
     /// The probability that an engine gets a fault, at each change of the fleet.
@@ -49,8 +49,8 @@
     pub cost_report: f64,
     /// The probability that an attempt sends progress reports.
     pub progress: f64,
-    /// The probability that a client leaves before its response.
-    pub client_leaves: f64,
+    /// The probability that a client disconnects before its response.
+    pub client_disconnects: f64,
     /// The probability that a response is streamed.
     pub streamed: f64,
     /// The probability, for each arrival, that an unusual but legal event follows.
@@ -61,7 +61,7 @@
     mean_arrival_interval: 60.0,
     probe_interval: 150.0,
     work: (50.0, 1_500.0),
-    patience: (4_000.0, 20_000.0),
+    time_budget: (4_000.0, 20_000.0),
     straggler: 0.05,
     fault: 0.1,
     max_fault_duration: 5_000.0,
@@ -69,7 +69,7 @@
     load_report: 0.6,
     cost_report: 0.5,
     progress: 0.3,
-    client_leaves: 0.03,
+    client_disconnects: 0.03,
     streamed: 0.05,
     unusual_event: 0.05,
 };
@@ -233,7 +233,7 @@
         classes: Some(classes.into_iter().map(ClassId).collect()),
         tenants: tenants.map(|tenants| tenants.into_iter().map(TenantId).collect()),
         engines: engines
-            .map(|engines| BTreeMap::from_iter(engines.iter().map(|(id, part)| (EngineId(*id), *part)))),
+            .map(|engines| BTreeMap::from_iter(engines.iter().map(|(id, weight)| (EngineId(*id), *weight)))),
     };
     let settings = Settings {
         memory_grants: true,
@@ -300,7 +300,7 @@
     let settings = Settings { priorities: true, dispatchers: 1, ..settings(two_classes()) };
     let traffic = Traffic {
         work: (5.0, 40.0),
-        patience: (100.0, 1_500.0),
+        time_budget: (100.0, 1_500.0),
         fault: 0.2,
         max_fault_duration: 40_000.0,
         fleet_change: 0.02,
@@ -309,8 +309,8 @@
     Profile { traffic, ..default_profile("outages", settings, 2) }
 }
 
-/// The limit of open requests is below the capacity of the engines, so that its last part is reserved for
-/// urgent requests.
+/// The limit of open requests is below the capacity of the engines, so that the last part of the limit is
+/// reached, in which only requests of the highest priority are sent.
 fn low_open_limit() -> Profile {
     let settings = Settings { priorities: true, max_open: 20, ..settings(two_classes()) };
     let traffic = Traffic { mean_arrival_interval: 25.0, work: (100.0, 3_000.0), ..DEFAULT_TRAFFIC };
@@ -324,7 +324,7 @@
         mean_arrival_interval: 10_000.0,
         probe_interval: 3_000.0,
         work: (200.0, 3_000.0),
-        patience: (300.0, 3_000.0),
+        time_budget: (300.0, 3_000.0),
         ..DEFAULT_TRAFFIC
     };
     Profile { traffic, changes_settings: false, ..default_profile("sparse_traffic", settings, 3) }
@@ -342,7 +342,7 @@
     Traffic {
         mean_arrival_interval: 4.0,
         work: (500.0, 4_000.0),
-        patience: (2_000.0, 9_000.0),
+        time_budget: (2_000.0, 9_000.0),
         ..DEFAULT_TRAFFIC
     }
 }
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -23,8 +23,8 @@
 /// lifetime is shorter, so that positions expire.
 const ROSTER_INTERVAL: Millis = 5_000.0;
 const POSITION_LIFETIME: Millis = 4_000.0;
-/// The time after its deadline at which the embedder stops waiting for a client's response, in ms.
-const OVERDUE_AFTER: Millis = 60.0;
+/// The time after the deadline of a request at which its client disconnects if it has no response, in ms.
+const DISCONNECT_AFTER_DEADLINE: Millis = 60.0;
 /// The number of events between two calls of `ejected_count`.
 const EJECTED_COUNT_INTERVAL: u64 = 16;
 /// The fraction of the stream after which the shutdown is announced, and the time from then to the shutdown
@@ -75,7 +75,7 @@
     /// The true cost of the query, which may differ from the estimates in the request.
     cost: Cost,
     attempts: Vec<Attempt>,
-    /// True if the client has its response or has left.
+    /// True if the client has its response or has disconnected.
     is_finished: bool,
 }
 
@@ -278,9 +278,9 @@
         let spread = self.random.rand_float();
         let work = traffic.work.0 * (traffic.work.1 / traffic.work.0).powf(spread);
         let memory_mb = self.between(10.0, 4_000.0);
-        let patience = self.between(traffic.patience.0, traffic.patience.1);
-        let is_hurried = self.chance(0.05);
-        let deadline = self.now + if is_hurried { patience / 20.0 } else { patience };
+        let time_budget = self.between(traffic.time_budget.0, traffic.time_budget.1);
+        let has_short_budget = self.chance(0.05);
+        let deadline = self.now + if has_short_budget { time_budget / 20.0 } else { time_budget };
         let estimate = if self.chance(0.2) { 0.0 } else { work * self.between(0.6, 1.6) };
         let tables = TableSetId(self.below(3) as u64);
         let key = self.chance(0.8).then(|| OrderKey(format!("k{}", self.below(4)).into()));
@@ -299,11 +299,11 @@
         let cost = Cost { work, memory_mb };
         let client = Client { new: new.clone(), cost, attempts: Vec::new(), is_finished: false };
         self.clients.insert(id.clone(), client);
-        if self.chance(traffic.client_leaves) {
-            let after = self.between(0.0, patience);
+        if self.chance(traffic.client_disconnects) {
+            let after = self.between(0.0, time_budget);
             self.schedule(after, Scheduled::ClientDisconnect(id.clone()));
         }
-        self.schedule(deadline - self.now + OVERDUE_AFTER, Scheduled::ClientDisconnect(id));
+        self.schedule(deadline - self.now + DISCONNECT_AFTER_DEADLINE, Scheduled::ClientDisconnect(id));
         self.handle_event(Event::Request(new));
         if self.chance(traffic.unusual_event) {
             self.handle_unusual_event();
@@ -336,7 +336,7 @@
         }
     }
 
-    /// The time that a run of this work takes on the engine with its present fault.
+    /// The time that a run of this work takes on the engine with its current fault.
     fn run_time(&mut self, work: Millis, engine: EngineId) -> Millis {
         let straggles = self.chance(self.profile.traffic.straggler);
         let scatter = self.between(0.7, 1.4);
@@ -543,8 +543,8 @@
         let mut broken = Vec::new();
         for (id, client) in &self.clients {
             let attempts = client.attempts.iter().enumerate();
-            let live = attempts.filter(|(_, attempt)| attempt.engine == engine && !attempt.ended);
-            broken.extend(live.map(|(at, _)| (id.clone(), AttemptNo(at))));
+            let in_flight = attempts.filter(|(_, attempt)| attempt.engine == engine && !attempt.ended);
+            broken.extend(in_flight.map(|(at, _)| (id.clone(), AttemptNo(at))));
         }
         for (id, attempt) in broken {
             self.schedule(0.5, Scheduled::AttemptEnd(id, attempt, Outcome::Reset));
@@ -595,7 +595,7 @@
 
     fn handle_unusual_event(&mut self) {
         let unknown = RequestId(format!("unknown{}", self.arrivals).into());
-        let known = self.random_client().unwrap_or_else(|| unknown.clone());
+        let existing = self.random_client().unwrap_or_else(|| unknown.clone());
         let no_attempt = AttemptNo(99);
         let engine = self.random_engine();
         let load = Some(LoadReport { in_flight: Some(3.0), ..LoadReport::default() });
@@ -611,10 +611,14 @@
         };
         match self.below(13) {
             0 => self.handle_event(Event::AttemptEnded(end)),
-            1 => self.handle_event(Event::AttemptEnded(AttemptEnd { id: known, attempt: no_attempt, ..end })),
+            1 => self.handle_event(Event::AttemptEnded(AttemptEnd {
+                id: existing,
+                attempt: no_attempt,
+                ..end
+            })),
             2 => self.handle_event(Event::StreamingStarted(unknown, AttemptNo(0))),
-            3 => self.handle_event(Event::Progress(known, no_attempt, ProgressReport::Done(0.5))),
-            4 => self.handle_event(Event::Progress(known, AttemptNo(0), ProgressReport::Done(-0.5))),
+            3 => self.handle_event(Event::Progress(existing, no_attempt, ProgressReport::Done(0.5))),
+            4 => self.handle_event(Event::Progress(existing, AttemptNo(0), ProgressReport::Done(-0.5))),
             5 => self.handle_event(Event::Progress(unknown, AttemptNo(0), ProgressReport::Spills(1.0))),
             6 => self.handle_event(Event::ClientGone(unknown)),
             7 => self.handle_event(Event::Timer(TimerId(7))),
@@ -624,7 +628,7 @@
                 Event::ProbeResult(engine, Outcome::Served, load),
             ),
             10 => self.handle_event(Event::EngineChanges(vec![])),
-            11 => self.handle_unusable_requests(known),
+            11 => self.handle_unusable_requests(existing),
             _ => {
                 let until = self.dispatcher.sendable_until(&unknown);
                 self.recorder.sendable_until(until);
@@ -634,8 +638,8 @@
     }
 
     /// Sends a request whose id is already in use, and one of a class that does not exist.
-    fn handle_unusable_requests(&mut self, known: RequestId) {
-        let Some(client) = self.clients.get(&known) else { return };
+    fn handle_unusable_requests(&mut self, existing: RequestId) {
+        let Some(client) = self.clients.get(&existing) else { return };
         let duplicate = client.new.clone();
         let id = RequestId(format!("no-class{}", self.arrivals).into());
         let no_class = NewRequest { id, class: ClassId(self.settings.classes.len()), ..duplicate.clone() };
--- a/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
+++ b/crates/dispatch/tests/dispatcher/ordering_and_ranking.rs
@@ -30,14 +30,14 @@
     let mut ordered = class(Idempotency::Safe, 24.0);
     ordered.ordered = true;
     let mut harness = Harness::new(settings(vec![ordered, class(Idempotency::Safe, 24.0)]), 1);
-    let full = sends(&harness.arrive(request(1, 1, 60_000.0)))[0];
+    let engine = sends(&harness.arrive(request(1, 1, 60_000.0)))[0];
     assert!(sends(&harness.arrive(request(2, 1, 60_000.0))).is_empty(), "the engine has no capacity");
     for number in 10..14 {
         let keyed = NewRequest { order_key: Some(OrderKey("k".into())), ..request(number, 0, 60_000.0) };
         assert!(sends(&harness.arrive(keyed)).is_empty());
     }
-    let actions = harness.end(1, 0, full, Outcome::Served, 125.0);
-    assert!(actions.contains(&Action::Send { id: id(10), engine: full }), "{actions:?}");
+    let actions = harness.end(1, 0, engine, Outcome::Served, 125.0);
+    assert!(actions.contains(&Action::Send { id: id(10), engine }), "{actions:?}");
 }
 
 /// Issue icc2289: one tenant sends many times its quota; the request of another tenant must go before those
@@ -48,16 +48,16 @@
     settings.tenants = vec![TenantSettings { quota_per_s: 1.0 }, TenantSettings { quota_per_s: 1.0 }];
     let mut harness = Harness::new(settings, 1);
     let request_of = |number, tenant| NewRequest { tenant: TenantId(tenant), ..request(number, 0, 60_000.0) };
-    let full = sends(&harness.arrive(request_of(0, 0)))[0];
+    let engine = sends(&harness.arrive(request_of(0, 0)))[0];
     for number in 1..40 {
         harness.arrive(request_of(number, 0));
     }
     harness.arrive(request_of(90, 1));
     let mut sent = vec![0];
-    for turn in 0..30 {
-        let last = sent[turn];
-        let actions = harness.end(last, 0, full, Outcome::Served, 125.0);
-        sent.extend((0..91).filter(|n| actions.contains(&Action::Send { id: id(*n), engine: full })));
+    for position in 0..30 {
+        let last = sent[position];
+        let actions = harness.end(last, 0, engine, Outcome::Served, 125.0);
+        sent.extend((0..91).filter(|n| actions.contains(&Action::Send { id: id(*n), engine })));
     }
     let index = |number| sent.iter().position(|other| *other == number).unwrap_or(usize::MAX);
     assert!((20..40).all(|number| index(90) < index(number)), "{sent:?}");
--- a/crates/dispatch/tests/dispatcher/outlier_ejection.rs
+++ b/crates/dispatch/tests/dispatcher/outlier_ejection.rs
@@ -43,7 +43,7 @@
 /// Guards against an engine that fails half of its queries fast, and so looks idle: served queries in between
 /// must not keep it in use.
 #[test]
-fn engine_with_a_high_failure_share_is_ejected() {
+fn engine_with_a_high_failure_fraction_is_ejected() {
     let mut harness = Harness::new(settings(vec![class(Idempotency::Safe, 1.0)]), 4);
     let (failing, mut requests_to_failing) = (EngineId(0), 0);
     for number in 0..200 {
--- a/crates/dispatch/tests/dispatcher/placement.rs
+++ b/crates/dispatch/tests/dispatcher/placement.rs
@@ -95,15 +95,15 @@
         settings.fleet_position = FleetPosition::ordinal(seed as u32, 100).unwrap();
         let mut harness = Harness { dispatcher: Dispatcher::new(settings.clone(), seed).unwrap(), now: 0.0 };
         harness.handle(Event::EngineList((0..80).map(entry).collect()));
-        let mut own = std::collections::BTreeSet::new();
+        let mut engines_used = std::collections::BTreeSet::new();
         for number in 0..120 {
             let engine = sends(&harness.arrive(request(number, 0, harness.now + 60_000.0)))[0];
             harness.now += 50.0;
             harness.end(number, 0, engine, Outcome::Served, 50.0);
-            own.insert(engine);
+            engines_used.insert(engine);
             requests_by_engine[engine.0 as usize] += 1;
         }
-        assert_eq!(own.len(), 8);
+        assert_eq!(engines_used.len(), 8);
     }
     let (least, most) = (requests_by_engine.iter().min().unwrap(), requests_by_engine.iter().max().unwrap());
     assert!(*least > 100 && *most < 200, "150 each on average: {least} to {most}");
@@ -160,10 +160,10 @@
             .map(|number| sends(&harness.arrive(request(number, 0, harness.now + 60_000.0)))[0].0)
             .collect();
         assert!(sent.iter().all(|engine| [1, 2].contains(engine)), "{sent:?}");
-        let heavy = sent.iter().filter(|engine| **engine == 2).count();
-        assert!(dispatchers > 1 || heavy == 6, "{sent:?}");
-        let free = sends(&harness.arrive(request(100, 1, harness.now + 60_000.0)));
-        assert!(![1, 2].contains(&free[0].0), "{free:?}");
+        let sent_to_2 = sent.iter().filter(|engine| **engine == 2).count();
+        assert!(dispatchers > 1 || sent_to_2 == 6, "{sent:?}");
+        let unrouted = sends(&harness.arrive(request(100, 1, harness.now + 60_000.0)));
+        assert!(![1, 2].contains(&unrouted[0].0), "{unrouted:?}");
     }
 }
 
--- a/crates/dispatch/tests/dispatcher/timeouts.rs
+++ b/crates/dispatch/tests/dispatcher/timeouts.rs
@@ -88,8 +88,8 @@
     panic!("nothing was cancelled");
 }
 
-/// Once stragglers are cancelled, almost none of the tail is observed any more. The timeout must not be
-/// dropped and chosen again in turn.
+/// Once stragglers are cancelled, almost none of the tail is observed any more. The timeout must not
+/// alternately be dropped and chosen again.
 #[test]
 fn timeout_is_kept_once_stragglers_are_cancelled() {
     let mut harness = trained(settings(vec![class(Idempotency::Safe, 1.0)]), 1, 20_000.0);
--- a/crates/dispatch/tests/dispatcher/work_estimates.rs
+++ b/crates/dispatch/tests/dispatcher/work_estimates.rs
@@ -16,7 +16,7 @@
 }
 
 /// Passes on a request and, if it is sent, ends it as served with this work. Returns whether it was sent.
-fn is_served(harness: &mut Harness, number: u32, estimate: Millis, work: Millis) -> bool {
+fn serve_if_sent(harness: &mut Harness, number: u32, estimate: Millis, work: Millis) -> bool {
     let new = NewRequest { estimate, ..request(number, 0, harness.now + 1_500.0) };
     let Some(engine) = sends(&harness.arrive(new)).first().copied() else { return false };
     harness.now += work;
@@ -39,7 +39,7 @@
 fn class_without_estimates_is_sent_and_its_work_is_learned_from_responses() {
     let mut harness = without_late_weight();
     for number in 0..30 {
-        assert!(is_served(&mut harness, number, 0.0, 50.0), "request {number}");
+        assert!(serve_if_sent(&mut harness, number, 0.0, 50.0), "request {number}");
     }
 }
 
@@ -47,9 +47,9 @@
 fn work_learned_from_requests_with_estimates_applies_to_requests_without() {
     let mut harness = without_late_weight();
     for number in 0..30 {
-        assert!(is_served(&mut harness, number, 50.0, 50.0));
+        assert!(serve_if_sent(&mut harness, number, 50.0, 50.0));
     }
-    assert!(is_served(&mut harness, 30, 0.0, 50.0));
+    assert!(serve_if_sent(&mut harness, 30, 0.0, 50.0));
 }
 
 /// What is learned from responses expires, so that a class that was slow for some time is not rejected
@@ -57,7 +57,7 @@
 #[test]
 fn class_known_to_take_too_long_is_rejected_and_sent_again_later() {
     let mut harness = without_late_weight();
-    assert!(is_served(&mut harness, 0, 0.0, 900.0));
+    assert!(serve_if_sent(&mut harness, 0, 0.0, 900.0));
     let actions = harness.arrive(NewRequest { estimate: 0.0, ..request(1, 0, harness.now + 1_500.0) });
     let actions = [actions, harness.advance(30.0)].concat();
     let reason = actions.iter().find_map(|action| match action {
@@ -67,9 +67,9 @@
     assert_eq!(reason, Some(RejectReason::TooLong));
     harness.advance(30_000.0);
     for number in 10..40 {
-        if !is_served(&mut harness, number, 0.0, 50.0) {
+        if !serve_if_sent(&mut harness, number, 0.0, 50.0) {
             harness.advance(30_000.0);
         }
     }
-    assert!(is_served(&mut harness, 50, 0.0, 50.0), "the class is fast again");
+    assert!(serve_if_sent(&mut harness, 50, 0.0, 50.0), "the class is fast again");
 }
--- a/crates/dispatch/tests/parts/placement.rs
+++ b/crates/dispatch/tests/parts/placement.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn score_of_an_engine_of_another_zone_includes_the_price_of_crossing() {
+fn score_of_an_engine_of_another_zone_includes_the_cross_zone_penalty() {
     let mut context = safe_class(0.0);
     let mut fleet = fleet(&[1.0, 2.0]);
     fleet.engines.get_mut(&EngineId(0)).unwrap().entry.zone = ZoneId(1);
--- a/crates/dispatch/tests/parts/retry.rs
+++ b/crates/dispatch/tests/parts/retry.rs
@@ -4,8 +4,8 @@
 use super::*;
 use crate::policy::{RetryBudget, may_repeat_until};
 
-fn with_effect(now: Millis, effect: Idempotency) -> Context {
-    context(now, settings(vec![class(effect, 1.0)]))
+fn with_idempotency(now: Millis, idempotency: Idempotency) -> Context {
+    context(now, settings(vec![class(idempotency, 1.0)]))
 }
 
 fn allows(context: &Context, attempts: Vec<Attempt>) -> bool {
@@ -14,7 +14,7 @@
 
 #[test]
 fn unsafe_request_is_retried_only_if_no_attempt_ran() {
-    let context = with_effect(100.0, Idempotency::Unsafe);
+    let context = with_idempotency(100.0, Idempotency::Unsafe);
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         assert!(allows(&context, vec![ended(0, 0.0, outcome)]), "{outcome:?}");
     }
@@ -25,16 +25,16 @@
 
 #[test]
 fn keyed_request_is_retried_within_the_window_of_its_first_run() {
-    let effect = Idempotency::Keyed(DedupGroup::All, 1_000.0);
+    let idempotency = Idempotency::Keyed(DedupGroup::All, 1_000.0);
     let attempts = || vec![ended(0, 0.0, Outcome::ConnectFailed), ended(1, 200.0, Outcome::Reset)];
-    assert!(allows(&with_effect(1_189.0, effect), attempts()));
+    assert!(allows(&with_idempotency(1_189.0, idempotency), attempts()));
     assert!(
-        !allows(&with_effect(1_190.0, effect), attempts()),
+        !allows(&with_idempotency(1_190.0, idempotency), attempts()),
         "the last 10 ms of the window are a margin for delays"
     );
     let request = Request { attempts: attempts(), ..open_request(1) };
     assert_eq!(
-        may_repeat_until(&with_effect(0.0, effect), &request, 1),
+        may_repeat_until(&with_idempotency(0.0, idempotency), &request, 1),
         f64::INFINITY,
         "the first never ran"
     );
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -100,8 +100,8 @@
     /// The attempts without an outcome, each by its request and number.
     fn in_flight(&self) -> Vec<(RequestId, usize)> {
         let attempts_of = |(id, request): (&RequestId, &OpenRequest)| {
-            let live = request.sent.iter().enumerate().filter(|(_, sent)| sent.outcome.is_none());
-            live.map(|(index, _)| (id.clone(), index)).collect::<Vec<_>>()
+            let in_flight = request.sent.iter().enumerate().filter(|(_, sent)| sent.outcome.is_none());
+            in_flight.map(|(index, _)| (id.clone(), index)).collect::<Vec<_>>()
         };
         self.requests.iter().flat_map(attempts_of).collect()
     }
