--- a/crates/coroutine-io/src/stream.rs
+++ b/crates/coroutine-io/src/stream.rs
@@ -82,10 +82,10 @@
         return false;
     }
     let events = polled[0].revents();
-    // A system without RDHUP reports a half-closed connection as readable, with no bytes to read.
     if events.intersects(closed) {
         return true;
     }
+    // A system without RDHUP reports a half-closed connection as readable, with no bytes to read.
     events.contains(PollFlags::IN) && matches!(socket.peek(&mut [0]), Ok(0))
 }
 
--- a/crates/testbed/src/emulated_fleet/engine.rs
+++ b/crates/testbed/src/emulated_fleet/engine.rs
@@ -103,6 +103,7 @@
 /// A request in flight.
 struct Running {
     ends_at: Instant,
+    /// The work that the statement names, in milliseconds.
     work: f64,
 }
 
--- a/crates/testbed/src/fleet_audit.rs
+++ b/crates/testbed/src/fleet_audit.rs
@@ -83,7 +83,7 @@
     tenures
 }
 
-/// The limit on the work that may reach an engine while it warms up.
+/// The cores of an engine, and the rule that limits its work while it warms up.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineCapacity {
     /// The number of cores of the engine.
