--- a/crates/dispatch/tests/action_digest.rs
+++ b/crates/dispatch/tests/action_digest.rs
@@ -44,7 +44,7 @@
 
 /// The results of all streams.
 #[derive(Default)]
-struct PlayedStreams {
+struct StreamResults {
     /// The text of the golden file.
     text: String,
     events: u64,
@@ -55,16 +55,16 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/action_digests.txt")
 }
 
-fn play(profile: &Profile, seed: u64) -> Recorder {
+fn simulate(profile: &Profile, seed: u64) -> Recorder {
     let folder = std::env::var_os(ACTION_TRACE).map(PathBuf::from);
     let trace = folder.map(|folder| folder.join(format!("{}-{seed}.txt", profile.name)));
-    Simulation::play(profile, seed, trace.as_deref())
+    Simulation::run_stream(profile, seed, trace.as_deref())
 }
 
 /// Simulates a profile with all seeds in parallel. The records are in the order of the seeds.
-fn play_all_seeds(profile: &Profile) -> Vec<(u64, Recorder)> {
+fn simulate_all_seeds(profile: &Profile) -> Vec<(u64, Recorder)> {
     std::thread::scope(|scope| {
-        let streams = SEEDS.map(|seed| (seed, scope.spawn(move || play(profile, seed))));
+        let streams = SEEDS.map(|seed| (seed, scope.spawn(move || simulate(profile, seed))));
         let record = |(seed, stream): (u64, std::thread::ScopedJoinHandle<Recorder>)| {
             (seed, stream.join().expect("the simulation of a stream does not panic"))
         };
@@ -73,13 +73,13 @@
 }
 
 /// Simulates a profile with all seeds and adds the results.
-fn add_profile(played: &mut PlayedStreams, profile: &Profile) {
+fn add_profile(results: &mut StreamResults, profile: &Profile) {
     let mut coverage = Coverage::default();
-    let text = &mut played.text;
+    let text = &mut results.text;
     writeln!(text, "profile {}", profile.name).expect("a string takes any text");
-    for (seed, recorder) in play_all_seeds(profile) {
+    for (seed, recorder) in simulate_all_seeds(profile) {
         let events = recorder.events;
-        played.events += events;
+        results.events += events;
         coverage.merge(&recorder.coverage);
         writeln!(text, "  seed {seed}: events {events}, sha256 {}", recorder.digest())
             .expect("a string takes any text");
@@ -96,32 +96,37 @@
     for line in lines {
         writeln!(text, "  {line}").expect("a string takes any text");
     }
-    played.coverage.merge(&coverage);
+    results.coverage.merge(&coverage);
 }
 
-fn play_all() -> PlayedStreams {
-    let mut played = PlayedStreams::default();
+fn simulate_all() -> StreamResults {
+    let mut results = StreamResults::default();
     for profile in profiles() {
-        add_profile(&mut played, &profile);
+        add_profile(&mut results, &profile);
     }
-    played
+    results
 }
 
 #[test]
 fn actions_are_those_of_the_golden_file() {
-    let played = play_all();
-    assert_eq!(played.coverage.missing(), Vec::<&str>::new(), "kinds that never occurred:\n{}", played.text);
-    assert!(played.events >= MIN_EVENTS, "only {} events", played.events);
-    assert!(played.coverage.most_open > DEFERRED_ABOVE_OPEN, "overload must be covered");
-    assert!(played.coverage.pending_runs > 0, "deferred placement must be covered");
-    assert!(played.coverage.most_ejected > 0, "ejections must be covered");
+    let results = simulate_all();
+    assert_eq!(
+        results.coverage.missing(),
+        Vec::<&str>::new(),
+        "kinds that never occurred:\n{}",
+        results.text
+    );
+    assert!(results.events >= MIN_EVENTS, "only {} events", results.events);
+    assert!(results.coverage.most_open > DEFERRED_ABOVE_OPEN, "overload must be covered");
+    assert!(results.coverage.pending_runs > 0, "deferred placement must be covered");
+    assert!(results.coverage.most_ejected > 0, "ejections must be covered");
     if std::env::var(WRITE_GOLDEN).is_ok_and(|value| value == "1") {
-        return fs::write(golden_path(), played.text).expect("the golden file can be written");
+        return fs::write(golden_path(), results.text).expect("the golden file can be written");
     }
     let golden = fs::read_to_string(golden_path()).expect("the golden file can be read");
     assert!(
-        golden == played.text,
+        golden == results.text,
         "actions differ from the golden file; the actual ones are:\n{}",
-        played.text
+        results.text
     );
 }
--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -117,8 +117,8 @@
 }
 
 impl Simulation {
-    /// Plays one stream of a profile to its end and returns what was recorded.
-    pub fn play(profile: &Profile, seed: u64, trace: Option<&Path>) -> Recorder {
+    /// Simulates one stream of a profile to its end and returns its record.
+    pub fn run_stream(profile: &Profile, seed: u64, trace: Option<&Path>) -> Recorder {
         let dispatcher =
             Dispatcher::new(profile.settings.clone(), seed).expect("the profile's settings are valid");
         let fleet = (0..profile.engines).map(engine_entry);
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -115,6 +115,7 @@
         self.handle(Event::Request(new))
     }
 
+    /// Ends an attempt with this outcome, `elapsed` ms after it was sent and without reports.
     pub fn end(
         &mut self,
         number: u32,
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -272,7 +272,7 @@
 }
 
 /// Passes `steps` random events to a dispatcher and checks every action. Returns the actions as text.
-fn play(seed: u128, steps: usize) -> String {
+fn simulate(seed: u128, steps: usize) -> String {
     let mut random = Rand64::new(seed);
     let mut model = Model::new(random_settings());
     let mut dispatcher =
@@ -298,6 +298,6 @@
 #[test]
 fn random_events_violate_no_rule_and_give_the_same_actions_again() {
     for seed in 1..13 {
-        assert_eq!(play(seed, 1_500), play(seed, 1_500));
+        assert_eq!(simulate(seed, 1_500), simulate(seed, 1_500));
     }
 }
