--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -148,6 +148,7 @@
     }
 }
 
+/// Reads a connection until the request is complete or [`REQUEST_TIMEOUT`] has passed.
 fn read_request(stream: &mut TcpStream) -> Result<Request, ApiError> {
     let deadline = Instant::now() + REQUEST_TIMEOUT;
     let _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT));
--- a/crates/proxy/src/config_applier.rs
+++ b/crates/proxy/src/config_applier.rs
@@ -38,7 +38,8 @@
     pub names: Names,
     /// The dispatcher's settings.
     pub settings: Settings,
-    /// Maximum number of open requests of all clients.
+    /// Maximum number of open requests of all clients, as configured; the dispatcher's own limit in
+    /// `settings` may be lower.
     pub max_open: usize,
 }
 
--- a/crates/proxy/src/discovery/coordinator_stream.rs
+++ b/crates/proxy/src/discovery/coordinator_stream.rs
@@ -19,8 +19,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two connection attempts, before staggering.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// Number of reads before the coroutine pauses. Without pauses, a coordinator that keeps sending
-/// would block the other coroutines.
+/// Number of reads before the coroutine pauses. Without pauses, a coordinator that keeps sending would block
+/// the other coroutines.
 const READ_BATCH_SIZE: u64 = 16;
 /// How long the coroutine pauses after a batch of reads.
 const READ_BATCH_PAUSE: Duration = Duration::from_millis(1);
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// Takes over the listening socket that the platform passes as a descriptor.
 fn inherit(descriptor: RawFd) -> io::Result<TcpListener> {
     // SAFETY: the platform passes this descriptor for the sole use of this process, and ownership is taken
     // only once, at the start. If the descriptor is not open, the calls below fail.
--- a/crates/testbed/src/emulated_fleet/engine.rs
+++ b/crates/testbed/src/emulated_fleet/engine.rs
@@ -141,6 +141,8 @@
         }
     }
 
+    /// Handles a line of the engines' protocol: a query, a cancel or a health check. Other lines
+    /// are ignored.
     fn on_command(&mut self, command: &str) -> io::Result<()> {
         let words: Vec<&str> = command.split(' ').collect();
         match words[..] {
