--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -152,7 +152,7 @@
         "idle, {duties:>5} duties on 3 services: {:.2} ms of processor a second for each; over all links {:.0} messages and {:.0} \
          bytes a second",
         (spent() - before) / span / 3.0,
-        (group.net.traffic().pieces - earlier.pieces) as f64 / span,
+        (group.net.traffic().chunks - earlier.chunks) as f64 / span,
         (group.net.traffic().bytes - earlier.bytes) as f64 / span
     );
 }
--- a/crates/testbed/src/network.rs
+++ b/crates/testbed/src/network.rs
@@ -53,7 +53,7 @@
     /// Number of bytes.
     pub bytes: u64,
     /// Number of chunks in which the bytes were read; most chunks are one message.
-    pub pieces: u64,
+    pub chunks: u64,
 }
 
 /// Returns the name of the process that opened a connection, from the first bytes that it sent; `None` if
@@ -306,7 +306,7 @@
         {
             let traffic = &mut self.network.lock().traffic;
             traffic.bytes += self.pending.len() as u64;
-            traffic.pieces += 1;
+            traffic.chunks += 1;
         }
         if self.sink.write_all(&self.pending).is_err() {
             return Step::Close;
