--- a/crates/testbed/src/leadership_audit.rs
+++ b/crates/testbed/src/leadership_audit.rs
@@ -21,7 +21,7 @@
         digest: String,
     },
     /// A proxy has stored a term.
-    TermSeen {
+    TermStored {
         /// The proxy.
         proxy: String,
         /// The term.
@@ -187,7 +187,7 @@
                 self.numbers.entry(key).or_default().insert(*number);
                 self.acknowledged.push(Acknowledgement { key, number: *number, digest });
             }
-            Record::TermSeen { proxy, term } => {
+            Record::TermStored { proxy, term } => {
                 let highest = self.highest_terms.entry(proxy).or_default();
                 *highest = (*highest).max(*term);
             }
--- a/crates/testbed/tests/leadership_audit.rs
+++ b/crates/testbed/tests/leadership_audit.rs
@@ -17,10 +17,10 @@
 fn valid_run() -> Vec<Record> {
     vec![
         acknowledged("a", 1),
-        Record::TermSeen { proxy: "n0".into(), term: 1 },
+        Record::TermStored { proxy: "n0".into(), term: 1 },
         in_force(1, "a", 1),
         acknowledged("b", 2),
-        Record::TermSeen { proxy: "n0".into(), term: 2 },
+        Record::TermStored { proxy: "n0".into(), term: 2 },
         Record::StaleRejected { process: "n0".into(), term: 1 },
         in_force(2, "b", 2),
         Record::LeaseAcquired { server: "1".into(), role: "versions".into(), term: 1 },
--- a/tests/common/group/records.rs
+++ b/tests/common/group/records.rs
@@ -16,7 +16,7 @@
         let number = |key: &str| line[key].as_u64().unwrap_or(0);
         let (proxy, digest) = (proxy.to_owned(), line["digest"].as_str().unwrap_or_default().to_owned());
         match line["message"].as_str() {
-            Some("term stored") => records.push(Record::TermSeen { proxy, term: number("term") }),
+            Some("term stored") => records.push(Record::TermStored { proxy, term: number("term") }),
             Some("version offered") => offered = (number("version"), number("term")),
             Some("version in force") => {
                 let term = if offered.0 == number("version") { offered.1 } else { 0 };
