--- a/crates/two-level/src/order_guard/message.rs
+++ b/crates/two-level/src/order_guard/message.rs
@@ -46,7 +46,7 @@
     /// The request is not open, or is not registered with this planner.
     UnknownRequest,
     /// The attempt is not the next one, or not the one in flight.
-    OutOfTurn,
+    UnexpectedAttempt,
     /// Another attempt of the request is in flight.
     AttemptInFlight,
     /// The request may have run, and its effect does not allow it to run again here.
--- a/crates/two-level/src/order_guard/orders.rs
+++ b/crates/two-level/src/order_guard/orders.rs
@@ -41,12 +41,12 @@
             }
             Order::CancelAttempt { attempt } => {
                 if request.in_flight() != Some(attempt) {
-                    return Err(OrderRejectReason::OutOfTurn);
+                    return Err(OrderRejectReason::UnexpectedAttempt);
                 }
                 actions.push(Action::CancelAttempt { id, attempt });
             }
             Order::SetPriority { priority } => {
-                let attempt = request.in_flight().ok_or(OrderRejectReason::OutOfTurn)?;
+                let attempt = request.in_flight().ok_or(OrderRejectReason::UnexpectedAttempt)?;
                 if let Some(request) = self.requests.get_mut(&id) {
                     request.attempts[attempt].priority = priority;
                 }
@@ -93,7 +93,7 @@
     ) -> Result<(), OrderRejectReason> {
         // The number must be the next one: a duplicated order names an attempt that was already started.
         if attempt != request.attempts.len() {
-            return Err(OrderRejectReason::OutOfTurn);
+            return Err(OrderRejectReason::UnexpectedAttempt);
         }
         if request.in_flight().is_some() {
             return Err(OrderRejectReason::AttemptInFlight);
--- a/crates/two-level/tests/order_guard.rs
+++ b/crates/two-level/tests/order_guard.rs
@@ -193,11 +193,11 @@
     let a = follow(&mut guard, "a", START);
     let now = at(1);
     let reason = |guard: &mut Guard, order| rejection(&guard.on_order(now, a, &1, order));
-    assert_eq!(reason(&mut guard, start(1, 0)), Some(OrderRejectReason::OutOfTurn));
+    assert_eq!(reason(&mut guard, start(1, 0)), Some(OrderRejectReason::UnexpectedAttempt));
     assert_eq!(started(&guard.on_order(now, a, &1, start(0, 0))), Some(0));
-    assert_eq!(reason(&mut guard, start(0, 0)), Some(OrderRejectReason::OutOfTurn));
+    assert_eq!(reason(&mut guard, start(0, 0)), Some(OrderRejectReason::UnexpectedAttempt));
     assert_eq!(reason(&mut guard, start(1, 1)), Some(OrderRejectReason::AttemptInFlight));
-    assert_eq!(reason(&mut guard, cancel(1)), Some(OrderRejectReason::OutOfTurn));
+    assert_eq!(reason(&mut guard, cancel(1)), Some(OrderRejectReason::UnexpectedAttempt));
     let cancelled = guard.on_order(now, a, &1, cancel(0));
     assert_eq!(cancelled, [Action::CancelAttempt { id: 1, attempt: 0 }]);
     guard.on_attempt_end(&1, 0, AttemptEnd::MayHaveRun);
