--- a/crates/proxy/src/server/drain.rs
+++ b/crates/proxy/src/server/drain.rs
@@ -10,8 +10,8 @@
 use crate::facade::to_duration;
 use crate::task;
 
-/// Time from the start of a drain until all pollers of `/ops/readiness` have seen that the proxy is not
-/// ready.
+/// Time from the start of a drain until all pollers of `/ops/readiness` have received the response that the
+/// proxy is not ready.
 const NOT_READY_PROPAGATION: Duration = Duration::from_millis(400);
 /// How long sessions are then closed after their next response only, before all idle sessions are closed.
 const SESSION_DRAIN_PERIOD: Duration = Duration::from_millis(1_400);
