--- a/crates/dispatch/tests/action_digest/simulation.rs
+++ b/crates/dispatch/tests/action_digest/simulation.rs
@@ -75,7 +75,7 @@
     /// The true cost of the query, which may differ from the estimates in the request.
     cost: Cost,
     attempts: Vec<Attempt>,
-    /// True if the client has its response or has disconnected.
+    /// True if the client has its response or the start of a streamed one, or has disconnected.
     is_finished: bool,
 }
 
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -115,7 +115,8 @@
         self.handle(Event::Request(new))
     }
 
-    /// Ends an attempt with this outcome, `elapsed` ms after it was sent and without reports.
+    /// Reports the end of an attempt that lasted `elapsed` ms, without its cost or a load report. Does not
+    /// advance the clock.
     pub fn end(
         &mut self,
         number: u32,
