--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be bound, or the coroutine cannot be started.
+/// Returns an error if the address cannot be bound, or the coroutine cannot be started.
 pub fn start(address: SocketAddr, server: Arc<Server>) -> Result<(), ListenError> {
     let listen_error = |source| ListenError { address, source };
     let listener = TcpListener::bind(address).map_err(listen_error)?;
@@ -148,6 +148,7 @@
     }
 }
 
+/// Reads a connection until the request is complete or [`REQUEST_TIMEOUT`] has passed.
 fn read_request(stream: &mut TcpStream) -> Result<Request, ApiError> {
     let deadline = Instant::now() + REQUEST_TIMEOUT;
     let _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT));
