--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -12,7 +12,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use control::{Control, Engine, wait_until};
+use control::{ControlServer, RespondingEngine, wait_until};
 use proxy::{Launch, Proxy, query};
 use subscriber::{median, subscribe, subscribers};
 
@@ -34,7 +34,7 @@
 }
 
 fn published(count: usize) {
-    let control = Control::start();
+    let control = ControlServer::start();
     let empty = resident(control.process());
     let heard = subscribers(control.listen, count);
     let filled = resident(control.process());
@@ -58,7 +58,7 @@
 
 /// All subscribers lose the service at one moment and come back by the waits that proxies draw.
 fn storm() {
-    let control = Control::start();
+    let control = ControlServer::start();
     control.publish(&document(1), &[]);
     let (events, heard) = channel();
     let began = Instant::now();
@@ -83,7 +83,7 @@
 }
 
 fn real(count: usize) {
-    let control = Control::start();
+    let control = ControlServer::start();
     let kept = tempfile::tempdir().unwrap();
     let named = |number: usize| {
         let operator = Some(control.operator(&kept.path().join(format!("n{number}"))));
@@ -111,7 +111,7 @@
 }
 
 fn recovery() {
-    let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
+    let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&kept.path().join("n0")));
     let mut proxy = Launch { operator, ..Launch::new(&[]) }.start();
     let number = control.publish("limits { max_open: 7 }", &[]);
@@ -135,13 +135,13 @@
 
 /// What following adds to a proxy that serves: its memory, and the time of a request, in turns within one run.
 fn idle() {
-    let control = Control::start();
+    let control = ControlServer::start();
     let kept = tempfile::tempdir().unwrap();
-    let engine = Engine::new();
-    let databases = [&engine.database];
+    let engine = RespondingEngine::new();
+    let engines = [&engine.listener];
     let operator = Some(control.operator(&kept.path().join("n0")));
-    let with = Launch { operator, ..Launch::new(&databases) }.start();
-    let without = Launch::new(&databases).start();
+    let with = Launch { operator, ..Launch::new(&engines) }.start();
+    let without = Launch::new(&engines).start();
     control.publish("limits { max_open: 90 }", &[]);
     wait_until("in force", || with.statistic("/configuration/version") == Some(1));
     let mut spans = [Vec::new(), Vec::new()];
@@ -151,7 +151,7 @@
         for turn in 0..2 {
             let which = (turn + id as usize) % 2;
             let began = Instant::now();
-            assert_eq!(clients[which].ask(&query("lookup", id, 3_000)), "TDC");
+            assert_eq!(clients[which].request(&query("lookup", id, 3_000)), "TDC");
             spans[which].push(began.elapsed().as_secs_f64() * 1e6);
         }
     }
--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -27,14 +27,14 @@
     let mut spans = Vec::new();
     for _ in 0..rounds {
         wait_until("all are there", || {
-            group.nodes.iter().all(|node| group.known_members(node.number).len() == 3)
+            group.members.iter().all(|member| group.known_members(member.number).len() == 3)
         });
         let (old, _) = group.lease_holder();
         let beside = group.service(&group.all_except(old));
         let began = Instant::now();
         match kind {
-            "kill" => group.node_mut(old).kill(),
-            "stop" => group.node_mut(old).suspend(),
+            "kill" => group.member_mut(old).kill(),
+            "stop" => group.member_mut(old).suspend(),
             _ => group.isolate(old),
         }
         // Whoever answers drives versions; the one that is lost may still be named for a while, and is not reached.
@@ -43,8 +43,8 @@
         {}
         spans.push(began.elapsed().as_secs_f64() * 1e3);
         match kind {
-            "kill" => group.node_mut(old).start(),
-            "stop" => group.node_mut(old).resume(),
+            "kill" => group.member_mut(old).start(),
+            "stop" => group.member_mut(old).resume(),
             _ => group.net.heal_all(),
         }
     }
@@ -124,7 +124,7 @@
     let (middle, worst) = median(spans);
     println!(
         "{} services, {count:>3} real proxies: publish to in force and synced at all {middle:.1} ms median, {worst:.1} ms worst",
-        group.nodes.len()
+        group.members.len()
     );
     drop(proxies);
 }
@@ -138,14 +138,14 @@
 
 /// What a group costs that does nothing, with this many roles.
 fn idle(group: &Group, duties: usize) {
-    let have = group.nodes[0].roles().len();
+    let have = group.members[0].roles().len();
     for at in have..duties {
         group.until_done(call::What::Declare(format!("duty-{at}")));
     }
-    wait_until("all have owners", || group.nodes[0].roles().iter().all(|duty| duty.owner > 0));
+    wait_until("all have owners", || group.members[0].roles().iter().all(|duty| duty.owner > 0));
     std::thread::sleep(Duration::from_secs(3));
     let span = 10.0;
-    let spent = || group.nodes.iter().map(|node| cpu(node.process.as_ref().unwrap().id())).sum::<f64>();
+    let spent = || group.members.iter().map(|member| cpu(member.process.as_ref().unwrap().id())).sum::<f64>();
     let (before, earlier) = (spent(), group.net.traffic());
     std::thread::sleep(Duration::from_secs_f64(span));
     println!(
@@ -193,8 +193,8 @@
         for services in [1, 3, 5] {
             let group = Group::start(services);
             let (owner, _) = group.lease_holder();
-            let node = group.node(owner);
-            let (middle, worst) = published(node.listen, node.operators, count);
+            let member = group.member(owner);
+            let (middle, worst) = published(member.listen, member.operators, count);
             let ratio = before.map_or(String::new(), |before| {
                 format!("; {:.2} and {:.2} times the earlier build's", middle / before.0, worst / before.1)
             });
--- a/benches/throughput.rs
+++ b/benches/throughput.rs
@@ -9,7 +9,7 @@
 
 use std::time::{Duration, Instant};
 
-use control::Engine;
+use control::RespondingEngine;
 use proxy::{Launch, Proxy, query};
 
 /// Clients that ask at the same time, each as soon as it has its answer.
@@ -41,7 +41,7 @@
                 let mut session = proxy.client();
                 for number in 0..requests {
                     let id = first + client * requests + number;
-                    assert_eq!(session.ask(&query("lookup", id, 3_000)), "TDC");
+                    assert_eq!(session.request(&query("lookup", id, 3_000)), "TDC");
                 }
             });
         }
@@ -49,9 +49,9 @@
 }
 
 fn main() {
-    let engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::new()).collect();
-    let databases: Vec<_> = engines.iter().map(|engine| &engine.database).collect();
-    let proxy = Launch::new(&databases).start();
+    let engines: Vec<RespondingEngine> = (0..ENGINES).map(|_| RespondingEngine::new()).collect();
+    let engines: Vec<_> = engines.iter().map(|engine| &engine.listener).collect();
+    let proxy = Launch::new(&engines).start();
     ask_all(&proxy, 1, WARM_UP_REQUESTS);
     let (began, used) = (Instant::now(), processor_time(proxy.id()));
     ask_all(&proxy, 1_000_000, REQUESTS);
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -8,28 +8,28 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-use proxy::{Client, Database, Proxy, TIMEOUT, query, read_to_close};
+use proxy::{Client, Engine, Proxy, TIMEOUT, query, read_to_close};
 
 /// Callers that stay silent do not block the admin API, and each outcome of a request is counted once.
 #[test]
 fn statistics_count_request_outcomes_while_silent_admin_connections_are_open() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     let _silent: Vec<_> = (0..8).map(|_| proxy.admin_connection()).collect();
     let mut half = proxy.admin_connection();
     half.write_all(b"GET /ops/stats HT").unwrap();
     let (mut client, mut load) = (proxy.client(), proxy.client());
-    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 15_000));
+    let (mut connection, serve) = client.send_to(&engine, &query("lookup", 1, 15_000));
     assert_eq!(proxy.statistic("/outstanding"), Some(1));
-    lines.serve(&serve[1]);
-    assert_eq!(client.answer(), "TDC");
+    connection.serve(&serve[1]);
+    assert_eq!(client.read_response(), "TDC");
     load.send(&query("load", 2, 15_000));
-    let serve = lines.command();
-    lines.send(&serve[1], "FAULT", "-", "");
-    assert!(load.answer().starts_with("E 58000"));
+    let serve = connection.command();
+    connection.send(&serve[1], "FAULT", "-", "");
+    assert!(load.read_response().starts_with("E 58000"));
     client.send(&query("lookup", 3, 300));
-    lines.command();
-    assert!(client.answer().starts_with("E 53000"));
+    connection.command();
+    assert!(client.read_response().starts_with("E 53000"));
     for (pointer, count) in [
         ("/results/lookup/succeeded", 1),
         ("/results/lookup/declined", 1),
@@ -49,28 +49,28 @@
 /// Clients do not stay connected to a drained proxy, and a drain can be taken back.
 #[test]
 fn a_drained_proxy_closes_its_sessions_and_serves_again_once_the_drain_is_stopped() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     let (mut busy, idle) = (proxy.client(), proxy.client());
-    let (mut lines, serve) = busy.send_to(&database, &query("lookup", 1, 15_000));
+    let (mut connection, serve) = busy.send_to(&engine, &query("lookup", 1, 15_000));
     assert_eq!(proxy.call("PUT", "/ops/drain/start").0, 200);
     assert_eq!(proxy.call("GET", "/ops/readiness").0, 503);
     assert_eq!(read_to_close(&idle.socket), "", "an idle session is closed");
-    lines.serve(&serve[1]);
-    assert_eq!(busy.answer(), "TDC", "an open request is answered");
+    connection.serve(&serve[1]);
+    assert_eq!(busy.read_response(), "TDC", "an open request is answered");
     assert_eq!(read_to_close(&busy.socket), "");
     let late = std::net::TcpStream::connect(proxy.address).unwrap();
     (&late).write_all(b"\0\0\0\x09\0\x03\0\0\0").unwrap();
     assert!(read_to_close(&late).contains("57P03"));
     assert_eq!(proxy.call("PUT", "/ops/drain/stop").0, 200);
     assert_eq!(proxy.call("GET", "/ops/readiness").0, 200);
-    assert_eq!(proxy.client().ask(""), "I");
+    assert_eq!(proxy.client().request(""), "I");
 }
 
 /// Open requests keep the settings under which they were accepted, and an invalid file changes nothing.
 #[test]
 fn new_settings_apply_to_new_requests_and_invalid_ones_are_rejected() {
-    let (first, second) = (Database::new(), Database::new());
+    let (first, second) = (Engine::new(), Engine::new());
     let proxy = Proxy::start(&[&first]);
     for (from, to) in [
         (r#""importance": 8"#, r#""x": 8"#),
@@ -81,32 +81,32 @@
         proxy.reload_with(from, to, "/sighup_rejected");
     }
     let (mut old, mut new) = (proxy.client(), proxy.client());
-    let (mut lines, serve) = old.send_to(&first, &query("lookup", 1, 15_000));
+    let (mut connection, serve) = old.send_to(&first, &query("lookup", 1, 15_000));
     let renamed = r#""name": "lookup", "effect": "unsafe""#;
     proxy.reload_with(r#""name": "lookup", "effect": "safe""#, renamed, "/sighup_applied");
     proxy.reload_with(r#""name": "load""#, r#""name": "import""#, "/sighup_applied");
-    assert!(new.ask(&query("load", 2, 900)).starts_with("E 22023"), "a class that was removed");
+    assert!(new.request(&query("load", 2, 900)).starts_with("E 22023"), "a class that was removed");
     new.send(&query("import", 3, 15_000));
     let mut other = first.accept();
     assert!(other.command()[2].starts_with("queue=import"));
     other.send(&format!("{:016x}", 3), "HIT", "total=1", "a\tb\tc\n");
-    assert_eq!(new.answer(), "TDC");
+    assert_eq!(new.read_response(), "TDC");
     // Under its own settings the old request may be retried, and so it is rejected and does not fail.
-    lines.send(&serve[1], "FAULT", "-", "");
-    drop((lines, second));
-    assert!(!old.answer().starts_with("E 58000"));
+    connection.send(&serve[1], "FAULT", "-", "");
+    drop((connection, second));
+    assert!(!old.read_response().starts_with("E 58000"));
     assert_eq!(proxy.statistic("/sighup_applied"), Some(2));
 }
 
 /// Open and new requests of clients are served while a successor takes over.
 #[test]
 fn a_successor_takes_over_the_listening_socket() {
-    let database = Database::new();
+    let engine = Engine::new();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut old = Proxy::inherit(&listener, &[&database]);
+    let mut old = Proxy::inherit(&listener, &[&engine]);
     let (mut busy, mut idle) = (old.client(), old.client());
-    let (mut lines, serve) = busy.send_to(&database, &query("lookup", 1, 15_000));
-    let new = Proxy::inherit(&listener, &[&database]);
+    let (mut connection, serve) = busy.send_to(&engine, &query("lookup", 1, 15_000));
+    let new = Proxy::inherit(&listener, &[&engine]);
     old.signal("-TERM");
     let until = Instant::now() + TIMEOUT;
     while old.call("GET", "/ops/readiness").0 == 200 {
@@ -114,12 +114,12 @@
     }
     std::thread::sleep(Duration::from_millis(1_000));
     let mut clients: Vec<Client> = (0..8).map(|_| new.client()).collect();
-    assert!(clients.iter_mut().all(|client| client.ask("") == "I"));
-    assert_eq!(idle.ask(""), "I", "an idle session stays open");
+    assert!(clients.iter_mut().all(|client| client.request("") == "I"));
+    assert_eq!(idle.request(""), "I", "an idle session stays open");
     drop(idle);
-    lines.serve(&serve[1]);
-    assert_eq!(busy.answer(), "TDC");
+    connection.serve(&serve[1]);
+    assert_eq!(busy.read_response(), "TDC");
     assert_eq!(read_to_close(&busy.socket), "", "closed after its answer");
     assert!(old.wait().success());
-    assert_eq!(new.client().ask(""), "I");
+    assert_eq!(new.client().request(""), "I");
 }
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -17,7 +17,7 @@
 use prost::Message as _;
 use serde_json::Value;
 
-use crate::proxy::{Database, TIMEOUT, free_address, free_listener, wait_within};
+use crate::proxy::{Engine, TIMEOUT, free_address, free_listener, wait_within};
 
 /// Waits until something holds.
 pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
@@ -32,7 +32,7 @@
 }
 
 /// A control service as a process, with its files in a folder of its own.
-pub struct Control {
+pub struct ControlServer {
     child: Child,
     pub listen: SocketAddr,
     pub operators: SocketAddr,
@@ -41,7 +41,7 @@
     client: Vec<String>,
 }
 
-impl Control {
+impl ControlServer {
     /// Starts one without keys.
     pub fn start() -> Self {
         Self::with_settings(tempfile::tempdir().unwrap(), String::new(), Vec::new())
@@ -51,7 +51,7 @@
     pub fn with_settings(folder: tempfile::TempDir, extra: String, client: Vec<String>) -> Self {
         let (listen, operators) = (free_address(), free_address());
         let child = Self::command(folder.path(), listen, operators, &extra).spawn().unwrap();
-        let control = Control { child, listen, operators, folder, extra, client };
+        let control = ControlServer { child, listen, operators, folder, extra, client };
         control.wait_until_ready();
         control
     }
@@ -148,7 +148,7 @@
     }
 }
 
-impl Drop for Control {
+impl Drop for ControlServer {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -166,23 +166,23 @@
 }
 
 /// A control service that sends what the test has it send.
-pub struct ScriptedService(pub TcpListener);
+pub struct ScriptedControlServer(pub TcpListener);
 
-impl ScriptedService {
+impl ScriptedControlServer {
     pub fn new() -> Self {
-        ScriptedService(free_listener())
+        ScriptedControlServer(free_listener())
     }
 
     /// The next stream of a proxy, after its hello was answered by the lease holder of the first term.
-    pub fn accept(&self) -> Stream {
+    pub fn accept(&self) -> ControlStream {
         self.accept_with_term(1)
     }
 
     /// The same, by the lease holder of this term.
-    pub fn accept_with_term(&self, term: u64) -> Stream {
+    pub fn accept_with_term(&self, term: u64) -> ControlStream {
         let (socket, _) = self.0.accept().unwrap();
         socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-        let mut stream = Stream { socket, hello: Hello::default() };
+        let mut stream = ControlStream { socket, hello: Hello::default() };
         let Some(from_client::Said::Hello(hello)) = stream.next().said else { panic!("no hello") };
         stream.hello = hello;
         let owner = Owner { duty: "versions".into(), member: 1, term, ..Owner::default() };
@@ -193,12 +193,12 @@
 }
 
 /// A proxy's stream at a scripted service.
-pub struct Stream {
+pub struct ControlStream {
     pub socket: TcpStream,
     pub hello: Hello,
 }
 
-impl Stream {
+impl ControlStream {
     pub fn send(&mut self, message: &FromService) {
         self.socket.write_all(&encode_frame(message)).unwrap();
     }
@@ -213,7 +213,7 @@
     }
 
     /// The next answer: its nonce, and the code of the rejection.
-    pub fn answer(&mut self) -> (u64, Option<String>) {
+    pub fn next_acknowledgement(&mut self) -> (u64, Option<String>) {
         loop {
             if let Some(from_client::Said::Answer(answer)) = self.next().said {
                 return (answer.nonce, answer.refusal.map(|refusal| refusal.code));
@@ -239,20 +239,24 @@
 }
 
 /// An engine that serves whatever it is sent, and records it.
-pub struct Engine {
-    pub database: Database,
+pub struct RespondingEngine {
+    pub listener: Engine,
     pub served: Arc<Mutex<Vec<String>>>,
     /// While set, requests wait.
     pub holds: Arc<AtomicBool>,
     pub taken: Arc<AtomicUsize>,
 }
 
-impl Engine {
+impl RespondingEngine {
     pub fn new() -> Self {
-        let database = Database::new();
-        let engine =
-            Engine { database, served: Arc::default(), holds: Arc::default(), taken: Arc::default() };
-        let listener = engine.database.0.try_clone().unwrap();
+        let engine = Engine::new();
+        let engine = RespondingEngine {
+            listener: engine,
+            served: Arc::default(),
+            holds: Arc::default(),
+            taken: Arc::default(),
+        };
+        let listener = engine.listener.0.try_clone().unwrap();
         let (served, holds, taken) = (engine.served.clone(), engine.holds.clone(), engine.taken.clone());
         std::thread::spawn(move || {
             while let Ok((socket, _)) = listener.accept() {
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -22,7 +22,7 @@
 use prost::Message as _;
 use serde_json::Value;
 
-pub use self::node::Node;
+pub use self::node::MemberProcess;
 pub use self::publisher::Publisher;
 pub use self::records::{read_log, records_of_proxy};
 use crate::proxy::{Launch, Proxy, free_address, wait_within};
@@ -54,7 +54,7 @@
 /// A fleet of processes.
 pub struct Group {
     pub net: Network,
-    pub nodes: Vec<Node>,
+    pub members: Vec<MemberProcess>,
     pub folder: tempfile::TempDir,
 }
 
@@ -62,7 +62,7 @@
     /// Starts this many services as one group.
     pub fn start(services: u64) -> Self {
         let mut group =
-            Group { net: Network::new(identify), nodes: Vec::new(), folder: tempfile::tempdir().unwrap() };
+            Group { net: Network::new(identify), members: Vec::new(), folder: tempfile::tempdir().unwrap() };
         for number in 1..=services {
             group.add(number);
         }
@@ -76,20 +76,29 @@
         let (listen, operators) = (free_address(), free_address());
         let relay = self.net.relay(&number.to_string(), listen).unwrap();
         let (process, disabled_check, shell) = (None, "", String::new());
-        self.add_node(Node { number, folder, listen, relay, operators, process, disabled_check, shell });
+        self.add_member(MemberProcess {
+            number,
+            folder,
+            listen,
+            relay,
+            operators,
+            process,
+            disabled_check,
+            shell,
+        });
     }
 
     /// Starts this service and has it join.
-    pub fn add_node(&mut self, mut node: Node) {
-        let number = node.number;
-        let (listen, operators) = (node.relay.to_string(), node.operators.to_string());
-        node.start();
-        self.nodes.push(node);
-        if self.nodes.len() > 1 {
+    pub fn add_member(&mut self, mut member: MemberProcess) {
+        let number = member.number;
+        let (listen, operators) = (member.relay.to_string(), member.operators.to_string());
+        member.start();
+        self.members.push(member);
+        if self.members.len() > 1 {
             let member = Member { number, listen, operators, ..Member::default() };
             self.until_done(call::What::AddMember(member));
             wait_until("the new member votes", || {
-                match self.node(number).call(call::What::Members(ListMembers {})) {
+                match self.member(number).call(call::What::Members(ListMembers {})) {
                     Ok(reply::What::Members(answer)) => answer.voters.contains(&number),
                     _ => false,
                 }
@@ -98,25 +107,25 @@
         self.lease_holder();
     }
 
-    pub fn node(&self, number: u64) -> &Node {
-        self.nodes.iter().find(|node| node.number == number).unwrap()
+    pub fn member(&self, number: u64) -> &MemberProcess {
+        self.members.iter().find(|member| member.number == number).unwrap()
     }
 
-    pub fn node_mut(&mut self, number: u64) -> &mut Node {
-        self.nodes.iter_mut().find(|node| node.number == number).unwrap()
+    pub fn member_mut(&mut self, number: u64) -> &mut MemberProcess {
+        self.members.iter_mut().find(|member| member.number == number).unwrap()
     }
 
     /// These services, as a command reaches them.
     pub fn service(&self, numbers: &[u64]) -> AdminClient {
         AdminClient {
-            addresses: numbers.iter().map(|number| self.node(*number).operators).collect(),
+            addresses: numbers.iter().map(|number| self.member(*number).operators).collect(),
             keys: None,
         }
     }
 
     /// Calls any service that runs, and whomever it names.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
-        let running: Vec<u64> = self.nodes.iter().filter(|it| it.runs()).map(|it| it.number).collect();
+        let running: Vec<u64> = self.members.iter().filter(|it| it.runs()).map(|it| it.number).collect();
         call_service(&self.service(&running), &what)
     }
 
@@ -162,30 +171,30 @@
 
     /// Cuts a proxy off from these services; all its other links are open.
     pub fn partition_proxy_only_from(&self, proxy: &str, from: &[u64]) {
-        for node in &self.nodes {
-            match from.contains(&node.number) {
-                true => self.net.partition(proxy, &node.name(), Partition::Closed),
-                false => self.net.heal(proxy, &node.name()),
+        for member in &self.members {
+            match from.contains(&member.number) {
+                true => self.net.partition(proxy, &member.name(), Partition::Closed),
+                false => self.net.heal(proxy, &member.name()),
             }
         }
     }
 
     /// Cuts a service off from all other services, silently.
     pub fn isolate(&self, number: u64) {
-        for other in self.nodes.iter().filter(|node| node.number != number) {
+        for other in self.members.iter().filter(|member| member.number != number) {
             self.net.partition(&number.to_string(), &other.name(), Partition::Silent);
         }
     }
 
     /// The numbers of all services but this one.
     pub fn all_except(&self, number: u64) -> Vec<u64> {
-        self.nodes.iter().map(|node| node.number).filter(|it| *it != number).collect()
+        self.members.iter().map(|member| member.number).filter(|it| *it != number).collect()
     }
 
     /// The lease holder and its term as all running services but this one know it; 0 if there is none.
     fn lease_holder_known_beside(&self, but: u64) -> (u64, u64) {
-        let asked = self.nodes.iter().filter(|node| node.number != but && node.runs());
-        let states = asked.flat_map(|node| node.roles()).filter(|it| it.name == "versions");
+        let asked = self.members.iter().filter(|member| member.number != but && member.runs());
+        let states = asked.flat_map(|member| member.roles()).filter(|it| it.name == "versions");
         states.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
     }
 
@@ -243,7 +252,7 @@
 
     /// Members from which a service has received messages.
     pub fn known_members(&self, number: u64) -> Vec<u64> {
-        match self.node(number).call(call::What::Members(ListMembers {})) {
+        match self.member(number).call(call::What::Members(ListMembers {})) {
             Ok(reply::What::Members(answer)) => answer.heard,
             _ => Vec::new(),
         }
@@ -271,12 +280,12 @@
         for ScheduledFault { pause, fault } in &schedule.faults {
             std::thread::sleep(Duration::from_millis(250 * pause));
             match fault {
-                Fault::Kill(it) => self.nodes[*it].kill(),
-                Fault::Restart(it) if self.nodes[*it].process.is_none() => self.nodes[*it].start(),
+                Fault::Kill(it) => self.members[*it].kill(),
+                Fault::Restart(it) if self.members[*it].process.is_none() => self.members[*it].start(),
                 Fault::Restart(_) => {}
-                Fault::Suspend(it) if self.nodes[*it].process.is_some() => self.nodes[*it].suspend(),
+                Fault::Suspend(it) if self.members[*it].process.is_some() => self.members[*it].suspend(),
                 Fault::Suspend(_) => {}
-                Fault::Resume(it) if self.nodes[*it].process.is_some() => self.nodes[*it].resume(),
+                Fault::Resume(it) if self.members[*it].process.is_some() => self.members[*it].resume(),
                 Fault::Resume(_) => {}
                 Fault::Partition(one, other, kind) => self.net.partition(&name(*one), &name(*other), *kind),
                 Fault::OneWay(one, other) => {
@@ -298,10 +307,10 @@
                 Fault::TransferRole => drop(self.transfer_role(0)),
                 Fault::Heal => {
                     self.net.heal_all();
-                    for node in &mut self.nodes {
-                        match &node.process {
-                            None => node.start(),
-                            Some(process) if process.is_suspended() => node.resume(),
+                    for member in &mut self.members {
+                        match &member.process {
+                            None => member.start(),
+                            Some(process) if process.is_suspended() => member.resume(),
                             Some(_) => {}
                         }
                     }
@@ -354,8 +363,8 @@
         change: &dyn Fn(String) -> String,
     ) -> Proxy {
         let state = self.folder.path().join(format!("proxy-{folder}"));
-        let relays = self.nodes.iter().cycle().skip(first).take(self.nodes.len());
-        let services: Vec<String> = relays.map(|node| format!("services: \"{}\"", node.relay)).collect();
+        let relays = self.members.iter().cycle().skip(first).take(self.members.len());
+        let services: Vec<String> = relays.map(|member| format!("services: \"{}\"", member.relay)).collect();
         let operator = self.folder.path().join(format!("operator-{folder}.textproto"));
         let state = state.display().to_string();
         std::fs::write(&operator, format!("control {{ {} state: {state:?} }}", services.join(" "))).unwrap();
@@ -378,7 +387,7 @@
 
     /// The last line of a service's log with this message.
     pub fn last_log_line(&self, number: u64, message: &str) -> Option<Value> {
-        read_log(&self.node(number).log()).into_iter().rfind(|line| line["message"] == message)
+        read_log(&self.member(number).log()).into_iter().rfind(|line| line["message"] == message)
     }
 
     /// Lines of a proxy's log, as JSON.
@@ -394,9 +403,9 @@
         for proxy in proxies {
             records.extend(records_of_proxy(proxy, &self.log_lines(proxy)));
         }
-        for node in &self.nodes {
-            let service = node.name();
-            for line in read_log(&node.log()) {
+        for member in &self.members {
+            let service = member.name();
+            for line in read_log(&member.log()) {
                 let term = line["term"].as_u64().unwrap_or(0);
                 match line["message"].as_str() {
                     Some("lease acquired") => {
@@ -409,7 +418,7 @@
                     _ => {}
                 }
             }
-            let held = if node.runs() { node.versions() } else { Vec::new() };
+            let held = if member.runs() { member.versions() } else { Vec::new() };
             records.extend(held.into_iter().map(|(number, digest, key)| Record::Stored {
                 service: service.clone(),
                 number,
@@ -423,7 +432,8 @@
     /// Waits until all services hold the same versions.
     pub fn wait_for_equal_versions(&self) {
         wait_until("all services hold the same versions", || {
-            let all: Vec<_> = self.nodes.iter().filter(|node| node.runs()).map(Node::versions).collect();
+            let all: Vec<_> =
+                self.members.iter().filter(|member| member.runs()).map(MemberProcess::versions).collect();
             !all[0].is_empty() && all.windows(2).all(|pair| pair[0] == pair[1])
         });
     }
@@ -444,7 +454,7 @@
         if !std::thread::panicking() {
             return;
         }
-        let mut files: Vec<PathBuf> = self.nodes.iter().map(|node| node.folder.join("log")).collect();
+        let mut files: Vec<PathBuf> = self.members.iter().map(|member| member.folder.join("log")).collect();
         let all = std::fs::read_dir(self.folder.path()).into_iter().flatten().flatten();
         files.extend(
             all.map(|file| file.path())
--- a/tests/common/group/node.rs
+++ b/tests/common/group/node.rs
@@ -12,7 +12,7 @@
 use super::call_service;
 
 /// A control service.
-pub struct Node {
+pub struct MemberProcess {
     pub number: u64,
     pub folder: PathBuf,
     /// Where it listens, and where all others reach it.
@@ -26,7 +26,7 @@
     pub shell: String,
 }
 
-impl Node {
+impl MemberProcess {
     pub fn name(&self) -> String {
         self.number.to_string()
     }
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy as a process, with the test as its client, its databases and its coordinator.
+//! The proxy as a process, with the test as its client, its engines and its coordinator.
 #![allow(dead_code, unused_imports, reason = "each test uses a part of it")]
 
 #[path = "proxy/client.rs"]
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 pub use client::{Client, query, read_to_close};
-pub use database::{Coordinator, Database, DatabaseConnection, event};
+pub use database::{Coordinator, Engine, EngineConnection, event};
 
 /// Far more than anything here takes.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
@@ -53,7 +53,7 @@
 /// How to start a proxy.
 pub struct Launch<'a> {
     pub address: SocketAddr,
-    pub databases: &'a [&'a Database],
+    pub engines: &'a [&'a Engine],
     pub coordinator: Option<&'a Coordinator>,
     /// A listening socket that the test holds, as a platform does.
     pub listener: Option<&'a TcpListener>,
@@ -70,13 +70,13 @@
 }
 
 impl<'a> Launch<'a> {
-    /// One that knows these databases.
-    pub fn new(databases: &'a [&'a Database]) -> Self {
+    /// One that knows these engines.
+    pub fn new(engines: &'a [&'a Engine]) -> Self {
         let change = &|text| text;
         let address = free_address();
         Launch {
             address,
-            databases,
+            engines,
             coordinator: None,
             listener: None,
             operator: None,
@@ -93,7 +93,7 @@
         let name =
             format!("gaugestep-{}-{}-{}.json", std::process::id(), admin_address.ip(), admin_address.port());
         let config = std::env::temp_dir().join(name);
-        write_config(&config, self.address, admin_address, self.databases, self.coordinator);
+        write_config(&config, self.address, admin_address, self.engines, self.coordinator);
         std::fs::write(&config, (self.change)(std::fs::read_to_string(&config).unwrap())).unwrap();
         let mut proxy = Proxy {
             child: None,
@@ -146,14 +146,14 @@
 }
 
 impl Proxy {
-    /// Starts one that knows these databases and waits until it answers an empty query.
-    pub fn start(databases: &[&Database]) -> Self {
-        Launch::new(databases).start()
+    /// Starts one that knows these engines and waits until it answers an empty query.
+    pub fn start(engines: &[&Engine]) -> Self {
+        Launch::new(engines).start()
     }
 
     /// The same, with a coordinator that it follows.
-    pub fn follow(databases: &[&Database], coordinator: Option<&Coordinator>) -> Self {
-        Launch { coordinator, ..Launch::new(databases) }.start()
+    pub fn follow(engines: &[&Engine], coordinator: Option<&Coordinator>) -> Self {
+        Launch { coordinator, ..Launch::new(engines) }.start()
     }
 
     /// Starts one that may hold this many descriptors.
@@ -176,9 +176,9 @@
     }
 
     /// Starts one on a listening socket that the test holds, as a platform does.
-    pub fn inherit(listener: &TcpListener, databases: &[&Database]) -> Self {
+    pub fn inherit(listener: &TcpListener, engines: &[&Engine]) -> Self {
         let address = listener.local_addr().unwrap();
-        Launch { address, listener: Some(listener), ..Launch::new(databases) }.start()
+        Launch { address, listener: Some(listener), ..Launch::new(engines) }.start()
     }
 
     /// Kills it (SIGKILL).
@@ -199,7 +199,7 @@
             assert!(Instant::now() < until, "the proxy does not start");
             std::thread::sleep(Duration::from_millis(20));
         }
-        assert_eq!(self.client().ask(""), "I");
+        assert_eq!(self.client().request(""), "I");
     }
 
     /// All statistics of the admin API.
@@ -244,8 +244,8 @@
     }
 
     /// Has it reload a configuration with another coordinator.
-    pub fn reconfigure(&self, databases: &[&Database], coordinator: &Coordinator) {
-        write_config(&self.config, self.address, self.admin_address, databases, Some(coordinator));
+    pub fn reconfigure(&self, engines: &[&Engine], coordinator: &Coordinator) {
+        write_config(&self.config, self.address, self.admin_address, engines, Some(coordinator));
         self.signal("-HUP");
     }
 
@@ -341,10 +341,11 @@
     path: &Path,
     listen: SocketAddr,
     admin_address: SocketAddr,
-    databases: &[&Database],
+    engines: &[&Engine],
     coordinator: Option<&Coordinator>,
 ) {
-    let members = databases.iter().enumerate().map(|(index, it)| it.member(&format!("s-{index}"), "SERVING"));
+    let members =
+        engines.iter().enumerate().map(|(index, it)| it.list_entry(&format!("s-{index}"), "SERVING"));
     let members: Vec<String> = members.collect();
     let coordinator = coordinator
         .map(|it| format!(r#""coordinator":"{}","#, it.0.local_addr().unwrap()))
--- a/tests/common/proxy/client.rs
+++ b/tests/common/proxy/client.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::{Database, DatabaseConnection, TIMEOUT};
+use super::{Engine, EngineConnection, TIMEOUT};
 
 /// A client with an open session.
 pub struct Client {
@@ -26,7 +26,7 @@
         let body = b"\0\x03\0\0user\0app\0database\0dw\0\0";
         client.socket.write_all(&(body.len() as u32 + 4).to_be_bytes())?;
         client.socket.write_all(body)?;
-        client.try_answer()?;
+        client.try_read_response()?;
         Ok(client)
     }
 
@@ -34,11 +34,11 @@
         self.try_send(text).unwrap();
     }
 
-    /// Sends a query that the proxy forwards on a new connection to this database; the connection, and the words of the
+    /// Sends a query that the proxy forwards on a new connection to this engine; the connection, and the words of the
     /// command on it.
-    pub fn send_to(&mut self, database: &Database, text: &str) -> (DatabaseConnection, Vec<String>) {
+    pub fn send_to(&mut self, engine: &Engine, text: &str) -> (EngineConnection, Vec<String>) {
         self.send(text);
-        let mut connection = database.accept();
+        let mut connection = engine.accept();
         let command = connection.command();
         (connection, command)
     }
@@ -52,11 +52,11 @@
     }
 
     /// The kinds of all messages up to ReadyForQuery; an error also shows its code and text.
-    pub fn answer(&mut self) -> String {
-        self.try_answer().expect("the session stays open")
+    pub fn read_response(&mut self) -> String {
+        self.try_read_response().expect("the session stays open")
     }
 
-    fn try_answer(&mut self) -> std::io::Result<String> {
+    fn try_read_response(&mut self) -> std::io::Result<String> {
         let mut seen = String::new();
         loop {
             let mut head = [0; 5];
@@ -89,14 +89,14 @@
         socket
     }
 
-    pub fn ask(&mut self, text: &str) -> String {
-        self.try_ask(text).expect("the session stays open")
+    pub fn request(&mut self, text: &str) -> String {
+        self.try_request(text).expect("the session stays open")
     }
 
     /// The same, before a proxy that may end.
-    pub fn try_ask(&mut self, text: &str) -> std::io::Result<String> {
+    pub fn try_request(&mut self, text: &str) -> std::io::Result<String> {
         self.try_send(text)?;
-        self.try_answer()
+        self.try_read_response()
     }
 }
 
--- a/tests/common/proxy/database.rs
+++ b/tests/common/proxy/database.rs
@@ -1,4 +1,4 @@
-//! Scripted databases and a scripted coordinator, as the proxy sees them.
+//! Scripted engines and a scripted coordinator, as the proxy sees them.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,16 +6,16 @@
 
 use super::TIMEOUT;
 
-/// A database that listens; the test writes its answers.
-pub struct Database(pub TcpListener);
+/// An engine that listens; the test writes its answers.
+pub struct Engine(pub TcpListener);
 
-impl Database {
+impl Engine {
     pub fn new() -> Self {
-        Database(TcpListener::bind("127.0.0.1:0").unwrap())
+        Engine(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
     /// Its entry in the coordinator's list.
-    pub fn member(&self, id: &str, phase: &str) -> String {
+    pub fn list_entry(&self, id: &str, phase: &str) -> String {
         let at = self.0.local_addr().unwrap();
         format!(r#"{{"id":"{id}","host_port":"{at}","locality":"dc","flavor":"k","phase":"{phase}"}}"#)
     }
@@ -26,14 +26,14 @@
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
-        let database = Database(socket.into());
-        let first = TcpStream::connect(database.0.local_addr().unwrap()).unwrap();
-        (database, first)
+        let engine = Engine(socket.into());
+        let first = TcpStream::connect(engine.0.local_addr().unwrap()).unwrap();
+        (engine, first)
     }
 
     /// The next connection of the proxy.
-    pub fn accept(&self) -> DatabaseConnection {
-        DatabaseConnection(BufReader::new(accept(&self.0)))
+    pub fn accept(&self) -> EngineConnection {
+        EngineConnection(BufReader::new(accept(&self.0)))
     }
 }
 
@@ -99,10 +99,10 @@
     format!("id: {index}\ndata: {{\"endpoints\":{{\"complete\":false,\"members\":[{members}]}}}}\n\n")
 }
 
-/// A connection at a database.
-pub struct DatabaseConnection(pub BufReader<TcpStream>);
+/// A connection at an engine.
+pub struct EngineConnection(pub BufReader<TcpStream>);
 
-impl DatabaseConnection {
+impl EngineConnection {
     /// The words of the next command; a statement is read and added as the last.
     pub fn command(&mut self) -> Vec<String> {
         let mut line = String::new();
--- a/tests/compatibility/administration.rs
+++ b/tests/compatibility/administration.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write as _;
 
-use crate::control::{Control, Engine, wait_until};
+use crate::control::{ControlServer, RespondingEngine, wait_until};
 use crate::golden;
 use crate::proxy::{Launch, Proxy, query, read_to_close};
 
@@ -61,9 +61,9 @@
 
 #[test]
 fn statistics_without_a_control_service_keep_their_keys() {
-    let engine = Engine::new();
-    let proxy = Proxy::start(&[&engine.database]);
-    assert_eq!(proxy.client().ask(&query("lookup", 1, 3_000)), "TDC");
+    let engine = RespondingEngine::new();
+    let proxy = Proxy::start(&[&engine.listener]);
+    assert_eq!(proxy.client().request(&query("lookup", 1, 3_000)), "TDC");
     proxy.attempts_once_idle();
     let statistics = golden::pretty(&golden::without_varying(&proxy.statistics(), &["forwards"]));
     golden::assert_matches("statistics.json", &statistics);
@@ -71,10 +71,10 @@
 
 #[test]
 fn statistics_and_readiness_under_a_control_service_keep_their_form() {
-    let (control, folder) = (Control::start(), tempfile::tempdir().unwrap());
+    let (control, folder) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&folder.path().join("n0")));
-    let engine = Engine::new();
-    let proxy = Launch { operator, ..Launch::new(&[&engine.database]) }.start();
+    let engine = RespondingEngine::new();
+    let proxy = Launch { operator, ..Launch::new(&[&engine.listener]) }.start();
     wait_until("the proxy follows", || proxy.statistics()["configuration"]["connected"] == true);
     let first = control.publish(
         r#"limits { max_open: 500 } routes { name: "r" classes: "lookup" targets { engine: "s-0" } }"#,
--- a/tests/compatibility/control_api.rs
+++ b/tests/compatibility/control_api.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use crate::control::{Control, Engine, wait_until};
+use crate::control::{ControlServer, RespondingEngine, wait_until};
 use crate::golden;
 use crate::proxy::{Launch, Proxy};
 
@@ -25,7 +25,7 @@
 
 /// Commands and what each of them printed.
 struct Transcript<'a> {
-    control: &'a Control,
+    control: &'a ControlServer,
     text: String,
 }
 
@@ -59,7 +59,7 @@
 }
 
 /// Waits until the proxy has a version in force and its rollout is over.
-fn wait_until_complete(control: &Control, proxy: &Proxy, version: u64) {
+fn wait_until_complete(control: &ControlServer, proxy: &Proxy, version: u64) {
     wait_until("the version is in force", || in_force(proxy) == Some(version));
     wait_until("the rollout is complete", || {
         control.json(&["show", &version.to_string()])["state"] == "complete"
@@ -72,10 +72,10 @@
 
 #[test]
 fn json_output_of_commands_stays() {
-    let (control, folder) = (Control::start(), tempfile::tempdir().unwrap());
+    let (control, folder) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&folder.path().join("n0")));
-    let engine = Engine::new();
-    let proxy = Launch { operator, ..Launch::new(&[&engine.database]) }.start();
+    let engine = RespondingEngine::new();
+    let proxy = Launch { operator, ..Launch::new(&[&engine.listener]) }.start();
     wait_until("the proxy is known", || control.proxy("n0")["connected"] == true);
     let first = control.file("first.textproto", r#"limits { max_open: 500 } logging { level: INFO }"#);
     let second = control.file("second.textproto", r#"limits { max_open: 600 }"#);
--- a/tests/compatibility/downstream.rs
+++ b/tests/compatibility/downstream.rs
@@ -3,9 +3,9 @@
 use std::io::{Read as _, Write as _};
 use std::net::{Shutdown, TcpStream};
 
-use crate::control::Engine;
+use crate::control::RespondingEngine;
 use crate::golden;
-use crate::proxy::{Database, Proxy, TIMEOUT, query};
+use crate::proxy::{Engine, Proxy, TIMEOUT, query};
 
 const PROTOCOL_3: u32 = 3 << 16;
 const TLS_REQUEST: u32 = 80_877_103;
@@ -126,8 +126,8 @@
 
 #[test]
 fn answers_to_messages_of_a_session_stay() {
-    let engine = Engine::new();
-    let proxy = Proxy::start(&[&engine.database]);
+    let engine = RespondingEngine::new();
+    let proxy = Proxy::start(&[&engine.listener]);
     let fields = |fields: &str| simple_query(&format!("/* {fields} */ SELECT a FROM sales_17.orders"));
     let rid = "rid=00000000000000a1";
     let cases: [(&str, Vec<u8>); 29] = [
@@ -176,27 +176,27 @@
     golden::assert_matches("downstream_session.txt", &received);
 }
 
-/// What becomes of requests that a database does not answer as it should.
+/// What becomes of requests that an engine does not answer as it should.
 #[test]
 fn answers_to_requests_that_fail_stay() {
     let mut received = String::new();
     for (class, word) in [("load", "FAULT"), ("load", "SHED"), ("lookup", "SHED"), ("load", "GONE")] {
-        let database = Database::new();
-        let proxy = Proxy::start(&[&database]);
+        let engine = Engine::new();
+        let proxy = Proxy::start(&[&engine]);
         let mut client = RawClient::session(&proxy);
         client.send(&simple_query(&query(class, 1, 900)));
-        let mut lines = database.accept();
-        let serve = lines.command();
+        let mut connection = engine.accept();
+        let serve = connection.command();
         match word {
-            "GONE" => drop(lines),
-            word => lines.send(&serve[1], word, "-", ""),
+            "GONE" => drop(connection),
+            word => connection.send(&serve[1], word, "-", ""),
         }
-        drop(database);
+        drop(engine);
         received += &format!("{class}, {word}\n{}", client.messages());
     }
     // Silence up to the deadline.
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     for class in ["lookup", "load"] {
         let mut client = RawClient::session(&proxy);
         client.send(&simple_query(&query(class, 2, 600)));
@@ -213,18 +213,18 @@
 /// The same request id twice, a cancel request, a client that closes its side, and a proxy that drains.
 #[test]
 fn answers_to_what_clients_do_beside_a_query_stay() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     let mut busy = proxy.client();
     busy.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    assert_eq!(lines.command()[0], "serve");
+    let mut connection = engine.accept();
+    assert_eq!(connection.command()[0], "serve");
     let mut received = String::new();
     let mut duplicate = RawClient::session(&proxy);
     duplicate.send(&simple_query(&query("lookup", 1, 15_000)));
     received += &format!("duplicate request id\n{}", duplicate.messages());
     drop(busy.cancel());
-    received += &format!("canceled by request: {}\n", busy.answer());
+    received += &format!("canceled by request: {}\n", busy.read_response());
 
     let mut half_closed = RawClient::session(&proxy);
     half_closed.send(&simple_query(&query("lookup", 2, 15_000)));
--- a/tests/compatibility/log_filters.rs
+++ b/tests/compatibility/log_filters.rs
@@ -10,8 +10,10 @@
 
 use serde_json::Value;
 
-use crate::control::{Control, Engine, ScriptedService, offer, offer_message, operator, wait_until};
-use crate::proxy::{Coordinator, Database, Launch, Proxy, event, free_address, query};
+use crate::control::{
+    ControlServer, RespondingEngine, ScriptedControlServer, offer, offer_message, operator, wait_until,
+};
+use crate::proxy::{Coordinator, Engine, Launch, Proxy, event, free_address, query};
 use crate::upstream::accept_call;
 
 /// The lines of a log file of one level.
@@ -39,8 +41,8 @@
         Logged { folder, log }
     }
 
-    fn launch<'a>(&self, databases: &'a [&'a Database], filter: &str) -> Launch<'a> {
-        Launch { log: Some(self.log.clone()), log_filter: Some(filter.into()), ..Launch::new(databases) }
+    fn launch<'a>(&self, engines: &'a [&'a Engine], filter: &str) -> Launch<'a> {
+        Launch { log: Some(self.log.clone()), log_filter: Some(filter.into()), ..Launch::new(engines) }
     }
 
     fn state(&self) -> PathBuf {
@@ -56,7 +58,7 @@
 fn serve(proxy: &Proxy, first: u64, count: u64) {
     let mut client = proxy.client();
     for id in first..first + count {
-        assert_eq!(client.ask(&query("lookup", id, 15_000)), "TDC");
+        assert_eq!(client.request(&query("lookup", id, 15_000)), "TDC");
     }
 }
 
@@ -67,9 +69,9 @@
 
 #[test]
 fn the_default_filter_shows_info_and_hides_debug() {
-    let (logged, engine) = (Logged::new(), Engine::new());
-    let databases = [&engine.database];
-    let launch = Launch { log_filter: None, ..logged.launch(&databases, "") };
+    let (logged, engine) = (Logged::new(), RespondingEngine::new());
+    let engines = [&engine.listener];
+    let launch = Launch { log_filter: None, ..logged.launch(&engines, "") };
     let proxy = launch.start();
     serve(&proxy, 0, 3);
     stop(proxy);
@@ -80,36 +82,36 @@
 /// A filter that cannot be read is as none.
 #[test]
 fn a_filter_that_cannot_be_read_is_replaced_by_the_default() {
-    let (logged, engine) = (Logged::new(), Engine::new());
-    let databases = [&engine.database];
-    let proxy = logged.launch(&databases, "gaugestep=loud").start();
+    let (logged, engine) = (Logged::new(), RespondingEngine::new());
+    let engines = [&engine.listener];
+    let proxy = logged.launch(&engines, "gaugestep=loud").start();
     serve(&proxy, 0, 1);
     stop(proxy);
     assert!(lines_of_level(&logged.log, "INFO") > 0);
     assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0);
 }
 
-/// Sends a load to a database that breaks the connection: the request fails.
-fn break_a_connection(proxy: &Proxy, database: &Database) {
+/// Sends a load to an engine that breaks the connection: the request fails.
+fn break_a_connection(proxy: &Proxy, engine: &Engine) {
     let mut client = proxy.client();
     client.send(&query("load", 1, 15_000));
-    let mut connection = database.accept();
+    let mut connection = engine.accept();
     connection.command();
     drop(connection);
-    assert!(client.answer().starts_with("E 58000"));
+    assert!(client.read_response().starts_with("E 58000"));
 }
 
-/// DatabaseConnection of the request's lifecycle when a load fails: its attempt, and the request itself.
+/// EngineConnection of the request's lifecycle when a load fails: its attempt, and the request itself.
 const LINES_OF_A_FAILED_REQUEST: usize = 2;
 
-/// Names of outer modules cover their parts: request lifecycle and connections to databases both tell.
+/// Names of outer modules cover their parts: request lifecycle and connections to engines both tell.
 #[test]
 fn outer_names_cover_all_parts() {
     for filter in ["gaugestep=debug", "gaugestep::net=debug", "debug"] {
-        let (logged, database) = (Logged::new(), Database::new());
-        let databases = [&database];
-        let proxy = logged.launch(&databases, filter).start();
-        break_a_connection(&proxy, &database);
+        let (logged, engine) = (Logged::new(), Engine::new());
+        let engines = [&engine];
+        let proxy = logged.launch(&engines, filter).start();
+        break_a_connection(&proxy, &engine);
         logged.wait_for("DEBUG", LINES_OF_A_FAILED_REQUEST + 1);
         stop(proxy);
         assert!(lines_of_level(&logged.log, "INFO") > 0, "{filter}");
@@ -119,10 +121,10 @@
 /// A request that fails: two lines, and nothing of the connection that ended.
 #[test]
 fn net_relay_brings_out_requests_that_fail() {
-    let (logged, database) = (Logged::new(), Database::new());
-    let databases = [&database];
-    let proxy = logged.launch(&databases, "gaugestep::net::relay=debug").start();
-    break_a_connection(&proxy, &database);
+    let (logged, engine) = (Logged::new(), Engine::new());
+    let engines = [&engine];
+    let proxy = logged.launch(&engines, "gaugestep::net::relay=debug").start();
+    break_a_connection(&proxy, &engine);
     logged.wait_for("DEBUG", LINES_OF_A_FAILED_REQUEST);
     stop(proxy);
     assert_eq!(lines(&logged.log), LINES_OF_A_FAILED_REQUEST);
@@ -137,7 +139,7 @@
     let mut id = 0;
     wait_until("requests that were not served are logged", || {
         id += 1;
-        assert!(proxy.client().ask(&query("lookup", id, 100)).starts_with("E 53000"));
+        assert!(proxy.client().request(&query("lookup", id, 100)).starts_with("E 53000"));
         lines_of_level(&logged.log, "INFO") > 0
     });
     stop(proxy);
@@ -149,9 +151,9 @@
 fn net_relay_brings_out_one_line_an_attempt() {
     for filter in ["gaugestep::net::relay=debug", "off,gaugestep::net::relay=debug", "gaugestep::net::relay"]
     {
-        let (logged, engine) = (Logged::new(), Engine::new());
-        let databases = [&engine.database];
-        let proxy = logged.launch(&databases, filter).start();
+        let (logged, engine) = (Logged::new(), RespondingEngine::new());
+        let engines = [&engine.listener];
+        let proxy = logged.launch(&engines, filter).start();
         serve(&proxy, 0, 5);
         let attempts = proxy.attempts_once_idle() as usize;
         stop(proxy);
@@ -163,15 +165,15 @@
     }
 }
 
-/// Connections to databases: a line when one ends. The outer module's name covers it too.
+/// Connections to engines: a line when one ends. The outer module's name covers it too.
 #[test]
 fn net_back_brings_out_connections_that_end() {
     for filter in ["gaugestep::net::back=debug", "gaugestep::net::back::lines=debug"] {
-        let (logged, database) = (Logged::new(), Database::new());
-        let databases = [&database];
-        let proxy = logged.launch(&databases, filter).start();
+        let (logged, engine) = (Logged::new(), Engine::new());
+        let engines = [&engine];
+        let proxy = logged.launch(&engines, filter).start();
         assert_eq!(lines(&logged.log), 0, "{filter}");
-        break_a_connection(&proxy, &database);
+        break_a_connection(&proxy, &engine);
         logged.wait_for("DEBUG", 1);
         stop(proxy);
         assert_eq!(lines(&logged.log), lines_of_level(&logged.log, "DEBUG"), "{filter}");
@@ -181,16 +183,16 @@
 /// The list of engines: INFO for what it holds, DEBUG for an orderly end of the stream.
 #[test]
 fn net_coordinator_brings_out_lists_and_the_end_of_the_stream() {
-    let (logged, engine, coordinator) = (Logged::new(), Engine::new(), Coordinator::new());
-    let databases = [&engine.database];
-    let launch = logged.launch(&databases, "gaugestep::net::coordinator=debug");
+    let (logged, engine, coordinator) = (Logged::new(), RespondingEngine::new(), Coordinator::new());
+    let engines = [&engine.listener];
+    let launch = logged.launch(&engines, "gaugestep::net::coordinator=debug");
     let proxy = Launch { coordinator: Some(&coordinator), ..launch }.start();
     let mut stream = accept_call(&coordinator).stream;
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
     // The list of the configuration, and its only engine.
     logged.wait_for("INFO", 2);
     let before = lines_of_level(&logged.log, "INFO");
-    let changed = event(2, &[engine.database.member("s-0", "DRAINING")]);
+    let changed = event(2, &[engine.listener.list_entry("s-0", "DRAINING")]);
     write!(stream, "{:x}\r\n{changed}\r\n", changed.len()).unwrap();
     logged.wait_for("INFO", before + 1);
     assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0);
@@ -216,9 +218,9 @@
 /// What cannot be read of a list: a warning, and no other line of the program.
 #[test]
 fn a_level_holds_for_the_part_that_it_names() {
-    let (logged, engine, coordinator) = (Logged::new(), Engine::new(), Coordinator::new());
-    let databases = [&engine.database];
-    let launch = logged.launch(&databases, "gaugestep::net::coordinator=warn");
+    let (logged, engine, coordinator) = (Logged::new(), RespondingEngine::new(), Coordinator::new());
+    let engines = [&engine.listener];
+    let launch = logged.launch(&engines, "gaugestep::net::coordinator=warn");
     let proxy = Launch { coordinator: Some(&coordinator), ..launch }.start();
     let (mut stream, _) = coordinator.accept();
     stream.write_all(b"id: 2\ndata: {\"endpoints\":{\"complete\":false,\"members\":[{}]}}\n\n").unwrap();
@@ -231,19 +233,20 @@
 #[test]
 fn control_follow_brings_out_versions() {
     for filter in ["gaugestep_control::follow=info", "gaugestep_control=info"] {
-        let (logged, service, engine) = (Logged::new(), ScriptedService::new(), Engine::new());
-        let databases = [&engine.database];
+        let (logged, service, engine) =
+            (Logged::new(), ScriptedControlServer::new(), RespondingEngine::new());
+        let engines = [&engine.listener];
         let address = service.0.local_addr().unwrap();
         let operator = Some(operator(logged.folder.path(), address, &logged.state(), ""));
-        let proxy = Launch { operator, ..logged.launch(&databases, filter) }.start();
+        let proxy = Launch { operator, ..logged.launch(&engines, filter) }.start();
         let mut stream = service.accept();
         logged.wait_for("INFO", 1);
         let before = lines_of_level(&logged.log, "INFO");
         stream.send(&offer_message(offer(5, 1, "limits { max_open: 50 }")));
-        assert_eq!(stream.answer(), (1, None));
+        assert_eq!(stream.next_acknowledgement(), (1, None));
         logged.wait_for("INFO", before + 1);
         stream.send(&offer_message(offer(6, 2, r#"classes: "none""#)));
-        assert!(stream.answer().1.is_some());
+        assert!(stream.next_acknowledgement().1.is_some());
         logged.wait_for("WARN", 1);
         assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0, "{filter}");
         stop(proxy);
@@ -259,10 +262,10 @@
         r#"parts { name: "gaugestep::net" level: DEBUG }"#,
         "level: DEBUG",
     ] {
-        let (logged, mut control, engine) = (Logged::new(), Control::start(), Engine::new());
-        let databases = [&engine.database];
+        let (logged, mut control, engine) = (Logged::new(), ControlServer::start(), RespondingEngine::new());
+        let engines = [&engine.listener];
         let operator = Some(control.operator(&logged.state()));
-        let launch = Launch { log_filter: None, operator, ..logged.launch(&databases, "") };
+        let launch = Launch { log_filter: None, operator, ..logged.launch(&engines, "") };
         let mut proxy = launch.start();
         serve(&proxy, 0, 2);
         assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0, "{part}");
@@ -289,7 +292,7 @@
     }
 }
 
-/// DatabaseConnection of the level DEBUG up to a moment at which all earlier ones were written.
+/// EngineConnection of the level DEBUG up to a moment at which all earlier ones were written.
 struct Quiet(usize);
 
 impl Quiet {
--- a/tests/compatibility/rejection_codes.rs
+++ b/tests/compatibility/rejection_codes.rs
@@ -3,13 +3,13 @@
 use gaugestep_config::schema::{Offer, from_client};
 use gaugestep_config::{Document, text, version};
 
-use crate::control::{ScriptedService, Stream, offer, offer_message, operator, wait_until};
+use crate::control::{ControlStream, ScriptedControlServer, offer, offer_message, operator, wait_until};
 use crate::golden;
-use crate::proxy::{Database, Launch, query};
+use crate::proxy::{Engine, Launch, query};
 
 /// What is offered, and what becomes of it, in the form of a golden file.
 struct Offers {
-    stream: Stream,
+    stream: ControlStream,
     nonce: u64,
     text: String,
 }
@@ -40,14 +40,14 @@
 
 #[test]
 fn rejections_keep_codes_and_paths() {
-    let (service, folder) = (ScriptedService::new(), tempfile::tempdir().unwrap());
-    let (database, draining) = (Database::new(), Database::new());
+    let (service, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
+    let (engine, draining) = (Engine::new(), Engine::new());
     let address = service.0.local_addr().unwrap();
     let operator = Some(operator(folder.path(), address, &folder.path().join("n0"), ""));
-    let both = format!("{},{}", database.member("s-0", "SERVING"), draining.member("s-1", "DRAINING"));
-    let first = database.member("s-0", "SERVING");
+    let both = format!("{},{}", engine.list_entry("s-0", "SERVING"), draining.list_entry("s-1", "DRAINING"));
+    let first = engine.list_entry("s-0", "SERVING");
     let change = |config: String| config.replace(&first, &both);
-    let proxy = Launch { operator, change: &change, ..Launch::new(&[&database]) }.start();
+    let proxy = Launch { operator, change: &change, ..Launch::new(&[&engine]) }.start();
     let stream = service.accept();
     assert_eq!(stream.hello.protocol, 1);
     let mut offers = Offers { stream, nonce: 0, text: String::new() };
--- a/tests/compatibility/upstream.rs
+++ b/tests/compatibility/upstream.rs
@@ -1,10 +1,10 @@
-//! What databases and the coordinator are sent.
+//! What engines and the coordinator are sent.
 
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::net::TcpStream;
 
 use crate::golden;
-use crate::proxy::{Coordinator, Database, Proxy, TIMEOUT, event, query};
+use crate::proxy::{Coordinator, Engine, Proxy, TIMEOUT, event, query};
 
 /// A call of the proxy to the coordinator, not answered yet.
 pub struct CoordinatorCall {
@@ -43,23 +43,23 @@
 
 #[test]
 fn commands_to_databases_stay() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     let mut recorded = String::new();
     let mut show = |words: Vec<String>| recorded += &format!("{}\n", without_numbers(&words.join(" ")));
     let mut client = proxy.client();
-    let (mut lines, serve) = client.send_to(&database, &query("lookup", 1, 15_000));
+    let (mut connection, serve) = client.send_to(&engine, &query("lookup", 1, 15_000));
     show(serve.clone());
-    lines.send(&serve[1], "HIT", "total=2,elapsed=5,rss=8", "a\tb\tc\n");
-    let read = lines.command();
+    connection.send(&serve[1], "HIT", "total=2,elapsed=5,rss=8", "a\tb\tc\n");
+    let read = connection.command();
     show(read.clone());
-    lines.send(&read[1], "PART", "index=1", "d\te\tf\n");
-    assert_eq!(client.answer(), "TDDC");
+    connection.send(&read[1], "PART", "index=1", "d\te\tf\n");
+    assert_eq!(client.read_response(), "TDDC");
     client.send(&query("lookup", 2, 15_000));
-    let serve = lines.command();
+    let serve = connection.command();
     show(serve);
     drop(client);
-    let cancel = lines.command();
+    let cancel = connection.command();
     show(cancel);
     golden::assert_matches("upstream_commands.txt", &recorded);
 }
@@ -67,11 +67,11 @@
 #[test]
 fn the_call_to_the_coordinator_stays() {
     let coordinator = Coordinator::new();
-    let database = Database::new();
+    let engine = Engine::new();
     let proxy = Proxy::follow(&[], Some(&coordinator));
     let CoordinatorCall { head, mut stream } = accept_call(&coordinator);
     stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
-    stream.write_all(event(2, &[database.member("s-0", "SERVING")]).as_bytes()).unwrap();
+    stream.write_all(event(2, &[engine.list_entry("s-0", "SERVING")]).as_bytes()).unwrap();
     crate::control::wait_until("the event is taken", || proxy.statistic("/discovered") == Some(1));
     let host = coordinator.0.local_addr().unwrap().to_string();
     golden::assert_matches("coordinator_call.txt", &head.replace(&host, "ADDRESS").replace('\r', ""));
--- a/tests/configuration/interfaces.rs
+++ b/tests/configuration/interfaces.rs
@@ -4,13 +4,13 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-use crate::control::Control;
+use crate::control::ControlServer;
 use crate::proxy::TIMEOUT;
 
 /// Peers that send noise, claim too much, talk out of turn or say nothing: closed, and the service goes on.
 #[test]
 fn malformed_peers_are_disconnected_and_the_service_keeps_running() {
-    let control = Control::start();
+    let control = ControlServer::start();
     let answer: [&[u8]; 4] =
         [b"GET / HTTP/1.1\r\n\r\n", &[0xff; 64], &[0, 0, 0, 2, 0xff, 0xff], &[0, 0, 0, 0]];
     for (address, bytes) in
@@ -62,7 +62,7 @@
 
 #[test]
 fn commands_report_their_results_as_text_json_and_exit_codes() {
-    let control = Control::start();
+    let control = ControlServer::start();
     let (good, bad) =
         (control.file("good", "limits { max_open: 5 }"), control.file("bad", "limits { max_open: 0 }"));
     assert_eq!(control.run(&["validate", &good]).0, 0);
--- a/tests/configuration/main.rs
+++ b/tests/configuration/main.rs
@@ -25,5 +25,5 @@
 }
 
 fn ask(proxy: &Proxy, class: &str, id: u64) -> String {
-    proxy.client().ask(&query(class, id, 3_000))
+    proxy.client().request(&query(class, id, 3_000))
 }
--- a/tests/configuration/recovery.rs
+++ b/tests/configuration/recovery.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use crate::control::{Control, Engine, wait_until};
+use crate::control::{ControlServer, RespondingEngine, wait_until};
 use crate::proxy::Launch;
 use crate::{ask, in_force, state};
 
 #[test]
 fn a_proxy_starts_on_its_last_good_version_without_the_service_and_survives_a_corrupt_one() {
-    let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
-    let engine = Engine::new();
-    let databases = [&engine.database];
+    let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
+    let engine = RespondingEngine::new();
+    let engines = [&engine.listener];
     let operator = Some(control.operator(&state(&kept)));
-    let mut proxy = Launch { operator, ..Launch::new(&databases) }.start();
+    let mut proxy = Launch { operator, ..Launch::new(&engines) }.start();
     for open in [41, 42] {
         let number = control.publish(&format!("limits {{ max_open: {open} }}"), &[]);
         wait_until("the version is in force", || in_force(&proxy) == number);
@@ -44,7 +44,7 @@
 
 #[test]
 fn killing_the_proxy_or_the_service_at_any_moment_loses_no_acknowledged_version() {
-    let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
+    let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&state(&kept)));
     let mut proxy = Launch { operator, ..Launch::new(&[]) }.start();
     let mut published = 0;
@@ -90,7 +90,7 @@
 /// A service that is killed while it publishes finds all that it answered for.
 #[test]
 fn a_service_killed_while_publishing_recovers_every_acknowledged_version() {
-    let mut control = Control::start();
+    let mut control = ControlServer::start();
     let file = control.file("d.textproto", "limits { max_open: 9 }");
     let mut most = 0;
     for round in 0..5u64 {
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_service_restored_from_an_older_backup_rolls_nothing_back_and_continues_the_numbering() {
-    let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
+    let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&[]) }.start();
     control.publish("limits { max_open: 11 }", &[]);
@@ -155,7 +155,7 @@
 /// same, also without a service, and holds the store once it is alone.
 #[test]
 fn a_successor_starts_on_the_last_good_version_beside_its_predecessor() {
-    let (mut control, kept) = (Control::start(), tempfile::tempdir().unwrap());
+    let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let listener = crate::proxy::free_listener();
     let address = listener.local_addr().unwrap();
     let operator = Some(control.operator(&state(&kept)));
--- a/tests/configuration/rollouts.rs
+++ b/tests/configuration/rollouts.rs
@@ -3,13 +3,13 @@
 use std::io::Write as _;
 use std::net::TcpStream;
 
-use crate::control::{Control, Engine, wait_until};
+use crate::control::{ControlServer, RespondingEngine, wait_until};
 use crate::proxy::{Launch, Proxy};
 use crate::{ask, in_force, state};
 
 #[test]
 fn the_newest_of_concurrent_versions_comes_in_force_despite_a_proxy_that_never_answers() {
-    let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
+    let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.operator(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&[]) }.start();
     // It says hello and never again more than its figures.
@@ -44,15 +44,15 @@
 /// A few proxies first, then a share, then all; a version that a canary rejects reaches no other proxy and is rolled back.
 #[test]
 fn a_rollout_proceeds_by_stages_and_a_rejected_one_halts_at_the_canary() {
-    let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
-    let engine = Engine::new();
-    let databases = [&engine.database];
+    let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
+    let engine = RespondingEngine::new();
+    let engines = [&engine.listener];
     let proxies: Vec<Proxy> = (0..4)
         .map(|number| {
             let operator = Some(control.operator(&kept.path().join(format!("p{number}"))));
             let name = format!(r#""name":"p{number}""#);
             let change = |text: String| text.replace(r#""name":"n0""#, &name);
-            Launch { operator, change: &change, ..Launch::new(&databases) }.start()
+            Launch { operator, change: &change, ..Launch::new(&engines) }.start()
         })
         .collect();
     wait_until("all are here", || {
@@ -85,11 +85,11 @@
 /// A small change of a long document is sent as a delta, from which the proxy builds the complete document.
 #[test]
 fn a_small_change_of_a_long_document_is_sent_as_a_delta() {
-    let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
-    let engine = Engine::new();
-    let databases = [&engine.database];
+    let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
+    let engine = RespondingEngine::new();
+    let engines = [&engine.listener];
     let operator = Some(control.operator(&state(&kept)));
-    let mut proxy = Launch { operator, ..Launch::new(&databases) }.start();
+    let mut proxy = Launch { operator, ..Launch::new(&engines) }.start();
     let route = |class: &str, weight: u64| {
         let targets = format!("targets {{ zone: \"dc\" weight: {weight} }} targets {{ kind: \"k\" }}");
         format!("routes {{ name: \"{class}-by-zone\" classes: \"{class}\" {targets} otherwise: ANY }}\n")
--- a/tests/configuration/validation.rs
+++ b/tests/configuration/validation.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use crate::control::{
-    Control, Engine, ScriptedService, encode_frame, offer, offer_message, operator, wait_until,
+    ControlServer, RespondingEngine, ScriptedControlServer, encode_frame, offer, offer_message, operator,
+    wait_until,
 };
 use crate::proxy::{Coordinator, Launch, event, query};
 use crate::{ask, in_force, state};
@@ -13,11 +14,11 @@
 /// Routes apply to the requests that they name, and a version that sends lookups to a draining engine is rejected as one.
 #[test]
 fn a_route_takes_effect_and_one_to_a_draining_engine_is_rejected_without_partial_effect() {
-    let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
-    let (a, b, coordinator) = (Engine::new(), Engine::new(), Coordinator::new());
-    let databases = [&a.database, &b.database];
+    let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
+    let (a, b, coordinator) = (RespondingEngine::new(), RespondingEngine::new(), Coordinator::new());
+    let engines = [&a.listener, &b.listener];
     let operator = Some(control.operator(&state(&kept)));
-    let launch = Launch { coordinator: Some(&coordinator), operator, ..Launch::new(&databases) };
+    let launch = Launch { coordinator: Some(&coordinator), operator, ..Launch::new(&engines) };
     let proxy = launch.start();
     let (mut list, _) = coordinator.accept();
     let to_b = r#"routes { name: "lookups" classes: "lookup" targets { engine: "s-1" } }"#;
@@ -28,7 +29,7 @@
     }
     assert_eq!((a.served(), b.served()), (0, 6));
 
-    list.write_all(event(2, &[b.database.member("s-1", "DRAINING")]).as_bytes()).unwrap();
+    list.write_all(event(2, &[b.listener.list_entry("s-1", "DRAINING")]).as_bytes()).unwrap();
     wait_until("the route is told to be weak", || {
         proxy.statistics().pointer("/configuration/weak_routes/0").is_some_and(|it| it == "lookups")
     });
@@ -50,16 +51,16 @@
 /// once it has drained for 250 ms.
 #[test]
 fn an_engine_that_drains_between_validation_and_apply_receives_no_request() {
-    let (service, kept) = (ScriptedService::new(), tempfile::tempdir().unwrap());
-    let (a, b, coordinator) = (Engine::new(), Engine::new(), Coordinator::new());
-    let databases = [&a.database, &b.database];
+    let (service, kept) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
+    let (a, b, coordinator) = (RespondingEngine::new(), RespondingEngine::new(), Coordinator::new());
+    let engines = [&a.listener, &b.listener];
     let operator = Some(operator(kept.path(), service.0.local_addr().unwrap(), &state(&kept), ""));
-    let proxy = Launch { coordinator: Some(&coordinator), operator, ..Launch::new(&databases) }.start();
+    let proxy = Launch { coordinator: Some(&coordinator), operator, ..Launch::new(&engines) }.start();
     let (mut stream, (mut list, _)) = (service.accept(), coordinator.accept());
     let (mut refused, mut taken) = (0, 0);
     for round in 0..12u64 {
         let (number, phase) = (2 * round + 1, if round % 2 == 0 { "DRAINING" } else { "SERVING" });
-        let notice = event(2 + round, &[b.database.member("s-1", phase)]);
+        let notice = event(2 + round, &[b.listener.list_entry("s-1", phase)]);
         let document = r#"routes { name: "r" classes: "lookup" targets { engine: "s-1" } }"#;
         let bytes = encode_frame(&offer_message(offer(number, number, document)));
         if round % 4 < 2 {
@@ -69,7 +70,7 @@
             stream.socket.write_all(&bytes).unwrap();
             list.write_all(notice.as_bytes()).unwrap();
         }
-        let (nonce, refusal) = stream.answer();
+        let (nonce, refusal) = stream.next_acknowledgement();
         assert_eq!(nonce, number);
         match refusal.as_deref() {
             None => taken += 1,
@@ -80,12 +81,12 @@
         std::thread::sleep(Duration::from_millis(250));
         if phase == "DRAINING" {
             let before = b.served();
-            proxy.client().ask(&query("lookup", 1_000 + round, 100));
+            proxy.client().request(&query("lookup", 1_000 + round, 100));
             assert_eq!(b.served(), before, "sent to a draining node in round {round}");
         }
         // Room for the next one: no route at all.
         stream.send(&offer_message(offer(number + 1, number + 1, "")));
-        assert_eq!(stream.answer(), (number + 1, None));
+        assert_eq!(stream.next_acknowledgement(), (number + 1, None));
     }
     assert!(refused > 0 && taken > 0, "{refused} refused, {taken} taken");
 }
@@ -93,21 +94,22 @@
 /// What is cut off, changed on its way, of another number or no message at all never comes into force.
 #[test]
 fn invalid_versions_are_rejected_and_malformed_streams_closed() {
-    let (service, kept) = (ScriptedService::new(), tempfile::tempdir().unwrap());
-    let engine = Engine::new();
-    let databases = [&engine.database];
+    let (service, kept) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
+    let engine = RespondingEngine::new();
+    let engines = [&engine.listener];
     let operator = Some(operator(kept.path(), service.0.local_addr().unwrap(), &state(&kept), ""));
-    let proxy = Launch { operator, ..Launch::new(&databases) }.start();
+    let proxy = Launch { operator, ..Launch::new(&engines) }.start();
     let mut stream = service.accept();
     assert_eq!(stream.hello.proxy, "n0");
     let mut nonce = 0;
     let mut offer_changed =
-        |stream: &mut crate::control::Stream, change: &dyn Fn(&mut gaugestep_config::schema::Offer)| {
+        |stream: &mut crate::control::ControlStream,
+         change: &dyn Fn(&mut gaugestep_config::schema::Offer)| {
             nonce += 1;
             let mut offer = offer(5, nonce, "limits { max_open: 50 }");
             change(&mut offer);
             stream.send(&offer_message(offer));
-            let (answered, refusal) = stream.answer();
+            let (answered, refusal) = stream.next_acknowledgement();
             assert_eq!(answered, nonce, "one answer to each offer");
             refusal
         };
@@ -141,18 +143,18 @@
         assert_eq!(ask(&proxy, "lookup", bytes.len() as u64), "TDC", "and clients are served");
     }
     stream.socket.write_all(&whole).unwrap();
-    assert_eq!(stream.answer(), (99, None));
+    assert_eq!(stream.next_acknowledgement(), (99, None));
 }
 
 /// A load that runs under a class which the new version drops ends as it would have, once, and only then may the class
 /// go.
 #[test]
 fn a_class_is_not_removed_while_a_load_of_it_is_in_flight() {
-    let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
-    let engine = Engine::new();
-    let databases = [&engine.database];
+    let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
+    let engine = RespondingEngine::new();
+    let engines = [&engine.listener];
     let operator = Some(control.operator(&state(&kept)));
-    let proxy = Launch { operator, ..Launch::new(&databases) }.start();
+    let proxy = Launch { operator, ..Launch::new(&engines) }.start();
     wait_until("the proxy follows", || control.proxy("n0")["connected"] == true);
     engine.holds.store(true, Ordering::SeqCst);
     let mut client = proxy.client();
@@ -163,23 +165,23 @@
     wait_until("the version is refused", || control.proxy("n0")["refused"] == first);
     assert_eq!(control.proxy("n0")["refusal"]["code"], "class-in-use");
     engine.holds.store(false, Ordering::SeqCst);
-    assert_eq!(client.answer(), "TDC");
+    assert_eq!(client.read_response(), "TDC");
     assert_eq!(engine.served(), 1, "the load ran once");
     let second = control.publish(drops, &[]);
     wait_until("the class is dropped", || in_force(&proxy) == second);
-    assert!(client.ask(&query("load", 2, 1_000)).starts_with("E 22023"));
-    assert_eq!(client.ask(&query("lookup", 3, 1_000)), "TDC");
+    assert!(client.request(&query("load", 2, 1_000)).starts_with("E 22023"));
+    assert_eq!(client.request(&query("lookup", 3, 1_000)), "TDC");
     control.publish("", &[]);
-    wait_until("the class is back", || client.ask(&query("load", 4, 1_000)) == "TDC");
+    wait_until("the class is back", || client.request(&query("load", 4, 1_000)) == "TDC");
 }
 
 #[test]
 fn a_sighup_and_a_concurrent_version_both_take_effect() {
-    let (control, kept) = (Control::start(), tempfile::tempdir().unwrap());
-    let engine = Engine::new();
-    let databases = [&engine.database];
+    let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
+    let engine = RespondingEngine::new();
+    let engines = [&engine.listener];
     let operator = Some(control.operator(&state(&kept)));
-    let proxy = Launch { operator, ..Launch::new(&databases) }.start();
+    let proxy = Launch { operator, ..Launch::new(&engines) }.start();
     wait_until("the proxy follows", || control.proxy("n0")["connected"] == true);
     for round in 0..4u64 {
         let document = format!("limits {{ max_open: {} }} retries {{ ratio: 0.1 }}", 30 + round);
--- a/tests/event_races/connections_close.rs
+++ b/tests/event_races/connections_close.rs
@@ -1,19 +1,19 @@
-//! A session or a connection to a database closes while something is sent on it.
+//! A session or a connection to an engine closes while something is sent on it.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-use crate::proxy::{Database, Proxy, TIMEOUT, query, read_to_close, wait_within};
+use crate::proxy::{Engine, Proxy, TIMEOUT, query, read_to_close, wait_within};
 use crate::{open_idle_connection, serve};
 
 /// The proxy closes an idle session as it shuts down, and its client's next query crosses that: it is not forwarded, and
 /// the client sees an orderly close and no reset.
 #[test]
 fn a_query_that_crosses_the_close_of_its_session_is_neither_forwarded_nor_reset() {
-    let database = Database::new();
-    let mut proxy = Proxy::start(&[&database]);
-    let lines = open_idle_connection(&proxy, &database, 1);
+    let engine = Engine::new();
+    let mut proxy = Proxy::start(&[&engine]);
+    let connection = open_idle_connection(&proxy, &engine, 1);
     let mut client = proxy.client();
     proxy.signal("-TERM");
     assert_eq!(client.socket.read(&mut [0]).unwrap(), 0, "the session is closed");
@@ -22,15 +22,15 @@
     assert_eq!(client.socket.read(&mut [0]).unwrap(), 0);
     assert!(client.socket.take_error().unwrap().is_none(), "and not reset");
     let mut unheard = String::new();
-    let mut lines = lines;
-    lines.0.read_to_string(&mut unheard).unwrap();
+    let mut connection = connection;
+    connection.0.read_to_string(&mut unheard).unwrap();
     assert_eq!(unheard, "", "nothing was sent on");
 }
 
 /// A client that sends its query and its good-bye at once gets its answer, whatever it sends behind that.
 #[test]
 fn bytes_after_a_terminate_message_do_not_discard_the_answer() {
-    let proxy = Proxy::start(&[&Database::new()]);
+    let proxy = Proxy::start(&[&Engine::new()]);
     let mut client = proxy.client();
     proxy.suspend();
     client.send("SELECT 1");
@@ -44,7 +44,7 @@
 /// and then closed in order.
 #[test]
 fn clients_that_connect_as_the_listener_closes_are_not_reset() {
-    let mut proxy = Proxy::start(&[&Database::new()]);
+    let mut proxy = Proxy::start(&[&Engine::new()]);
     let resting = proxy.client();
     proxy.signal("-TERM");
     wait_within(TIMEOUT, "it stops", || proxy.call("GET", "/ops/readiness").0 != 200);
@@ -67,55 +67,55 @@
     assert!(proxy.wait().success());
 }
 
-/// The database closes a resting connection as the next request goes out on it: that request is sent on a new one, also if it
+/// The engine closes a resting connection as the next request goes out on it: that request is sent on a new one, also if it
 /// must not be repeated, as nothing of it was written.
 #[test]
 fn a_request_that_meets_the_close_of_an_idle_connection_is_sent_on_a_new_one() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
-    let lines = open_idle_connection(&proxy, &database, 1);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
+    let connection = open_idle_connection(&proxy, &engine, 1);
     let mut client = proxy.client();
     proxy.suspend();
     client.send(&query("load", 2, 15_000));
-    drop(lines);
+    drop(connection);
     proxy.resume();
-    let mut lines = database.accept();
-    assert_eq!(lines.command()[1], format!("{:016x}", 2));
-    serve(&mut lines, 2);
-    assert_eq!(client.answer(), "TDC");
+    let mut connection = engine.accept();
+    assert_eq!(connection.command()[1], format!("{:016x}", 2));
+    serve(&mut connection, 2);
+    assert_eq!(client.read_response(), "TDC");
     assert_eq!(proxy.attempts_once_idle(), 2);
 }
 
 /// A complete answer and the reset of its connection arrive together: the answer counts. A partial line does not.
 #[test]
 fn a_complete_answer_counts_though_its_connection_breaks_and_a_partial_line_does_not() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     for (id, length, response) in [(1, 1_000, "TDC"), (2, 40, "E 58000 failed: the statement may have run")] {
         let mut client = proxy.client();
         client.send(&query("load", id, 15_000));
-        let mut lines = database.accept();
+        let mut connection = engine.accept();
         wait_within(TIMEOUT, "it is sent", || proxy.statistic("/forwards") == Some(id));
         proxy.suspend();
         let answer = format!("{id:016x} HIT total=1,elapsed=5 6\r\na\tb\tc\n\r\n");
         let part = &answer.as_bytes()[..answer.len().min(length)];
-        lines.0.get_mut().write_all(part).unwrap();
+        connection.0.get_mut().write_all(part).unwrap();
         // The command is still unread, so this resets the connection.
-        drop(lines);
+        drop(connection);
         proxy.resume();
-        assert_eq!(client.answer(), response);
+        assert_eq!(client.read_response(), response);
     }
 }
 
 /// It may have run, as the progress report shows; a rejection proves nothing any more.
 #[test]
 fn a_rejection_after_a_progress_report_does_not_prove_that_the_query_never_ran() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     let mut client = proxy.client();
-    let (mut lines, command) = client.send_to(&database, &query("load", 1, 15_000));
-    lines.send(&command[1], "INFO", "detail=done,datum=0.4", "");
-    lines.send(&command[1], "SHED", "-", "");
-    assert!(client.answer().starts_with("E 58000"));
+    let (mut connection, command) = client.send_to(&engine, &query("load", 1, 15_000));
+    connection.send(&command[1], "INFO", "detail=done,datum=0.4", "");
+    connection.send(&command[1], "SHED", "-", "");
+    assert!(client.read_response().starts_with("E 58000"));
     assert_eq!(proxy.attempts_once_idle(), 1);
 }
--- a/tests/event_races/floods.rs
+++ b/tests/event_races/floods.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use crate::proxy::{Coordinator, Database, Launch, Proxy, TIMEOUT, event, free_address, query, wait_within};
+use crate::proxy::{Coordinator, Engine, Launch, Proxy, TIMEOUT, event, free_address, query, wait_within};
 use crate::{
     assert_only_next_query_arrives, open_idle_connection, serve, with_coordinator, with_long_dial_timeout,
 };
@@ -13,7 +13,7 @@
 /// discovery is reached as soon as it is up.
 #[test]
 fn idle_clients_do_not_exhaust_the_descriptors_for_discovery_and_databases() {
-    let database = Database::new();
+    let engine = Engine::new();
     let place = free_address();
     let change = |text: String| with_coordinator(text, place);
     let proxy = Launch { change: &change, ..Launch::new(&[]) }.start();
@@ -28,7 +28,7 @@
         });
         let idle: Vec<TcpStream> = (0..800).filter_map(|_| TcpStream::connect(proxy.address).ok()).collect();
         // The last client is accepted after all of them.
-        assert_eq!(proxy.client().ask(""), "I");
+        assert_eq!(proxy.client().request(""), "I");
         done.store(true, std::sync::atomic::Ordering::SeqCst);
         (idle, look.join().unwrap())
     });
@@ -36,22 +36,22 @@
     assert!(most <= 102 + 8 + 30, "{most} descriptors");
     let coordinator = Coordinator(std::net::TcpListener::bind(place).unwrap());
     let (mut stream, _) = coordinator.accept();
-    stream.write_all(event(2, &[database.member("s-0", "SERVING")]).as_bytes()).unwrap();
+    stream.write_all(event(2, &[engine.list_entry("s-0", "SERVING")]).as_bytes()).unwrap();
     wait_within(TIMEOUT, "the list is followed", || proxy.statistic("/discovered") == Some(1));
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
-    let mut lines = database.accept();
-    assert_eq!(lines.command()[1], format!("{:016x}", 1));
-    serve(&mut lines, 1);
-    assert_eq!(client.answer(), "TDC");
+    let mut connection = engine.accept();
+    assert_eq!(connection.command()[1], format!("{:016x}", 1));
+    serve(&mut connection, 1);
+    assert_eq!(client.read_response(), "TDC");
     drop(idle);
 }
 
 /// A client sends queries faster than they are answered, and reads nothing: little is buffered, and others are served.
 #[test]
 fn the_proxy_does_not_buffer_without_limit_for_a_client_that_sends_without_end() {
-    let database = Database::new();
-    let proxy = Proxy::start(&[&database]);
+    let engine = Engine::new();
+    let proxy = Proxy::start(&[&engine]);
     let mut flood = proxy.client();
     flood.socket.set_write_timeout(Some(Duration::from_secs(2))).unwrap();
     let many = b"Q\0\0\0\x05\0".repeat(10_000);
@@ -59,14 +59,14 @@
     let all = (0..500).all(|_| flood.socket.write_all(&many).is_ok());
     let held: usize = proxy.status("VmRSS:").trim_end_matches(" kB").parse().unwrap();
     assert!(held < 25_000, "{held} KB are held, all of 30 MB was taken: {all}");
-    let mut lines = open_idle_connection(&proxy, &database, 1);
-    assert_only_next_query_arrives(&proxy, &mut lines);
+    let mut connection = open_idle_connection(&proxy, &engine, 1);
+    assert_only_next_query_arrives(&proxy, &mut connection);
 }
 
-/// A database that never stops sending and an event that never ends do not keep others from being served.
+/// An engine that never stops sending and an event that never ends do not keep others from being served.
 #[test]
 fn endless_answers_and_an_endless_engine_list_do_not_affect_other_requests() {
-    let (endless, well, coordinator) = (Database::new(), Database::new(), Coordinator::new());
+    let (endless, well, coordinator) = (Engine::new(), Engine::new(), Coordinator::new());
     // A busy machine may take long to dial; this is not about that.
     let coordinated = Some(&coordinator);
     let proxy =
@@ -75,13 +75,13 @@
     let (mut stream, _) = coordinator.accept();
     let mut client = proxy.client();
     client.send(&query("load", 1, 2_000));
-    let mut lines = endless.accept();
-    let id = lines.command()[1].clone();
-    let entries = [well.member("s-1", "SERVING"), endless.member("s-0", "DRAINING")];
+    let mut connection = endless.accept();
+    let id = connection.command()[1].clone();
+    let entries = [well.list_entry("s-1", "SERVING"), endless.list_entry("s-0", "DRAINING")];
     stream.write_all(event(2, &entries).as_bytes()).unwrap();
     wait_within(TIMEOUT, "both are listed", || proxy.statistic("/discovered") == Some(2));
     let line = format!("{id} INFO detail=waits,datum=2 0\r\n\r\n").repeat(100);
-    let mut socket = lines.0.get_ref().try_clone().unwrap();
+    let mut socket = connection.0.get_ref().try_clone().unwrap();
     std::thread::spawn(move || while socket.write_all(line.as_bytes()).is_ok() {});
     let data = format!("data: {}\n", "x".repeat(1_000)).repeat(100);
     std::thread::spawn(move || while stream.write_all(data.as_bytes()).is_ok() {});
@@ -89,16 +89,16 @@
     let (_stream, last) = coordinator.accept();
     assert_eq!(last, 2);
     let _lines = open_idle_connection(&proxy, &well, 3);
-    assert!(client.answer().starts_with("E 58000"), "its deadline comes in time");
+    assert!(client.read_response().starts_with("E 58000"), "its deadline comes in time");
 }
 
 /// All proxies restart together while discovery hangs or refuses connections: each is ready as soon as it runs.
 #[test]
 fn restarted_proxies_become_ready_though_discovery_hangs_or_refuses() {
-    let (database, (hangs, _first)) = (Database::new(), Database::with_full_backlog());
+    let (engine, (hangs, _first)) = (Engine::new(), Engine::with_full_backlog());
     for at in [hangs.0.local_addr().unwrap(), free_address()] {
         let change = |text: String| with_coordinator(text, at);
-        let launch = || Launch { change: &change, ..Launch::new(&[&database]) }.start();
+        let launch = || Launch { change: &change, ..Launch::new(&[&engine]) }.start();
         let mut proxies: Vec<Proxy> = (0..10).map(|_| launch()).collect();
         proxies.iter_mut().for_each(Proxy::kill);
         let began = Instant::now();
--- a/tests/event_races/main.rs
+++ b/tests/event_races/main.rs
@@ -13,7 +13,7 @@
 
 use std::net::SocketAddr;
 
-use proxy::{Database, DatabaseConnection, Proxy, query};
+use proxy::{Engine, EngineConnection, Proxy, query};
 
 /// A configuration with far more time to dial than anything here takes.
 fn with_long_dial_timeout(text: String) -> String {
@@ -26,28 +26,28 @@
 }
 
 /// Answers the request that [`query`] names by this number.
-fn serve(lines: &mut DatabaseConnection, id: u64) {
-    lines.serve(&format!("{id:016x}"));
+fn serve(connection: &mut EngineConnection, id: u64) {
+    connection.serve(&format!("{id:016x}"));
 }
 
-/// Has one query served, so that a connection to the database is open and idle. Returns that connection.
-fn open_idle_connection(proxy: &Proxy, database: &Database, id: u64) -> DatabaseConnection {
+/// Has one query served, so that a connection to the engine is open and idle. Returns that connection.
+fn open_idle_connection(proxy: &Proxy, engine: &Engine, id: u64) -> EngineConnection {
     let mut client = proxy.client();
     client.send(&query("lookup", id, 15_000));
-    let mut lines = database.accept();
-    assert_eq!(lines.command()[1], format!("{id:016x}"));
-    serve(&mut lines, id);
-    assert_eq!(client.answer(), "TDC");
-    lines
+    let mut connection = engine.accept();
+    assert_eq!(connection.command()[1], format!("{id:016x}"));
+    serve(&mut connection, id);
+    assert_eq!(client.read_response(), "TDC");
+    connection
 }
 
-/// Sends a query after all earlier ones and has it served: whatever was due to be sent has been sent by then. The database
+/// Sends a query after all earlier ones and has it served: whatever was due to be sent has been sent by then. The engine
 /// must receive this query and nothing else.
-fn assert_only_next_query_arrives(proxy: &Proxy, lines: &mut DatabaseConnection) {
+fn assert_only_next_query_arrives(proxy: &Proxy, connection: &mut EngineConnection) {
     let mut client = proxy.client();
     client.send(&query("lookup", 0xeeee, 15_000));
-    let command = lines.command();
+    let command = connection.command();
     assert_eq!(command[..2], ["serve", "000000000000eeee"], "nothing else is sent");
-    serve(lines, 0xeeee);
-    assert_eq!(client.answer(), "TDC");
+    serve(connection, 0xeeee);
+    assert_eq!(client.read_response(), "TDC");
 }
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -50,7 +50,7 @@
     assert!(statement.contains(rid));
     for number in 0..5 {
         let text = statement.replace(rid, &format!("rid={number:016x}"));
-        assert_eq!(proxy.client().ask(&text), "TDDC", "query {number}");
+        assert_eq!(proxy.client().request(&text), "TDDC", "query {number}");
     }
 }
 
@@ -59,7 +59,7 @@
 fn a_rejection_carries_its_code_and_reason() {
     let proxy = Proxy::start(&[]);
     let mut client = proxy.client();
-    let answer = client.ask("/* method=lookup,rid=00000000000000aa,budget=300 */ SELECT 1");
+    let answer = client.request("/* method=lookup,rid=00000000000000aa,budget=300 */ SELECT 1");
     assert!(answer.starts_with("E 53000 refused, nothing was done: backoff="), "{answer}");
     assert_eq!(client.hint.as_deref(), Some("no engine had room before the time ran out"));
 }
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -135,7 +135,7 @@
                             let text = format!(
                                 "/* method=lookup,rid={id:016x},budget=4000,est={work} */ SELECT a FROM sales_17.work_{work}"
                             );
-                            let Ok(answer) = client.try_ask(&text) else { continue 'sessions };
+                            let Ok(answer) = client.try_request(&text) else { continue 'sessions };
                             let mut answers = answers.lock().unwrap();
                             let counts = answers.entry(number).or_default();
                             match answer.contains('C') && !answer.starts_with('E') {
--- a/tests/leadership/failover.rs
+++ b/tests/leadership/failover.rs
@@ -33,7 +33,7 @@
     wait_until("the second step is taken, and one refusal agreed on", || {
         version(&proxies[1]) == Some(2) && second_step(group.last_log_line(old, "rollout progress committed"))
     });
-    group.node_mut(old).suspend();
+    group.member_mut(old).suspend();
     // The one that refused is gone for good: only the old leader's progress records it.
     proxies.remove(2).kill();
     let (next, next_term) = group.lease_holder_other_than(old);
@@ -46,7 +46,7 @@
     wait_until("it is halted", || group.state(staged) == "HALTED");
     let back = staged + 1;
     group.wait_until_in_force(&proxies, back);
-    group.node_mut(old).resume();
+    group.member_mut(old).resume();
     group.wait_for_equal_versions();
     let last = group.publish_until_acknowledged("limits { max_open: 14 }", "d", at_once());
     assert_eq!(last, back + 1, "the old owner has published nothing");
@@ -64,13 +64,13 @@
     let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
     group.wait_until_in_force(&proxies, first);
     let (old, _) = group.lease_holder();
-    std::fs::write(group.node(old).folder.join("stop"), "stored").unwrap();
+    std::fs::write(group.member(old).folder.join("stop"), "stored").unwrap();
     let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(50));
-    wait_until("it has stopped itself", || !group.node(old).folder.join("stop").exists());
-    group.node_mut(old).suspend();
+    wait_until("it has stopped itself", || !group.member(old).folder.join("stop").exists());
+    group.member_mut(old).suspend();
     let (_, term) = group.lease_holder_other_than(old);
     wait_until("its successor publishes", || !group.state(first + 2).is_empty());
-    group.node_mut(old).resume();
+    group.member_mut(old).resume();
     group.wait_for_equal_versions();
     let mut records = publisher.end();
     wait_until("both proxies have seen the successor", || {
@@ -89,20 +89,20 @@
     let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
     let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(10));
     for order in [[3, 1, 2], [2, 3, 1]] {
-        let before = group.nodes[0].versions().len();
-        wait_until("some are published", || group.nodes[0].versions().len() >= before + 3);
-        group.nodes.iter_mut().for_each(|node| node.kill());
+        let before = group.members[0].versions().len();
+        wait_until("some are published", || group.members[0].versions().len() >= before + 3);
+        group.members.iter_mut().for_each(|member| member.kill());
         assert!(group.call(call::What::Duties(Default::default())).is_err());
         for number in order {
-            group.node_mut(number).start();
+            group.member_mut(number).start();
         }
         group.lease_holder();
     }
-    let last = group.nodes[0].versions().len();
-    wait_until("some more are published", || group.nodes[0].versions().len() >= last + 2);
+    let last = group.members[0].versions().len();
+    wait_until("some more are published", || group.members[0].versions().len() >= last + 2);
     let mut records = publisher.end();
     group.wait_for_equal_versions();
-    let newest = group.nodes[0].versions()[0].0;
+    let newest = group.members[0].versions()[0].0;
     group.wait_until_in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
     let report = audit(&records);
@@ -120,11 +120,11 @@
     );
     let (owner, _) = group.lease_holder();
     // No file of its may grow any more.
-    let node = group.node_mut(owner);
-    node.kill();
-    let blocks = std::fs::metadata(node.store()).unwrap().len() / 512;
-    node.shell = format!("trap '' XFSZ; ulimit -f {blocks};");
-    node.start();
+    let member = group.member_mut(owner);
+    member.kill();
+    let blocks = std::fs::metadata(member.store()).unwrap().len() / 512;
+    member.shell = format!("trap '' XFSZ; ulimit -f {blocks};");
+    member.start();
     group.lease_holder();
     let _ = group.transfer_role(owner);
     let long: String = (0..400)
@@ -135,17 +135,17 @@
         newest += 1;
         let document = format!("{long} limits {{ max_open: {} }}", 100 + newest);
         group.publish_until_acknowledged(&document, &format!("long-{newest}"), at_once());
-        group.node(owner).log().contains("the store cannot be used")
+        group.member(owner).log().contains("the store cannot be used")
     });
     let after = group.publish_until_acknowledged("limits { max_open: 12 }", "after", at_once());
     for proxy in &proxies {
         // A long one that the proxies had turned down may be rolled back behind it.
         wait_until("it is in force, or what follows it", || version(proxy) >= Some(after));
     }
-    let node = group.node_mut(owner);
-    node.kill();
-    node.shell.clear();
-    node.start();
+    let member = group.member_mut(owner);
+    member.kill();
+    member.shell.clear();
+    member.start();
     group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
@@ -178,7 +178,7 @@
     }
     let mut records = publisher.end();
     group.wait_for_equal_versions();
-    let newest = group.nodes[0].versions().first().map_or(0, |it| it.0);
+    let newest = group.members[0].versions().first().map_or(0, |it| it.0);
     group.wait_until_in_force(&proxies, newest);
     records.extend(group.records(&["n0", "n1"]));
     let report = audit(&records);
@@ -191,13 +191,13 @@
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
     let (old, term) = group.lease_holder();
-    let ended = group.node_mut(old).process.take().unwrap().terminate().unwrap();
+    let ended = group.member_mut(old).process.take().unwrap().terminate().unwrap();
     assert!(ended.success());
     let (next, later) = group.successor_of(old);
     assert_eq!(later, term + 1);
     let assigned = |log: String| log.lines().any(|line| line.contains("assigning a role"));
     assert!(
-        group.all_except(old).into_iter().all(|it| !assigned(group.node(it).log())),
+        group.all_except(old).into_iter().all(|it| !assigned(group.member(it).log())),
         "nobody had to wait for a lease"
     );
     let number = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
--- a/tests/leadership/fencing.rs
+++ b/tests/leadership/fencing.rs
@@ -36,7 +36,7 @@
     assert!(group.lease_holder().1 > high);
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     group.wait_until_in_force(&proxies, second);
-    group.node_mut(1).kill();
+    group.member_mut(1).kill();
 }
 
 #[test]
@@ -68,9 +68,9 @@
     for disabled_check in ["", "receiver"] {
         let mut group = Group::start(3);
         let old = 1;
-        group.node_mut(old).kill();
-        group.node_mut(old).disabled_check = "owner";
-        group.node_mut(old).start();
+        group.member_mut(old).kill();
+        group.member_mut(old).disabled_check = "owner";
+        group.member_mut(old).start();
         wait_until("it owns the versions", || {
             group.lease_holder().0 == old
                 || (group.transfer_role(old).is_ok() && group.lease_holder().0 == old)
--- a/tests/leadership/identity.rs
+++ b/tests/leadership/identity.rs
@@ -48,11 +48,11 @@
     group.wait_until_in_force(&proxies, first);
     let copy = group.folder.path().join("copy");
     std::fs::create_dir(&copy).unwrap();
-    group.node_mut(1).kill();
+    group.member_mut(1).kill();
     for name in ["versions.redb", "versions.redb.seal"] {
-        std::fs::copy(group.node(1).folder.join(name), copy.join(name)).unwrap();
+        std::fs::copy(group.member(1).folder.join(name), copy.join(name)).unwrap();
     }
-    group.node_mut(1).start();
+    group.member_mut(1).start();
     group.lease_holder();
     wait_until("the proxy is back", || {
         group.status().is_some_and(|it| it.proxies.iter().any(|one| one.connected))
@@ -69,7 +69,7 @@
     assert!(why.contains("is a copy") && why.contains("--restored"), "{why}");
 
     // It is suspended; its proxy does not reach it any more, as if it followed another by now.
-    group.node_mut(1).suspend();
+    group.member_mut(1).suspend();
     group.net.partition("n0", "1", Partition::Closed);
     wait_until("the proxy has left", || {
         proxies[0].statistics().pointer("/configuration/connected") == Some(&false.into())
@@ -77,11 +77,11 @@
     // A proxy connects meanwhile and is gone by the time its hello is read: that proves nothing.
     let _ghost = say_hello(&group, Hello { proxy: "ghost".into(), ..Hello::default() });
     std::thread::sleep(Duration::from_millis(2_100));
-    group.node_mut(1).resume();
-    wait_until("the hello that waited is heard", || group.node(1).log().contains("ghost"));
+    group.member_mut(1).resume();
+    wait_until("the hello that waited is heard", || group.member(1).log().contains("ghost"));
     let refused = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
     assert!(refused.contains("stood still") && refused.contains("take-over"), "{refused}");
-    assert_eq!(group.node(1).versions().len(), 1, "nothing was published");
+    assert_eq!(group.member(1).versions().len(), 1, "nothing was published");
     group.net.heal_all();
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     group.wait_until_in_force(&proxies, second);
@@ -96,18 +96,19 @@
         group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
     );
     let (one, other) = (1, 2);
-    group.nodes[one].kill();
-    group.nodes[other].kill();
-    let places =
-        |group: &Group, at: usize| (group.nodes[at].listen, group.nodes[at].relay, group.nodes[at].operators);
+    group.members[one].kill();
+    group.members[other].kill();
+    let places = |group: &Group, at: usize| {
+        (group.members[at].listen, group.members[at].relay, group.members[at].operators)
+    };
     let (mine, theirs) = (places(&group, one), places(&group, other));
     for (at, place) in [(one, theirs), (other, mine)] {
-        let node = &mut group.nodes[at];
-        (node.listen, node.relay, node.operators) = place;
+        let member = &mut group.members[at];
+        (member.listen, member.relay, member.operators) = place;
     }
     // The relays stay where they were: what reached one now reaches the other.
-    group.nodes[one].start();
-    group.nodes[other].start();
+    group.members[one].start();
+    group.members[other].start();
     for number in [1, 2, 3] {
         wait_until("all hear all", || group.known_members(number).len() == 3);
     }
@@ -122,39 +123,39 @@
     let mut group = Group::start(3);
     let proxies = [group.proxy("n0", 0)];
     group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
-    let folder = group.nodes[2].folder.clone();
+    let folder = group.members[2].folder.clone();
     let (store, seal) = (folder.join("versions.redb"), folder.join("versions.redb.seal"));
-    group.nodes[2].kill();
+    group.members[2].kill();
     let yesterday = std::fs::read(&store).unwrap();
     let sealed = std::fs::read(&seal).unwrap();
-    group.nodes[2].start();
+    group.members[2].start();
     wait_until("the others know of its start", || {
         group.known_members(1).contains(&3) && group.known_members(2).contains(&3)
     });
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     group.wait_for_equal_versions();
-    group.nodes[2].kill();
+    group.members[2].kill();
     // The store alone is refused by its generation file; both together by the other members.
     for both in [false, true] {
         std::fs::write(&store, &yesterday).unwrap();
         if both {
             std::fs::write(&seal, &sealed).unwrap();
         }
-        group.nodes[2].start();
-        wait_until("it has ended", || group.nodes[2].has_ended());
-        let log = group.nodes[2].log();
+        group.members[2].start();
+        wait_until("it has ended", || group.members[2].has_ended());
+        let log = group.members[2].log();
         let last = log.lines().last().unwrap_or_default();
         let wanted = if both { "a later start of member 3 is known" } else { "older than its seal" };
         assert!(last.contains(wanted), "{last}");
-        group.nodes[2].kill();
+        group.members[2].kill();
     }
     // The way that the line names: it leaves, and a new one comes with an empty store.
     group.until_done(call::What::RemoveMember(3));
-    group.nodes.pop();
+    group.members.pop();
     group.add(4);
-    wait_until("the new one has all", || group.node(4).versions().len() == 2);
+    wait_until("the new one has all", || group.member(4).versions().len() == 2);
     group.wait_until_in_force(&proxies, second);
-    let again = group.nodes[0].call(call::What::AddMember(gaugestep_config::schema::Member {
+    let again = group.members[0].call(call::What::AddMember(gaugestep_config::schema::Member {
         number: 3,
         listen: "127.0.0.1:1".into(),
         ..Default::default()
@@ -168,13 +169,13 @@
     use gaugestep_config::schema::{Entry, entry::State};
     use prost::Message as _;
     let mut group = Group::start(1);
-    group.node_mut(1).kill();
+    group.member_mut(1).kill();
     for name in ["versions.redb", "versions.redb.seal"] {
-        std::fs::remove_file(group.node(1).folder.join(name)).unwrap();
+        std::fs::remove_file(group.member(1).folder.join(name)).unwrap();
     }
     let document = gaugestep_config::text::parse("limits { max_open: 17 }").unwrap();
     {
-        let store = gaugestep_storage::control_store::ControlStore::open(&group.node(1).store()).unwrap();
+        let store = gaugestep_storage::control_store::ControlStore::open(&group.member(1).store()).unwrap();
         assert_eq!(store.lineage(77).unwrap(), 77);
         let entry = Entry {
             version: Some(gaugestep_config::version(5, &document)),
@@ -189,7 +190,7 @@
         };
         store.write(&batch).unwrap();
     }
-    group.node_mut(1).start();
+    group.member_mut(1).start();
     let proxies = [group.proxy("n0", 0)];
     group.wait_until_in_force(&proxies, 5);
     assert!(group.log_lines("n0").iter().any(|line| line["lineage"] == 77));
--- a/tests/leadership/main.rs
+++ b/tests/leadership/main.rs
@@ -34,7 +34,7 @@
 fn say_hello(group: &Group, hello: Hello) -> std::net::TcpStream {
     let said = gaugestep_config::schema::from_client::Said::Hello(Hello { protocol: 1, ..hello });
     let message = gaugestep_config::schema::FromClient { said: Some(said) };
-    let mut stream = std::net::TcpStream::connect(group.nodes[0].listen).unwrap();
+    let mut stream = std::net::TcpStream::connect(group.members[0].listen).unwrap();
     std::io::Write::write_all(&mut stream, &gaugestep_control_plane::transport::framing::encode(&message))
         .unwrap();
     stream
--- a/tests/leadership/membership.rs
+++ b/tests/leadership/membership.rs
@@ -14,26 +14,26 @@
     group.wait_until_in_force(&proxies, first);
     group.add(2);
     group.add(3);
-    assert_eq!(group.node(3).versions().len(), 1, "what one had, three have");
-    group.node_mut(3).kill();
+    assert_eq!(group.member(3).versions().len(), 1, "what one had, three have");
+    group.member_mut(3).kill();
     group.until_done(call::What::RemoveMember(3));
-    group.nodes.pop();
+    group.members.pop();
     group.add(4);
     let (owner, _) = group.lease_holder();
     group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     group.until_done(call::What::RemoveMember(if owner == 2 { 4 } else { 2 }));
     let gone = if owner == 2 { 4 } else { 2 };
-    wait_until("the one that was removed ends", || group.node_mut(gone).has_ended());
-    group.nodes.retain(|node| node.number != gone);
-    let rest: Vec<u64> = group.nodes.iter().map(|it| it.number).filter(|it| *it != 1).collect();
+    wait_until("the one that was removed ends", || group.member_mut(gone).has_ended());
+    group.members.retain(|member| member.number != gone);
+    let rest: Vec<u64> = group.members.iter().map(|it| it.number).filter(|it| *it != 1).collect();
     for number in rest {
         group.until_done(call::What::RemoveMember(number));
-        wait_until("it ends too", || group.node_mut(number).has_ended());
-        group.nodes.retain(|node| node.number != number);
+        wait_until("it ends too", || group.member_mut(number).has_ended());
+        group.members.retain(|member| member.number != number);
     }
     let last = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
     group.wait_until_in_force(&proxies, last);
-    assert!(group.nodes[0].call(call::What::RemoveMember(1)).unwrap_err().contains("last member"));
+    assert!(group.members[0].call(call::What::RemoveMember(1)).unwrap_err().contains("last member"));
     assert_eq!(audit(&group.records(&["n0"])).violations, []);
 }
 
@@ -42,29 +42,30 @@
 fn a_member_that_lags_behind_the_compacted_log_receives_a_snapshot() {
     let mut group = Group::start(3);
     let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
-    group.node_mut(3).kill();
+    group.member_mut(3).kill();
     group.lease_holder();
     for _ in 0..1_500 {
         group.until_done(call::What::Declare("further".into()));
     }
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
-    let took = |group: &Group| group.node(3).log().matches("installed a snapshot of another member").count();
+    let took =
+        |group: &Group| group.member(3).log().matches("installed a snapshot of another member").count();
     let before = took(&group);
-    group.node_mut(3).start();
+    group.member_mut(3).start();
     wait_until("it has been sent all of it", || took(&group) > before);
     group.wait_for_equal_versions();
     // The other members hold no more of the log either, whoever led; their stored logs start again too.
     for number in [1, 2] {
-        group.node_mut(number).kill();
+        group.member_mut(number).kill();
         let store =
-            gaugestep_storage::control_store::ControlStore::open(&group.node(number).store()).unwrap();
+            gaugestep_storage::control_store::ControlStore::open(&group.member(number).store()).unwrap();
         let kept = store.log().unwrap().len();
         assert!(kept < 1_300, "{kept} entries at member {number}");
         drop(store);
-        group.node_mut(number).start();
+        group.member_mut(number).start();
     }
     group.wait_for_equal_versions();
-    assert_eq!(group.nodes[0].versions().iter().map(|it| it.0).collect::<Vec<_>>(), [second, first]);
+    assert_eq!(group.members[0].versions().iter().map(|it| it.0).collect::<Vec<_>>(), [second, first]);
 }
 
 #[test]
@@ -74,7 +75,7 @@
         group.until_done(call::What::Declare(format!("duty-{at}")));
     }
     let owners = |group: &Group| {
-        let asked = group.nodes.iter().find(|node| node.runs()).unwrap();
+        let asked = group.members.iter().find(|member| member.runs()).unwrap();
         asked
             .roles()
             .into_iter()
@@ -92,12 +93,12 @@
     };
     wait_until("nine duties are spread over three", || even(&group, &[3, 3, 3]));
     let before = owners(&group);
-    group.node_mut(3).kill();
+    group.member_mut(3).kill();
     wait_until("two have them all", || even(&group, &[4, 5]));
     let after = owners(&group);
     let moved = before.iter().filter(|(name, owner)| after[*name].0 != owner.0).count();
     assert_eq!(moved, 3, "only those of the dead one move");
-    group.node_mut(3).start();
+    group.member_mut(3).start();
     wait_until("three have them again", || even(&group, &[3, 3, 3]));
     let changes =
         |owners: &std::collections::BTreeMap<String, (u64, u64)>| owners.values().map(|it| it.1).sum::<u64>();
--- a/tests/leadership/partitions.rs
+++ b/tests/leadership/partitions.rs
@@ -19,7 +19,7 @@
     group.wait_until_in_force(&proxies, first);
     let (old, _) = group.lease_holder();
     let name = old.to_string();
-    for other in group.nodes.iter().filter(|node| node.number != old) {
+    for other in group.members.iter().filter(|member| member.number != old) {
         group.net.partition(&name, &other.name(), Partition::Silent);
     }
     for proxy in ["n0", "n1"] {
@@ -30,8 +30,8 @@
     let status = || only_old.call(&call::What::Status(Default::default()), Delivery::AtLeastOnce);
     wait_until("the old owner says that it cannot act", || status().is_err());
     wait_until("another one owns the versions", || {
-        let others = group.nodes.iter().filter(|node| node.number != old);
-        others.flat_map(|node| node.roles()).any(|duty| duty.owner != old && duty.owner > 0)
+        let others = group.members.iter().filter(|member| member.number != old);
+        others.flat_map(|member| member.roles()).any(|duty| duty.owner != old && duty.owner > 0)
     });
     wait_until("a version is published behind the cut", || {
         why(group.publish("limits { max_open: 12 }", "b", at_once())).is_none()
@@ -55,7 +55,7 @@
     );
     for round in 0..3 {
         let (owner, _) = group.lease_holder();
-        let others: Vec<u64> = group.nodes.iter().map(|it| it.number).filter(|it| *it != owner).collect();
+        let others: Vec<u64> = group.members.iter().map(|it| it.number).filter(|it| *it != owner).collect();
         // First nothing from the leader arrives, then nothing to it; then one of the others alone receives nothing from it.
         for other in if round < 2 { &others[..] } else { &others[..1] } {
             let (from, to) = if round == 1 { (*other, owner) } else { (owner, *other) };
@@ -81,9 +81,9 @@
     let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
     group.wait_until_in_force(&proxies, first);
     let (owner, _) = group.lease_holder();
-    let left = group.nodes.iter().map(|it| it.number).find(|it| *it != owner).unwrap();
+    let left = group.members.iter().map(|it| it.number).find(|it| *it != owner).unwrap();
     for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
-        group.node_mut(number).kill();
+        group.member_mut(number).kill();
     }
     let asked = Instant::now();
     let why = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
@@ -98,7 +98,7 @@
     assert_eq!((version(&proxies[0]), version(&proxies[1])), (Some(first), Some(first)));
     assert_eq!(version(&fresh), Some(0), "it starts without an owner");
     for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
-        group.node_mut(number).start();
+        group.member_mut(number).start();
     }
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     group.wait_until_in_force(&proxies, second);
@@ -114,13 +114,13 @@
         group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
     );
     let (owner, _) = group.lease_holder();
-    group.node_mut(owner).kill();
+    group.member_mut(owner).kill();
     let (next, _) = group.successor_of(owner);
-    group.node_mut(next).kill();
+    group.member_mut(next).kill();
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
     group.wait_until_in_force(&proxies, second);
     // Three are left, and all of them are needed.
-    let left = group.nodes.iter().find(|node| node.runs()).unwrap().number;
+    let left = group.members.iter().find(|member| member.runs()).unwrap().number;
     group.isolate(left);
     wait_until("there is no majority", || group.publish("limits { max_open: 13 }", "c", at_once()).is_err());
     // What was under way at the moment of the cut may have been agreed on still.
@@ -128,8 +128,8 @@
     group.net.heal_all();
     let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
     group.wait_until_in_force(&proxies, third);
-    group.node_mut(owner).start();
-    group.node_mut(next).start();
+    group.member_mut(owner).start();
+    group.member_mut(next).start();
     group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
 }
--- a/tests/leadership/seeded_faults.rs
+++ b/tests/leadership/seeded_faults.rs
@@ -23,7 +23,7 @@
     let last = group.publish_until_acknowledged("limits { max_open: 9 }", "last", Plan::default());
     group.wait_until_in_force(&proxies, last);
     group.wait_for_equal_versions();
-    assert!(group.nodes.iter_mut().all(|node| !node.has_ended()), "no process ends by itself");
+    assert!(group.members.iter_mut().all(|member| !member.has_ended()), "no process ends by itself");
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     records.extend(group.records(&names));
     let report = audit(&records);
--- a/tests/ordinals.rs
+++ b/tests/ordinals.rs
@@ -92,12 +92,12 @@
         proxies[suspended].suspend();
     }
     let roster_manager = |group: &Group, but: u64| {
-        let asked = group.nodes.iter().filter(|node| node.number != but && node.runs());
-        let answer = asked.flat_map(|node| node.roles()).filter(|it| it.name == ORDINALS_ROLE);
+        let asked = group.members.iter().filter(|member| member.number != but && member.runs());
+        let answer = asked.flat_map(|member| member.roles()).filter(|it| it.name == ORDINALS_ROLE);
         answer.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
     };
     let (old, old_term) = roster_manager(&group, 0);
-    group.node_mut(old).suspend();
+    group.member_mut(old).suspend();
     wait_until("another service manages the roster", || {
         let (owner, term) = roster_manager(&group, old);
         owner != old && owner > 0 && term > old_term
@@ -108,7 +108,7 @@
     let left: Vec<usize> = vec![4, 5, 7, 8, 10, 11, 12, 13, 14];
     let here: Vec<&Proxy> = left.iter().map(|at| &proxies[*at]).collect();
     group.wait_for_ordinals(&here, 9);
-    group.node_mut(old).resume();
+    group.member_mut(old).resume();
     // They resume with ordinals that belong to others by now.
     for suspended in [1, 2] {
         proxies[suspended].resume();
@@ -128,17 +128,17 @@
     group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 4);
     let before = ordinal(&proxies[0]);
     // What it sends does not arrive, what it is sent does.
-    for node in &group.nodes {
-        group.net.set("n0", &node.name(), Link { forward: LinkFault::Stalled, ..Link::default() });
+    for member in &group.members {
+        group.net.set("n0", &member.name(), Link { forward: LinkFault::Stalled, ..Link::default() });
     }
     wait_until("it falls back to its name", || ordinal(&proxies[0]).is_none());
     wait_until("it logs it", || group.log_lines("n0").iter().any(|line| line["message"] == "ordinal lost"));
     // All services are gone: the others keep their ordinals for a while, then fall back to their names, and serve all the same.
     let mut group = group;
-    group.nodes.iter_mut().for_each(|node| node.suspend());
+    group.members.iter_mut().for_each(|member| member.suspend());
     wait_until("no proxy has an ordinal", || proxies.iter().all(|proxy| ordinal(proxy).is_none()));
-    assert!(proxies.iter().all(|proxy| proxy.client().ask("") == "I"));
-    group.nodes.iter_mut().for_each(|node| node.resume());
+    assert!(proxies.iter().all(|proxy| proxy.client().request("") == "I"));
+    group.members.iter_mut().for_each(|member| member.resume());
     group.net.heal_all();
     group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 4);
     assert!(before.is_some());
@@ -157,7 +157,7 @@
     unchecked.suspend();
     let late = group.proxy("n2", 0);
     wait_until("the new proxy has a confirmed ordinal", || {
-        ordinal(&late).is_some() && group.nodes[0].ordinals().len() == 2
+        ordinal(&late).is_some() && group.members[0].ordinals().len() == 2
     });
     unchecked.resume();
     known.truncate(3);
@@ -197,5 +197,5 @@
     suspended.iter().for_each(|one| proxies[*one].resume());
     group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 10);
     assert_eq!(conflicts(&group, &known), [], "seed {seed}");
-    assert!(group.nodes.iter_mut().all(|node| !node.has_ended()), "no process ends by itself");
+    assert!(group.members.iter_mut().all(|member| !member.has_ended()), "no process ends by itself");
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -44,10 +44,10 @@
 
 use addresses::StoredAddresses;
 use agreed::Agreed;
-use control::{ScriptedService, offer, offer_message};
+use control::{ScriptedControlServer, offer, offer_message};
 use files::{MEMBERS, PROXY, copy_proxy_state, copy_store, proxy_data};
 use generation_file::GenerationFile;
-use group::{Group, Node, wait_until};
+use group::{Group, MemberProcess, wait_until};
 use proxy::{Launch, Proxy, free_address};
 use records::Records;
 
@@ -73,12 +73,12 @@
 const WRITE_VARIABLE: &str = "GAUGESTEP_WRITE_STORED";
 
 /// A member at its stored addresses, not started yet, with an empty folder of its own.
-fn member_at_stored_addresses(group: &Group, number: u64) -> Node {
+fn member_at_stored_addresses(group: &Group, number: u64) -> MemberProcess {
     let folder = group.folder.path().join(format!("service-{number}"));
     std::fs::create_dir(&folder).unwrap();
     let (listen, operators) = (StoredAddresses::listen(number), StoredAddresses::operators(number));
     let (process, disabled_check, shell) = (None, "", String::new());
-    Node { number, folder, listen, relay: listen, operators, process, disabled_check, shell }
+    MemberProcess { number, folder, listen, relay: listen, operators, process, disabled_check, shell }
 }
 
 /// Where a group's proxy of the stored name keeps its state.
@@ -90,9 +90,9 @@
 fn copied_group() -> Group {
     let mut group = Group::start(0);
     for number in MEMBERS {
-        let node = member_at_stored_addresses(&group, number);
-        GenerationFile::reissue(&copy_store(number, &node.folder));
-        group.nodes.push(node);
+        let member = member_at_stored_addresses(&group, number);
+        GenerationFile::reissue(&copy_store(number, &member.folder));
+        group.members.push(member);
     }
     copy_proxy_state(&proxy_data(), &proxy_state(&group));
     group
@@ -123,7 +123,8 @@
     let _addresses = StoredAddresses::reserve();
     let stored = Agreed::by_stored_group();
     let mut group = copied_group();
-    let generations: Vec<_> = group.nodes.iter().map(|node| GenerationFile::read(&node.store())).collect();
+    let generations: Vec<_> =
+        group.members.iter().map(|member| GenerationFile::read(&member.store())).collect();
 
     // No control service runs yet.
     let proxy = group.proxy(PROXY, 0);
@@ -133,15 +134,15 @@
     let digest = stored.versions[0].digest.as_str();
     assert_eq!(proxy.statistics().pointer("/configuration/digest"), Some(&digest.into()));
 
-    group.nodes.iter_mut().for_each(Node::start);
+    group.members.iter_mut().for_each(MemberProcess::start);
     group.lease_holder();
     group.wait_for_equal_versions();
-    for node in &group.nodes {
+    for member in &group.members {
         wait_until("every role has an owner", || {
-            let roles = Agreed::by_running(node).roles;
+            let roles = Agreed::by_running(member).roles;
             !roles.is_empty() && roles.iter().all(|role| role.owner > 0)
         });
-        let running = Agreed::by_running(node);
+        let running = Agreed::by_running(member);
         assert_eq!(running.members, stored.members);
         assert_eq!(running.versions, stored.versions);
         running.no_term_went_back(&stored);
@@ -155,16 +156,16 @@
     group.wait_until_in_force(&proxies, third);
     group.wait_for_equal_versions();
     group.wait_for_ordinals(&[&proxies[0]], 1);
-    for node in &group.nodes {
-        let running = Agreed::by_running(node);
+    for member in &group.members {
+        let running = Agreed::by_running(member);
         assert_eq!(running.versions[1..], stored.versions);
         running.no_term_went_back(&stored);
     }
     assert_eq!(audit(&group.records(&[PROXY])).violations, []);
 
     // What the programs wrote since then is of the same form.
-    for (node, before) in group.nodes.iter().zip(generations) {
-        let now = GenerationFile::read(&node.store());
+    for (member, before) in group.members.iter().zip(generations) {
+        let now = GenerationFile::read(&member.store());
         assert_eq!(
             now,
             GenerationFile { starts: before.starts + 1, ..before },
@@ -184,7 +185,7 @@
     copy_proxy_state(&proxy_data(), &state);
     let seen = stored_term(&state);
     assert!(seen > 1, "there is a lower term");
-    let service = ScriptedService::new();
+    let service = ScriptedControlServer::new();
     let operator = control::operator(folder.path(), service.0.local_addr().unwrap(), &state, "");
     // The scripted service answers later: the proxy starts without it.
     let proxy = Launch { operator: Some(operator), ..Launch::new(&[]) }.start();
@@ -196,13 +197,13 @@
     assert_eq!(hello_seen.map(|it| it.term), Some(seen));
     let stale = Offer { term: seen - 1, ..offer(THIRD_VERSION, 1, THIRD_DOCUMENT) };
     stream.send(&offer_message(stale));
-    assert_eq!(stream.answer(), (1, Some("stale-term".into())));
+    assert_eq!(stream.next_acknowledgement(), (1, Some("stale-term".into())));
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
     assert_eq!(proxy.statistic("/configuration/stale_refused"), Some(1));
 
     let present = Offer { term: seen, ..offer(THIRD_VERSION, 2, THIRD_DOCUMENT) };
     stream.send(&offer_message(present));
-    assert_eq!(stream.answer(), (2, None));
+    assert_eq!(stream.next_acknowledgement(), (2, None));
     assert_eq!(version_in_force(&proxy), Some(THIRD_VERSION));
 }
 
@@ -295,8 +296,8 @@
     let _addresses = StoredAddresses::reserve();
     let mut group = Group::start(0);
     for number in MEMBERS {
-        let node = member_at_stored_addresses(&group, number);
-        group.add_node(node);
+        let member = member_at_stored_addresses(&group, number);
+        group.add_member(member);
     }
     for role in [ORDINALS_ROLE, REPORTS] {
         group.until_done(call::What::Declare(role.into()));
@@ -316,14 +317,14 @@
     group.wait_for_equal_versions();
 
     proxies[0].kill();
-    group.nodes[0].process.take().unwrap().terminate().unwrap();
-    group.nodes[1..].iter_mut().for_each(Node::kill);
+    group.members[0].process.take().unwrap().terminate().unwrap();
+    group.members[1..].iter_mut().for_each(MemberProcess::kill);
     save(&group);
 }
 
 /// Kills the last member and starts it again, so that not all stores count the same number of starts.
 fn restart_last_member(group: &mut Group) {
-    let last = group.nodes.last_mut().expect("a group has members");
+    let last = group.members.last_mut().expect("a group has members");
     last.kill();
     last.start();
     let number = last.number;
@@ -337,7 +338,7 @@
 fn raise_terms(group: &Group) {
     for role in [CONFIGURATION_ROLE, ORDINALS_ROLE, REPORTS] {
         for to in MEMBERS {
-            let owner = || Agreed::by_running(&group.nodes[0]).role(role).map_or(0, |it| it.owner);
+            let owner = || Agreed::by_running(&group.members[0]).role(role).map_or(0, |it| it.owner);
             wait_until("the role is handed over", || {
                 let hand_over = HandOver { duty: role.into(), to };
                 owner() == to || (group.call(call::What::HandOver(hand_over)).is_ok() && owner() == to)
@@ -348,11 +349,11 @@
 
 /// Saves the files of a group that has ended, and the golden files of their records.
 fn save(group: &Group) {
-    for node in &group.nodes {
-        files::save_store(node.number, &node.store());
+    for member in &group.members {
+        files::save_store(member.number, &member.store());
         let copy = tempfile::tempdir().unwrap();
-        let records = Records::of_store(&copy_store(node.number, copy.path()));
-        std::fs::write(files::member_records(node.number), records).unwrap();
+        let records = Records::of_store(&copy_store(member.number, copy.path()));
+        std::fs::write(files::member_records(member.number), records).unwrap();
     }
     copy_proxy_state(&proxy_state(group), &proxy_data());
     std::fs::write(files::proxy_records(), Records::of_proxy_state(&proxy_data())).unwrap();
--- a/tests/stored_data/agreed.rs
+++ b/tests/stored_data/agreed.rs
@@ -6,7 +6,7 @@
 use prost::Message as _;
 
 use crate::files::{MEMBERS, copy_store};
-use crate::group::Node;
+use crate::group::MemberProcess;
 
 /// A member and where it is reached.
 #[derive(Clone, Debug, PartialEq)]
@@ -87,8 +87,8 @@
     }
 
     /// What a running member says; empty where it does not answer.
-    pub fn by_running(node: &Node) -> Self {
-        let members = match node.call(call::What::Members(ListMembers {})) {
+    pub fn by_running(member: &MemberProcess) -> Self {
+        let members = match member.call(call::What::Members(ListMembers {})) {
             Ok(reply::What::Members(answer)) => answer.members,
             _ => Vec::new(),
         };
@@ -96,8 +96,8 @@
         let version = |(number, digest, key)| HeldVersion { number, digest, key };
         Agreed {
             members: members.into_iter().map(MemberAddresses::from).collect(),
-            roles: node.roles().into_iter().map(role).collect(),
-            versions: node.versions().into_iter().map(version).collect(),
+            roles: member.roles().into_iter().map(role).collect(),
+            versions: member.versions().into_iter().map(version).collect(),
         }
     }
 
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use control::{Control, operator, wait_until};
+use control::{ControlServer, operator, wait_until};
 use proxy::{Launch, Proxy};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
@@ -53,13 +53,13 @@
 }
 
 /// A service with keys, one authority for proxies and one for operators.
-fn service() -> (Control, Authority, Authority) {
+fn service() -> (ControlServer, Authority, Authority) {
     let (proxies, operators) = (Authority::new("proxies"), Authority::new("operators"));
     (service_of(&proxies, &operators, "control.test", ""), proxies, operators)
 }
 
 /// A service whose certificate carries this name, with more in its file.
-fn service_of(proxies: &Authority, operators: &Authority, name: &str, more: &str) -> Control {
+fn service_of(proxies: &Authority, operators: &Authority, name: &str, more: &str) -> ControlServer {
     let folder = tempfile::tempdir().unwrap();
     proxies.write(folder.path(), "proxies");
     operators.write(folder.path(), "operators");
@@ -75,11 +75,11 @@
     let mut client: Vec<String> =
         client.iter().map(|it| if it.starts_with("--") { (*it).to_owned() } else { path(it) }).collect();
     client.extend(["--service-name".to_owned(), name.to_owned()]);
-    Control::with_settings(folder, extra, client)
+    ControlServer::with_settings(folder, extra, client)
 }
 
 /// A proxy that shows the certificate of this name in its files.
-fn proxy(control: &Control, kept: &tempfile::TempDir, file: &str) -> Proxy {
+fn proxy(control: &ControlServer, kept: &tempfile::TempDir, file: &str) -> Proxy {
     let folder = control.folder.path();
     let extra = format!("{} service_name: \"control.test\"", keys(folder, file, "proxies"));
     let file = operator(folder, control.listen, &kept.path().join("n0"), &extra);
@@ -158,7 +158,7 @@
         service_of(&proxies, &operators, name, &group)
     };
     let (first, second) = (of(1, false, "control.test"), of(2, true, "control.test"));
-    let add = |number: &str, of: &Control| {
+    let add = |number: &str, of: &ControlServer| {
         let (listen, operators) = (of.listen.to_string(), of.operators.to_string());
         first.run(&["members", "add", number, &listen, &operators])
     };
