--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -35,12 +35,12 @@
 
 fn published(count: usize) {
     let control = ControlServer::start();
-    let empty = resident(control.process());
+    let empty = resident(control.process_id());
     let heard = subscribers(control.listen, count);
-    let filled = resident(control.process());
+    let filled = resident(control.process_id());
     let (mut spans, mut first, mut later) = (Vec::new(), 0, 0);
     for round in 1..=10u64 {
-        let file = control.file("d", &document(round));
+        let file = control.write_file("d", &document(round));
         let began = Instant::now();
         assert_eq!(control.run(&["publish", &file]).0, 0);
         let ends: Vec<(u64, Instant, usize)> = (0..count).map(|_| heard.recv().unwrap()).collect();
@@ -86,16 +86,19 @@
     let control = ControlServer::start();
     let kept = tempfile::tempdir().unwrap();
     let named = |number: usize| {
-        let operator = Some(control.operator(&kept.path().join(format!("n{number}"))));
+        let operator = Some(control.write_operator_file(&kept.path().join(format!("n{number}"))));
         let name = format!(r#""name":"p{number}""#);
-        Launch { operator, change: &|text| text.replace(r#""name":"n0""#, &name), ..Launch::new(&[]) }.start()
+        Launch { operator, edit_config: &|text| text.replace(r#""name":"n0""#, &name), ..Launch::new(&[]) }
+            .start()
     };
     let proxies: Vec<Proxy> = (0..count).map(named).collect();
     let have = |number: u64| {
-        let status = control.json(&["status"]);
+        let status = control.run_json(&["status"]);
         status["proxies"].as_array().unwrap().iter().filter(|it| it["in_force"] == number).count()
     };
-    wait_until("all are here", || control.json(&["status"])["proxies"].as_array().unwrap().len() == count);
+    wait_until("all are here", || {
+        control.run_json(&["status"])["proxies"].as_array().unwrap().len() == count
+    });
     let mut spans = Vec::new();
     for round in 1..=5u64 {
         let began = Instant::now();
@@ -112,7 +115,7 @@
 
 fn recovery() {
     let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
-    let operator = Some(control.operator(&kept.path().join("n0")));
+    let operator = Some(control.write_operator_file(&kept.path().join("n0")));
     let mut proxy = Launch { operator, ..Launch::new(&[]) }.start();
     let number = control.publish("limits { max_open: 7 }", &[]);
     wait_until("in force", || proxy.statistic("/configuration/version") == Some(number));
@@ -139,7 +142,7 @@
     let kept = tempfile::tempdir().unwrap();
     let engine = RespondingEngine::new();
     let engines = [&engine.listener];
-    let operator = Some(control.operator(&kept.path().join("n0")));
+    let operator = Some(control.write_operator_file(&kept.path().join("n0")));
     let with = Launch { operator, ..Launch::new(&engines) }.start();
     let without = Launch::new(&engines).start();
     control.publish("limits { max_open: 90 }", &[]);
--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -30,7 +30,7 @@
             group.members.iter().all(|member| group.known_members(member.number).len() == 3)
         });
         let (old, _) = group.lease_holder();
-        let beside = group.service(&group.all_except(old));
+        let beside = group.admin_client(&group.numbers_except(old));
         let began = Instant::now();
         match kind {
             "kill" => group.member_mut(old).kill(),
@@ -45,7 +45,7 @@
         match kind {
             "kill" => group.member_mut(old).start(),
             "stop" => group.member_mut(old).resume(),
-            _ => group.net.heal_all(),
+            _ => group.network.heal_all(),
         }
     }
     let (middle, worst) = median(spans);
@@ -102,7 +102,7 @@
 
 /// Publish to in force and synced at this many proxies of the real program, in milliseconds.
 fn real(group: &Group, count: usize) {
-    let proxies: Vec<proxy::Proxy> = (0..count).map(|at| group.proxy(&format!("n{at}"), at)).collect();
+    let proxies: Vec<proxy::Proxy> = (0..count).map(|at| group.start_proxy(&format!("n{at}"), at)).collect();
     let have = |number: u64| {
         let answer = group.status().map(|fleet| fleet.proxies).unwrap_or_default();
         answer.iter().filter(|it| it.connected && it.in_force == number).count()
@@ -140,26 +140,26 @@
 fn idle(group: &Group, duties: usize) {
     let have = group.members[0].roles().len();
     for at in have..duties {
-        group.until_done(call::What::Declare(format!("duty-{at}")));
+        group.call_until_accepted(call::What::Declare(format!("duty-{at}")));
     }
-    wait_until("all have owners", || group.members[0].roles().iter().all(|duty| duty.owner > 0));
+    wait_until("all have holders", || group.members[0].roles().iter().all(|duty| duty.owner > 0));
     std::thread::sleep(Duration::from_secs(3));
     let span = 10.0;
     let spent = || group.members.iter().map(|member| cpu(member.process.as_ref().unwrap().id())).sum::<f64>();
-    let (before, earlier) = (spent(), group.net.traffic());
+    let (before, earlier) = (spent(), group.network.traffic());
     std::thread::sleep(Duration::from_secs_f64(span));
     println!(
         "idle, {duties:>5} duties on 3 services: {:.2} ms of processor a second for each; over all links {:.0} messages and {:.0} \
          bytes a second",
         (spent() - before) / span / 3.0,
-        (group.net.traffic().pieces - earlier.pieces) as f64 / span,
-        (group.net.traffic().bytes - earlier.bytes) as f64 / span
+        (group.network.traffic().pieces - earlier.pieces) as f64 / span,
+        (group.network.traffic().bytes - earlier.bytes) as f64 / span
     );
 }
 
 /// What following a group costs a proxy while nothing changes.
 fn proxies(group: &Group) {
-    let proxy = group.proxy("n0", 0);
+    let proxy = group.start_proxy("n0", 0);
     wait_until("it follows", || proxy.statistics().pointer("/configuration/connected") == Some(&true.into()));
     let state = group.folder.path().join("proxy-n0");
     let written = || {
@@ -192,8 +192,8 @@
         let before = earlier(count);
         for services in [1, 3, 5] {
             let group = Group::start(services);
-            let (owner, _) = group.lease_holder();
-            let member = group.member(owner);
+            let (holder, _) = group.lease_holder();
+            let member = group.member(holder);
             let (middle, worst) = published(member.listen, member.operators, count);
             let ratio = before.map_or(String::new(), |before| {
                 format!("; {:.2} and {:.2} times the earlier build's", middle / before.0, worst / before.1)
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -37,8 +37,8 @@
     pub listen: SocketAddr,
     pub operators: SocketAddr,
     pub folder: tempfile::TempDir,
-    extra: String,
-    client: Vec<String>,
+    extra_settings: String,
+    client_arguments: Vec<String>,
 }
 
 impl ControlServer {
@@ -51,7 +51,14 @@
     pub fn with_settings(folder: tempfile::TempDir, extra: String, client: Vec<String>) -> Self {
         let (listen, operators) = (free_address(), free_address());
         let child = Self::command(folder.path(), listen, operators, &extra).spawn().unwrap();
-        let control = ControlServer { child, listen, operators, folder, extra, client };
+        let control = ControlServer {
+            child,
+            listen,
+            operators,
+            folder,
+            extra_settings: extra,
+            client_arguments: client,
+        };
         control.wait_until_ready();
         control
     }
@@ -75,7 +82,7 @@
         wait_until("the control service starts", || self.run(&["list"]).0 == 0);
     }
 
-    pub fn process(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
@@ -100,14 +107,16 @@
 
     /// The same, with further arguments.
     pub fn restart_with(&mut self, arguments: &[&str]) {
-        let mut command = Self::command(self.folder.path(), self.listen, self.operators, &self.extra);
+        let mut command =
+            Self::command(self.folder.path(), self.listen, self.operators, &self.extra_settings);
         self.child = command.args(arguments).spawn().unwrap();
         self.wait_until_ready();
     }
 
     /// Starts it where it cannot start: its exit code, standard output and standard error.
     pub fn run_to_end(&self) -> (i32, String, String) {
-        let mut command = Self::command(self.folder.path(), self.listen, self.operators, &self.extra);
+        let mut command =
+            Self::command(self.folder.path(), self.listen, self.operators, &self.extra_settings);
         run_command(command.stderr(Stdio::piped()).stdout(Stdio::piped()))
     }
 
@@ -115,17 +124,17 @@
     pub fn run(&self, arguments: &[&str]) -> (i32, String, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gaugestep-control"));
         command.env("GAUGESTEP_CONTROL", self.operators.to_string()).env("USER", "tester");
-        run_command(command.args(arguments).args(self.client.iter()))
+        run_command(command.args(arguments).args(self.client_arguments.iter()))
     }
 
     /// The same, with its result as JSON.
-    pub fn json(&self, arguments: &[&str]) -> Value {
+    pub fn run_json(&self, arguments: &[&str]) -> Value {
         let (_, output, error) = self.run(&[&["--json"], arguments].concat());
         serde_json::from_str(&output).unwrap_or_else(|_| panic!("{arguments:?}: {output}{error}"))
     }
 
     /// Writes a document to a file.
-    pub fn file(&self, name: &str, document: &str) -> String {
+    pub fn write_file(&self, name: &str, document: &str) -> String {
         let path = self.folder.path().join(name);
         std::fs::write(&path, document).unwrap();
         path.display().to_string()
@@ -133,18 +142,18 @@
 
     /// Publishes a document; the version's number.
     pub fn publish(&self, document: &str, arguments: &[&str]) -> u64 {
-        let file = self.file("document.textproto", document);
-        self.json(&[&["publish", &file], arguments].concat())["version"].as_u64().unwrap()
+        let file = self.write_file("document.textproto", document);
+        self.run_json(&[&["publish", &file], arguments].concat())["version"].as_u64().unwrap()
     }
 
     /// What the service knows of a proxy.
-    pub fn proxy(&self, name: &str) -> Value {
-        self.json(&["status", "--proxy", name])["proxies"][0].clone()
+    pub fn proxy_status(&self, name: &str) -> Value {
+        self.run_json(&["status", "--proxy", name])["proxies"][0].clone()
     }
 
     /// What an operator writes for a proxy that follows this service.
-    pub fn operator(&self, state: &Path) -> PathBuf {
-        operator(self.folder.path(), self.listen, state, "")
+    pub fn write_operator_file(&self, state: &Path) -> PathBuf {
+        write_operator_file(self.folder.path(), self.listen, state, "")
     }
 }
 
@@ -156,7 +165,7 @@
 }
 
 /// Writes an operator's file.
-pub fn operator(folder: &Path, service: SocketAddr, state: &Path, extra: &str) -> PathBuf {
+pub fn write_operator_file(folder: &Path, service: SocketAddr, state: &Path, extra: &str) -> PathBuf {
     let name = state.file_name().unwrap().to_string_lossy();
     let path = folder.join(format!("operator-{name}.textproto"));
     let answer =
@@ -243,8 +252,8 @@
     pub listener: Engine,
     pub served: Arc<Mutex<Vec<String>>>,
     /// While set, requests wait.
-    pub holds: Arc<AtomicBool>,
-    pub taken: Arc<AtomicUsize>,
+    pub paused: Arc<AtomicBool>,
+    pub received: Arc<AtomicUsize>,
 }
 
 impl RespondingEngine {
@@ -253,15 +262,16 @@
         let engine = RespondingEngine {
             listener: engine,
             served: Arc::default(),
-            holds: Arc::default(),
-            taken: Arc::default(),
+            paused: Arc::default(),
+            received: Arc::default(),
         };
         let listener = engine.listener.0.try_clone().unwrap();
-        let (served, holds, taken) = (engine.served.clone(), engine.holds.clone(), engine.taken.clone());
+        let (served, paused, received) =
+            (engine.served.clone(), engine.paused.clone(), engine.received.clone());
         std::thread::spawn(move || {
             while let Ok((socket, _)) = listener.accept() {
-                let (served, holds, taken) = (served.clone(), holds.clone(), taken.clone());
-                std::thread::spawn(move || serve(socket, &served, &holds, &taken));
+                let (served, paused, received) = (served.clone(), paused.clone(), received.clone());
+                std::thread::spawn(move || serve(socket, &served, &paused, &received));
             }
         });
         engine
@@ -272,7 +282,7 @@
     }
 }
 
-fn serve(socket: TcpStream, served: &Mutex<Vec<String>>, holds: &AtomicBool, taken: &AtomicUsize) {
+fn serve(socket: TcpStream, served: &Mutex<Vec<String>>, paused: &AtomicBool, received: &AtomicUsize) {
     use std::io::{BufRead as _, BufReader};
     let mut reader = BufReader::new(socket);
     let mut line = String::new();
@@ -284,8 +294,8 @@
                 if reader.read_exact(&mut body).is_err() {
                     return;
                 }
-                taken.fetch_add(1, Ordering::SeqCst);
-                while holds.load(Ordering::SeqCst) {
+                received.fetch_add(1, Ordering::SeqCst);
+                while paused.load(Ordering::SeqCst) {
                     std::thread::sleep(Duration::from_millis(2));
                 }
                 served.lock().unwrap().push(words[1].to_owned());
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -47,13 +47,13 @@
 }
 
 /// Calls a service, again where the outcome is unknown; an error is the line that a command would print.
-fn call_service(client: &AdminClient, request: &call::What) -> Result<reply::What, String> {
+fn call_control_server(client: &AdminClient, request: &call::What) -> Result<reply::What, String> {
     client.call(request, Delivery::AtLeastOnce).map_err(|error| error.to_string())
 }
 
 /// A fleet of processes.
 pub struct Group {
-    pub net: Network,
+    pub network: Network,
     pub members: Vec<MemberProcess>,
     pub folder: tempfile::TempDir,
 }
@@ -61,21 +61,24 @@
 impl Group {
     /// Starts this many services as one group.
     pub fn start(services: u64) -> Self {
-        let mut group =
-            Group { net: Network::new(identify), members: Vec::new(), folder: tempfile::tempdir().unwrap() };
+        let mut group = Group {
+            network: Network::new(identify),
+            members: Vec::new(),
+            folder: tempfile::tempdir().unwrap(),
+        };
         for number in 1..=services {
-            group.add(number);
+            group.start_member(number);
         }
         group
     }
 
     /// Starts a service and has it join.
-    pub fn add(&mut self, number: u64) {
+    pub fn start_member(&mut self, number: u64) {
         let folder = self.folder.path().join(format!("service-{number}"));
         std::fs::create_dir(&folder).unwrap();
         let (listen, operators) = (free_address(), free_address());
-        let relay = self.net.relay(&number.to_string(), listen).unwrap();
-        let (process, disabled_check, shell) = (None, "", String::new());
+        let relay = self.network.relay(&number.to_string(), listen).unwrap();
+        let (process, disabled_check, shell_prefix) = (None, "", String::new());
         self.add_member(MemberProcess {
             number,
             folder,
@@ -84,7 +87,7 @@
             operators,
             process,
             disabled_check,
-            shell,
+            shell_prefix,
         });
     }
 
@@ -96,7 +99,7 @@
         self.members.push(member);
         if self.members.len() > 1 {
             let member = Member { number, listen, operators, ..Member::default() };
-            self.until_done(call::What::AddMember(member));
+            self.call_until_accepted(call::What::AddMember(member));
             wait_until("the new member votes", || {
                 match self.member(number).call(call::What::Members(ListMembers {})) {
                     Ok(reply::What::Members(answer)) => answer.voters.contains(&number),
@@ -116,7 +119,7 @@
     }
 
     /// These services, as a command reaches them.
-    pub fn service(&self, numbers: &[u64]) -> AdminClient {
+    pub fn admin_client(&self, numbers: &[u64]) -> AdminClient {
         AdminClient {
             addresses: numbers.iter().map(|number| self.member(*number).operators).collect(),
             keys: None,
@@ -125,12 +128,13 @@
 
     /// Calls any service that runs, and whomever it names.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
-        let running: Vec<u64> = self.members.iter().filter(|it| it.runs()).map(|it| it.number).collect();
-        call_service(&self.service(&running), &what)
+        let running: Vec<u64> =
+            self.members.iter().filter(|it| it.is_running()).map(|it| it.number).collect();
+        call_control_server(&self.admin_client(&running), &what)
     }
 
     /// Calls until it is done.
-    pub fn until_done(&self, what: call::What) {
+    pub fn call_until_accepted(&self, what: call::What) {
         let mut last = String::new();
         wait_until("a command is carried out", || match self.call(what.clone()) {
             Ok(_) => true,
@@ -148,33 +152,33 @@
 
     /// The lease holder of the role `versions` and its term, once there is one.
     pub fn lease_holder(&self) -> (u64, u64) {
-        let mut owner = (0, 0);
+        let mut holder = (0, 0);
         wait_until("a service holds the lease", || {
             if self.call(call::What::Status(Status {})).is_err() {
                 return false;
             }
-            owner = self.lease_holder_known_beside(0);
-            owner.0 > 0
+            holder = self.lease_holder_known_to_others(0);
+            holder.0 > 0
         });
-        owner
+        holder
     }
 
     /// Waits until another service than this one holds the lease.
     pub fn lease_holder_other_than(&self, old: u64) -> (u64, u64) {
-        let mut owner = (0, 0);
+        let mut holder = (0, 0);
         wait_until("another service holds the lease", || {
-            owner = self.lease_holder();
-            owner.0 != old
+            holder = self.lease_holder();
+            holder.0 != old
         });
-        owner
+        holder
     }
 
     /// Cuts a proxy off from these services; all its other links are open.
     pub fn partition_proxy_only_from(&self, proxy: &str, from: &[u64]) {
         for member in &self.members {
             match from.contains(&member.number) {
-                true => self.net.partition(proxy, &member.name(), Partition::Closed),
-                false => self.net.heal(proxy, &member.name()),
+                true => self.network.partition(proxy, &member.name(), Partition::Closed),
+                false => self.network.heal(proxy, &member.name()),
             }
         }
     }
@@ -182,36 +186,36 @@
     /// Cuts a service off from all other services, silently.
     pub fn isolate(&self, number: u64) {
         for other in self.members.iter().filter(|member| member.number != number) {
-            self.net.partition(&number.to_string(), &other.name(), Partition::Silent);
+            self.network.partition(&number.to_string(), &other.name(), Partition::Silent);
         }
     }
 
     /// The numbers of all services but this one.
-    pub fn all_except(&self, number: u64) -> Vec<u64> {
+    pub fn numbers_except(&self, number: u64) -> Vec<u64> {
         self.members.iter().map(|member| member.number).filter(|it| *it != number).collect()
     }
 
     /// The lease holder and its term as all running services but this one know it; 0 if there is none.
-    fn lease_holder_known_beside(&self, but: u64) -> (u64, u64) {
-        let asked = self.members.iter().filter(|member| member.number != but && member.runs());
+    fn lease_holder_known_to_others(&self, but: u64) -> (u64, u64) {
+        let asked = self.members.iter().filter(|member| member.number != but && member.is_running());
         let states = asked.flat_map(|member| member.roles()).filter(|it| it.name == "versions");
         states.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
     }
 
     /// The lease holder and its term as the others see it, once it is another than this one.
     pub fn successor_of(&self, old: u64) -> (u64, u64) {
-        let mut owner = (0, 0);
+        let mut holder = (0, 0);
         wait_until("the others know another lease holder", || {
-            owner = self.lease_holder_known_beside(old);
-            owner.0 > 0 && owner.0 != old
+            holder = self.lease_holder_known_to_others(old);
+            holder.0 > 0 && holder.0 != old
         });
-        owner
+        holder
     }
 
     /// Whether the others know of no other lease holder.
     pub fn has_no_successor(&self, old: u64) -> bool {
-        let (owner, term) = self.lease_holder_known_beside(old);
-        owner == old || term == 0
+        let (holder, term) = self.lease_holder_known_to_others(old);
+        holder == old || term == 0
     }
 
     /// Publishes under a key; the number, and the start of the digest.
@@ -264,7 +268,7 @@
     }
 
     /// The state of a version, as any service that runs knows it.
-    pub fn state(&self, number: u64) -> String {
+    pub fn version_state(&self, number: u64) -> String {
         let Ok(reply::What::Versions(answer)) = self.call(call::What::List(List { most: 0 })) else {
             return String::new();
         };
@@ -275,7 +279,7 @@
     }
 
     /// Plays a schedule of faults among the services and these proxies, and leaves all healed.
-    pub fn play(&mut self, schedule: &Schedule, proxies: &[String]) {
+    pub fn run_schedule(&mut self, schedule: &Schedule, proxies: &[String]) {
         let name = |it: usize| (it + 1).to_string();
         for ScheduledFault { pause, fault } in &schedule.faults {
             std::thread::sleep(Duration::from_millis(250 * pause));
@@ -287,26 +291,28 @@
                 Fault::Suspend(_) => {}
                 Fault::Resume(it) if self.members[*it].process.is_some() => self.members[*it].resume(),
                 Fault::Resume(_) => {}
-                Fault::Partition(one, other, kind) => self.net.partition(&name(*one), &name(*other), *kind),
+                Fault::Partition(one, other, kind) => {
+                    self.network.partition(&name(*one), &name(*other), *kind)
+                }
                 Fault::OneWay(one, other) => {
                     let stalled = Link { forward: LinkFault::Stalled, ..Link::default() };
-                    self.net.set(&name(*other), &name(*one), stalled);
+                    self.network.set(&name(*other), &name(*one), stalled);
                 }
                 Fault::Delay(one, other, delay) => {
                     let delayed = Link { forward: LinkFault::Delayed(*delay), ..Link::default() };
-                    self.net.set(&name(*one), &name(*other), delayed);
+                    self.network.set(&name(*one), &name(*other), delayed);
                 }
                 Fault::Cut(one, other, bytes) => {
                     let cut = Link { forward: LinkFault::CutAfter(*bytes), ..Link::default() };
-                    self.net.set(&name(*one), &name(*other), cut);
+                    self.network.set(&name(*one), &name(*other), cut);
                 }
-                Fault::Reset(one, other) => self.net.reset(&name(*one), &name(*other)),
+                Fault::Reset(one, other) => self.network.reset(&name(*one), &name(*other)),
                 Fault::ProxyCutOff(proxy, service) => {
-                    self.net.partition(&proxies[*proxy], &name(*service), Partition::Silent);
+                    self.network.partition(&proxies[*proxy], &name(*service), Partition::Silent);
                 }
                 Fault::TransferRole => drop(self.transfer_role(0)),
                 Fault::Heal => {
-                    self.net.heal_all();
+                    self.network.heal_all();
                     for member in &mut self.members {
                         match &member.process {
                             None => member.start(),
@@ -320,28 +326,28 @@
     }
 
     /// Starts a proxy that follows the group, beginning with the given service.
-    pub fn proxy(&self, name: &str, first: usize) -> Proxy {
-        self.proxy_in(name, name, first)
+    pub fn start_proxy(&self, name: &str, first: usize) -> Proxy {
+        self.start_proxy_in(name, name, first)
     }
 
     /// The same, with a folder of its own.
-    pub fn proxy_in(&self, name: &str, folder: &str, first: usize) -> Proxy {
-        self.proxy_without("", name, folder, first)
+    pub fn start_proxy_in(&self, name: &str, folder: &str, first: usize) -> Proxy {
+        self.start_proxy_without_check("", name, folder, first)
     }
 
     /// The same, with a check disabled in it.
-    pub fn proxy_without(
+    pub fn start_proxy_without_check(
         &self,
         disabled_check: &'static str,
         name: &str,
         folder: &str,
         first: usize,
     ) -> Proxy {
-        self.proxy_changed(disabled_check, name, folder, first, ("", ""))
+        self.start_proxy_with_edit(disabled_check, name, folder, first, ("", ""))
     }
 
     /// The same, with one text of its configuration in place of another.
-    pub fn proxy_changed(
+    pub fn start_proxy_with_edit(
         &self,
         disabled_check: &'static str,
         name: &str,
@@ -370,7 +376,8 @@
         std::fs::write(&operator, format!("control {{ {} state: {state:?} }}", services.join(" "))).unwrap();
         let named = |text: String| change(text.replace(r#""name":"n0""#, &format!(r#""name":"{name}""#)));
         let log = Some(self.folder.path().join(format!("log-{folder}")));
-        Launch { operator: Some(operator), log, disabled_check, change: &named, ..Launch::new(&[]) }.start()
+        Launch { operator: Some(operator), log, disabled_check, edit_config: &named, ..Launch::new(&[]) }
+            .start()
     }
 
     /// Waits until these proxies have ordinals, no two the same, in a fleet of this size.
@@ -418,7 +425,7 @@
                     _ => {}
                 }
             }
-            let held = if member.runs() { member.versions() } else { Vec::new() };
+            let held = if member.is_running() { member.versions() } else { Vec::new() };
             records.extend(held.into_iter().map(|(number, digest, key)| Record::Stored {
                 service: service.clone(),
                 number,
@@ -432,8 +439,12 @@
     /// Waits until all services hold the same versions.
     pub fn wait_for_equal_versions(&self) {
         wait_until("all services hold the same versions", || {
-            let all: Vec<_> =
-                self.members.iter().filter(|member| member.runs()).map(MemberProcess::versions).collect();
+            let all: Vec<_> = self
+                .members
+                .iter()
+                .filter(|member| member.is_running())
+                .map(MemberProcess::versions)
+                .collect();
             !all[0].is_empty() && all.windows(2).all(|pair| pair[0] == pair[1])
         });
     }
--- a/tests/common/group/node.rs
+++ b/tests/common/group/node.rs
@@ -9,7 +9,7 @@
 use gaugestep_control_plane::cli::admin_client::AdminClient;
 use gaugestep_testbed::process::Process;
 
-use super::call_service;
+use super::call_control_server;
 
 /// A control service.
 pub struct MemberProcess {
@@ -23,7 +23,7 @@
     /// Checks that are disabled in it.
     pub disabled_check: &'static str,
     /// What precedes its command in the shell.
-    pub shell: String,
+    pub shell_prefix: String,
 }
 
 impl MemberProcess {
@@ -54,7 +54,7 @@
         let log =
             std::fs::OpenOptions::new().append(true).create(true).open(self.folder.join("log")).unwrap();
         let mut command = Command::new("sh");
-        command.args(["-c", &format!("{} exec \"$0\" --json serve --config \"$1\"", self.shell)]);
+        command.args(["-c", &format!("{} exec \"$0\" --json serve --config \"$1\"", self.shell_prefix)]);
         command.arg(env!("CARGO_BIN_EXE_gaugestep-control")).arg(&config);
         command
             .env("GAUGESTEP_TEST_OUT", self.disabled_check)
@@ -77,7 +77,7 @@
     }
 
     /// Whether it runs.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.process.as_ref().is_some_and(|process| !process.is_suspended())
     }
 
@@ -88,7 +88,7 @@
 
     /// Calls this one, and whomever it names.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
-        call_service(&AdminClient { addresses: vec![self.operators], keys: None }, &what)
+        call_control_server(&AdminClient { addresses: vec![self.operators], keys: None }, &what)
     }
 
     /// Names by ordinal, as it knows them; none while no roster is managed.
--- a/tests/common/group/publisher.rs
+++ b/tests/common/group/publisher.rs
@@ -10,19 +10,19 @@
 
 /// An operator who publishes one version after the other from a thread, and records the answers.
 pub struct Publisher {
-    ends: std::sync::Arc<AtomicBool>,
+    stopped: std::sync::Arc<AtomicBool>,
     thread: std::thread::JoinHandle<Vec<Record>>,
 }
 
 impl Publisher {
     /// Publishes a document of its own every so often, each until it is answered.
     pub fn start(service: AdminClient, every: Duration) -> Self {
-        let ends = std::sync::Arc::new(AtomicBool::new(false));
-        let end = ends.clone();
+        let stopped = std::sync::Arc::new(AtomicBool::new(false));
+        let stop_requested = stopped.clone();
         let thread = std::thread::spawn(move || {
             let mut records = Vec::new();
             for at in 0.. {
-                if end.load(Ordering::SeqCst) {
+                if stop_requested.load(Ordering::SeqCst) {
                     break;
                 }
                 let (key, document) = (format!("key-{at}"), format!("limits {{ max_open: {} }}", 10 + at));
@@ -32,7 +32,7 @@
                     ..Publish::default()
                 };
                 // The same again until there is an answer: under one key it is one publication.
-                while !end.load(Ordering::SeqCst) {
+                while !stop_requested.load(Ordering::SeqCst) {
                     if let Ok(reply::What::Published(answer)) =
                         service.call(&call::What::Publish(publish.clone()), Delivery::AtLeastOnce)
                     {
@@ -46,12 +46,12 @@
             }
             records
         });
-        Publisher { ends, thread }
+        Publisher { stopped, thread }
     }
 
     /// Ends it; the answers in their order.
-    pub fn end(self) -> Vec<Record> {
-        self.ends.store(true, Ordering::SeqCst);
+    pub fn stop(self) -> Vec<Record> {
+        self.stopped.store(true, Ordering::SeqCst);
         self.thread.join().unwrap()
     }
 }
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -66,13 +66,13 @@
     /// Checks that are disabled in it.
     pub disabled_check: &'static str,
     /// A last change to the configuration's text.
-    pub change: &'a dyn Fn(String) -> String,
+    pub edit_config: &'a dyn Fn(String) -> String,
 }
 
 impl<'a> Launch<'a> {
     /// One that knows these engines.
     pub fn new(engines: &'a [&'a Engine]) -> Self {
-        let change = &|text| text;
+        let edit_config = &|text| text;
         let address = free_address();
         Launch {
             address,
@@ -83,7 +83,7 @@
             log: None,
             log_filter: None,
             disabled_check: "",
-            change,
+            edit_config,
         }
     }
 
@@ -94,7 +94,7 @@
             format!("gaugestep-{}-{}-{}.json", std::process::id(), admin_address.ip(), admin_address.port());
         let config = std::env::temp_dir().join(name);
         write_config(&config, self.address, admin_address, self.engines, self.coordinator);
-        std::fs::write(&config, (self.change)(std::fs::read_to_string(&config).unwrap())).unwrap();
+        std::fs::write(&config, (self.edit_config)(std::fs::read_to_string(&config).unwrap())).unwrap();
         let mut proxy = Proxy {
             child: None,
             address: self.address,
@@ -159,7 +159,7 @@
     /// Starts one that may hold this many descriptors.
     pub fn with_descriptors(descriptors: usize) -> Self {
         let text = format!(r#""sockets":{descriptors}"#);
-        Launch { change: &|it| it.replace(r#""sockets":256"#, &text), ..Launch::new(&[]) }.start()
+        Launch { edit_config: &|it| it.replace(r#""sockets":256"#, &text), ..Launch::new(&[]) }.start()
     }
 
     /// Starts one on a configuration of its own, but for the addresses that it listens on.
@@ -172,7 +172,7 @@
             }
             config.to_string()
         };
-        Launch { change: &own, ..Launch::new(&[]) }.start()
+        Launch { edit_config: &own, ..Launch::new(&[]) }.start()
     }
 
     /// Starts one on a listening socket that the test holds, as a platform does.
--- a/tests/compatibility/administration.rs
+++ b/tests/compatibility/administration.rs
@@ -72,7 +72,7 @@
 #[test]
 fn statistics_and_readiness_under_a_control_service_keep_their_form() {
     let (control, folder) = (ControlServer::start(), tempfile::tempdir().unwrap());
-    let operator = Some(control.operator(&folder.path().join("n0")));
+    let operator = Some(control.write_operator_file(&folder.path().join("n0")));
     let engine = RespondingEngine::new();
     let proxy = Launch { operator, ..Launch::new(&[&engine.listener]) }.start();
     wait_until("the proxy follows", || proxy.statistics()["configuration"]["connected"] == true);
--- a/tests/compatibility/control_api.rs
+++ b/tests/compatibility/control_api.rs
@@ -62,7 +62,7 @@
 fn wait_until_complete(control: &ControlServer, proxy: &Proxy, version: u64) {
     wait_until("the version is in force", || in_force(proxy) == Some(version));
     wait_until("the rollout is complete", || {
-        control.json(&["show", &version.to_string()])["state"] == "complete"
+        control.run_json(&["show", &version.to_string()])["state"] == "complete"
     });
 }
 
@@ -73,14 +73,14 @@
 #[test]
 fn json_output_of_commands_stays() {
     let (control, folder) = (ControlServer::start(), tempfile::tempdir().unwrap());
-    let operator = Some(control.operator(&folder.path().join("n0")));
+    let operator = Some(control.write_operator_file(&folder.path().join("n0")));
     let engine = RespondingEngine::new();
     let proxy = Launch { operator, ..Launch::new(&[&engine.listener]) }.start();
-    wait_until("the proxy is known", || control.proxy("n0")["connected"] == true);
-    let first = control.file("first.textproto", r#"limits { max_open: 500 } logging { level: INFO }"#);
-    let second = control.file("second.textproto", r#"limits { max_open: 600 }"#);
-    let rejected = control.file("rejected.textproto", r#"classes: "unknown""#);
-    let faulty = control.file("faulty.textproto", r#"limits { max_open: 0 }"#);
+    wait_until("the proxy is known", || control.proxy_status("n0")["connected"] == true);
+    let first = control.write_file("first.textproto", r#"limits { max_open: 500 } logging { level: INFO }"#);
+    let second = control.write_file("second.textproto", r#"limits { max_open: 600 }"#);
+    let rejected = control.write_file("rejected.textproto", r#"classes: "unknown""#);
+    let faulty = control.write_file("faulty.textproto", r#"limits { max_open: 0 }"#);
 
     let mut transcript = Transcript { control: &control, text: String::new() };
     transcript.run(&["list"]);
@@ -108,7 +108,7 @@
     });
     wait_until_complete(&control, &proxy, 5);
     wait_until("nothing is on its way", || {
-        control.proxy("n0")["in_force"] == 5 && control.proxy("n0")["offered"] == 0
+        control.proxy_status("n0")["in_force"] == 5 && control.proxy_status("n0")["offered"] == 0
     });
     transcript.run(&["watch", "4"]);
     transcript.run(&["list"]);
@@ -123,7 +123,7 @@
     transcript.run(&["members", "remove", "9"]);
     transcript.run(&["seats"]);
     transcript.run(&["declare", "seats"]);
-    wait_until("the roster has the proxy", || control.json(&["seats"])["proxies"][0] == "n0");
+    wait_until("the roster has the proxy", || control.run_json(&["seats"])["proxies"][0] == "n0");
     transcript.run(&["seats"]);
     transcript.run(&["duties"]);
     transcript.run(&["hand-over"]);
--- a/tests/compatibility/log_filters.rs
+++ b/tests/compatibility/log_filters.rs
@@ -11,7 +11,8 @@
 use serde_json::Value;
 
 use crate::control::{
-    ControlServer, RespondingEngine, ScriptedControlServer, offer, offer_message, operator, wait_until,
+    ControlServer, RespondingEngine, ScriptedControlServer, offer, offer_message, wait_until,
+    write_operator_file,
 };
 use crate::proxy::{Coordinator, Engine, Launch, Proxy, event, free_address, query};
 use crate::upstream::accept_call;
@@ -101,7 +102,7 @@
     assert!(client.read_response().starts_with("E 58000"));
 }
 
-/// EngineConnection of the request's lifecycle when a load fails: its attempt, and the request itself.
+/// Lines of the request's lifecycle when a load fails: its attempt, and the request itself.
 const LINES_OF_A_FAILED_REQUEST: usize = 2;
 
 /// Names of outer modules cover their parts: request lifecycle and connections to engines both tell.
@@ -237,7 +238,7 @@
             (Logged::new(), ScriptedControlServer::new(), RespondingEngine::new());
         let engines = [&engine.listener];
         let address = service.0.local_addr().unwrap();
-        let operator = Some(operator(logged.folder.path(), address, &logged.state(), ""));
+        let operator = Some(write_operator_file(logged.folder.path(), address, &logged.state(), ""));
         let proxy = Launch { operator, ..logged.launch(&engines, filter) }.start();
         let mut stream = service.accept();
         logged.wait_for("INFO", 1);
@@ -264,7 +265,7 @@
     ] {
         let (logged, mut control, engine) = (Logged::new(), ControlServer::start(), RespondingEngine::new());
         let engines = [&engine.listener];
-        let operator = Some(control.operator(&logged.state()));
+        let operator = Some(control.write_operator_file(&logged.state()));
         let launch = Launch { log_filter: None, operator, ..logged.launch(&engines, "") };
         let mut proxy = launch.start();
         serve(&proxy, 0, 2);
@@ -292,7 +293,7 @@
     }
 }
 
-/// EngineConnection of the level DEBUG up to a moment at which all earlier ones were written.
+/// Lines of the level DEBUG up to a moment at which all earlier ones were written.
 struct Quiet(usize);
 
 impl Quiet {
--- a/tests/compatibility/rejection_codes.rs
+++ b/tests/compatibility/rejection_codes.rs
@@ -3,7 +3,9 @@
 use gaugestep_config::schema::{Offer, from_client};
 use gaugestep_config::{Document, text, version};
 
-use crate::control::{ControlStream, ScriptedControlServer, offer, offer_message, operator, wait_until};
+use crate::control::{
+    ControlStream, ScriptedControlServer, offer, offer_message, wait_until, write_operator_file,
+};
 use crate::golden;
 use crate::proxy::{Engine, Launch, query};
 
@@ -43,11 +45,11 @@
     let (service, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
     let (engine, draining) = (Engine::new(), Engine::new());
     let address = service.0.local_addr().unwrap();
-    let operator = Some(operator(folder.path(), address, &folder.path().join("n0"), ""));
+    let operator = Some(write_operator_file(folder.path(), address, &folder.path().join("n0"), ""));
     let both = format!("{},{}", engine.list_entry("s-0", "SERVING"), draining.list_entry("s-1", "DRAINING"));
     let first = engine.list_entry("s-0", "SERVING");
     let change = |config: String| config.replace(&first, &both);
-    let proxy = Launch { operator, change: &change, ..Launch::new(&[&engine]) }.start();
+    let proxy = Launch { operator, edit_config: &change, ..Launch::new(&[&engine]) }.start();
     let stream = service.accept();
     assert_eq!(stream.hello.protocol, 1);
     let mut offers = Offers { stream, nonce: 0, text: String::new() };
--- a/tests/configuration/interfaces.rs
+++ b/tests/configuration/interfaces.rs
@@ -63,8 +63,10 @@
 #[test]
 fn commands_report_their_results_as_text_json_and_exit_codes() {
     let control = ControlServer::start();
-    let (good, bad) =
-        (control.file("good", "limits { max_open: 5 }"), control.file("bad", "limits { max_open: 0 }"));
+    let (good, bad) = (
+        control.write_file("good", "limits { max_open: 5 }"),
+        control.write_file("bad", "limits { max_open: 0 }"),
+    );
     assert_eq!(control.run(&["validate", &good]).0, 0);
     let (code, output, _) = control.run(&["--json", "validate", &bad]);
     assert_eq!(code, 1);
@@ -72,19 +74,19 @@
     let (code, _, error) = control.run(&["publish", &bad]);
     assert_eq!(code, 1);
     assert!(error.contains("'limits.max_open' is 0"), "{error}");
-    assert_eq!(control.json(&["publish", &good, "--note", "a note"])["version"], 1);
+    assert_eq!(control.run_json(&["publish", &good, "--note", "a note"])["version"], 1);
     let (code, _, error) = control.run(&["publish", &good, "--expect", "7"]);
     assert!(code == 1 && error.contains("version 1 is the newest"), "{error}");
     control.publish("limits { max_open: 6 }", &["--expect", "1"]);
-    let list = control.json(&["list"]);
+    let list = control.run_json(&["list"]);
     assert_eq!((&list[0]["version"], &list[1]["note"]), (&2.into(), &"a note".into()));
     assert!(control.run(&["show", "1"]).1.contains("max_open: 5"));
     let (code, diff, _) = control.run(&["diff", "1", "2"]);
     assert!(code == 1 && diff.contains("-  max_open: 5") && diff.contains("+  max_open: 6"), "{diff}");
     assert_eq!(control.run(&["diff", &good, "1"]).0, 0);
-    assert_eq!(control.json(&["rollback", "1"])["version"], 3);
+    assert_eq!(control.run_json(&["rollback", "1"])["version"], 3);
     assert_eq!(control.run(&["watch", "--within", "5"]).0, 0);
-    assert_eq!(control.json(&["list"])[0]["rolls_back_to"], 1);
+    assert_eq!(control.run_json(&["list"])[0]["rolls_back_to"], 1);
     assert_eq!(control.run(&["rollback", "99"]).0, 1);
     assert_eq!(control.run(&["nonsense"]).0, 2);
     assert!(control.run(&["completions", "bash"]).1.contains("gaugestep-control"));
--- a/tests/configuration/recovery.rs
+++ b/tests/configuration/recovery.rs
@@ -11,7 +11,7 @@
     let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let engine = RespondingEngine::new();
     let engines = [&engine.listener];
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let mut proxy = Launch { operator, ..Launch::new(&engines) }.start();
     for open in [41, 42] {
         let number = control.publish(&format!("limits {{ max_open: {open} }}"), &[]);
@@ -45,11 +45,11 @@
 #[test]
 fn killing_the_proxy_or_the_service_at_any_moment_loses_no_acknowledged_version() {
     let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let mut proxy = Launch { operator, ..Launch::new(&[]) }.start();
     let mut published = 0;
     for round in 0..6u64 {
-        let file = control.file("d.textproto", &format!("limits {{ max_open: {} }}", 100 + round));
+        let file = control.write_file("d.textproto", &format!("limits {{ max_open: {} }}", 100 + round));
         std::thread::scope(|scope| {
             let publisher = scope.spawn(|| {
                 let mut last = 0;
@@ -70,7 +70,7 @@
             }
             published = publisher.join().unwrap().max(published);
         });
-        let acknowledged = control.proxy("n0")["in_force"].as_u64().unwrap_or(0);
+        let acknowledged = control.proxy_status("n0")["in_force"].as_u64().unwrap_or(0);
         control.kill();
         if round % 2 == 0 {
             proxy.restart();
@@ -81,7 +81,7 @@
             );
         }
         control.restart();
-        let newest = control.json(&["status"])["newest"].as_u64().unwrap();
+        let newest = control.run_json(&["status"])["newest"].as_u64().unwrap();
         assert!(newest >= published, "{newest} found, {published} published");
         wait_until("the newest is in force", || in_force(&proxy) == newest);
     }
@@ -91,7 +91,7 @@
 #[test]
 fn a_service_killed_while_publishing_recovers_every_acknowledged_version() {
     let mut control = ControlServer::start();
-    let file = control.file("d.textproto", "limits { max_open: 9 }");
+    let file = control.write_file("d.textproto", "limits { max_open: 9 }");
     let mut most = 0;
     for round in 0..5u64 {
         let address = control.operators.to_string();
@@ -114,7 +114,7 @@
         control.kill();
         most = publisher.join().unwrap().max(most);
         control.restart();
-        let newest = control.json(&["status"])["newest"].as_u64().unwrap();
+        let newest = control.run_json(&["status"])["newest"].as_u64().unwrap();
         assert!((most..=most + 1).contains(&newest), "{newest} found, {most} answered for");
         most = newest;
     }
@@ -124,7 +124,7 @@
 #[test]
 fn a_service_restored_from_an_older_backup_rolls_nothing_back_and_continues_the_numbering() {
     let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&[]) }.start();
     control.publish("limits { max_open: 11 }", &[]);
     let backup = control.folder.path().join("backup");
@@ -140,14 +140,16 @@
     assert_eq!(why.lines().count(), 1, "{why}");
     assert!(why.contains("older than its seal") && why.contains("--restored"), "{why}");
     control.restart_with(&["--restored"]);
-    wait_until("the proxy is seen to be ahead", || control.proxy("n0")["ahead"] == true);
+    wait_until("the proxy is seen to be ahead", || control.proxy_status("n0")["ahead"] == true);
     assert_eq!(in_force(&proxy), second);
     let third = control.publish("limits { max_open: 13 }", &[]);
     assert!(third > second, "{third} is above what the proxy has in force");
     wait_until("the third is in force", || in_force(&proxy) == third);
     // The proxy applies a version before the service receives its answer.
-    wait_until("the service has received the proxy's answer", || control.proxy("n0")["in_force"] == third);
-    assert_eq!(control.proxy("n0")["ahead"], false);
+    wait_until("the service has received the proxy's answer", || {
+        control.proxy_status("n0")["in_force"] == third
+    });
+    assert_eq!(control.proxy_status("n0")["ahead"], false);
     assert_eq!(in_force(&proxy), third);
 }
 
@@ -158,7 +160,7 @@
     let (mut control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let listener = crate::proxy::free_listener();
     let address = listener.local_addr().unwrap();
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let launch = |operator| Launch { address, listener: Some(&listener), operator, ..Launch::new(&[]) };
     let mut old = launch(operator.clone()).start();
     let first = control.publish("limits { max_open: 33 }", &[]);
--- a/tests/configuration/rollouts.rs
+++ b/tests/configuration/rollouts.rs
@@ -10,7 +10,7 @@
 #[test]
 fn the_newest_of_concurrent_versions_comes_in_force_despite_a_proxy_that_never_answers() {
     let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&[]) }.start();
     // It says hello and never again more than its figures.
     let mut silent = TcpStream::connect(control.listen).unwrap();
@@ -20,10 +20,12 @@
     silent.write_all(&(hello.len() as u32).to_be_bytes()).unwrap();
     silent.write_all(&hello).unwrap();
     wait_until("both are here", || {
-        control.json(&["status"])["proxies"].as_array().is_some_and(|it| it.len() == 2)
+        control.run_json(&["status"])["proxies"].as_array().is_some_and(|it| it.len() == 2)
     });
     let files: Vec<String> = (0..8)
-        .map(|number| control.file(&format!("d{number}"), &format!("limits {{ max_open: {} }}", 20 + number)))
+        .map(|number| {
+            control.write_file(&format!("d{number}"), &format!("limits {{ max_open: {} }}", 20 + number))
+        })
         .collect();
     std::thread::scope(|scope| {
         for file in &files {
@@ -31,7 +33,7 @@
         }
     });
     wait_until("the newest is in force", || in_force(&proxy) == 8);
-    let status = control.proxy("silent");
+    let status = control.proxy_status("silent");
     assert_eq!(
         (&status["in_force"], &status["offered"]),
         (&0.into(), &1.into()),
@@ -49,14 +51,14 @@
     let engines = [&engine.listener];
     let proxies: Vec<Proxy> = (0..4)
         .map(|number| {
-            let operator = Some(control.operator(&kept.path().join(format!("p{number}"))));
+            let operator = Some(control.write_operator_file(&kept.path().join(format!("p{number}"))));
             let name = format!(r#""name":"p{number}""#);
             let change = |text: String| text.replace(r#""name":"n0""#, &name);
-            Launch { operator, change: &change, ..Launch::new(&engines) }.start()
+            Launch { operator, edit_config: &change, ..Launch::new(&engines) }.start()
         })
         .collect();
     wait_until("all are here", || {
-        control.json(&["status"])["proxies"].as_array().is_some_and(|it| it.len() == 4)
+        control.run_json(&["status"])["proxies"].as_array().is_some_and(|it| it.len() == 4)
     });
     let steps = ["--first", "1", "--share", "0.5", "--hold", "0.3"];
     let first = control.publish("limits { max_open: 80 }", &steps);
@@ -77,7 +79,7 @@
     });
     let refused: u64 = proxies.iter().map(|proxy| proxy.statistic("/configuration/refused").unwrap()).sum();
     assert_eq!(refused, 1, "only one of the first was ever offered it");
-    let list = control.json(&["list"]);
+    let list = control.run_json(&["list"]);
     assert_eq!((&list[0]["rolls_back_to"], &list[0]["state"]), (&first.into(), &"complete".into()));
     assert!(list[1]["halted_for"].as_str().unwrap().contains("not listed: s-9"), "{list}");
 }
@@ -88,7 +90,7 @@
     let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let engine = RespondingEngine::new();
     let engines = [&engine.listener];
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let mut proxy = Launch { operator, ..Launch::new(&engines) }.start();
     let route = |class: &str, weight: u64| {
         let targets = format!("targets {{ zone: \"dc\" weight: {weight} }} targets {{ kind: \"k\" }}");
@@ -98,7 +100,7 @@
         let limits = format!("limits {{ max_open: {} }}", 50 + round);
         let number = control.publish(&(route("lookup", 2) + &route("load", 3) + &limits), &[]);
         wait_until("the version is in force", || in_force(&proxy) == number);
-        let digest = control.json(&["show"])["digest"].clone();
+        let digest = control.run_json(&["show"])["digest"].clone();
         assert_eq!(proxy.statistics()["configuration"]["digest"], digest);
         assert_eq!(ask(&proxy, "lookup", number), "TDC");
     }
--- a/tests/configuration/validation.rs
+++ b/tests/configuration/validation.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use crate::control::{
-    ControlServer, RespondingEngine, ScriptedControlServer, encode_frame, offer, offer_message, operator,
-    wait_until,
+    ControlServer, RespondingEngine, ScriptedControlServer, encode_frame, offer, offer_message, wait_until,
+    write_operator_file,
 };
 use crate::proxy::{Coordinator, Launch, event, query};
 use crate::{ask, in_force, state};
@@ -17,7 +17,7 @@
     let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let (a, b, coordinator) = (RespondingEngine::new(), RespondingEngine::new(), Coordinator::new());
     let engines = [&a.listener, &b.listener];
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let launch = Launch { coordinator: Some(&coordinator), operator, ..Launch::new(&engines) };
     let proxy = launch.start();
     let (mut list, _) = coordinator.accept();
@@ -34,8 +34,8 @@
         proxy.statistics().pointer("/configuration/weak_routes/0").is_some_and(|it| it == "lookups")
     });
     let second = control.publish(&format!("{to_b} limits {{ max_open: 7 }}"), &[]);
-    wait_until("the version is refused", || control.proxy("n0")["refused"] == second);
-    let refusal = control.proxy("n0")["refusal"].clone();
+    wait_until("the version is refused", || control.proxy_status("n0")["refused"] == second);
+    let refusal = control.proxy_status("n0")["refusal"].clone();
     assert_eq!(refusal["code"], "no-usable-engine");
     assert_eq!(refusal["path"], "routes[0].targets");
     assert!(refusal["reason"].as_str().unwrap().contains("draining: s-1"), "{refusal}");
@@ -54,7 +54,7 @@
     let (service, kept) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
     let (a, b, coordinator) = (RespondingEngine::new(), RespondingEngine::new(), Coordinator::new());
     let engines = [&a.listener, &b.listener];
-    let operator = Some(operator(kept.path(), service.0.local_addr().unwrap(), &state(&kept), ""));
+    let operator = Some(write_operator_file(kept.path(), service.0.local_addr().unwrap(), &state(&kept), ""));
     let proxy = Launch { coordinator: Some(&coordinator), operator, ..Launch::new(&engines) }.start();
     let (mut stream, (mut list, _)) = (service.accept(), coordinator.accept());
     let (mut refused, mut taken) = (0, 0);
@@ -97,7 +97,7 @@
     let (service, kept) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
     let engine = RespondingEngine::new();
     let engines = [&engine.listener];
-    let operator = Some(operator(kept.path(), service.0.local_addr().unwrap(), &state(&kept), ""));
+    let operator = Some(write_operator_file(kept.path(), service.0.local_addr().unwrap(), &state(&kept), ""));
     let proxy = Launch { operator, ..Launch::new(&engines) }.start();
     let mut stream = service.accept();
     assert_eq!(stream.hello.proxy, "n0");
@@ -153,18 +153,18 @@
     let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let engine = RespondingEngine::new();
     let engines = [&engine.listener];
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&engines) }.start();
-    wait_until("the proxy follows", || control.proxy("n0")["connected"] == true);
-    engine.holds.store(true, Ordering::SeqCst);
+    wait_until("the proxy follows", || control.proxy_status("n0")["connected"] == true);
+    engine.paused.store(true, Ordering::SeqCst);
     let mut client = proxy.client();
     client.send(&query("load", 1, 3_900));
-    wait_until("the load runs", || engine.taken.load(Ordering::SeqCst) == 1);
+    wait_until("the load runs", || engine.received.load(Ordering::SeqCst) == 1);
     let drops = r#"classes: "lookup""#;
     let first = control.publish(drops, &[]);
-    wait_until("the version is refused", || control.proxy("n0")["refused"] == first);
-    assert_eq!(control.proxy("n0")["refusal"]["code"], "class-in-use");
-    engine.holds.store(false, Ordering::SeqCst);
+    wait_until("the version is refused", || control.proxy_status("n0")["refused"] == first);
+    assert_eq!(control.proxy_status("n0")["refusal"]["code"], "class-in-use");
+    engine.paused.store(false, Ordering::SeqCst);
     assert_eq!(client.read_response(), "TDC");
     assert_eq!(engine.served(), 1, "the load ran once");
     let second = control.publish(drops, &[]);
@@ -180,9 +180,9 @@
     let (control, kept) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let engine = RespondingEngine::new();
     let engines = [&engine.listener];
-    let operator = Some(control.operator(&state(&kept)));
+    let operator = Some(control.write_operator_file(&state(&kept)));
     let proxy = Launch { operator, ..Launch::new(&engines) }.start();
-    wait_until("the proxy follows", || control.proxy("n0")["connected"] == true);
+    wait_until("the proxy follows", || control.proxy_status("n0")["connected"] == true);
     for round in 0..4u64 {
         let document = format!("limits {{ max_open: {} }} retries {{ ratio: 0.1 }}", 30 + round);
         let number = std::thread::scope(|scope| {
--- a/tests/event_races/client_leaves.rs
+++ b/tests/event_races/client_leaves.rs
@@ -159,7 +159,7 @@
 #[test]
 fn a_request_that_waits_for_a_dial_is_not_sent_once_its_client_has_left() {
     let (engine, first) = Engine::with_full_backlog();
-    let proxy = Launch { change: &with_long_dial_timeout, ..Launch::new(&[&engine]) }.start();
+    let proxy = Launch { edit_config: &with_long_dial_timeout, ..Launch::new(&[&engine]) }.start();
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
     wait_within(TIMEOUT, "it waits", || proxy.statistic("/outstanding") == Some(1));
--- a/tests/event_races/floods.rs
+++ b/tests/event_races/floods.rs
@@ -16,7 +16,7 @@
     let engine = Engine::new();
     let place = free_address();
     let change = |text: String| with_coordinator(text, place);
-    let proxy = Launch { change: &change, ..Launch::new(&[]) }.start();
+    let proxy = Launch { edit_config: &change, ..Launch::new(&[]) }.start();
     let done = std::sync::atomic::AtomicBool::new(false);
     let (idle, most) = std::thread::scope(|scope| {
         let look = scope.spawn(|| {
@@ -70,7 +70,7 @@
     // A busy machine may take long to dial; this is not about that.
     let coordinated = Some(&coordinator);
     let proxy =
-        Launch { coordinator: coordinated, change: &with_long_dial_timeout, ..Launch::new(&[&endless]) }
+        Launch { coordinator: coordinated, edit_config: &with_long_dial_timeout, ..Launch::new(&[&endless]) }
             .start();
     let (mut stream, _) = coordinator.accept();
     let mut client = proxy.client();
@@ -98,7 +98,7 @@
     let (engine, (hangs, _first)) = (Engine::new(), Engine::with_full_backlog());
     for at in [hangs.0.local_addr().unwrap(), free_address()] {
         let change = |text: String| with_coordinator(text, at);
-        let launch = || Launch { change: &change, ..Launch::new(&[&engine]) }.start();
+        let launch = || Launch { edit_config: &change, ..Launch::new(&[&engine]) }.start();
         let mut proxies: Vec<Proxy> = (0..10).map(|_| launch()).collect();
         proxies.iter_mut().for_each(Proxy::kill);
         let began = Instant::now();
--- a/tests/event_races/list_changes.rs
+++ b/tests/event_races/list_changes.rs
@@ -21,7 +21,7 @@
             let text = text.replace(r#""load", "effect": "unsafe""#, &keyed);
             with_coordinator(text, at)
         };
-        let proxy = Launch { change: &change, ..Launch::new(&[&first]) }.start();
+        let proxy = Launch { edit_config: &change, ..Launch::new(&[&first]) }.start();
         let (mut stream, _) = coordinator.accept();
         let mut client = proxy.client();
         client.send(&query("load", 1, 15_000));
@@ -49,7 +49,7 @@
         let text = with_long_dial_timeout(text);
         with_coordinator(text, at)
     };
-    let proxy = Launch { change: &change, ..Launch::new(&[&engine]) }.start();
+    let proxy = Launch { edit_config: &change, ..Launch::new(&[&engine]) }.start();
     let (mut stream, _) = coordinator.accept();
     let mut client = proxy.client();
     client.send(&query("load", 1, 4_000));
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -102,7 +102,7 @@
             let text = text.replace(r#""name":"n0""#, &format!(r#""name":"n{number}""#));
             self.change(text, number, ordinal_setting)
         };
-        let proxy = Launch { change: &change, ..Launch::new(&[]) }.start();
+        let proxy = Launch { edit_config: &change, ..Launch::new(&[]) }.start();
         self.proxies.push(proxy);
     }
 
@@ -261,7 +261,7 @@
 #[test]
 fn subsets_are_even_again_after_the_fleet_is_doubled_and_halved_under_load() {
     let group = Group::start(3);
-    group.until_done(call::What::Declare(ORDINALS_ROLE.into()));
+    group.call_until_accepted(call::What::Declare(ORDINALS_ROLE.into()));
     let mut fleet = Fleet::start(12);
     (0..10).for_each(|number| fleet.add_following(&group, number));
     group.wait_for_ordinals(&fleet.proxies.iter().collect::<Vec<_>>(), 10);
--- a/tests/leadership/failover.rs
+++ b/tests/leadership/failover.rs
@@ -8,7 +8,7 @@
 
 use crate::group::{Group, Publisher, wait_until};
 use crate::proxy::Proxy;
-use crate::{at_once, term, version};
+use crate::{single_stage, term, version};
 
 #[test]
 fn a_leader_suspended_in_the_second_stage_of_a_rollout_changes_nothing_after_its_successor_completed_it() {
@@ -20,8 +20,8 @@
     let change = |at| if at < 2 { ("", "") } else { ("\"lookup\"", "\"look-up\"") };
     let started = names.iter().enumerate();
     let mut proxies: Vec<Proxy> =
-        started.map(|(at, name)| group.proxy_changed("", name, name, at, change(at))).collect();
-    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+        started.map(|(at, name)| group.start_proxy_with_edit("", name, name, at, change(at))).collect();
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
     let (old, old_term) = group.lease_holder();
     let plan = Plan { first: 1, share: 0.75, hold_ms: 12_000, refusals: Some(2), ..Plan::default() };
@@ -43,13 +43,13 @@
         "it goes on in the second step, with the refusal counted"
     );
     // The last step brings the second refusal, of two that halt it.
-    wait_until("it is halted", || group.state(staged) == "HALTED");
+    wait_until("it is halted", || group.version_state(staged) == "HALTED");
     let back = staged + 1;
     group.wait_until_in_force(&proxies, back);
     group.member_mut(old).resume();
     group.wait_for_equal_versions();
-    let last = group.publish_until_acknowledged("limits { max_open: 14 }", "d", at_once());
-    assert_eq!(last, back + 1, "the old owner has published nothing");
+    let last = group.publish_until_acknowledged("limits { max_open: 14 }", "d", single_stage());
+    assert_eq!(last, back + 1, "the old holder has published nothing");
     group.wait_until_in_force(&proxies, last);
     group.wait_for_equal_versions();
     let report = audit(&group.records(&["n0", "n1", "n2", "n3"]));
@@ -60,19 +60,19 @@
 #[test]
 fn a_version_of_a_leader_suspended_between_storing_and_answering_is_complete_or_absent() {
     let mut group = Group::start(3);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 1)];
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
     let (old, _) = group.lease_holder();
     std::fs::write(group.member(old).folder.join("stop"), "stored").unwrap();
-    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(50));
+    let publisher = Publisher::start(group.admin_client(&group.numbers_except(0)), Duration::from_millis(50));
     wait_until("it has stopped itself", || !group.member(old).folder.join("stop").exists());
     group.member_mut(old).suspend();
     let (_, term) = group.lease_holder_other_than(old);
-    wait_until("its successor publishes", || !group.state(first + 2).is_empty());
+    wait_until("its successor publishes", || !group.version_state(first + 2).is_empty());
     group.member_mut(old).resume();
     group.wait_for_equal_versions();
-    let mut records = publisher.end();
+    let mut records = publisher.stop();
     wait_until("both proxies have seen the successor", || {
         proxies.iter().all(|it| self::term(it) >= Some(term))
     });
@@ -86,8 +86,8 @@
 #[test]
 fn a_group_killed_at_once_under_load_and_restarted_in_another_order_loses_nothing() {
     let mut group = Group::start(3);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(10));
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 1)];
+    let publisher = Publisher::start(group.admin_client(&group.numbers_except(0)), Duration::from_millis(10));
     for order in [[3, 1, 2], [2, 3, 1]] {
         let before = group.members[0].versions().len();
         wait_until("some are published", || group.members[0].versions().len() >= before + 3);
@@ -100,7 +100,7 @@
     }
     let last = group.members[0].versions().len();
     wait_until("some more are published", || group.members[0].versions().len() >= last + 2);
-    let mut records = publisher.end();
+    let mut records = publisher.stop();
     group.wait_for_equal_versions();
     let newest = group.members[0].versions()[0].0;
     group.wait_until_in_force(&proxies, newest);
@@ -113,20 +113,20 @@
 #[test]
 fn a_leader_with_a_full_disk_steps_down_and_returns_when_there_is_space() {
     let mut group = Group::start(3);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 1)];
     group.wait_until_in_force(
         &proxies,
-        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage()),
     );
-    let (owner, _) = group.lease_holder();
+    let (holder, _) = group.lease_holder();
     // No file of its may grow any more.
-    let member = group.member_mut(owner);
+    let member = group.member_mut(holder);
     member.kill();
     let blocks = std::fs::metadata(member.store()).unwrap().len() / 512;
-    member.shell = format!("trap '' XFSZ; ulimit -f {blocks};");
+    member.shell_prefix = format!("trap '' XFSZ; ulimit -f {blocks};");
     member.start();
     group.lease_holder();
-    let _ = group.transfer_role(owner);
+    let _ = group.transfer_role(holder);
     let long: String = (0..400)
         .map(|at| format!("routes {{ name: \"route-{at}\" classes: \"c{at}\" targets {{ engine: \"e-{at}\" }} otherwise: ANY }}\n"))
         .collect();
@@ -134,17 +134,17 @@
     wait_until("its store cannot be written", || {
         newest += 1;
         let document = format!("{long} limits {{ max_open: {} }}", 100 + newest);
-        group.publish_until_acknowledged(&document, &format!("long-{newest}"), at_once());
-        group.member(owner).log().contains("the store cannot be used")
+        group.publish_until_acknowledged(&document, &format!("long-{newest}"), single_stage());
+        group.member(holder).log().contains("the store cannot be used")
     });
-    let after = group.publish_until_acknowledged("limits { max_open: 12 }", "after", at_once());
+    let after = group.publish_until_acknowledged("limits { max_open: 12 }", "after", single_stage());
     for proxy in &proxies {
         // A long one that the proxies had turned down may be rolled back behind it.
         wait_until("it is in force, or what follows it", || version(proxy) >= Some(after));
     }
-    let member = group.member_mut(owner);
+    let member = group.member_mut(holder);
     member.kill();
-    member.shell.clear();
+    member.shell_prefix.clear();
     member.start();
     group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
@@ -153,13 +153,13 @@
 #[test]
 fn a_command_in_flight_across_a_change_of_leader_is_executed_once() {
     let group = Group::start(3);
-    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::ZERO);
+    let publisher = Publisher::start(group.admin_client(&group.numbers_except(0)), Duration::ZERO);
     let (mut changes, began) = (0, Instant::now());
     // As many as a slow machine gets done, and no fewer than ten.
     while changes < 10 || began.elapsed() < Duration::from_secs(1) {
         changes += u32::from(group.transfer_role(0).is_ok());
     }
-    let mut records = publisher.end();
+    let mut records = publisher.stop();
     group.wait_for_equal_versions();
     records.extend(group.records(&[]));
     let report = audit(&records);
@@ -170,13 +170,14 @@
 #[test]
 fn fifty_consecutive_changes_of_leader_under_publications_leave_one_history() {
     let group = Group::start(3);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(100));
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 1)];
+    let publisher =
+        Publisher::start(group.admin_client(&group.numbers_except(0)), Duration::from_millis(100));
     let (_, first) = group.lease_holder();
     while group.lease_holder().1 < first + 50 {
         let _ = group.transfer_role(0);
     }
-    let mut records = publisher.end();
+    let mut records = publisher.stop();
     group.wait_for_equal_versions();
     let newest = group.members[0].versions().first().map_or(0, |it| it.0);
     group.wait_until_in_force(&proxies, newest);
@@ -189,7 +190,7 @@
 #[test]
 fn a_service_that_is_terminated_transfers_its_roles_first() {
     let mut group = Group::start(3);
-    let proxies = [group.proxy("n0", 0)];
+    let proxies = [group.start_proxy("n0", 0)];
     let (old, term) = group.lease_holder();
     let ended = group.member_mut(old).process.take().unwrap().terminate().unwrap();
     assert!(ended.success());
@@ -197,10 +198,10 @@
     assert_eq!(later, term + 1);
     let assigned = |log: String| log.lines().any(|line| line.contains("assigning a role"));
     assert!(
-        group.all_except(old).into_iter().all(|it| !assigned(group.member(it).log())),
+        group.numbers_except(old).into_iter().all(|it| !assigned(group.member(it).log())),
         "nobody had to wait for a lease"
     );
-    let number = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    let number = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, number);
     assert_ne!(next, old);
 }
--- a/tests/leadership/fencing.rs
+++ b/tests/leadership/fencing.rs
@@ -5,20 +5,20 @@
 use gaugestep_testbed::leadership_audit::{Violation, audit};
 
 use crate::group::{Group, wait_until};
-use crate::{at_once, say_hello, term, version};
+use crate::{connect_with_hello, single_stage, term, version};
 
 #[test]
 fn a_proxy_that_has_seen_a_higher_term_than_any_service_follows_none_until_a_takeover() {
     let mut group = Group::start(1);
-    let mut proxies = [group.proxy("n0", 0)];
-    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    let mut proxies = [group.start_proxy("n0", 0)];
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
     // Its state directory is of another fleet's proxy, whose terms are higher.
     let other = Group::start(1);
     for _ in 0..3 {
-        other.until_done(call::What::TakeOver("versions".into()));
+        other.call_until_accepted(call::What::TakeOver("versions".into()));
     }
-    let there = other.proxy("n0", 0);
+    let there = other.start_proxy("n0", 0);
     wait_until("the term is kept there", || term(&there).unwrap_or(0) >= 4);
     let high = term(&there).unwrap();
     drop(there);
@@ -29,12 +29,12 @@
     wait_until("it is shown to be beyond", || {
         group.status().is_some_and(|it| it.proxies.iter().any(|one| one.beyond == high))
     });
-    let why = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
+    let why = group.publish("limits { max_open: 12 }", "b", single_stage()).unwrap_err();
     assert!(why.contains("take-over"), "{why}");
     assert_eq!(version(&proxies[0]), Some(first), "it goes on under what it has");
-    group.until_done(call::What::TakeOver("versions".into()));
+    group.call_until_accepted(call::What::TakeOver("versions".into()));
     assert!(group.lease_holder().1 > high);
-    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(&proxies, second);
     group.member_mut(1).kill();
 }
@@ -42,22 +42,22 @@
 #[test]
 fn a_proxy_that_reports_the_highest_possible_term_neither_blocks_the_fleet_nor_exhausts_terms() {
     let group = Group::start(1);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 0)];
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 0)];
     group.wait_until_in_force(
         &proxies,
-        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage()),
     );
     let seen = vec![Seen { duty: "versions".into(), term: u64::MAX }];
-    let _odd = say_hello(&group, Hello { proxy: "odd".into(), seen, ..Hello::default() });
+    let _odd = connect_with_hello(&group, Hello { proxy: "odd".into(), seen, ..Hello::default() });
     wait_until("it is shown", || {
         group.status().is_some_and(|it| it.proxies.iter().any(|one| one.beyond == u64::MAX))
     });
     let (_, before) = group.lease_holder();
-    group.until_done(call::What::TakeOver("versions".into()));
+    group.call_until_accepted(call::What::TakeOver("versions".into()));
     assert_eq!(group.lease_holder().1, before + 1, "a term that nobody can have come to is not gone above");
     group.wait_until_in_force(
         &proxies,
-        group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once()),
+        group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage()),
     );
 }
 
@@ -76,10 +76,10 @@
                 || (group.transfer_role(old).is_ok() && group.lease_holder().0 == old)
         });
         let proxies = [
-            group.proxy_without(disabled_check, "n0", "n0", 0),
-            group.proxy_without(disabled_check, "n1", "n1", 0),
+            group.start_proxy_without_check(disabled_check, "n0", "n0", 0),
+            group.start_proxy_without_check(disabled_check, "n1", "n1", 0),
         ];
-        let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+        let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
         group.wait_until_in_force(&proxies, first);
         // One proxy is away while the next version goes to all that are here, and is held.
         group.partition_proxy_only_from("n1", &[1, 2, 3]);
@@ -95,17 +95,17 @@
         let (_, next) = group.successor_of(old);
         wait_until("the first proxy follows the new owner", || term(&proxies[0]) == Some(next));
         let staged = Plan { first: 1, hold_ms: 3_600_000, ..Plan::default() };
-        let others = group.service(&group.all_except(old));
+        let others = group.admin_client(&group.numbers_except(old));
         let publish = publish_once("limits { max_open: 13 }", "c", staged);
-        wait_until("the new owner publishes", || {
+        wait_until("the new holder publishes", || {
             others.call(&call::What::Publish(publish.clone()), Delivery::AtLeastOnce).is_ok()
         });
         group.wait_until_in_force(&proxies[..1], overtaken + 1);
         group.partition_proxy_only_from("n1", &[old]);
-        wait_until("the other proxy follows the new owner too", || term(&proxies[1]) == Some(next));
+        wait_until("the other proxy follows the new holder too", || term(&proxies[1]) == Some(next));
         assert_eq!(version(&proxies[1]), Some(first));
         // Now it reaches the old leader alone, which knows of none of this.
-        group.partition_proxy_only_from("n1", &group.all_except(old));
+        group.partition_proxy_only_from("n1", &group.numbers_except(old));
         match disabled_check {
             "" => {
                 let refused = |line: &serde_json::Value| line["code"] == "stale-term";
--- a/tests/leadership/identity.rs
+++ b/tests/leadership/identity.rs
@@ -7,20 +7,20 @@
 use gaugestep_testbed::network::Partition;
 
 use crate::group::{Group, wait_until};
-use crate::{at_once, say_hello, version};
+use crate::{connect_with_hello, single_stage, version};
 
 /// Measured before: both stayed connected, the earlier one was never offered anything again without notice, and `status`
 /// showed one.
 #[test]
 fn two_processes_with_one_name_are_listed_separately_and_the_earlier_one_is_notified() {
     let group = Group::start(1);
-    let earlier = group.proxy_in("n0", "earlier", 0);
+    let earlier = group.start_proxy_in("n0", "earlier", 0);
     group.wait_until_in_force(
         std::slice::from_ref(&earlier),
-        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage()),
     );
-    let later = group.proxy_in("n0", "later", 0);
-    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    let later = group.start_proxy_in("n0", "later", 0);
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(std::slice::from_ref(&later), second);
     wait_until("the earlier one is told", || {
         earlier.statistics().pointer("/configuration/displaced") == Some(&true.into())
@@ -43,8 +43,8 @@
 #[test]
 fn a_copied_store_is_refused_and_a_lone_service_that_was_suspended_waits_for_a_proxy() {
     let mut group = Group::start(1);
-    let proxies = [group.proxy("n0", 0)];
-    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    let proxies = [group.start_proxy("n0", 0)];
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
     let copy = group.folder.path().join("copy");
     std::fs::create_dir(&copy).unwrap();
@@ -70,30 +70,30 @@
 
     // It is suspended; its proxy does not reach it any more, as if it followed another by now.
     group.member_mut(1).suspend();
-    group.net.partition("n0", "1", Partition::Closed);
+    group.network.partition("n0", "1", Partition::Closed);
     wait_until("the proxy has left", || {
         proxies[0].statistics().pointer("/configuration/connected") == Some(&false.into())
     });
     // A proxy connects meanwhile and is gone by the time its hello is read: that proves nothing.
-    let _ghost = say_hello(&group, Hello { proxy: "ghost".into(), ..Hello::default() });
+    let _ghost = connect_with_hello(&group, Hello { proxy: "ghost".into(), ..Hello::default() });
     std::thread::sleep(Duration::from_millis(2_100));
     group.member_mut(1).resume();
     wait_until("the hello that waited is heard", || group.member(1).log().contains("ghost"));
-    let refused = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
+    let refused = group.publish("limits { max_open: 12 }", "b", single_stage()).unwrap_err();
     assert!(refused.contains("stood still") && refused.contains("take-over"), "{refused}");
     assert_eq!(group.member(1).versions().len(), 1, "nothing was published");
-    group.net.heal_all();
-    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    group.network.heal_all();
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(&proxies, second);
 }
 
 #[test]
 fn two_services_that_restart_with_swapped_addresses_are_identified_correctly() {
     let mut group = Group::start(3);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 1), group.proxy("n2", 2)];
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 1), group.start_proxy("n2", 2)];
     group.wait_until_in_force(
         &proxies,
-        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage()),
     );
     let (one, other) = (1, 2);
     group.members[one].kill();
@@ -112,7 +112,7 @@
     for number in [1, 2, 3] {
         wait_until("all hear all", || group.known_members(number).len() == 3);
     }
-    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(&proxies, second);
     group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1", "n2"])).violations, []);
@@ -121,8 +121,8 @@
 #[test]
 fn a_service_with_an_old_store_is_refused_by_its_generation_file_and_by_its_peers() {
     let mut group = Group::start(3);
-    let proxies = [group.proxy("n0", 0)];
-    group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    let proxies = [group.start_proxy("n0", 0)];
+    group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     let folder = group.members[2].folder.clone();
     let (store, seal) = (folder.join("versions.redb"), folder.join("versions.redb.seal"));
     group.members[2].kill();
@@ -132,7 +132,7 @@
     wait_until("the others know of its start", || {
         group.known_members(1).contains(&3) && group.known_members(2).contains(&3)
     });
-    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_for_equal_versions();
     group.members[2].kill();
     // The store alone is refused by its generation file; both together by the other members.
@@ -150,9 +150,9 @@
         group.members[2].kill();
     }
     // The way that the line names: it leaves, and a new one comes with an empty store.
-    group.until_done(call::What::RemoveMember(3));
+    group.call_until_accepted(call::What::RemoveMember(3));
     group.members.pop();
-    group.add(4);
+    group.start_member(4);
     wait_until("the new one has all", || group.member(4).versions().len() == 2);
     group.wait_until_in_force(&proxies, second);
     let again = group.members[0].call(call::What::AddMember(gaugestep_config::schema::Member {
@@ -191,10 +191,10 @@
         store.write(&batch).unwrap();
     }
     group.member_mut(1).start();
-    let proxies = [group.proxy("n0", 0)];
+    let proxies = [group.start_proxy("n0", 0)];
     group.wait_until_in_force(&proxies, 5);
     assert!(group.log_lines("n0").iter().any(|line| line["lineage"] == 77));
-    let next = group.publish_until_acknowledged("limits { max_open: 18 }", "a", at_once());
+    let next = group.publish_until_acknowledged("limits { max_open: 18 }", "a", single_stage());
     assert_eq!(next, 6);
     group.wait_until_in_force(&proxies, next);
 }
--- a/tests/leadership/main.rs
+++ b/tests/leadership/main.rs
@@ -18,7 +18,7 @@
 use group::Group;
 use proxy::Proxy;
 
-fn at_once() -> Plan {
+fn single_stage() -> Plan {
     Plan::default()
 }
 
@@ -31,7 +31,7 @@
 }
 
 /// A stream on which a peer sends this hello, and no more.
-fn say_hello(group: &Group, hello: Hello) -> std::net::TcpStream {
+fn connect_with_hello(group: &Group, hello: Hello) -> std::net::TcpStream {
     let said = gaugestep_config::schema::from_client::Said::Hello(Hello { protocol: 1, ..hello });
     let message = gaugestep_config::schema::FromClient { said: Some(said) };
     let mut stream = std::net::TcpStream::connect(group.members[0].listen).unwrap();
--- a/tests/leadership/partitions.rs
+++ b/tests/leadership/partitions.rs
@@ -9,37 +9,37 @@
 
 use crate::group::{Group, wait_until};
 use crate::proxy::Proxy;
-use crate::{at_once, version};
+use crate::{single_stage, version};
 
 #[test]
 fn a_leader_cut_off_from_the_group_but_not_from_half_of_the_proxies_steps_down() {
     let group = Group::start(3);
-    let proxies: Vec<Proxy> = (0..4).map(|at| group.proxy(&format!("n{at}"), at)).collect();
-    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    let proxies: Vec<Proxy> = (0..4).map(|at| group.start_proxy(&format!("n{at}"), at)).collect();
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
     let (old, _) = group.lease_holder();
     let name = old.to_string();
     for other in group.members.iter().filter(|member| member.number != old) {
-        group.net.partition(&name, &other.name(), Partition::Silent);
+        group.network.partition(&name, &other.name(), Partition::Silent);
     }
     for proxy in ["n0", "n1"] {
-        group.net.partition(proxy, &name, Partition::Closed);
+        group.network.partition(proxy, &name, Partition::Closed);
     }
     let why = |answer: Result<(u64, String), String>| answer.err();
-    let only_old = group.service(&[old]);
+    let only_old = group.admin_client(&[old]);
     let status = || only_old.call(&call::What::Status(Default::default()), Delivery::AtLeastOnce);
-    wait_until("the old owner says that it cannot act", || status().is_err());
+    wait_until("the old holder says that it cannot act", || status().is_err());
     wait_until("another one owns the versions", || {
         let others = group.members.iter().filter(|member| member.number != old);
         others.flat_map(|member| member.roles()).any(|duty| duty.owner != old && duty.owner > 0)
     });
     wait_until("a version is published behind the cut", || {
-        why(group.publish("limits { max_open: 12 }", "b", at_once())).is_none()
+        why(group.publish("limits { max_open: 12 }", "b", single_stage())).is_none()
     });
     // Those that reached the old leader leave it, as it names no leader, and find the new one.
     group.wait_until_in_force(&proxies, first + 1);
-    group.net.heal_all();
-    let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
+    group.network.heal_all();
+    let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", single_stage());
     group.wait_until_in_force(&proxies, third);
     group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1", "n2", "n3"])).violations, []);
@@ -48,27 +48,27 @@
 #[test]
 fn one_way_link_failures_leave_one_active_leader() {
     let group = Group::start(3);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 1)];
     group.wait_until_in_force(
         &proxies,
-        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage()),
     );
     for round in 0..3 {
-        let (owner, _) = group.lease_holder();
-        let others: Vec<u64> = group.members.iter().map(|it| it.number).filter(|it| *it != owner).collect();
+        let (holder, _) = group.lease_holder();
+        let others: Vec<u64> = group.members.iter().map(|it| it.number).filter(|it| *it != holder).collect();
         // First nothing from the leader arrives, then nothing to it; then one of the others alone receives nothing from it.
         for other in if round < 2 { &others[..] } else { &others[..1] } {
-            let (from, to) = if round == 1 { (*other, owner) } else { (owner, *other) };
+            let (from, to) = if round == 1 { (*other, holder) } else { (holder, *other) };
             let deaf = Link { forward: LinkFault::Stalled, ..Link::default() };
-            group.net.set(&from.to_string(), &to.to_string(), deaf);
+            group.network.set(&from.to_string(), &to.to_string(), deaf);
         }
         let number = group.publish_until_acknowledged(
             &format!("limits {{ max_open: {} }}", 20 + round),
             &format!("r{round}"),
-            at_once(),
+            single_stage(),
         );
         group.wait_until_in_force(&proxies, number);
-        group.net.heal_all();
+        group.network.heal_all();
     }
     group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
@@ -77,30 +77,32 @@
 #[test]
 fn without_a_majority_commands_fail_fast_and_proxies_run_and_start_on_their_last_version() {
     let mut group = Group::start(3);
-    let mut proxies = [group.proxy("n0", 0), group.proxy("n1", 1)];
-    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once());
+    let mut proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 1)];
+    let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
-    let (owner, _) = group.lease_holder();
-    let left = group.members.iter().map(|it| it.number).find(|it| *it != owner).unwrap();
+    let (holder, _) = group.lease_holder();
+    let left = group.members.iter().map(|it| it.number).find(|it| *it != holder).unwrap();
     for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
         group.member_mut(number).kill();
     }
     let asked = Instant::now();
-    let why = group.publish("limits { max_open: 12 }", "b", at_once()).unwrap_err();
+    let why = group.publish("limits { max_open: 12 }", "b", single_stage()).unwrap_err();
     assert!(why.contains("no majority") || why.contains("cannot be reached"), "{why}");
     assert!(asked.elapsed() < Duration::from_secs(15), "{:?}", asked.elapsed());
     wait_until("it says that there is no majority", || {
-        group.publish("limits { max_open: 12 }", "b", at_once()).is_err_and(|why| why.contains("no majority"))
+        group
+            .publish("limits { max_open: 12 }", "b", single_stage())
+            .is_err_and(|why| why.contains("no majority"))
     });
     proxies[0].kill();
     proxies[0].restart();
-    let fresh = group.proxy("n2", 2);
+    let fresh = group.start_proxy("n2", 2);
     assert_eq!((version(&proxies[0]), version(&proxies[1])), (Some(first), Some(first)));
     assert_eq!(version(&fresh), Some(0), "it starts without an owner");
     for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
         group.member_mut(number).start();
     }
-    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(&proxies, second);
     group.wait_until_in_force(std::slice::from_ref(&fresh), second);
 }
@@ -108,27 +110,29 @@
 #[test]
 fn five_services_keep_working_with_two_dead_and_a_third_cut_off_for_a_while() {
     let mut group = Group::start(5);
-    let proxies = [group.proxy("n0", 0), group.proxy("n1", 3)];
+    let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 3)];
     group.wait_until_in_force(
         &proxies,
-        group.publish_until_acknowledged("limits { max_open: 11 }", "a", at_once()),
+        group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage()),
     );
-    let (owner, _) = group.lease_holder();
-    group.member_mut(owner).kill();
-    let (next, _) = group.successor_of(owner);
+    let (holder, _) = group.lease_holder();
+    group.member_mut(holder).kill();
+    let (next, _) = group.successor_of(holder);
     group.member_mut(next).kill();
-    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", at_once());
+    let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(&proxies, second);
     // Three are left, and all of them are needed.
-    let left = group.members.iter().find(|member| member.runs()).unwrap().number;
+    let left = group.members.iter().find(|member| member.is_running()).unwrap().number;
     group.isolate(left);
-    wait_until("there is no majority", || group.publish("limits { max_open: 13 }", "c", at_once()).is_err());
+    wait_until("there is no majority", || {
+        group.publish("limits { max_open: 13 }", "c", single_stage()).is_err()
+    });
     // What was under way at the moment of the cut may have been agreed on still.
     assert!(proxies.iter().all(|proxy| version(proxy) >= Some(second)));
-    group.net.heal_all();
-    let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", at_once());
+    group.network.heal_all();
+    let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", single_stage());
     group.wait_until_in_force(&proxies, third);
-    group.member_mut(owner).start();
+    group.member_mut(holder).start();
     group.member_mut(next).start();
     group.wait_for_equal_versions();
     assert_eq!(audit(&group.records(&["n0", "n1"])).violations, []);
--- a/tests/leadership/seeded_faults.rs
+++ b/tests/leadership/seeded_faults.rs
@@ -14,12 +14,14 @@
     eprintln!("seed {seed}");
     let mut group = Group::start(3);
     let names: Vec<String> = (0..3).map(|at| format!("n{at}")).collect();
-    let proxies: Vec<Proxy> = names.iter().enumerate().map(|(at, name)| group.proxy(name, at)).collect();
-    let publisher = Publisher::start(group.service(&group.all_except(0)), Duration::from_millis(100));
-    group.play(&Schedule::draw(seed, 3, 3, faults), &names);
+    let proxies: Vec<Proxy> =
+        names.iter().enumerate().map(|(at, name)| group.start_proxy(name, at)).collect();
+    let publisher =
+        Publisher::start(group.admin_client(&group.numbers_except(0)), Duration::from_millis(100));
+    group.run_schedule(&Schedule::draw(seed, 3, 3, faults), &names);
     // All is healed: there is one leader again, it publishes, and all proxies reach what it published.
     group.lease_holder();
-    let mut records = publisher.end();
+    let mut records = publisher.stop();
     let last = group.publish_until_acknowledged("limits { max_open: 9 }", "last", Plan::default());
     group.wait_until_in_force(&proxies, last);
     group.wait_for_equal_versions();
--- a/tests/ordinals.rs
+++ b/tests/ordinals.rs
@@ -21,7 +21,7 @@
 /// A group of services that keeps a roster, and has proxies log each confirmation.
 fn group(services: u64) -> Group {
     let group = Group::start(services);
-    group.until_done(call::What::Declare(ORDINALS_ROLE.into()));
+    group.call_until_accepted(call::What::Declare(ORDINALS_ROLE.into()));
     let logging = "logging { level: INFO parts { name: \"gaugestep_control::follow\" level: DEBUG } }";
     group.publish_until_acknowledged(logging, "logging", Plan::default());
     group
@@ -32,7 +32,7 @@
 }
 
 fn start(group: &Group, names: &[String]) -> Vec<Proxy> {
-    names.iter().enumerate().map(|(at, name)| group.proxy(name, at)).collect()
+    names.iter().enumerate().map(|(at, name)| group.start_proxy(name, at)).collect()
 }
 
 fn names(from: usize, to: usize) -> Vec<String> {
@@ -92,15 +92,15 @@
         proxies[suspended].suspend();
     }
     let roster_manager = |group: &Group, but: u64| {
-        let asked = group.members.iter().filter(|member| member.number != but && member.runs());
+        let asked = group.members.iter().filter(|member| member.number != but && member.is_running());
         let answer = asked.flat_map(|member| member.roles()).filter(|it| it.name == ORDINALS_ROLE);
         answer.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
     };
     let (old, old_term) = roster_manager(&group, 0);
     group.member_mut(old).suspend();
     wait_until("another service manages the roster", || {
-        let (owner, term) = roster_manager(&group, old);
-        owner != old && owner > 0 && term > old_term
+        let (holder, term) = roster_manager(&group, old);
+        holder != old && holder > 0 && term > old_term
     });
     // New proxies get the ordinals of those that are gone, once their quarantine is over.
     known.extend(names(12, 15));
@@ -129,7 +129,7 @@
     let before = ordinal(&proxies[0]);
     // What it sends does not arrive, what it is sent does.
     for member in &group.members {
-        group.net.set("n0", &member.name(), Link { forward: LinkFault::Stalled, ..Link::default() });
+        group.network.set("n0", &member.name(), Link { forward: LinkFault::Stalled, ..Link::default() });
     }
     wait_until("it falls back to its name", || ordinal(&proxies[0]).is_none());
     wait_until("it logs it", || group.log_lines("n0").iter().any(|line| line["message"] == "ordinal lost"));
@@ -139,7 +139,7 @@
     wait_until("no proxy has an ordinal", || proxies.iter().all(|proxy| ordinal(proxy).is_none()));
     assert!(proxies.iter().all(|proxy| proxy.client().request("") == "I"));
     group.members.iter_mut().for_each(|member| member.resume());
-    group.net.heal_all();
+    group.network.heal_all();
     group.wait_for_ordinals(&proxies.iter().collect::<Vec<_>>(), 4);
     assert!(before.is_some());
     assert_eq!(conflicts(&group, &known), []);
@@ -151,11 +151,11 @@
 fn without_the_proxys_own_check_one_that_resumes_late_duplicates_an_ordinal_and_the_audit_finds_it() {
     let group = group(1);
     let mut known = names(0, 3);
-    let unchecked = group.proxy_without("seat", "n0", "n0", 0);
-    let other = group.proxy("n1", 0);
+    let unchecked = group.start_proxy_without_check("seat", "n0", "n0", 0);
+    let other = group.start_proxy("n1", 0);
     group.wait_for_ordinals(&[&unchecked, &other], 2);
     unchecked.suspend();
-    let late = group.proxy("n2", 0);
+    let late = group.start_proxy("n2", 0);
     wait_until("the new proxy has a confirmed ordinal", || {
         ordinal(&late).is_some() && group.members[0].ordinals().len() == 2
     });
@@ -191,7 +191,7 @@
                 _ => {}
             }
         }
-        group.play(&schedule, &known);
+        group.run_schedule(&schedule, &known);
         let _ = group.call(call::What::HandOver(HandOver { duty: ORDINALS_ROLE.into(), to: 0 }));
     }
     suspended.iter().for_each(|one| proxies[*one].resume());
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -77,8 +77,8 @@
     let folder = group.folder.path().join(format!("service-{number}"));
     std::fs::create_dir(&folder).unwrap();
     let (listen, operators) = (StoredAddresses::listen(number), StoredAddresses::operators(number));
-    let (process, disabled_check, shell) = (None, "", String::new());
-    MemberProcess { number, folder, listen, relay: listen, operators, process, disabled_check, shell }
+    let (process, disabled_check, shell_prefix) = (None, "", String::new());
+    MemberProcess { number, folder, listen, relay: listen, operators, process, disabled_check, shell_prefix }
 }
 
 /// Where a group's proxy of the stored name keeps its state.
@@ -127,7 +127,7 @@
         group.members.iter().map(|member| GenerationFile::read(&member.store())).collect();
 
     // No control service runs yet.
-    let proxy = group.proxy(PROXY, 0);
+    let proxy = group.start_proxy(PROXY, 0);
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
     assert_eq!(term_seen(&proxy), Some(stored_term(&proxy_data())));
     assert_eq!(proxy.statistics().pointer("/configuration/connected"), Some(&false.into()));
@@ -186,7 +186,7 @@
     let seen = stored_term(&state);
     assert!(seen > 1, "there is a lower term");
     let service = ScriptedControlServer::new();
-    let operator = control::operator(folder.path(), service.0.local_addr().unwrap(), &state, "");
+    let operator = control::write_operator_file(folder.path(), service.0.local_addr().unwrap(), &state, "");
     // The scripted service answers later: the proxy starts without it.
     let proxy = Launch { operator: Some(operator), ..Launch::new(&[]) }.start();
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
@@ -300,9 +300,9 @@
         group.add_member(member);
     }
     for role in [ORDINALS_ROLE, REPORTS] {
-        group.until_done(call::What::Declare(role.into()));
+        group.call_until_accepted(call::What::Declare(role.into()));
     }
-    let mut proxies = [group.proxy(PROXY, 0)];
+    let mut proxies = [group.start_proxy(PROXY, 0)];
     let first = group.publish_until_acknowledged(FIRST_DOCUMENT, FIRST_KEY, Plan::default());
     group.wait_until_in_force(&proxies, first);
     restart_last_member(&mut group);
@@ -310,7 +310,7 @@
     let plan = Plan { first: 1, share: 0.5, hold_ms: 100, refusals: Some(2), ..Plan::default() };
     let second = group.publish_until_acknowledged(SECOND_DOCUMENT, SECOND_KEY, plan);
     group.wait_until_in_force(&proxies, second);
-    wait_until("its rollout is complete", || group.state(second) == "COMPLETE");
+    wait_until("its rollout is complete", || group.version_state(second) == "COMPLETE");
     group.wait_for_ordinals(&[&proxies[0]], 1);
     let (_, term) = group.lease_holder();
     wait_until("the proxy has seen the term", || term_seen(&proxies[0]) == Some(term));
--- a/tests/stored_data/short_form.rs
+++ b/tests/stored_data/short_form.rs
@@ -1,4 +1,4 @@
-//! A short form of a store's file, as the embedded engine fills most of its file with the same bytes over and over.
+//! A short form of a store's file, as the embedded database fills most of its file with the same bytes over and over.
 //!
 //! The form: the file's length, then each block that differs from the one before it, as its index and its bytes; the block
 //! before the first is all zero bytes. Numbers are `u64`, big endian.
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use control::{ControlServer, operator, wait_until};
+use control::{ControlServer, wait_until, write_operator_file};
 use proxy::{Launch, Proxy};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
@@ -82,7 +82,7 @@
 fn proxy(control: &ControlServer, kept: &tempfile::TempDir, file: &str) -> Proxy {
     let folder = control.folder.path();
     let extra = format!("{} service_name: \"control.test\"", keys(folder, file, "proxies"));
-    let file = operator(folder, control.listen, &kept.path().join("n0"), &extra);
+    let file = write_operator_file(folder, control.listen, &kept.path().join("n0"), &extra);
     Launch { operator: Some(file), ..Launch::new(&[]) }.start()
 }
 
@@ -164,12 +164,12 @@
     };
     assert_eq!(add("2", &second).0, 0);
     let votes = || {
-        let members = first.json(&["members"])["members"].clone();
+        let members = first.run_json(&["members"])["members"].clone();
         members.as_array().unwrap().iter().filter(|it| it["votes"] == true && it["here"] == true).count()
     };
     wait_until("both vote", || votes() == 2);
     let number = first.publish("limits { max_open: 21 }", &[]);
-    wait_until("the second holds it", || second.json(&["list"])[0]["version"] == number);
+    wait_until("the second holds it", || second.run_json(&["list"])[0]["version"] == number);
     let third = of(3, true, "n0");
     wait_until("it is added, though it is never spoken to", || {
         let (code, _, why) = add("3", &third);
