--- a/tests/event_races/client_leaves.rs
+++ b/tests/event_races/client_leaves.rs
@@ -10,18 +10,19 @@
 };
 use crate::{assert_only_next_query_arrives, open_idle_connection, serve, with_long_dial_timeout};
 
-/// Engines that answer each request after the milliseconds that its schema names, all by the thread of the test: what they
-/// have taken is known at every moment.
-struct Engines {
+/// Engines that respond to each request after the number of milliseconds in the name of its schema
+/// (`sales_900`). The test's own thread runs them, so that it knows at every moment which requests they have
+/// received.
+struct TimedEngines {
     engines: [Engine; 2],
     connections: Vec<EngineConnection>,
-    /// Connection, id, and when it is answered.
+    /// Index of the connection, request id and time of the response.
     running: Vec<(usize, String, Instant)>,
 }
 
-impl Engines {
-    /// Takes all that has come by now; how many requests.
-    fn take(&mut self) -> usize {
+impl TimedEngines {
+    /// Reads all commands that have arrived and returns the number of requests among them.
+    fn receive(&mut self) -> usize {
         for engine in &self.engines {
             engine.0.set_nonblocking(true).unwrap();
             while let Ok((socket, _)) = engine.0.accept() {
@@ -29,43 +30,43 @@
                 self.connections.push(EngineConnection(std::io::BufReader::new(socket)));
             }
         }
-        let mut taken = 0;
-        for (at, connection) in self.connections.iter_mut().enumerate() {
+        let mut received = 0;
+        for (index, connection) in self.connections.iter_mut().enumerate() {
             while !connection.is_silent() {
                 let command = connection.command();
                 match &*command[0] {
                     "serve" => {
-                        let cost = command[4].split(['_', '.']).nth(1).unwrap().parse().unwrap();
+                        let run_ms = command[4].split(['_', '.']).nth(1).unwrap().parse().unwrap();
                         self.running.push((
-                            at,
+                            index,
                             command[1].clone(),
-                            Instant::now() + Duration::from_millis(cost),
+                            Instant::now() + Duration::from_millis(run_ms),
                         ));
-                        taken += 1;
+                        received += 1;
                     }
-                    "cancel" => self.running.retain(|(place, id, _)| *place != at || *id != command[1]),
+                    "cancel" => self.running.retain(|(other, id, _)| *other != index || *id != command[1]),
                     "" => break,
                     _ => {}
                 }
             }
         }
-        taken
+        received
     }
 
-    /// Answers what is due, until the client has its answer.
+    /// Sends a query and the responses that are due, until the client has its response.
     fn serve(&mut self, client: &mut Client, text: &str) {
         std::thread::scope(|scope| {
-            let asks = scope.spawn(|| client.request(text));
-            while !asks.is_finished() {
-                self.take();
+            let request = scope.spawn(|| client.request(text));
+            while !request.is_finished() {
+                self.receive();
                 let now = Instant::now();
-                for (at, id, _) in self.running.iter().filter(|it| it.2 <= now) {
-                    self.connections[*at].send(id, "HIT", "total=1,elapsed=20,rss=1", "a\tb\tc\n");
+                for (index, id, _) in self.running.iter().filter(|(.., due)| *due <= now) {
+                    self.connections[*index].send(id, "HIT", "total=1,elapsed=20,rss=1", "a\tb\tc\n");
                 }
-                self.running.retain(|it| it.2 > now);
+                self.running.retain(|(.., due)| *due > now);
                 std::thread::sleep(Duration::from_millis(1));
             }
-            assert_eq!(asks.join().unwrap(), "TDC");
+            assert_eq!(request.join().unwrap(), "TDC");
         });
     }
 }
@@ -75,7 +76,7 @@
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut connection = open_idle_connection(&proxy, &engine, 1);
-    let mut others = proxy.client();
+    let mut other_client = proxy.client();
     for id in 2..6 {
         let mut client = proxy.client();
         proxy.suspend();
@@ -83,7 +84,7 @@
         drop(client);
         proxy.resume();
     }
-    assert_eq!(others.request(""), "I", "other sessions go on");
+    assert_eq!(other_client.request(""), "I", "other sessions go on");
     assert_only_next_query_arrives(&proxy, &mut connection);
     assert_eq!(proxy.attempts_once_idle(), 2);
 }
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn a_cancel_that_arrives_amid_its_query_cancels_all_of_it() {
+fn a_cancel_that_arrives_in_the_middle_of_a_query_cancels_that_query() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut connection = open_idle_connection(&proxy, &engine, 1);
@@ -122,7 +123,7 @@
     assert_eq!(read_to_close(&client.cancel()), "", "the cancel has been read");
     client.socket.write_all(&message[40..]).unwrap();
     assert!(client.read_response().starts_with("E 57014"));
-    // A cancel that finds nothing holds for nothing that comes later.
+    // A cancel that finds no query in flight has no effect on later queries.
     assert_eq!(read_to_close(&client.cancel()), "");
     client.send(&query("lookup", 3, 15_000));
     assert_eq!(connection.command()[1], format!("{:016x}", 3));
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_an_engine_is_not_sent_once_its_client_has_left() {
+fn a_queued_request_is_not_sent_after_its_client_disconnects_or_cancels() {
     let (engine, coordinator) = (Engine::new(), Coordinator::new());
     let proxy = Proxy::follow(&[&engine], Some(&coordinator));
     let (mut stream, _) = coordinator.accept();
@@ -144,8 +145,9 @@
     let (mut closing, mut cancelling) = (proxy.client(), proxy.client());
     closing.send(&query("lookup", 1, 15_000));
     cancelling.send(&query("load", 2, 15_000));
-    wait_within(TIMEOUT, "they wait", || proxy.statistic("/outstanding") == Some(2));
-    // The engine takes work again, over a connection that is open, before it is seen that they have left.
+    wait_within(TIMEOUT, "both requests are queued", || proxy.statistic("/outstanding") == Some(2));
+    // The engine becomes available again, over a connection that is open, before the proxy reads the close
+    // and the cancel.
     proxy.suspend();
     publish_phase(3, "SERVING");
     drop(closing);
@@ -157,16 +159,16 @@
 }
 
 #[test]
-fn a_request_that_waits_for_a_dial_is_not_sent_once_its_client_has_left() {
-    let (engine, first) = Engine::with_full_backlog();
+fn a_request_that_waits_for_a_dial_is_not_sent_after_its_client_disconnects() {
+    let (engine, backlog) = Engine::with_full_backlog();
     let proxy = Launch { edit_config: &with_long_dial_timeout, ..Launch::new(&[&engine]) }.start();
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
-    wait_within(TIMEOUT, "it waits", || proxy.statistic("/outstanding") == Some(1));
-    // The dial completes while the proxy is suspended, and its client leaves.
+    wait_within(TIMEOUT, "the request waits for the dial", || proxy.statistic("/outstanding") == Some(1));
+    // The dial completes and the client disconnects while the proxy is suspended.
     proxy.suspend();
     drop(client);
-    drop((first, engine.accept()));
+    drop((backlog, engine.accept()));
     let mut connection = engine.accept();
     proxy.resume();
     assert_only_next_query_arrives(&proxy, &mut connection);
@@ -174,91 +176,97 @@
 }
 
 #[test]
-fn no_retry_follows_once_the_client_has_left() {
+fn a_failed_attempt_is_not_retried_after_its_client_disconnects() {
     let (first, second, coordinator) = (Engine::new(), Engine::new(), Coordinator::new());
     let proxy = Proxy::follow(&[&second], Some(&coordinator));
     let (mut stream, _) = coordinator.accept();
-    // Connections to the second are open, and rest while it drains.
+    // Connections to the second engine are open, and idle while it drains.
     let (mut one, mut other) = (proxy.client(), proxy.client());
     one.send(&query("lookup", 8, 15_000));
     let mut connection = second.accept();
     other.send(&query("lookup", 9, 15_000));
-    let mut more = second.accept();
+    let mut other_connection = second.accept();
     assert_eq!(
-        [connection.command()[1].clone(), more.command()[1].clone()],
+        [connection.command()[1].clone(), other_connection.command()[1].clone()],
         [8, 9].map(|id| format!("{id:016x}"))
     );
     serve(&mut connection, 8);
-    serve(&mut more, 9);
+    serve(&mut other_connection, 9);
     assert_eq!([one.read_response(), other.read_response()], ["TDC", "TDC"]);
     let entries = [second.list_entry("s-0", "DRAINING"), first.list_entry("s-9", "SERVING")];
     stream.write_all(event(2, &entries).as_bytes()).unwrap();
-    wait_within(TIMEOUT, "the first is listed", || proxy.statistic("/discovered") == Some(2));
-    // The first attempt fails: rejected by a full engine, or with its connection.
-    let (mut full, mut broken) = (proxy.client(), proxy.client());
-    full.send(&query("lookup", 1, 15_000));
-    let mut sheds = first.accept();
-    sheds.command();
-    broken.send(&query("lookup", 2, 15_000));
-    let mut breaks = first.accept();
-    breaks.command();
+    wait_within(TIMEOUT, "the first engine is listed", || proxy.statistic("/discovered") == Some(2));
+    // The first attempt of each request fails: one with a SHED response, the other with its connection.
+    let (mut shed_client, mut reset_client) = (proxy.client(), proxy.client());
+    shed_client.send(&query("lookup", 1, 15_000));
+    let mut shedding = first.accept();
+    shedding.command();
+    reset_client.send(&query("lookup", 2, 15_000));
+    let mut breaking = first.accept();
+    breaking.command();
     let entries = [
         second.list_entry("s-0", "SERVING"),
         first.list_entry("s-9", "SERVING"),
         first.list_entry("s-x", "SERVING"),
     ];
     stream.write_all(event(3, &entries).as_bytes()).unwrap();
-    wait_within(TIMEOUT, "the second is back", || proxy.statistic("/discovered") == Some(3));
+    wait_within(TIMEOUT, "the second engine and a third entry are listed", || {
+        proxy.statistic("/discovered") == Some(3)
+    });
     stream.write_all(event(4, &[first.list_entry("s-x", "DELETED")]).as_bytes()).unwrap();
-    wait_within(TIMEOUT, "and the third is gone", || proxy.statistic("/discovered") == Some(2));
+    wait_within(TIMEOUT, "the third entry is deleted", || proxy.statistic("/discovered") == Some(2));
     proxy.suspend();
-    sheds.send(&format!("{:016x}", 1), "SHED", "-", "");
-    drop(breaks);
-    drop((full, broken));
+    shedding.send(&format!("{:016x}", 1), "SHED", "-", "");
+    drop(breaking);
+    drop((shed_client, reset_client));
     proxy.resume();
     assert_eq!(proxy.attempts_once_idle(), 4);
-    // Neither is sent to the second.
-    assert!(connection.is_silent() && more.is_silent());
+    // Neither request is sent to the second engine.
+    assert!(connection.is_silent() && other_connection.is_silent());
 }
 
-/// An attempt times out at the moment in which its client leaves: it is not relaunched.
+/// An attempt times out at the same moment at which its client disconnects.
 #[test]
-fn an_attempt_that_times_out_is_not_relaunched_once_its_client_has_left() {
+fn a_timed_out_attempt_is_not_relaunched_after_its_client_disconnects() {
     let engines = [Engine::new(), Engine::new()];
     let proxy = Proxy::start(&[&engines[0], &engines[1]]);
-    let mut engines = Engines { engines, connections: Vec::new(), running: Vec::new() };
-    let mut asked = 0x100;
-    let mut text = |cost: u32| {
-        asked += 1;
-        format!("/* method=lookup,rid={asked:016x},budget=15000,est=20 */ SELECT a FROM sales_{cost}.orders")
+    let mut engines = TimedEngines { engines, connections: Vec::new(), running: Vec::new() };
+    let mut last_id = 0x100;
+    let mut text = |run_ms: u32| {
+        last_id += 1;
+        format!(
+            "/* method=lookup,rid={last_id:016x},budget=15000,est=20 */ SELECT a FROM sales_{run_ms}.orders"
+        )
     };
-    // A class learns its timeout from quick runs and a few that take far longer.
+    // The class gets a timeout from many short runs and a few that take far longer.
     let mut client = proxy.client();
-    for at in 0..60 {
-        engines.serve(&mut client, &text(if at % 12 == 11 { 900 } else { 1 }));
+    for number in 0..60 {
+        engines.serve(&mut client, &text(if number % 12 == 11 { 900 } else { 1 }));
     }
-    // A share of all runs is never cut; one of these is.
-    let cut = (0..20).any(|_| {
+    // A fraction of all attempts runs without a timeout; at least one of these twenty has one.
+    let timed_out = (0..20).any(|_| {
         let mut client = proxy.client();
         client.send(&text(4_000));
-        wait_within(TIMEOUT, "it arrives", || engines.take() > 0);
+        wait_within(TIMEOUT, "the request arrives", || engines.receive() > 0);
         proxy.suspend();
-        // What was written before the stop is there to be read: a relaunch among it tells nothing.
-        let early = engines.take();
+        // A relaunch that was written before the suspension preceded the disconnect: such a round proves
+        // nothing.
+        let early_relaunches = engines.receive();
         drop(client);
         std::thread::sleep(Duration::from_millis(400));
         proxy.resume();
         proxy.attempts_once_idle();
-        assert_eq!(engines.take(), 0, "an attempt began behind its client's back");
-        // Had its client stayed, it would have been sent again.
+        assert_eq!(engines.receive(), 0, "an attempt started after its client disconnected");
+        // A request whose client stays connected is relaunched, which shows that the class has a timeout.
         let before = proxy.statistic("/forwards").unwrap();
         engines.serve(&mut proxy.client(), &text(2_000));
-        early == 0 && proxy.statistic("/forwards") == Some(before + 2)
+        early_relaunches == 0 && proxy.statistic("/forwards") == Some(before + 2)
     });
-    assert!(cut, "the class learns no timeout");
+    assert!(timed_out, "the class gets no timeout");
 }
 
-/// A client that closes its side only is taken to have left, as nobody can distinguish the two: its one answer is an error.
+/// The proxy cannot distinguish a client that closes only its sending side from one that disconnects: it
+/// cancels the query, and the final response is an error.
 #[test]
 fn a_client_that_half_closes_its_connection_receives_an_error() {
     let engine = Engine::new();
@@ -270,24 +278,24 @@
     assert!(read_to_close(&client.socket).contains("57014"));
 }
 
-/// Many queries are sent before the answer, so that the close after them is not read for long: the query that runs is
-/// cancelled, and none of the others starts.
+/// A client sends many queries before the first response and then disconnects, so that the proxy reads the
+/// close late: it cancels the query that runs, and none of the queries behind it starts.
 #[test]
 fn no_attempt_starts_for_pipelined_queries_of_a_client_that_disconnects() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut client = proxy.client();
     let (mut connection, command) = client.send_to(&engine, &query("lookup", 1, 15_000));
-    let mut others = proxy.client();
+    let mut other_client = proxy.client();
     for id in 0x100..0x800 {
-        // It may be reset in the middle, as it is sending too much.
+        // The proxy may reset the connection in the middle, as the client sends too much.
         if client.try_send(&query("lookup", id, 15_000)).is_err() {
             break;
         }
     }
     assert_eq!(connection.command(), ["cancel", &command[1]]);
     drop(client);
-    assert_eq!(others.request(""), "I");
+    assert_eq!(other_client.request(""), "I");
     assert_only_next_query_arrives(&proxy, &mut connection);
     assert_eq!(proxy.attempts_once_idle(), 2);
 }
