--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -14,7 +14,7 @@
 
 use control::{ControlServer, RespondingEngine, wait_until};
 use proxy::{Launch, Proxy, query};
-use subscriber::{median, subscribe, subscribers};
+use subscriber::{median_and_max, subscribe, subscribers};
 
 /// A figure of a process as the system tells it, in KB.
 fn resident(process: u32) -> u64 {
@@ -48,7 +48,7 @@
         let bytes = ends.iter().map(|(.., bytes)| bytes).sum::<usize>() / count;
         if round == 1 { first = bytes } else { later = bytes }
     }
-    let (middle, worst) = median(spans);
+    let (middle, worst) = median_and_max(spans);
     println!(
         "{count:>4} subscribers: publish to acknowledged {middle:.1} ms median, {worst:.1} ms worst; {} KB at the service \
          for each; {first} bytes for a first version of 100 routes, {later} for a change of one limit",
@@ -106,7 +106,7 @@
         while have(number) < count {}
         spans.push(began.elapsed().as_secs_f64() * 1e3);
     }
-    let (middle, worst) = median(spans);
+    let (middle, worst) = median_and_max(spans);
     println!(
         "{count:>4} real proxies: publish to in force and synced at all {middle:.1} ms median, {worst:.1} ms worst"
     );
@@ -158,7 +158,7 @@
             spans[which].push(began.elapsed().as_secs_f64() * 1e6);
         }
     }
-    let [with_span, without_span] = spans.map(|all| median(all).0);
+    let [with_span, without_span] = spans.map(|all| median_and_max(all).0);
     let kb = |proxy: &Proxy| proxy.status("VmRSS:").trim_end_matches(" kB").trim().parse::<u64>().unwrap();
     println!(
         "idle: a request takes {:.3} times as long (median {with_span:.0} and {without_span:.0} us); memory {} and {} KB",
--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -19,7 +19,7 @@
 use gaugestep_control_plane::cli::admin_client::{AdminClient, Delivery};
 use gaugestep_testbed::process::Process;
 use group::{Group, wait_until};
-use subscriber::{median, subscribers};
+use subscriber::{median_and_max, subscribers};
 
 /// How long no service leads once the leader is lost.
 fn lost(kind: &str, rounds: usize) {
@@ -48,7 +48,7 @@
             _ => group.network.heal_all(),
         }
     }
-    let (middle, worst) = median(spans);
+    let (middle, worst) = median_and_max(spans);
     let lease = gaugestep_leadership::lease::LeaseTiming::default().duration.as_secs_f64() * 1e3;
     println!(
         "{kind}: {rounds} owners lost, nobody owns for {middle:.0} ms median, {worst:.0} ms worst; {:.2} and {:.2} leases",
@@ -79,7 +79,7 @@
         }
         spans.push((last - began).as_secs_f64() * 1e3);
     }
-    median(spans)
+    median_and_max(spans)
 }
 
 fn earlier(count: usize) -> Option<(f64, f64)> {
@@ -121,7 +121,7 @@
         while have(number) < count {}
         spans.push(began.elapsed().as_secs_f64() * 1e3);
     }
-    let (middle, worst) = median(spans);
+    let (middle, worst) = median_and_max(spans);
     println!(
         "{} services, {count:>3} real proxies: publish to in force and synced at all {middle:.1} ms median, {worst:.1} ms worst",
         group.members.len()
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -1,5 +1,5 @@
-//! A control service as a process, a scripted control service, and engines that answer on their own.
-#![allow(dead_code, reason = "each test uses a part of it")]
+//! A control server as a process, a scripted control server, and engines that respond on their own.
+#![allow(dead_code, reason = "each test uses a part of this module")]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,19 +19,19 @@
 
 use crate::proxy::{Engine, TIMEOUT, free_address, free_listener, wait_within};
 
-/// Waits until something holds.
-pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
-    wait_within(TIMEOUT, what, holds);
+/// Waits until a condition holds; panics with its description after [`TIMEOUT`].
+pub fn wait_until(description: &str, condition: impl FnMut() -> bool) {
+    wait_within(TIMEOUT, description, condition);
 }
 
-/// Runs a command to its end: its exit code, standard output and standard error.
+/// Runs a command to its end and returns its exit code, standard output and standard error.
 pub fn run_command(command: &mut Command) -> (i32, String, String) {
-    let done = command.output().unwrap();
+    let output = command.output().unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (done.status.code().unwrap_or(-1), text(&done.stdout), text(&done.stderr))
+    (output.status.code().unwrap_or(-1), text(&output.stdout), text(&output.stderr))
 }
 
-/// A control service as a process, with its files in a folder of its own.
+/// A control server as a process, with its files in a folder of its own.
 pub struct ControlServer {
     child: Child,
     pub listen: SocketAddr,
@@ -42,32 +42,30 @@
 }
 
 impl ControlServer {
-    /// Starts one without keys.
+    /// Starts a control server without TLS keys.
     pub fn start() -> Self {
         Self::with_settings(tempfile::tempdir().unwrap(), String::new(), Vec::new())
     }
 
-    /// Starts one with more settings in its file, and with more arguments for commands that call it.
-    pub fn with_settings(folder: tempfile::TempDir, extra: String, client: Vec<String>) -> Self {
+    /// Starts a control server with further settings in its file, and further arguments for the commands that
+    /// call it.
+    pub fn with_settings(
+        folder: tempfile::TempDir,
+        extra_settings: String,
+        client_arguments: Vec<String>,
+    ) -> Self {
         let (listen, operators) = (free_address(), free_address());
-        let child = Self::command(folder.path(), listen, operators, &extra).spawn().unwrap();
-        let control = ControlServer {
-            child,
-            listen,
-            operators,
-            folder,
-            extra_settings: extra,
-            client_arguments: client,
-        };
+        let child = Self::command(folder.path(), listen, operators, &extra_settings).spawn().unwrap();
+        let control = ControlServer { child, listen, operators, folder, extra_settings, client_arguments };
         control.wait_until_ready();
         control
     }
 
-    fn command(folder: &Path, listen: SocketAddr, operators: SocketAddr, extra: &str) -> Command {
+    fn command(folder: &Path, listen: SocketAddr, operators: SocketAddr, extra_settings: &str) -> Command {
         let config = folder.join("control.textproto");
         let store = folder.join("versions.redb");
         let settings = format!(
-            "listen: \"{listen}\" operators: \"{operators}\" store: {:?} {extra}",
+            "listen: \"{listen}\" operators: \"{operators}\" store: {:?} {extra_settings}",
             store.display().to_string()
         );
         std::fs::write(&config, settings).unwrap();
@@ -79,7 +77,7 @@
     }
 
     fn wait_until_ready(&self) {
-        wait_until("the control service starts", || self.run(&["list"]).0 == 0);
+        wait_until("the control server starts", || self.run(&["list"]).0 == 0);
     }
 
     pub fn process_id(&self) -> u32 {
@@ -94,18 +92,18 @@
         std::fs::read_to_string(self.folder.path().join("log")).unwrap()
     }
 
-    /// Kills it (SIGKILL).
+    /// Kills the control server (SIGKILL).
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Starts it again after its end.
+    /// Starts the control server again after it was killed.
     pub fn restart(&mut self) {
         self.restart_with(&[]);
     }
 
-    /// The same, with further arguments.
+    /// Like [`restart`](Self::restart), with further arguments.
     pub fn restart_with(&mut self, arguments: &[&str]) {
         let mut command =
             Self::command(self.folder.path(), self.listen, self.operators, &self.extra_settings);
@@ -113,45 +111,47 @@
         self.wait_until_ready();
     }
 
-    /// Starts it where it cannot start: its exit code, standard output and standard error.
+    /// Runs the control server in a state in which it must fail to start, and returns its exit code, standard
+    /// output and standard error.
     pub fn run_to_end(&self) -> (i32, String, String) {
         let mut command =
             Self::command(self.folder.path(), self.listen, self.operators, &self.extra_settings);
         run_command(command.stderr(Stdio::piped()).stdout(Stdio::piped()))
     }
 
-    /// Runs a command that calls it: its exit code, standard output and standard error.
+    /// Runs an operator command against the control server and returns its exit code, standard output and
+    /// standard error.
     pub fn run(&self, arguments: &[&str]) -> (i32, String, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gaugestep-control"));
         command.env("GAUGESTEP_CONTROL", self.operators.to_string()).env("USER", "tester");
         run_command(command.args(arguments).args(self.client_arguments.iter()))
     }
 
-    /// The same, with its result as JSON.
+    /// Runs an operator command with `--json` and returns its output.
     pub fn run_json(&self, arguments: &[&str]) -> Value {
         let (_, output, error) = self.run(&[&["--json"], arguments].concat());
         serde_json::from_str(&output).unwrap_or_else(|_| panic!("{arguments:?}: {output}{error}"))
     }
 
-    /// Writes a document to a file.
+    /// Writes a document to a file in the folder and returns the file's path.
     pub fn write_file(&self, name: &str, document: &str) -> String {
         let path = self.folder.path().join(name);
         std::fs::write(&path, document).unwrap();
         path.display().to_string()
     }
 
-    /// Publishes a document; the version's number.
+    /// Publishes a document and returns the version number.
     pub fn publish(&self, document: &str, arguments: &[&str]) -> u64 {
         let file = self.write_file("document.textproto", document);
         self.run_json(&[&["publish", &file], arguments].concat())["version"].as_u64().unwrap()
     }
 
-    /// What the service knows of a proxy.
+    /// The entry of a proxy in the output of `status`.
     pub fn proxy_status(&self, name: &str) -> Value {
         self.run_json(&["status", "--proxy", name])["proxies"][0].clone()
     }
 
-    /// What an operator writes for a proxy that follows this service.
+    /// Writes the operator's file for a proxy that follows this control server.
     pub fn write_operator_file(&self, state: &Path) -> PathBuf {
         write_operator_file(self.folder.path(), self.listen, state, "")
     }
@@ -164,17 +164,25 @@
     }
 }
 
-/// Writes an operator's file.
-pub fn write_operator_file(folder: &Path, service: SocketAddr, state: &Path, extra: &str) -> PathBuf {
+/// Writes the operator's file for a proxy that follows this control server and keeps its state in the folder
+/// `state`, and returns the file's path. `extra_settings` is added to the `control` message.
+pub fn write_operator_file(
+    folder: &Path,
+    control_server: SocketAddr,
+    state: &Path,
+    extra_settings: &str,
+) -> PathBuf {
     let name = state.file_name().unwrap().to_string_lossy();
     let path = folder.join(format!("operator-{name}.textproto"));
-    let answer =
-        format!("control {{ services: \"{service}\" state: {:?} {extra} }}", state.display().to_string());
-    std::fs::write(&path, answer).unwrap();
+    let text = format!(
+        "control {{ services: \"{control_server}\" state: {:?} {extra_settings} }}",
+        state.display().to_string()
+    );
+    std::fs::write(&path, text).unwrap();
     path
 }
 
-/// A control service that sends what the test has it send.
+/// A control server whose messages the test writes.
 pub struct ScriptedControlServer(pub TcpListener);
 
 impl ScriptedControlServer {
@@ -182,12 +190,13 @@
         ScriptedControlServer(free_listener())
     }
 
-    /// The next stream of a proxy, after its hello was answered by the lease holder of the first term.
+    /// Accepts the next stream of a proxy, reads its hello and sends the welcome of the lease holder of term
+    /// 1.
     pub fn accept(&self) -> ControlStream {
         self.accept_with_term(1)
     }
 
-    /// The same, by the lease holder of this term.
+    /// Like [`accept`](Self::accept), for the lease holder of this term.
     pub fn accept_with_term(&self, term: u64) -> ControlStream {
         let (socket, _) = self.0.accept().unwrap();
         socket.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -201,7 +210,7 @@
     }
 }
 
-/// A proxy's stream at a scripted service.
+/// A proxy's stream at a scripted control server.
 pub struct ControlStream {
     pub socket: TcpStream,
     pub hello: Hello,
@@ -212,7 +221,7 @@
         self.socket.write_all(&encode_frame(message)).unwrap();
     }
 
-    /// The next message of the proxy.
+    /// Reads the next message of the proxy.
     pub fn next(&mut self) -> FromClient {
         let mut head = [0; 4];
         self.socket.read_exact(&mut head).expect("the stream stays open");
@@ -221,7 +230,8 @@
         FromClient::decode(body.as_slice()).unwrap()
     }
 
-    /// The next answer: its nonce, and the code of the rejection.
+    /// Reads up to the next response to an offer and returns its nonce and, if the version was rejected, the
+    /// code of the rejection.
     pub fn next_acknowledgement(&mut self) -> (u64, Option<String>) {
         loop {
             if let Some(from_client::Said::Answer(answer)) = self.next().said {
@@ -236,7 +246,7 @@
     [&(body.len() as u32).to_be_bytes(), body.as_slice()].concat()
 }
 
-/// An offer of a document.
+/// The offer of a document as a version with this number, in term 1.
 pub fn offer(number: u64, nonce: u64, document: &str) -> Offer {
     let document: Document = text::parse(document).unwrap();
     let content = Some(Content::Snapshot(document.clone()));
@@ -247,12 +257,14 @@
     FromService { said: Some(from_service::Said::Offer(offer)) }
 }
 
-/// An engine that serves whatever it is sent, and records it.
+/// An engine that responds to every request and health check with a thread for each connection.
 pub struct RespondingEngine {
     pub listener: Engine,
+    /// Ids of the requests that it has served.
     pub served: Arc<Mutex<Vec<String>>>,
-    /// While set, requests wait.
+    /// While set, the engine receives requests but does not respond to them.
     pub paused: Arc<AtomicBool>,
+    /// Number of requests received.
     pub received: Arc<AtomicUsize>,
 }
 
@@ -277,6 +289,7 @@
         engine
     }
 
+    /// Number of requests served.
     pub fn served(&self) -> usize {
         self.served.lock().unwrap().len()
     }
@@ -288,7 +301,7 @@
     let mut line = String::new();
     while reader.read_line(&mut line).is_ok_and(|read| read > 0) {
         let words: Vec<&str> = line.trim_end().split(' ').collect();
-        let answer = match words[0] {
+        let response = match words[0] {
             "serve" => {
                 let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
                 if reader.read_exact(&mut body).is_err() {
@@ -304,7 +317,7 @@
             "health" => Some(format!("{} PONG - 0\r\n\r\n", words[1])),
             _ => None,
         };
-        if answer.is_some_and(|answer| reader.get_mut().write_all(answer.as_bytes()).is_err()) {
+        if response.is_some_and(|response| reader.get_mut().write_all(response.as_bytes()).is_err()) {
             return;
         }
         line.clear();
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -1,5 +1,5 @@
-//! A group of control services as processes, with links between them and their proxies that fail on demand.
-#![allow(dead_code, unused_imports, reason = "each test uses a part of it")]
+//! A group of control servers as processes, with links between them and to their proxies that fail on demand.
+#![allow(dead_code, unused_imports, reason = "each test uses a part of this module")]
 
 #[path = "group/node.rs"]
 mod node;
@@ -27,15 +27,16 @@
 pub use self::records::{read_log, records_of_proxy};
 use crate::proxy::{Launch, Proxy, free_address, wait_within};
 
-/// Far more than anything here takes, also on a busy machine.
+/// Far longer than any step of these tests takes, also on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until something holds.
-pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
-    wait_within(TIMEOUT, what, holds);
+/// Waits until a condition holds; panics with its description after [`TIMEOUT`].
+pub fn wait_until(description: &str, condition: impl FnMut() -> bool) {
+    wait_within(TIMEOUT, description, condition);
 }
 
-/// Identifies the process that has connected: a proxy by its name, a member by its number.
+/// Identifies the process at the other end of a connection by its first message: a proxy by its name, a
+/// member by its number. `None` while the message is incomplete or cannot be decoded.
 fn identify(bytes: &[u8]) -> Option<String> {
     let (head, rest) = bytes.split_first_chunk::<4>()?;
     let body = rest.get(..u32::from_be_bytes(*head) as usize)?;
@@ -46,12 +47,13 @@
     }
 }
 
-/// Calls a service, again where the outcome is unknown; an error is the line that a command would print.
+/// Sends an operator's call, and sends it again if the outcome is unknown. An error is the line that a
+/// command would print.
 fn call_control_server(client: &AdminClient, request: &call::What) -> Result<reply::What, String> {
     client.call(request, Delivery::AtLeastOnce).map_err(|error| error.to_string())
 }
 
-/// A fleet of processes.
+/// A group of control servers, and the folder with the files of its members and proxies.
 pub struct Group {
     pub network: Network,
     pub members: Vec<MemberProcess>,
@@ -59,20 +61,20 @@
 }
 
 impl Group {
-    /// Starts this many services as one group.
-    pub fn start(services: u64) -> Self {
+    /// Starts a group of this many members.
+    pub fn start(members: u64) -> Self {
         let mut group = Group {
             network: Network::new(identify),
             members: Vec::new(),
             folder: tempfile::tempdir().unwrap(),
         };
-        for number in 1..=services {
+        for number in 1..=members {
             group.start_member(number);
         }
         group
     }
 
-    /// Starts a service and has it join.
+    /// Starts a control server and adds it to the group.
     pub fn start_member(&mut self, number: u64) {
         let folder = self.folder.path().join(format!("service-{number}"));
         std::fs::create_dir(&folder).unwrap();
@@ -91,7 +93,7 @@
         });
     }
 
-    /// Starts this service and has it join.
+    /// Starts this member and adds it to the group: the first one on its own, a further one until it votes.
     pub fn add_member(&mut self, mut member: MemberProcess) {
         let number = member.number;
         let (listen, operators) = (member.relay.to_string(), member.operators.to_string());
@@ -102,7 +104,7 @@
             self.call_until_accepted(call::What::AddMember(member));
             wait_until("the new member votes", || {
                 match self.member(number).call(call::What::Members(ListMembers {})) {
-                    Ok(reply::What::Members(answer)) => answer.voters.contains(&number),
+                    Ok(reply::What::Members(response)) => response.voters.contains(&number),
                     _ => false,
                 }
             });
@@ -118,7 +120,7 @@
         self.members.iter_mut().find(|member| member.number == number).unwrap()
     }
 
-    /// These services, as a command reaches them.
+    /// A client for operator commands that calls these members.
     pub fn admin_client(&self, numbers: &[u64]) -> AdminClient {
         AdminClient {
             addresses: numbers.iter().map(|number| self.member(*number).operators).collect(),
@@ -126,34 +128,34 @@
         }
     }
 
-    /// Calls any service that runs, and whomever it names.
+    /// Sends a call to the members that run, and to the member that they name.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
         let running: Vec<u64> =
-            self.members.iter().filter(|it| it.is_running()).map(|it| it.number).collect();
+            self.members.iter().filter(|member| member.is_running()).map(|member| member.number).collect();
         call_control_server(&self.admin_client(&running), &what)
     }
 
-    /// Calls until it is done.
+    /// Sends a call until it succeeds.
     pub fn call_until_accepted(&self, what: call::What) {
         let mut last = String::new();
         wait_until("a command is carried out", || match self.call(what.clone()) {
             Ok(_) => true,
-            // It was, and the answer was lost.
-            Err(why) if why.contains("is there already") || why.contains("there is no member") => true,
-            Err(why) => {
-                if why != last {
-                    eprintln!("not yet: {why}");
-                    last = why;
+            // An earlier call succeeded and its response was lost.
+            Err(error) if error.contains("is there already") || error.contains("there is no member") => true,
+            Err(error) => {
+                if error != last {
+                    eprintln!("not yet: {error}");
+                    last = error;
                 }
                 false
             }
         });
     }
 
-    /// The lease holder of the role `versions` and its term, once there is one.
+    /// Waits until the role `versions` has a lease holder, and returns the holder and its term.
     pub fn lease_holder(&self) -> (u64, u64) {
         let mut holder = (0, 0);
-        wait_until("a service holds the lease", || {
+        wait_until("a member holds the lease", || {
             if self.call(call::What::Status(Status {})).is_err() {
                 return false;
             }
@@ -163,17 +165,17 @@
         holder
     }
 
-    /// Waits until another service than this one holds the lease.
+    /// Waits until another member than this one holds the lease, and returns the holder and its term.
     pub fn lease_holder_other_than(&self, old: u64) -> (u64, u64) {
         let mut holder = (0, 0);
-        wait_until("another service holds the lease", || {
+        wait_until("another member holds the lease", || {
             holder = self.lease_holder();
             holder.0 != old
         });
         holder
     }
 
-    /// Cuts a proxy off from these services; all its other links are open.
+    /// Partitions a proxy from these members and heals all its other links.
     pub fn partition_proxy_only_from(&self, proxy: &str, from: &[u64]) {
         for member in &self.members {
             match from.contains(&member.number) {
@@ -183,42 +185,44 @@
         }
     }
 
-    /// Cuts a service off from all other services, silently.
+    /// Partitions a member from all other members; messages between them are lost without an error.
     pub fn isolate(&self, number: u64) {
         for other in self.members.iter().filter(|member| member.number != number) {
             self.network.partition(&number.to_string(), &other.name(), Partition::Silent);
         }
     }
 
-    /// The numbers of all services but this one.
-    pub fn numbers_except(&self, number: u64) -> Vec<u64> {
-        self.members.iter().map(|member| member.number).filter(|it| *it != number).collect()
+    /// The numbers of all members but this one.
+    pub fn numbers_except(&self, excluded: u64) -> Vec<u64> {
+        self.members.iter().map(|member| member.number).filter(|number| *number != excluded).collect()
     }
 
-    /// The lease holder and its term as all running services but this one know it; 0 if there is none.
-    fn lease_holder_known_to_others(&self, but: u64) -> (u64, u64) {
-        let asked = self.members.iter().filter(|member| member.number != but && member.is_running());
-        let states = asked.flat_map(|member| member.roles()).filter(|it| it.name == "versions");
-        states.max_by_key(|it| it.term).map_or((0, 0), |it| (it.owner, it.term))
+    /// The lease holder and its term of the latest term that any running member but this one reports; zeros
+    /// if there is none.
+    fn lease_holder_known_to_others(&self, excluded: u64) -> (u64, u64) {
+        let others = self.members.iter().filter(|member| member.number != excluded && member.is_running());
+        let roles = others.flat_map(|member| member.roles()).filter(|role| role.name == "versions");
+        roles.max_by_key(|role| role.term).map_or((0, 0), |role| (role.owner, role.term))
     }
 
-    /// The lease holder and its term as the others see it, once it is another than this one.
+    /// Waits until the other members report another lease holder than this one, and returns the holder and
+    /// its term.
     pub fn successor_of(&self, old: u64) -> (u64, u64) {
         let mut holder = (0, 0);
-        wait_until("the others know another lease holder", || {
+        wait_until("the other members report another lease holder", || {
             holder = self.lease_holder_known_to_others(old);
             holder.0 > 0 && holder.0 != old
         });
         holder
     }
 
-    /// Whether the others know of no other lease holder.
+    /// Whether the other members report no other lease holder than this one.
     pub fn has_no_successor(&self, old: u64) -> bool {
         let (holder, term) = self.lease_holder_known_to_others(old);
         holder == old || term == 0
     }
 
-    /// Publishes under a key; the number, and the start of the digest.
+    /// Publishes a document under a key and returns the version number and the start of the digest.
     pub fn publish(&self, document: &str, key: &str, plan: Plan) -> Result<(u64, String), String> {
         let publish = Publish {
             document: Some(text::parse(document).unwrap()),
@@ -228,21 +232,21 @@
             ..Publish::default()
         };
         match self.call(call::What::Publish(publish))? {
-            reply::What::Published(answer) => {
-                let version = answer.version.unwrap_or_default();
+            reply::What::Published(response) => {
+                let version = response.version.unwrap_or_default();
                 Ok((version.number, short_digest(&version.digest)))
             }
             other => Err(format!("{other:?}")),
         }
     }
 
-    /// The same, until it is published.
+    /// Publishes a document until a call succeeds, and returns the version number.
     pub fn publish_until_acknowledged(&self, document: &str, key: &str, plan: Plan) -> u64 {
         let mut number = 0;
-        wait_until("it is published", || {
-            let answer = self.publish(document, key, plan);
-            number = answer.as_ref().map_or(0, |answer| answer.0);
-            answer.is_ok()
+        wait_until("the document is published", || {
+            let result = self.publish(document, key, plan);
+            number = result.as_ref().map_or(0, |(number, _)| *number);
+            result.is_ok()
         });
         number
     }
@@ -254,10 +258,10 @@
         }
     }
 
-    /// Members from which a service has received messages.
+    /// Members from which this member has received messages.
     pub fn known_members(&self, number: u64) -> Vec<u64> {
         match self.member(number).call(call::What::Members(ListMembers {})) {
-            Ok(reply::What::Members(answer)) => answer.heard,
+            Ok(reply::What::Members(response)) => response.heard,
             _ => Vec::new(),
         }
     }
@@ -267,29 +271,36 @@
         self.call(what).map(drop)
     }
 
-    /// The state of a version, as any service that runs knows it.
+    /// The state of a version as the members that run report it; empty if there is no such version.
     pub fn version_state(&self, number: u64) -> String {
-        let Ok(reply::What::Versions(answer)) = self.call(call::What::List(List { most: 0 })) else {
+        let Ok(reply::What::Versions(response)) = self.call(call::What::List(List { most: 0 })) else {
             return String::new();
         };
         let named = |entry: &&gaugestep_config::schema::Entry| {
             entry.version.as_ref().is_some_and(|version| version.number == number)
         };
-        answer.entries.iter().find(named).map_or("", |entry| entry.state().as_str_name()).into()
+        response.entries.iter().find(named).map_or("", |entry| entry.state().as_str_name()).into()
     }
 
-    /// Plays a schedule of faults among the services and these proxies, and leaves all healed.
+    /// Carries out a schedule of faults on the members and these proxies. The last fault of a schedule heals
+    /// all others.
     pub fn run_schedule(&mut self, schedule: &Schedule, proxies: &[String]) {
-        let name = |it: usize| (it + 1).to_string();
+        let name = |index: usize| (index + 1).to_string();
         for ScheduledFault { pause, fault } in &schedule.faults {
             std::thread::sleep(Duration::from_millis(250 * pause));
             match fault {
-                Fault::Kill(it) => self.members[*it].kill(),
-                Fault::Restart(it) if self.members[*it].process.is_none() => self.members[*it].start(),
+                Fault::Kill(index) => self.members[*index].kill(),
+                Fault::Restart(index) if self.members[*index].process.is_none() => {
+                    self.members[*index].start();
+                }
                 Fault::Restart(_) => {}
-                Fault::Suspend(it) if self.members[*it].process.is_some() => self.members[*it].suspend(),
+                Fault::Suspend(index) if self.members[*index].process.is_some() => {
+                    self.members[*index].suspend();
+                }
                 Fault::Suspend(_) => {}
-                Fault::Resume(it) if self.members[*it].process.is_some() => self.members[*it].resume(),
+                Fault::Resume(index) if self.members[*index].process.is_some() => {
+                    self.members[*index].resume();
+                }
                 Fault::Resume(_) => {}
                 Fault::Partition(one, other, kind) => {
                     self.network.partition(&name(*one), &name(*other), *kind)
@@ -307,8 +318,8 @@
                     self.network.set(&name(*one), &name(*other), cut);
                 }
                 Fault::Reset(one, other) => self.network.reset(&name(*one), &name(*other)),
-                Fault::ProxyCutOff(proxy, service) => {
-                    self.network.partition(&proxies[*proxy], &name(*service), Partition::Silent);
+                Fault::ProxyCutOff(proxy, member) => {
+                    self.network.partition(&proxies[*proxy], &name(*member), Partition::Silent);
                 }
                 Fault::TransferRole => drop(self.transfer_role(0)),
                 Fault::Heal => {
@@ -325,17 +336,17 @@
         }
     }
 
-    /// Starts a proxy that follows the group, beginning with the given service.
+    /// Starts a proxy that follows the group and first dials the member with this index.
     pub fn start_proxy(&self, name: &str, first: usize) -> Proxy {
         self.start_proxy_in(name, name, first)
     }
 
-    /// The same, with a folder of its own.
+    /// Starts a proxy whose state and log lie in files named after `folder` in place of its name.
     pub fn start_proxy_in(&self, name: &str, folder: &str, first: usize) -> Proxy {
         self.start_proxy_without_check("", name, folder, first)
     }
 
-    /// The same, with a check disabled in it.
+    /// Starts a proxy with one of its checks disabled.
     pub fn start_proxy_without_check(
         &self,
         disabled_check: &'static str,
@@ -346,7 +357,8 @@
         self.start_proxy_with_edit(disabled_check, name, folder, first, ("", ""))
     }
 
-    /// The same, with one text of its configuration in place of another.
+    /// Starts a proxy whose configuration has `to` in place of the text `from`; an empty `from` changes
+    /// nothing.
     pub fn start_proxy_with_edit(
         &self,
         disabled_check: &'static str,
@@ -355,18 +367,18 @@
         first: usize,
         (from, to): (&str, &str),
     ) -> Proxy {
-        let change = |text: String| if from.is_empty() { text } else { text.replace(from, to) };
-        self.proxy_with(disabled_check, name, folder, first, &change)
+        let edit_config = |text: String| if from.is_empty() { text } else { text.replace(from, to) };
+        self.start_edited_proxy(disabled_check, name, folder, first, &edit_config)
     }
 
-    /// The same, with any change of its configuration.
-    pub fn proxy_with(
+    /// Starts a proxy whose configuration is changed by `edit_config`.
+    pub fn start_edited_proxy(
         &self,
         disabled_check: &'static str,
         name: &str,
         folder: &str,
         first: usize,
-        change: &dyn Fn(String) -> String,
+        edit_config: &dyn Fn(String) -> String,
     ) -> Proxy {
         let state = self.folder.path().join(format!("proxy-{folder}"));
         let relays = self.members.iter().cycle().skip(first).take(self.members.len());
@@ -374,37 +386,39 @@
         let operator = self.folder.path().join(format!("operator-{folder}.textproto"));
         let state = state.display().to_string();
         std::fs::write(&operator, format!("control {{ {} state: {state:?} }}", services.join(" "))).unwrap();
-        let named = |text: String| change(text.replace(r#""name":"n0""#, &format!(r#""name":"{name}""#)));
+        let named =
+            |text: String| edit_config(text.replace(r#""name":"n0""#, &format!(r#""name":"{name}""#)));
         let log = Some(self.folder.path().join(format!("log-{folder}")));
         Launch { operator: Some(operator), log, disabled_check, edit_config: &named, ..Launch::new(&[]) }
             .start()
     }
 
-    /// Waits until these proxies have ordinals, no two the same, in a fleet of this size.
+    /// Waits until each of these proxies has an ordinal of its own and knows this fleet size.
     pub fn wait_for_ordinals(&self, proxies: &[&Proxy], fleet_size: usize) {
         wait_until("every proxy has an ordinal of its own, and none is unused", || {
-            let figure = |proxy: &&&Proxy| proxy.statistic("/configuration/seat/seat");
-            let taken: std::collections::BTreeSet<u64> =
-                proxies.iter().filter_map(|it| figure(&it)).collect();
-            let answer =
-                proxies.iter().all(|it| it.statistic("/configuration/seat/seats") == Some(fleet_size as u64));
-            taken.len() == proxies.len() && answer
+            let ordinals: std::collections::BTreeSet<u64> =
+                proxies.iter().filter_map(|proxy| proxy.statistic("/configuration/seat/seat")).collect();
+            let size_known = proxies
+                .iter()
+                .all(|proxy| proxy.statistic("/configuration/seat/seats") == Some(fleet_size as u64));
+            ordinals.len() == proxies.len() && size_known
         });
     }
 
-    /// The last line of a service's log with this message.
+    /// The last line of a member's log with this message.
     pub fn last_log_line(&self, number: u64, message: &str) -> Option<Value> {
         read_log(&self.member(number).log()).into_iter().rfind(|line| line["message"] == message)
     }
 
-    /// Lines of a proxy's log, as JSON.
+    /// The lines of the log of a proxy that was started with this folder, as JSON.
     pub fn log_lines(&self, folder: &str) -> Vec<Value> {
         read_log(
             &std::fs::read_to_string(self.folder.path().join(format!("log-{folder}"))).unwrap_or_default(),
         )
     }
 
-    /// What all processes recorded, as their logs say, and what the services hold.
+    /// Records for the audit: from the logs of these proxies and of all members, and the versions that the
+    /// members store.
     pub fn records(&self, proxies: &[&str]) -> Vec<Record> {
         let mut records = Vec::new();
         for proxy in proxies {
@@ -425,8 +439,8 @@
                     _ => {}
                 }
             }
-            let held = if member.is_running() { member.versions() } else { Vec::new() };
-            records.extend(held.into_iter().map(|(number, digest, key)| Record::Stored {
+            let stored = if member.is_running() { member.versions() } else { Vec::new() };
+            records.extend(stored.into_iter().map(|(number, digest, key)| Record::Stored {
                 service: service.clone(),
                 number,
                 digest,
@@ -436,9 +450,9 @@
         records
     }
 
-    /// Waits until all services hold the same versions.
+    /// Waits until all members that run store the same versions.
     pub fn wait_for_equal_versions(&self) {
-        wait_until("all services hold the same versions", || {
+        wait_until("all members store the same versions", || {
             let all: Vec<_> = self
                 .members
                 .iter()
@@ -460,7 +474,7 @@
 }
 
 impl Drop for Group {
-    /// Prints the end of every log if a test fails.
+    /// Prints the last lines of every log if the test has failed.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
--- a/tests/common/group/node.rs
+++ b/tests/common/group/node.rs
@@ -1,4 +1,4 @@
-//! One control service of a group.
+//! One control server of a group, as a process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,18 +11,21 @@
 
 use super::call_control_server;
 
-/// A control service.
+/// A control server that is a member of a group.
 pub struct MemberProcess {
     pub number: u64,
     pub folder: PathBuf,
-    /// Where it listens, and where all others reach it.
+    /// The address on which the member listens for other members and proxies.
     pub listen: SocketAddr,
+    /// The address under which other members and proxies reach the member: a relay in front of `listen`.
     pub relay: SocketAddr,
+    /// The address on which the member listens for operator commands.
     pub operators: SocketAddr,
+    /// The process; `None` while it does not run.
     pub process: Option<Process>,
-    /// Checks that are disabled in it.
+    /// The check that is disabled in the process; empty for none.
     pub disabled_check: &'static str,
-    /// What precedes its command in the shell.
+    /// Shell commands that run before the program, for example to set a limit.
     pub shell_prefix: String,
 }
 
@@ -39,7 +42,7 @@
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Writes its file and starts it.
+    /// Writes the settings file and starts the process.
     pub fn start(&mut self) {
         let (config, joins) = (self.folder.join("control.textproto"), self.number > 1);
         let settings = format!(
@@ -76,45 +79,46 @@
         self.process.as_mut().unwrap().resume().unwrap();
     }
 
-    /// Whether it runs.
+    /// Whether the process has been started and is not suspended.
     pub fn is_running(&self) -> bool {
         self.process.as_ref().is_some_and(|process| !process.is_suspended())
     }
 
-    /// Whether its process has ended by itself.
+    /// Whether the process has ended by itself.
     pub fn has_ended(&mut self) -> bool {
         self.process.as_mut().is_some_and(|process| process.exit_status().unwrap().is_some())
     }
 
-    /// Calls this one, and whomever it names.
+    /// Sends a call to this member, and to the member that it names.
     pub fn call(&self, what: call::What) -> Result<reply::What, String> {
         call_control_server(&AdminClient { addresses: vec![self.operators], keys: None }, &what)
     }
 
-    /// Names by ordinal, as it knows them; none while no roster is managed.
+    /// Names of the proxies by ordinal, as this member knows them; empty while no roster is managed.
     pub fn ordinals(&self) -> Vec<String> {
         match self.call(call::What::Seats(ListSeats {})) {
-            Ok(reply::What::Seats(answer)) => answer.proxies,
+            Ok(reply::What::Seats(response)) => response.proxies,
             _ => Vec::new(),
         }
     }
 
+    /// All roles as this member knows them; empty if it does not respond.
     pub fn roles(&self) -> Vec<DutyState> {
         match self.call(call::What::Duties(ListDuties {})) {
-            Ok(reply::What::Duties(answer)) => answer.duties,
+            Ok(reply::What::Duties(response)) => response.duties,
             _ => Vec::new(),
         }
     }
 
-    /// Versions that it holds: number, digest, key.
+    /// Versions that this member stores, newest first: number, short digest and key.
     pub fn versions(&self) -> Vec<(u64, String, String)> {
-        let Ok(reply::What::Versions(answer)) = self.call(call::What::List(List { most: 0 })) else {
+        let Ok(reply::What::Versions(response)) = self.call(call::What::List(List { most: 0 })) else {
             return Vec::new();
         };
-        let one = |entry: gaugestep_config::schema::Entry| {
+        let row = |entry: gaugestep_config::schema::Entry| {
             let version = entry.version.unwrap_or_default();
             (version.number, short_digest(&version.digest), entry.key)
         };
-        answer.entries.into_iter().map(one).collect()
+        response.entries.into_iter().map(row).collect()
     }
 }
--- a/tests/common/group/records.rs
+++ b/tests/common/group/records.rs
@@ -1,14 +1,15 @@
-//! Records of what processes did, read from their logs.
+//! Records for the audit, read from the logs of processes.
 
 use gaugestep_testbed::leadership_audit::Record;
 use serde_json::Value;
 
-/// The lines of a log that are JSON.
+/// The lines of a log that are JSON; other lines are skipped.
 pub fn read_log(log: &str) -> Vec<Value> {
     log.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
 
-/// What a proxy's log records.
+/// Records of a proxy: terms that it stored, versions that came into force, and stale commands that it
+/// rejected.
 pub fn records_of_proxy(proxy: &str, lines: &[Value]) -> Vec<Record> {
     let mut records = Vec::new();
     let mut offered = (0, 0);
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -1,5 +1,5 @@
 //! The proxy as a process, with the test as its client, its engines and its coordinator.
-#![allow(dead_code, unused_imports, reason = "each test uses a part of it")]
+#![allow(dead_code, unused_imports, reason = "each test uses a part of this module")]
 
 #[path = "proxy/client.rs"]
 mod client;
@@ -17,14 +17,14 @@
 pub use client::{Client, query, read_to_close};
 pub use database::{Coordinator, Engine, EngineConnection, event};
 
-/// Far more than anything here takes.
+/// Far longer than any step of these tests takes.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds; panics with its description if it does not in time.
-pub fn wait_within(patience: Duration, what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + patience;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until a condition holds; panics with its description if it does not hold within the timeout.
+pub fn wait_within(timeout: Duration, description: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + timeout;
+    while !condition() {
+        assert!(Instant::now() < end, "{description}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -38,7 +38,7 @@
  {"name": "lookup", "effect": "safe", "aim_ms": 500, "deadline_ms": 4000, "importance": 1},
  {"name": "load", "effect": "unsafe", "aim_ms": 500, "deadline_ms": 4000, "importance": 8}]}"#;
 
-/// A proxy that runs; killed when dropped.
+/// A running proxy; killed when dropped.
 pub struct Proxy {
     child: Option<Child>,
     pub address: SocketAddr,
@@ -50,27 +50,29 @@
     disabled_check: &'static str,
 }
 
-/// How to start a proxy.
+/// The options with which a proxy is started.
 pub struct Launch<'a> {
+    /// The address on which the proxy listens for clients.
     pub address: SocketAddr,
+    /// Engines of the configuration, listed as `s-0`, `s-1` and so on.
     pub engines: &'a [&'a Engine],
     pub coordinator: Option<&'a Coordinator>,
-    /// A listening socket that the test holds, as a platform does.
+    /// A listening socket that the proxy inherits; `None` if the proxy opens its own.
     pub listener: Option<&'a TcpListener>,
-    /// What an operator sets beside the configuration.
+    /// The operator's file.
     pub operator: Option<PathBuf>,
-    /// Where its log goes, as JSON lines.
+    /// The file for the log, as JSON lines; `None` discards the log.
     pub log: Option<PathBuf>,
-    /// The log filter of its environment (`GAUGESTEP_LOG`), in place of the test's own.
+    /// The log filter (`GAUGESTEP_LOG`); `None` for the one in the environment of the test.
     pub log_filter: Option<String>,
-    /// Checks that are disabled in it.
+    /// The check that is disabled in the proxy; empty for none.
     pub disabled_check: &'static str,
-    /// A last change to the configuration's text.
+    /// Changes the text of the configuration before the start.
     pub edit_config: &'a dyn Fn(String) -> String,
 }
 
 impl<'a> Launch<'a> {
-    /// One that knows these engines.
+    /// The default options, with a configuration that lists these engines.
     pub fn new(engines: &'a [&'a Engine]) -> Self {
         let edit_config = &|text| text;
         let address = free_address();
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Starts it and waits until it answers an empty query.
+    /// Starts the proxy and waits until it responds to an empty query.
     pub fn start(self) -> Proxy {
         let admin_address = free_address();
         let name =
@@ -146,48 +148,50 @@
 }
 
 impl Proxy {
-    /// Starts one that knows these engines and waits until it answers an empty query.
+    /// Starts a proxy with a configuration that lists these engines, and waits until it responds to an empty
+    /// query.
     pub fn start(engines: &[&Engine]) -> Self {
         Launch::new(engines).start()
     }
 
-    /// The same, with a coordinator that it follows.
+    /// Like [`start`](Self::start), with a coordinator that the proxy follows.
     pub fn follow(engines: &[&Engine], coordinator: Option<&Coordinator>) -> Self {
         Launch { coordinator, ..Launch::new(engines) }.start()
     }
 
-    /// Starts one that may hold this many descriptors.
+    /// Starts a proxy that may open this many file descriptors.
     pub fn with_descriptors(descriptors: usize) -> Self {
         let text = format!(r#""sockets":{descriptors}"#);
-        Launch { edit_config: &|it| it.replace(r#""sockets":256"#, &text), ..Launch::new(&[]) }.start()
+        let edit_config = |config: String| config.replace(r#""sockets":256"#, &text);
+        Launch { edit_config: &edit_config, ..Launch::new(&[]) }.start()
     }
 
-    /// Starts one on a configuration of its own, but for the addresses that it listens on.
+    /// Starts a proxy with this configuration, except for the addresses on which it listens.
     pub fn configured(text: &str) -> Self {
-        let own = |answer: String| {
-            let answer: serde_json::Value = serde_json::from_str(&answer).unwrap();
+        let edit_config = |default: String| {
+            let default: serde_json::Value = serde_json::from_str(&default).unwrap();
             let mut config: serde_json::Value = serde_json::from_str(text).unwrap();
             for key in ["listen", "management"] {
-                config[key] = answer[key].clone();
+                config[key] = default[key].clone();
             }
             config.to_string()
         };
-        Launch { edit_config: &own, ..Launch::new(&[]) }.start()
+        Launch { edit_config: &edit_config, ..Launch::new(&[]) }.start()
     }
 
-    /// Starts one on a listening socket that the test holds, as a platform does.
+    /// Starts a proxy that inherits a listening socket, as under a platform with socket activation.
     pub fn inherit(listener: &TcpListener, engines: &[&Engine]) -> Self {
         let address = listener.local_addr().unwrap();
         Launch { address, listener: Some(listener), ..Launch::new(engines) }.start()
     }
 
-    /// Kills it (SIGKILL).
+    /// Kills the proxy (SIGKILL).
     pub fn kill(&mut self) {
         self.child().kill().unwrap();
         self.child().wait().unwrap();
     }
 
-    /// Starts it again after its end, with the same files.
+    /// Starts the proxy again after it was killed, with the same files.
     pub fn restart(&mut self) {
         self.spawn(None);
         self.wait_until_ready();
@@ -209,12 +213,12 @@
         serde_json::from_str(&body).unwrap()
     }
 
-    /// A call of the admin API: its status, 0 if nobody answers, and the body.
+    /// Sends a request to the admin API and returns the status, 0 if the connection fails, and the body.
     pub fn call(&self, method: &str, path: &str) -> (u16, String) {
         let Ok(mut socket) = TcpStream::connect(self.admin_address) else { return (0, String::new()) };
         write!(socket, "{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
         let response = read_to_close(&socket);
-        let (head, body) = response.split_once("\r\n\r\n").expect("a complete answer");
+        let (head, body) = response.split_once("\r\n\r\n").expect("a complete response");
         (head[9..12].parse().unwrap(), body.into())
     }
 
@@ -232,58 +236,59 @@
         Client::open(self.address)
     }
 
-    /// Sends SIGTERM and waits for the end.
+    /// Sends SIGTERM and waits until the process ends.
     pub fn terminate(&mut self) -> ExitStatus {
         self.signal("-TERM");
         self.wait()
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     pub fn wait(&mut self) -> ExitStatus {
         self.child().wait().unwrap()
     }
 
-    /// Has it reload a configuration with another coordinator.
+    /// Writes a configuration with these engines and this coordinator and has the proxy reload it.
     pub fn reconfigure(&self, engines: &[&Engine], coordinator: &Coordinator) {
         write_config(&self.config, self.address, self.admin_address, engines, Some(coordinator));
         self.signal("-HUP");
     }
 
-    /// Puts one text in place of another in its configuration, for its next start.
+    /// Replaces a text in the configuration file, for the next start.
     pub fn rewrite(&self, from: &str, to: &str) {
         let text = std::fs::read_to_string(&self.config).unwrap();
         assert!(text.contains(from));
         std::fs::write(&self.config, text.replace(from, to)).unwrap();
     }
 
-    /// Has it reload its configuration with one text in place of another, and waits until it has counted that in a statistic.
-    pub fn reload_with(&self, from: &str, to: &str, figure: &str) {
+    /// Has the proxy reload its configuration with a text replaced, waits until this statistic changes, and
+    /// restores the file.
+    pub fn reload_with(&self, from: &str, to: &str, statistic: &str) {
         let text = std::fs::read_to_string(&self.config).unwrap();
         assert!(text.contains(from));
         std::fs::write(&self.config, text.replace(from, to)).unwrap();
-        let before = self.statistic(figure);
+        let before = self.statistic(statistic);
         self.signal("-HUP");
         let until = Instant::now() + TIMEOUT;
-        while self.statistic(figure) == before {
-            assert!(Instant::now() < until, "{figure} does not change");
+        while self.statistic(statistic) == before {
+            assert!(Instant::now() < until, "{statistic} does not change");
             std::thread::sleep(Duration::from_millis(10));
         }
         std::fs::write(&self.config, text).unwrap();
     }
 
-    /// Has it load a configuration that is invalid.
+    /// Has the proxy load an invalid configuration.
     pub fn load_invalid_configuration(&self) {
         std::fs::write(&self.config, "{").unwrap();
         self.signal("-HUP");
     }
 
-    /// A field of the process in /proc.
+    /// A field of `/proc/PID/status`, named with its colon.
     pub fn status(&self, name: &str) -> String {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id())).unwrap();
         status.lines().find_map(|line| line.strip_prefix(name)).unwrap().trim().to_owned()
     }
 
-    /// Its threads by name, and how often each has waited.
+    /// The threads of the proxy: name and number of voluntary context switches.
     pub fn threads(&self) -> Vec<(String, u64)> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.id())).unwrap();
         let thread = |task: std::fs::DirEntry| {
@@ -294,24 +299,24 @@
         tasks.map(|task| thread(task.unwrap())).collect()
     }
 
-    /// Suspends it (SIGSTOP): its connections stay open and silent. It is suspended when this returns.
+    /// Suspends the proxy (SIGSTOP) and waits until it is suspended. Its connections stay open and silent.
     pub fn suspend(&self) {
         self.signal("-STOP");
-        wait_within(TIMEOUT, "it does not stop", || self.status("State:").starts_with('T'));
+        wait_within(TIMEOUT, "the proxy does not stop", || self.status("State:").starts_with('T'));
     }
 
-    /// The descriptors that it holds.
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.id())).unwrap().count()
     }
 
-    /// Waits until no request is open in it; the attempts that it has sent by then.
+    /// Waits until no request is open and returns the number of attempts sent so far.
     pub fn attempts_once_idle(&self) -> u64 {
-        wait_within(TIMEOUT, "something stays open", || self.statistic("/outstanding") == Some(0));
+        wait_within(TIMEOUT, "a request stays open", || self.statistic("/outstanding") == Some(0));
         self.statistic("/forwards").unwrap()
     }
 
-    /// Resumes it (SIGCONT).
+    /// Resumes the proxy (SIGCONT).
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -321,16 +326,16 @@
     }
 }
 
-/// An address to listen on that nobody else takes meanwhile: each caller gets a loopback address of its own, as ports
-/// of 127.0.0.1 also go to other tests and to outgoing connections.
+/// An address to listen on that no other process takes before it is used: each call returns another loopback
+/// address, as ports of 127.0.0.1 are also given to other tests and to outgoing connections.
 pub fn free_address() -> SocketAddr {
     free_listener().local_addr().unwrap()
 }
 
-/// A listener on such an address.
+/// A listener on an address like that of [`free_address`].
 pub fn free_listener() -> TcpListener {
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
-    let number = TAKEN.fetch_add(1, Ordering::Relaxed);
+    static USED_ADDRESSES: AtomicU32 = AtomicU32::new(0);
+    let number = USED_ADDRESSES.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     let [_, _, high, low] = process.to_be_bytes();
     let own = Ipv4Addr::new(127, 1 + low % 254, high, (number % 250 + 1) as u8);
@@ -344,11 +349,13 @@
     engines: &[&Engine],
     coordinator: Option<&Coordinator>,
 ) {
-    let members =
-        engines.iter().enumerate().map(|(index, it)| it.list_entry(&format!("s-{index}"), "SERVING"));
-    let members: Vec<String> = members.collect();
+    let members: Vec<String> = engines
+        .iter()
+        .enumerate()
+        .map(|(index, engine)| engine.list_entry(&format!("s-{index}"), "SERVING"))
+        .collect();
     let coordinator = coordinator
-        .map(|it| format!(r#""coordinator":"{}","#, it.0.local_addr().unwrap()))
+        .map(|coordinator| format!(r#""coordinator":"{}","#, coordinator.0.local_addr().unwrap()))
         .unwrap_or_default();
     let text = format!(
         r#"{{"name":"n0","listen":"{listen}","management":"{admin_address}","seed":"8c1f","limits":{{"sockets":256}},"settings":{SETTINGS},{coordinator}
@@ -366,7 +373,8 @@
     }
 }
 
-/// The program under test; `GAUGESTEP_PROGRAM` names one of another build, for paired benchmarks and groups of mixed builds.
+/// Path of the program under test. `GAUGESTEP_PROGRAM` names the program of another build, for paired
+/// benchmarks and groups of mixed builds.
 fn program() -> String {
     std::env::var("GAUGESTEP_PROGRAM").unwrap_or_else(|_| env!("CARGO_BIN_EXE_gaugestep").to_owned())
 }
--- a/tests/common/proxy/client.rs
+++ b/tests/common/proxy/client.rs
@@ -1,4 +1,4 @@
-//! A client of the proxy: sessions, queries and their answers.
+//! A client of the proxy: sessions, queries and responses.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 /// A client with an open session.
 pub struct Client {
     pub socket: TcpStream,
-    /// The hint of the last error.
+    /// The hint of the last error; `None` if it had none.
     pub hint: Option<String>,
     /// The key that cancels the session's query.
     key: Vec<u8>,
@@ -19,7 +19,7 @@
         Client::try_open(address).unwrap()
     }
 
-    /// The same, before a proxy that may not be there.
+    /// Like [`open`](Self::open), where the proxy may not run.
     pub fn try_open(address: SocketAddr) -> std::io::Result<Self> {
         let mut client = Client { socket: TcpStream::connect(address)?, hint: None, key: Vec::new() };
         client.socket.set_read_timeout(Some(TIMEOUT))?;
@@ -34,8 +34,8 @@
         self.try_send(text).unwrap();
     }
 
-    /// Sends a query that the proxy forwards on a new connection to this engine; the connection, and the words of the
-    /// command on it.
+    /// Sends a query that the proxy forwards on a new connection to this engine, and returns the connection
+    /// and the words of the command that arrives on it.
     pub fn send_to(&mut self, engine: &Engine, text: &str) -> (EngineConnection, Vec<String>) {
         self.send(text);
         let mut connection = engine.accept();
@@ -51,13 +51,14 @@
         self.socket.write_all(&message)
     }
 
-    /// The kinds of all messages up to ReadyForQuery; an error also shows its code and text.
+    /// Reads all messages up to ReadyForQuery and returns their type bytes; an error also shows its code and
+    /// text.
     pub fn read_response(&mut self) -> String {
         self.try_read_response().expect("the session stays open")
     }
 
     fn try_read_response(&mut self) -> std::io::Result<String> {
-        let mut seen = String::new();
+        let mut received = String::new();
         loop {
             let mut head = [0; 5];
             self.socket.read_exact(&mut head)?;
@@ -65,23 +66,25 @@
             let mut body = vec![0; length];
             self.socket.read_exact(&mut body)?;
             match head[0] {
-                b'Z' => return Ok(seen),
+                b'Z' => return Ok(received),
                 b'K' => {
                     self.key = body;
-                    seen.push('K');
+                    received.push('K');
                 }
                 b'E' => {
-                    let fields: Vec<&str> =
-                        body.split(|byte| *byte == 0).map(|f| std::str::from_utf8(f).unwrap()).collect();
-                    seen += &format!("E {} {}", &fields[2][1..], &fields[3][1..]);
+                    let fields: Vec<&str> = body
+                        .split(|byte| *byte == 0)
+                        .map(|field| std::str::from_utf8(field).unwrap())
+                        .collect();
+                    received += &format!("E {} {}", &fields[2][1..], &fields[3][1..]);
                     self.hint = fields.iter().find_map(|field| field.strip_prefix('H')).map(String::from);
                 }
-                kind => seen.push(kind.into()),
+                kind => received.push(kind.into()),
             }
         }
     }
 
-    /// Cancels the session's query on a connection of its own.
+    /// Sends a cancel request for the session's query on a new connection.
     pub fn cancel(&self) -> TcpStream {
         let mut socket = TcpStream::connect(self.socket.peer_addr().unwrap()).unwrap();
         let message = [&16u32.to_be_bytes(), &80_877_102u32.to_be_bytes(), &self.key[..]].concat();
@@ -89,11 +92,12 @@
         socket
     }
 
+    /// Sends a query and reads its response.
     pub fn request(&mut self, text: &str) -> String {
         self.try_request(text).expect("the session stays open")
     }
 
-    /// The same, before a proxy that may end.
+    /// Like [`request`](Self::request), where the proxy may end meanwhile.
     pub fn try_request(&mut self, text: &str) -> std::io::Result<String> {
         self.try_send(text)?;
         self.try_read_response()
@@ -102,13 +106,13 @@
 
 /// Reads a connection up to its orderly close.
 pub fn read_to_close(mut socket: &TcpStream) -> String {
-    let mut rest = Vec::new();
+    let mut received = Vec::new();
     socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-    socket.read_to_end(&mut rest).expect("the connection is closed and not reset");
-    String::from_utf8_lossy(&rest).into_owned()
+    socket.read_to_end(&mut received).expect("the connection is closed and not reset");
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// A query of a class with the fields that it needs.
-pub fn query(class: &str, id: u64, budget: u32) -> String {
-    format!("/* method={class},rid={id:016x},budget={budget},est=20 */ SELECT a FROM sales_17.orders")
+/// A query of a class with this request id and a deadline after `budget_ms`.
+pub fn query(class: &str, id: u64, budget_ms: u32) -> String {
+    format!("/* method={class},rid={id:016x},budget={budget_ms},est=20 */ SELECT a FROM sales_17.orders")
 }
--- a/tests/common/proxy/database.rs
+++ b/tests/common/proxy/database.rs
@@ -6,7 +6,7 @@
 
 use super::TIMEOUT;
 
-/// An engine that listens; the test writes its answers.
+/// An engine whose responses the test writes.
 pub struct Engine(pub TcpListener);
 
 impl Engine {
@@ -14,30 +14,31 @@
         Engine(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// Its entry in the coordinator's list.
+    /// The engine's entry in the coordinator's list.
     pub fn list_entry(&self, id: &str, phase: &str) -> String {
         let at = self.0.local_addr().unwrap();
         format!(r#"{{"id":"{id}","host_port":"{at}","locality":"dc","flavor":"k","phase":"{phase}"}}"#)
     }
 
-    /// One to which nobody connects any more until the connection that is returned beside it has been accepted: the
-    /// system drops what comes meanwhile, and a dial hangs until it is tried again.
+    /// An engine with a full accept backlog, and the connection that fills it: dials hang until the test
+    /// drops or accepts that connection, because the kernel discards their SYN packets and sends them again
+    /// later.
     pub fn with_full_backlog() -> (Self, TcpStream) {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let engine = Engine(socket.into());
-        let first = TcpStream::connect(engine.0.local_addr().unwrap()).unwrap();
-        (engine, first)
+        let backlog = TcpStream::connect(engine.0.local_addr().unwrap()).unwrap();
+        (engine, backlog)
     }
 
-    /// The next connection of the proxy.
+    /// Accepts the next connection of the proxy.
     pub fn accept(&self) -> EngineConnection {
         EngineConnection(BufReader::new(accept(&self.0)))
     }
 }
 
-/// A coordinator that listens; the test writes its events.
+/// A coordinator whose events the test writes.
 pub struct Coordinator(pub TcpListener);
 
 impl Coordinator {
@@ -45,40 +46,41 @@
         Coordinator(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// Answers the next call with an error.
+    /// Responds to the next request with an error.
     pub fn fail(&self) {
         accept(&self.0).write_all(b"HTTP/1.1 503 Service Unavailable\r\n\r\n").unwrap();
     }
 
-    /// The next stream that the proxy opens, and the index of its last event. A busy proxy may take a dial for late and close
-    /// the connection without a request; then it dials again.
+    /// Accepts the next event stream of the proxy and returns it with the index of the last event that the
+    /// proxy has applied. On a busy machine the proxy may time out a dial and close the connection without a
+    /// request; such a connection is skipped.
     pub fn accept(&self) -> (TcpStream, u64) {
         loop {
-            if let Some(asked) = self.asked() {
-                return asked;
+            if let Some(stream) = self.try_accept() {
+                return stream;
             }
         }
     }
 
-    fn asked(&self) -> Option<(TcpStream, u64)> {
-        let (mut reader, mut last) = (BufReader::new(accept(&self.0)), 0);
+    fn try_accept(&self) -> Option<(TcpStream, u64)> {
+        let (mut reader, mut last_event) = (BufReader::new(accept(&self.0)), 0);
         loop {
             let mut line = String::new();
             if reader.read_line(&mut line).unwrap() == 0 {
                 return None;
             }
             if let Some(number) = line.strip_prefix("Last-Event-ID: ") {
-                last = number.trim().parse().unwrap();
+                last_event = number.trim().parse().unwrap();
             }
             if line == "\r\n" {
                 reader.get_mut().write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
-                return Some((reader.into_inner(), last));
+                return Some((reader.into_inner(), last_event));
             }
         }
     }
 }
 
-/// The next connection to a listener, which a failing proxy may never make.
+/// Accepts the next connection to a listener; panics if the proxy does not connect within [`TIMEOUT`].
 fn accept(listener: &TcpListener) -> TcpStream {
     let until = Instant::now() + TIMEOUT;
     listener.set_nonblocking(true).unwrap();
@@ -93,17 +95,17 @@
     }
 }
 
-/// An event of the coordinator.
+/// An event of the coordinator with these list entries.
 pub fn event(index: u64, members: &[String]) -> String {
     let members = members.join(",");
     format!("id: {index}\ndata: {{\"endpoints\":{{\"complete\":false,\"members\":[{members}]}}}}\n\n")
 }
 
-/// A connection at an engine.
+/// A connection of the proxy to an engine.
 pub struct EngineConnection(pub BufReader<TcpStream>);
 
 impl EngineConnection {
-    /// The words of the next command; a statement is read and added as the last.
+    /// Reads the next command and returns its words; the statement of a `serve` command is the last word.
     pub fn command(&mut self) -> Vec<String> {
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
@@ -124,7 +126,7 @@
         silent
     }
 
-    /// Answers a request with a result of one row.
+    /// Responds to a request with a result of one row.
     pub fn serve(&mut self, id: &str) {
         self.send(id, "HIT", "total=1", "a\tb\tc\n");
     }
--- a/tests/common/subscriber.rs
+++ b/tests/common/subscriber.rs
@@ -1,5 +1,5 @@
-//! Scripted subscribers of a control service, for benchmarks.
-#![allow(dead_code, reason = "each benchmark uses a part of it")]
+//! Scripted subscribers of a control server, for benchmarks.
+#![allow(dead_code, reason = "each benchmark uses a part of this module")]
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -13,13 +13,15 @@
     socket.write_all(&gaugestep_control_plane::transport::framing::encode(&FromClient { said: Some(said) }))
 }
 
-/// A subscriber that acknowledges all it is offered and tells when. Its reads tell how many bytes came.
+/// Subscribes to a control server and acknowledges every offer until the stream ends. Sends an event for each
+/// message that it receives: the version number (0 if the message is no offer), the time of receipt and the
+/// length in bytes.
 pub fn subscribe(
-    service: SocketAddr,
+    control_server: SocketAddr,
     name: String,
     events: &Sender<(u64, Instant, usize)>,
 ) -> std::io::Result<()> {
-    let mut socket = TcpStream::connect(service)?;
+    let mut socket = TcpStream::connect(control_server)?;
     socket.set_nodelay(true)?;
     send(&mut socket, from_client::Said::Hello(Hello { protocol: 1, proxy: name, ..Hello::default() }))?;
     loop {
@@ -41,23 +43,24 @@
     }
 }
 
-/// So many of them, each welcomed: what each message brought, when, and its bytes.
-pub fn subscribers(service: SocketAddr, count: usize) -> Receiver<(u64, Instant, usize)> {
-    let (events, heard) = channel();
+/// Starts this many subscribers, waits until each has received its welcome, and returns the receiver of their
+/// events.
+pub fn subscribers(control_server: SocketAddr, count: usize) -> Receiver<(u64, Instant, usize)> {
+    let (events, received) = channel();
     for number in 0..count {
         let events = events.clone();
-        let run = move || drop(subscribe(service, format!("n{number}"), &events));
+        let run = move || drop(subscribe(control_server, format!("n{number}"), &events));
         std::thread::Builder::new().stack_size(64 * 1024).spawn(run).unwrap();
     }
     for _ in 0..count {
-        // Its welcome.
-        heard.recv().unwrap();
+        // The welcome of one subscriber.
+        received.recv().unwrap();
     }
-    heard
+    received
 }
 
-/// The median and the worst.
-pub fn median(mut all: Vec<f64>) -> (f64, f64) {
-    all.sort_by(f64::total_cmp);
-    (all[all.len() / 2], all[all.len() - 1])
+/// The median and the maximum.
+pub fn median_and_max(mut values: Vec<f64>) -> (f64, f64) {
+    values.sort_by(f64::total_cmp);
+    (values[values.len() / 2], values[values.len() - 1])
 }
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -109,7 +109,7 @@
     /// Starts one whose settings state no ordinal and that follows the control services, which assign one.
     fn add_following(&mut self, group: &Group, number: u64) {
         let name = format!("n{number}");
-        let proxy = group.proxy_with("", &name, &name, 0, &|text| self.change(text, number, ""));
+        let proxy = group.start_edited_proxy("", &name, &name, 0, &|text| self.change(text, number, ""));
         self.proxies.push(proxy);
     }
 
