--- a/tests/common/proxy/database.rs
+++ b/tests/common/proxy/database.rs
@@ -21,8 +21,7 @@
     }
 
     /// An engine with a full accept backlog, and the connection that fills it: dials hang until the test
-    /// drops or accepts that connection, because the kernel discards their SYN packets and sends them again
-    /// later.
+    /// accepts that connection, because the kernel discards their SYN packets, which are sent again later.
     pub fn with_full_backlog() -> (Self, TcpStream) {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
--- a/tests/leadership/partitions.rs
+++ b/tests/leadership/partitions.rs
@@ -1,4 +1,4 @@
-//! Services that are cut off from each other, in one or both directions, or left without a majority.
+//! Members that are partitioned from each other, in one or both directions, or lose the majority.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 #[test]
 fn a_leader_cut_off_from_the_group_but_not_from_half_of_the_proxies_steps_down() {
     let group = Group::start(3);
-    let proxies: Vec<Proxy> = (0..4).map(|at| group.start_proxy(&format!("n{at}"), at)).collect();
+    let proxies: Vec<Proxy> = (0..4).map(|number| group.start_proxy(&format!("n{number}"), number)).collect();
     let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
     let (old, _) = group.lease_holder();
@@ -25,18 +25,17 @@
     for proxy in ["n0", "n1"] {
         group.network.partition(proxy, &name, Partition::Closed);
     }
-    let why = |answer: Result<(u64, String), String>| answer.err();
     let only_old = group.admin_client(&[old]);
     let status = || only_old.call(&call::What::Status(Default::default()), Delivery::AtLeastOnce);
-    wait_until("the old holder says that it cannot act", || status().is_err());
-    wait_until("another one owns the versions", || {
+    wait_until("the old holder reports that it cannot act", || status().is_err());
+    wait_until("another member holds the lease", || {
         let others = group.members.iter().filter(|member| member.number != old);
-        others.flat_map(|member| member.roles()).any(|duty| duty.owner != old && duty.owner > 0)
+        others.flat_map(|member| member.roles()).any(|role| role.owner != old && role.owner > 0)
     });
-    wait_until("a version is published behind the cut", || {
-        why(group.publish("limits { max_open: 12 }", "b", single_stage())).is_none()
+    wait_until("a version is published in the majority partition", || {
+        group.publish("limits { max_open: 12 }", "b", single_stage()).is_ok()
     });
-    // Those that reached the old leader leave it, as it names no leader, and find the new one.
+    // Proxies that reach only the old leader disconnect, as it names no leader, and find the new one.
     group.wait_until_in_force(&proxies, first + 1);
     group.network.heal_all();
     let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", single_stage());
@@ -55,12 +54,13 @@
     );
     for round in 0..3 {
         let (holder, _) = group.lease_holder();
-        let others: Vec<u64> = group.members.iter().map(|it| it.number).filter(|it| *it != holder).collect();
-        // First nothing from the leader arrives, then nothing to it; then one of the others alone receives nothing from it.
+        let others = group.numbers_except(holder);
+        // Round 0 stalls all messages from the leader, round 1 all messages to it, and round 2 those from the
+        // leader to one other member.
         for other in if round < 2 { &others[..] } else { &others[..1] } {
             let (from, to) = if round == 1 { (*other, holder) } else { (holder, *other) };
-            let deaf = Link { forward: LinkFault::Stalled, ..Link::default() };
-            group.network.set(&from.to_string(), &to.to_string(), deaf);
+            let stalled = Link { forward: LinkFault::Stalled, ..Link::default() };
+            group.network.set(&from.to_string(), &to.to_string(), stalled);
         }
         let number = group.publish_until_acknowledged(
             &format!("limits {{ max_open: {} }}", 20 + round),
@@ -81,34 +81,34 @@
     let first = group.publish_until_acknowledged("limits { max_open: 11 }", "a", single_stage());
     group.wait_until_in_force(&proxies, first);
     let (holder, _) = group.lease_holder();
-    let left = group.members.iter().map(|it| it.number).find(|it| *it != holder).unwrap();
-    for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
+    let survivor = group.members.iter().map(|member| member.number).find(|number| *number != holder).unwrap();
+    for number in [1, 2, 3].into_iter().filter(|number| *number != survivor) {
         group.member_mut(number).kill();
     }
-    let asked = Instant::now();
-    let why = group.publish("limits { max_open: 12 }", "b", single_stage()).unwrap_err();
-    assert!(why.contains("no majority") || why.contains("cannot be reached"), "{why}");
-    assert!(asked.elapsed() < Duration::from_secs(15), "{:?}", asked.elapsed());
-    wait_until("it says that there is no majority", || {
+    let called = Instant::now();
+    let error = group.publish("limits { max_open: 12 }", "b", single_stage()).unwrap_err();
+    assert!(error.contains("no majority") || error.contains("cannot be reached"), "{error}");
+    assert!(called.elapsed() < Duration::from_secs(15), "{:?}", called.elapsed());
+    wait_until("the remaining member reports that there is no majority", || {
         group
             .publish("limits { max_open: 12 }", "b", single_stage())
-            .is_err_and(|why| why.contains("no majority"))
+            .is_err_and(|error| error.contains("no majority"))
     });
     proxies[0].kill();
     proxies[0].restart();
-    let fresh = group.start_proxy("n2", 2);
+    let new_proxy = group.start_proxy("n2", 2);
     assert_eq!((version(&proxies[0]), version(&proxies[1])), (Some(first), Some(first)));
-    assert_eq!(version(&fresh), Some(0), "it starts without an owner");
-    for number in [1, 2, 3].into_iter().filter(|it| *it != left) {
+    assert_eq!(version(&new_proxy), Some(0), "a new proxy starts without a lease holder");
+    for number in [1, 2, 3].into_iter().filter(|number| *number != survivor) {
         group.member_mut(number).start();
     }
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(&proxies, second);
-    group.wait_until_in_force(std::slice::from_ref(&fresh), second);
+    group.wait_until_in_force(std::slice::from_ref(&new_proxy), second);
 }
 
 #[test]
-fn five_services_keep_working_with_two_dead_and_a_third_cut_off_for_a_while() {
+fn five_members_keep_working_with_two_killed_and_a_third_isolated_for_a_while() {
     let mut group = Group::start(5);
     let proxies = [group.start_proxy("n0", 0), group.start_proxy("n1", 3)];
     group.wait_until_in_force(
@@ -121,13 +121,13 @@
     group.member_mut(next).kill();
     let second = group.publish_until_acknowledged("limits { max_open: 12 }", "b", single_stage());
     group.wait_until_in_force(&proxies, second);
-    // Three are left, and all of them are needed.
-    let left = group.members.iter().find(|member| member.is_running()).unwrap().number;
-    group.isolate(left);
+    // Three members remain, and all of them are needed for a majority.
+    let remaining = group.members.iter().find(|member| member.is_running()).unwrap().number;
+    group.isolate(remaining);
     wait_until("there is no majority", || {
         group.publish("limits { max_open: 13 }", "c", single_stage()).is_err()
     });
-    // What was under way at the moment of the cut may have been agreed on still.
+    // A proposal that was in flight when the member was isolated may still have been committed.
     assert!(proxies.iter().all(|proxy| version(proxy) >= Some(second)));
     group.network.heal_all();
     let third = group.publish_until_acknowledged("limits { max_open: 13 }", "c", single_stage());
