--- a/tests/configuration/interfaces.rs
+++ b/tests/configuration/interfaces.rs
@@ -1,4 +1,4 @@
-//! Peers, files and commands: what is malformed is refused with one line, and results are reported.
+//! Malformed peers, files and commands are rejected with one line, and commands report their results.
 
 use std::io::{Read as _, Write as _};
 use std::net::TcpStream;
@@ -7,19 +7,20 @@
 use crate::control::ControlServer;
 use crate::proxy::TIMEOUT;
 
-/// Peers that send noise, claim too much, talk out of turn or say nothing: closed, and the service goes on.
+/// Peers send another protocol, a length that is too large, an undecodable message or an empty one: the
+/// control server closes their connections. Peers that send nothing do not block it.
 #[test]
-fn malformed_peers_are_disconnected_and_the_service_keeps_running() {
+fn malformed_peers_are_disconnected_and_the_control_server_keeps_running() {
     let control = ControlServer::start();
-    let answer: [&[u8]; 4] =
+    let malformed: [&[u8]; 4] =
         [b"GET / HTTP/1.1\r\n\r\n", &[0xff; 64], &[0, 0, 0, 2, 0xff, 0xff], &[0, 0, 0, 0]];
     for (address, bytes) in
-        [control.listen, control.operators].iter().flat_map(|at| answer.map(|it| (at, it)))
+        [control.listen, control.operators].iter().flat_map(|address| malformed.map(|bytes| (address, bytes)))
     {
         let mut peer = TcpStream::connect(address).unwrap();
         peer.set_read_timeout(Some(TIMEOUT)).unwrap();
         peer.write_all(bytes).unwrap();
-        // A reset is a close too: it had sent more than was read.
+        // A reset counts as a close too: the peer has sent more than was read.
         let _ = peer.read(&mut [0; 64]).map(|read| assert_eq!(read, 0, "{bytes:?}"));
     }
     let _silent: Vec<TcpStream> = (0..50).map(|_| TcpStream::connect(control.listen).unwrap()).collect();
@@ -44,19 +45,22 @@
     ];
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
     let example = std::fs::read_to_string(config).unwrap();
-    let own = folder.path().join("config.json");
+    let config_path = folder.path().join("config.json");
     let listen = crate::proxy::free_address().to_string();
     let management = crate::proxy::free_address().to_string();
-    std::fs::write(&own, example.replace("127.0.0.1:9090", &listen).replace("127.0.0.1:9100", &management))
-        .unwrap();
-    for (text, why) in cases {
+    std::fs::write(
+        &config_path,
+        example.replace("127.0.0.1:9090", &listen).replace("127.0.0.1:9100", &management),
+    )
+    .unwrap();
+    for (text, cause) in cases {
         std::fs::write(&file, text).unwrap();
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_gaugestep"));
-        command.args(["serve", "--config"]).arg(&own).arg("--operator").arg(&file);
-        let done = command.env("GAUGESTEP_LOG", "off").output().unwrap();
-        let output = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert_eq!(done.status.code(), Some(1), "{text}: {output}");
-        assert!(output.contains(why) && output.lines().count() <= 3, "{text}: {output}");
+        command.args(["serve", "--config"]).arg(&config_path).arg("--operator").arg(&file);
+        let output = command.env("GAUGESTEP_LOG", "off").output().unwrap();
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(1), "{text}: {error}");
+        assert!(error.contains(cause) && error.lines().count() <= 3, "{text}: {error}");
     }
 }
 
--- a/tests/configuration/main.rs
+++ b/tests/configuration/main.rs
@@ -1,4 +1,5 @@
-//! Versioned configuration with the real programs: proxies, a control service or a scripted one, operators' commands.
+//! Versioned configuration with the real programs: proxies, a real or a scripted control server, and operator
+//! commands.
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 #[path = "../common/control.rs"]
@@ -15,8 +16,8 @@
 
 use proxy::{Proxy, query};
 
-/// A folder for a proxy's last good version.
-fn state(folder: &tempfile::TempDir) -> PathBuf {
+/// The state folder of a proxy, which holds its last good version.
+fn state_folder(folder: &tempfile::TempDir) -> PathBuf {
     folder.path().join("n0")
 }
 
@@ -24,6 +25,6 @@
     proxy.statistic("/configuration/version").unwrap()
 }
 
-fn ask(proxy: &Proxy, class: &str, id: u64) -> String {
+fn run_query(proxy: &Proxy, class: &str, id: u64) -> String {
     proxy.client().request(&query(class, id, 3_000))
 }
