--- a/tests/compatibility/administration.rs
+++ b/tests/compatibility/administration.rs
@@ -10,20 +10,21 @@
     ["/ops/readiness", "/ops/stats", "/ops/drain/start", "/ops/drain/stop", "/ops/none", "/"];
 const METHODS: [&str; 5] = ["GET", "PUT", "POST", "DELETE", "HEAD"];
 
-/// The head of an answer to these bytes, and its body if that is plain text.
-fn answer(proxy: &Proxy, call: &str) -> String {
+/// Sends these bytes to the admin API and returns the head of the response, and its body if that is plain
+/// text.
+fn response(proxy: &Proxy, request: &str) -> String {
     let mut socket = proxy.admin_connection();
-    socket.write_all(call.as_bytes()).unwrap();
+    socket.write_all(request.as_bytes()).unwrap();
     socket.shutdown(std::net::Shutdown::Write).unwrap();
-    let answer = read_to_close(&socket);
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap();
+    let response = read_to_close(&socket);
+    let (head, body) = response.split_once("\r\n\r\n").unwrap();
     let head: Vec<&str> = head.lines().filter(|line| !line.starts_with("Content-Length: ")).collect();
     let body = if body.starts_with('{') { "{...}" } else { body.trim_end() };
     format!("{}; body {body:?}\n", head.join("; "))
 }
 
 fn call(proxy: &Proxy, method: &str, path: &str) -> String {
-    format!("{method} {path}: {}", answer(proxy, &format!("{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n")))
+    format!("{method} {path}: {}", response(proxy, &format!("{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n")))
 }
 
 #[test]
@@ -31,7 +32,7 @@
     let proxy = Proxy::start(&[]);
     let mut recorded = String::new();
     for path in PATHS {
-        // A drain is ended at once, so that each call meets a proxy that serves.
+        // A drain that a call has started is stopped at once, so that each call finds a proxy that serves.
         for method in METHODS {
             recorded += &call(&proxy, method, path);
             proxy.call("PUT", "/ops/drain/stop");
@@ -54,13 +55,13 @@
     for (name, malformed) in
         [("noise", "\u{1}\u{2}\r\n\r\n"), ("half a call", "GET /ops/stats HT"), ("too long", &*long_path)]
     {
-        recorded += &format!("{name}: {}", answer(&proxy, malformed));
+        recorded += &format!("{name}: {}", response(&proxy, malformed));
     }
     golden::assert_matches("operators_http.txt", &recorded);
 }
 
 #[test]
-fn statistics_without_a_control_service_keep_their_keys() {
+fn statistics_without_a_control_server_keep_their_keys() {
     let engine = RespondingEngine::new();
     let proxy = Proxy::start(&[&engine.listener]);
     assert_eq!(proxy.client().request(&query("lookup", 1, 3_000)), "TDC");
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn statistics_and_readiness_under_a_control_service_keep_their_form() {
+fn statistics_and_readiness_under_a_control_server_keep_their_form() {
     let (control, folder) = (ControlServer::start(), tempfile::tempdir().unwrap());
     let operator = Some(control.write_operator_file(&folder.path().join("n0")));
     let engine = RespondingEngine::new();
@@ -85,9 +86,7 @@
     wait_until("the version is rejected", || {
         proxy.statistic("/configuration/last_refusal/version") == Some(second)
     });
-    wait_until("the version before is back", || {
-        proxy.statistic("/configuration/version") == Some(second + 1)
-    });
+    wait_until("the rollback is in force", || proxy.statistic("/configuration/version") == Some(second + 1));
     let varying = ["age_s", "process", "term", "name_term", "reason", "connected"];
     let statistics = golden::without_varying(&proxy.statistics(), &varying);
     golden::assert_matches("statistics_followed.json", &golden::pretty(&statistics));
--- a/tests/compatibility/command_line.rs
+++ b/tests/compatibility/command_line.rs
@@ -32,12 +32,12 @@
 /// Options whose default value is drawn at random.
 const RANDOM_DEFAULTS: [&str; 1] = ["--once"];
 
-/// Runs a program with nothing in its environment that could set an option.
+/// Runs a program with an empty environment, so that no variable sets an option.
 fn run(program: &str, arguments: &[&str]) -> Output {
     Command::new(program).args(arguments).env_clear().output().unwrap()
 }
 
-/// The help text of a command, which may be given by several words.
+/// The help text of a command, which may consist of several words.
 fn help(program: &str, command: &str) -> String {
     let mut arguments: Vec<&str> = command.split_whitespace().collect();
     arguments.push("--help");
@@ -54,7 +54,8 @@
     description: String,
 }
 
-/// Reads the sections of a help text. An entry begins with a short indent; further lines belong to its description.
+/// Reads the sections of a help text. An entry begins with a short indent; further lines belong to its
+/// description.
 fn help_entries(text: &str) -> Vec<HelpEntry> {
     const DEEPEST_ENTRY: usize = 6;
     let mut section = String::new();
@@ -86,11 +87,12 @@
 
 /// The text of a description after `[name: `, up to the closing bracket.
 fn attribute<'a>(description: &'a str, name: &str) -> Option<&'a str> {
-    let (_, behind) = description.split_once(&format!("[{name}: "))?;
-    behind.split_once(']').map(|(value, _)| value)
+    let (_, rest) = description.split_once(&format!("[{name}: "))?;
+    rest.split_once(']').map(|(value, _)| value)
 }
 
-/// The interface of one command: how arguments follow it, its options with value names, environment and defaults.
+/// The interface of one command: its arguments, and its options with value names, environment variables and
+/// defaults.
 fn interface(program: &str, command: &str) -> String {
     let text = help(program, command);
     let usage = text.lines().find_map(|line| line.strip_prefix("Usage: ")).unwrap();
@@ -113,7 +115,7 @@
     recorded
 }
 
-/// How many commands a help text lists, `help` aside.
+/// The number of commands that a help text lists, except `help`.
 fn listed_commands(text: &str) -> usize {
     let entries = help_entries(text);
     entries.iter().filter(|entry| entry.section == "Commands" && entry.signature != "help").count()
@@ -138,7 +140,7 @@
     golden::assert_matches("command_line_control.txt", &interfaces(CONTROL, &commands));
 }
 
-/// What a call left behind: exit code, and on which streams it wrote.
+/// Runs a program and returns its exit code and how many lines it wrote to each stream, as one line.
 fn outcome(program: &str, arguments: &[&str]) -> String {
     let output = run(program, arguments);
     let lines = |bytes: &[u8]| match String::from_utf8_lossy(bytes).trim_end().lines().count() {
@@ -158,7 +160,7 @@
 
 #[test]
 fn exit_codes_stay() {
-    // No service listens on this address: port 1 of a loopback address that nothing else here uses.
+    // No control server listens on this address: port 1 of a loopback address that no other test uses.
     const NOWHERE: &str = "127.255.255.1:1";
     let calls: &[(&str, &[&str])] = &[
         (PROXY, &[]),
--- a/tests/compatibility/control_api.rs
+++ b/tests/compatibility/control_api.rs
@@ -1,4 +1,4 @@
-//! Operators' commands with `--json`: keys and values of what they print, and their exit codes.
+//! Operator commands with `--json`: keys and values of their output, and their exit codes.
 
 use serde_json::Value;
 
@@ -23,33 +23,34 @@
     "reason",
 ];
 
-/// Commands and what each of them printed.
+/// A record of commands with their output, in the form of a golden file.
 struct Transcript<'a> {
     control: &'a ControlServer,
     text: String,
 }
 
 impl Transcript<'_> {
-    /// Runs a command with `--json`. Files among the arguments are shown by name alone.
+    /// Runs a command with `--json` and records it. Paths among the arguments are recorded by file name
+    /// alone.
     fn run(&mut self, arguments: &[&str]) {
         let (code, output, error) = self.control.run(&[&["--json"], arguments].concat());
         let shown: Vec<&str> =
             arguments.iter().map(|argument| argument.rsplit('/').next().unwrap()).collect();
         self.text +=
             &format!("$ {}\nexit code {code}, stderr {} line(s)\n", shown.join(" "), error.lines().count());
-        // A watch prints a line for each state that it happens to see: only the last one is certain.
+        // A watch prints a line for each state that it observes; only the last line is the same in every run.
         let output = output.replace(&self.control.folder.path().display().to_string(), "FOLDER");
         if let Some(last) = output.lines().last() {
             let mut value: Value = serde_json::from_str(last).unwrap();
-            hide_notes_of_the_service(&mut value);
+            hide_notes_of_the_control_server(&mut value);
             self.text += &golden::pretty(&golden::without_varying(&value, &VARYING));
             self.text.push('\n');
         }
     }
 }
 
-/// Replaces the notes that the service writes by itself, which are prose.
-fn hide_notes_of_the_service(value: &mut Value) {
+/// Replaces the notes that the control server writes, which are prose.
+fn hide_notes_of_the_control_server(value: &mut Value) {
     for entry in value.as_array_mut().into_iter().flatten() {
         if entry["author"] == "gaugestep-control" {
             assert_ne!(entry["note"], "");
@@ -76,7 +77,7 @@
     let operator = Some(control.write_operator_file(&folder.path().join("n0")));
     let engine = RespondingEngine::new();
     let proxy = Launch { operator, ..Launch::new(&[&engine.listener]) }.start();
-    wait_until("the proxy is known", || control.proxy_status("n0")["connected"] == true);
+    wait_until("the proxy is connected", || control.proxy_status("n0")["connected"] == true);
     let first = control.write_file("first.textproto", r#"limits { max_open: 500 } logging { level: INFO }"#);
     let second = control.write_file("second.textproto", r#"limits { max_open: 600 }"#);
     let rejected = control.write_file("rejected.textproto", r#"classes: "unknown""#);
@@ -107,7 +108,7 @@
         proxy.statistic("/configuration/last_refusal/version") == Some(4)
     });
     wait_until_complete(&control, &proxy, 5);
-    wait_until("nothing is on its way", || {
+    wait_until("no offer is in flight", || {
         control.proxy_status("n0")["in_force"] == 5 && control.proxy_status("n0")["offered"] == 0
     });
     transcript.run(&["watch", "4"]);
--- a/tests/compatibility/deploy_file.rs
+++ b/tests/compatibility/deploy_file.rs
@@ -1,4 +1,4 @@
-//! The keys of `deploy/balancer.toml`, which the platform reads.
+//! The keys of `deploy/balancer.toml`, a file that the platform reads.
 
 use crate::golden;
 
--- a/tests/compatibility/downstream.rs
+++ b/tests/compatibility/downstream.rs
@@ -12,7 +12,7 @@
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// A first message: its length, a code and what follows that.
+/// The first message of a connection: its length, a code and a body.
 fn first_message(code: u32, body: &[u8]) -> Vec<u8> {
     let length = 8 + body.len() as u32;
     [&length.to_be_bytes()[..], &code.to_be_bytes(), body].concat()
@@ -31,7 +31,7 @@
     first_message(PROTOCOL_3, b"user\0app\0database\0dw\0\0")
 }
 
-/// A connection of a client that reads messages as they are.
+/// A client that reads messages byte for byte.
 struct RawClient(TcpStream);
 
 impl RawClient {
@@ -53,7 +53,8 @@
         self.0.write_all(bytes).unwrap();
     }
 
-    /// Reads once; 0 at the end of the connection. A suspension of the test's own process interrupts a read, which is no answer.
+    /// Reads once and returns the number of bytes, 0 at the end of the connection. Repeats a read that was
+    /// interrupted, as by a suspension of the test's own process.
     fn read_or_end(&mut self, buffer: &mut [u8]) -> usize {
         loop {
             match self.0.read(buffer) {
@@ -63,7 +64,8 @@
         }
     }
 
-    /// All messages up to the next ReadyForQuery or the end of the connection, a line each.
+    /// Reads all messages up to the next ReadyForQuery or the end of the connection, and returns a line for
+    /// each.
     fn messages(&mut self) -> String {
         let mut received = String::new();
         loop {
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn answers_to_first_messages_stay() {
+fn responses_to_first_messages_stay() {
     let proxy = Proxy::start(&[]);
     let cases: [(&str, Vec<u8>); 10] = [
         ("session", session_start()),
@@ -106,18 +108,18 @@
         let mut client = RawClient::connect(&proxy);
         client.send(&bytes);
         if name.contains("encryption") {
-            let mut answers = [0; 2];
-            client.0.read_exact(&mut answers).unwrap();
-            received += &format!("  {}\n", answers.escape_ascii());
+            let mut responses = [0; 2];
+            client.0.read_exact(&mut responses).unwrap();
+            received += &format!("  {}\n", responses.escape_ascii());
         }
         received += &format!("{name}\n{}", client.messages());
     }
     let mut client = RawClient::connect(&proxy);
     for code in [GSS_REQUEST, TLS_REQUEST] {
         client.send(&first_message(code, b""));
-        let mut answer = [0];
-        client.0.read_exact(&mut answer).unwrap();
-        received += &format!("encryption {code}: {}\n", answer.escape_ascii());
+        let mut response = [0];
+        client.0.read_exact(&mut response).unwrap();
+        received += &format!("encryption {code}: {}\n", response.escape_ascii());
     }
     client.send(&session_start());
     received += &client.messages();
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn answers_to_messages_of_a_session_stay() {
+fn responses_to_messages_of_a_session_stay() {
     let engine = RespondingEngine::new();
     let proxy = Proxy::start(&[&engine.listener]);
     let fields = |fields: &str| simple_query(&format!("/* {fields} */ SELECT a FROM sales_17.orders"));
@@ -176,9 +178,10 @@
     golden::assert_matches("downstream_session.txt", &received);
 }
 
-/// What becomes of requests that an engine does not answer as it should.
+/// The engine reports a fault, sheds the request, closes the connection or stays silent, or there is no
+/// engine.
 #[test]
-fn answers_to_requests_that_fail_stay() {
+fn responses_to_requests_that_fail_stay() {
     let mut received = String::new();
     for (class, word) in [("load", "FAULT"), ("load", "SHED"), ("lookup", "SHED"), ("load", "GONE")] {
         let engine = Engine::new();
@@ -194,7 +197,7 @@
         drop(engine);
         received += &format!("{class}, {word}\n{}", client.messages());
     }
-    // Silence up to the deadline.
+    // An engine that does not respond before the deadline.
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     for class in ["lookup", "load"] {
@@ -202,7 +205,7 @@
         client.send(&simple_query(&query(class, 2, 600)));
         received += &format!("{class}, silence\n{}", client.messages());
     }
-    // No engine at all.
+    // No engine is listed.
     let proxy = Proxy::start(&[]);
     let mut client = RawClient::session(&proxy);
     client.send(&simple_query(&query("lookup", 3, 300)));
@@ -210,9 +213,10 @@
     golden::assert_matches("downstream_failures.txt", &received);
 }
 
-/// The same request id twice, a cancel request, a client that closes its side, and a proxy that drains.
+/// A duplicate request id, a cancel request, a client that closes its side or terminates, and a proxy that
+/// drains.
 #[test]
-fn answers_to_what_clients_do_beside_a_query_stay() {
+fn responses_to_duplicates_cancels_closes_and_drains_stay() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut busy = proxy.client();
--- a/tests/compatibility/golden.rs
+++ b/tests/compatibility/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files: what a program produced when the files were last written.
+//! Golden files: the output of the programs when the files were last written.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 /// Set to `1` to write the golden files in place of comparing with them.
 const WRITE_VARIABLE: &str = "GAUGESTEP_WRITE_GOLDEN";
 
-/// Stands in place of a value that differs between runs.
+/// Replaces a value that differs between runs.
 const PLACEHOLDER: &str = "<varies>";
 
 /// Compares `actual` with the golden file of this name, or writes the file if the environment asks for it.
@@ -23,7 +23,7 @@
     assert!(expected == actual, "{}", difference(name, &expected, &actual));
 }
 
-/// The first line that differs, and all of what was produced.
+/// A message with the first line that differs and the complete output.
 fn difference(name: &str, expected: &str, actual: &str) -> String {
     let (mut old, mut new) = (expected.lines(), actual.lines());
     let mut number = 0;
--- a/tests/compatibility/log_filters.rs
+++ b/tests/compatibility/log_filters.rs
@@ -1,8 +1,8 @@
-//! Log filters that operators have written down: names of parts in `GAUGESTEP_LOG` and in stored documents keep
-//! bringing out the lines of these parts, wherever their code has moved.
+//! Existing log filters of operators keep their effect: the names of parts in `GAUGESTEP_LOG` and in stored
+//! documents show the lines of these parts, even if their code has moved to another module.
 //!
-//! Lines are distinguished by their level alone, as their texts, fields and targets may be reworded. Where a filter names
-//! one part and silences all others, every line that comes is of that part.
+//! Lines are distinguished by their level alone, as their texts, fields and targets may be reworded. Where a
+//! filter names one part and silences all others, every line in the log is of that part.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -15,31 +15,31 @@
     write_operator_file,
 };
 use crate::proxy::{Coordinator, Engine, Launch, Proxy, event, free_address, query};
-use crate::upstream::accept_call;
+use crate::upstream::accept_request;
 
-/// The lines of a log file of one level.
+/// The number of lines of one level in a log file.
 fn lines_of_level(log: &Path, level: &str) -> usize {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let levels = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     levels.filter(|line| line["level"] == level).count()
 }
 
-/// Lines of any level that name a part.
+/// The number of lines of any level in a log file.
 fn lines(log: &Path) -> usize {
     ["ERROR", "WARN", "INFO", "DEBUG", "TRACE"].iter().map(|level| lines_of_level(log, level)).sum()
 }
 
-/// A folder for log and state, with the path of the log.
-struct Logged {
+/// A folder for the log and the state of a program, with the path of the log.
+struct LogFolder {
     folder: tempfile::TempDir,
     log: PathBuf,
 }
 
-impl Logged {
+impl LogFolder {
     fn new() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let log = folder.path().join("log");
-        Logged { folder, log }
+        LogFolder { folder, log }
     }
 
     fn launch<'a>(&self, engines: &'a [&'a Engine], filter: &str) -> Launch<'a> {
@@ -51,11 +51,11 @@
     }
 
     fn wait_for(&self, level: &str, count: usize) {
-        wait_until("lines of the part come", || lines_of_level(&self.log, level) >= count);
+        wait_until("the part logs its lines", || lines_of_level(&self.log, level) >= count);
     }
 }
 
-/// Serves requests one by one, each with one attempt.
+/// Sends this many requests one after the other; each is served by one attempt.
 fn serve(proxy: &Proxy, first: u64, count: u64) {
     let mut client = proxy.client();
     for id in first..first + count {
@@ -63,14 +63,14 @@
     }
 }
 
-/// Ends the proxy in order, so that whatever it had to log is in the file.
+/// Terminates the proxy in order, so that all its lines are in the log.
 fn stop(mut proxy: Proxy) {
     assert!(proxy.terminate().success());
 }
 
 #[test]
 fn the_default_filter_shows_info_and_hides_debug() {
-    let (logged, engine) = (Logged::new(), RespondingEngine::new());
+    let (logged, engine) = (LogFolder::new(), RespondingEngine::new());
     let engines = [&engine.listener];
     let launch = Launch { log_filter: None, ..logged.launch(&engines, "") };
     let proxy = launch.start();
@@ -80,10 +80,9 @@
     assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0);
 }
 
-/// A filter that cannot be read is as none.
 #[test]
-fn a_filter_that_cannot_be_read_is_replaced_by_the_default() {
-    let (logged, engine) = (Logged::new(), RespondingEngine::new());
+fn a_filter_that_cannot_be_parsed_is_replaced_by_the_default() {
+    let (logged, engine) = (LogFolder::new(), RespondingEngine::new());
     let engines = [&engine.listener];
     let proxy = logged.launch(&engines, "gaugestep=loud").start();
     serve(&proxy, 0, 1);
@@ -92,8 +91,8 @@
     assert_eq!(lines_of_level(&logged.log, "DEBUG"), 0);
 }
 
-/// Sends a load to an engine that breaks the connection: the request fails.
-fn break_a_connection(proxy: &Proxy, engine: &Engine) {
+/// Sends a load to an engine that closes the connection, so that the request fails.
+fn fail_a_request(proxy: &Proxy, engine: &Engine) {
     let mut client = proxy.client();
     client.send(&query("load", 1, 15_000));
     let mut connection = engine.accept();
@@ -102,39 +101,40 @@
     assert!(client.read_response().starts_with("E 58000"));
 }
 
-/// Lines of the request's lifecycle when a load fails: its attempt, and the request itself.
+/// Lines of the request lifecycle when a load fails: one for the attempt, and one for the request.
 const LINES_OF_A_FAILED_REQUEST: usize = 2;
 
-/// Names of outer modules cover their parts: request lifecycle and connections to engines both tell.
+/// The names of outer modules cover their parts: both the request lifecycle and the connections to engines
+/// are logged.
 #[test]
 fn outer_names_cover_all_parts() {
     for filter in ["gaugestep=debug", "gaugestep::net=debug", "debug"] {
-        let (logged, engine) = (Logged::new(), Engine::new());
+        let (logged, engine) = (LogFolder::new(), Engine::new());
         let engines = [&engine];
         let proxy = logged.launch(&engines, filter).start();
-        break_a_connection(&proxy, &engine);
+        fail_a_request(&proxy, &engine);
         logged.wait_for("DEBUG", LINES_OF_A_FAILED_REQUEST + 1);
         stop(proxy);
         assert!(lines_of_level(&logged.log, "INFO") > 0, "{filter}");
     }
 }
 
-/// A request that fails: two lines, and nothing of the connection that ended.
+/// A request that fails has two lines, and the connection that ended has none.
 #[test]
-fn net_relay_brings_out_requests_that_fail() {
-    let (logged, engine) = (Logged::new(), Engine::new());
+fn net_relay_shows_requests_that_fail() {
+    let (logged, engine) = (LogFolder::new(), Engine::new());
     let engines = [&engine];
     let proxy = logged.launch(&engines, "gaugestep::net::relay=debug").start();
-    break_a_connection(&proxy, &engine);
+    fail_a_request(&proxy, &engine);
     logged.wait_for("DEBUG", LINES_OF_A_FAILED_REQUEST);
     stop(proxy);
     assert_eq!(lines(&logged.log), LINES_OF_A_FAILED_REQUEST);
 }
 
-/// What the decisions have logged: from time to time, how many requests no engine served.
+/// The dispatcher logs from time to time how many requests no engine served.
 #[test]
-fn facade_brings_out_lines_of_the_decisions() {
-    let logged = Logged::new();
+fn facade_shows_lines_of_the_dispatcher() {
+    let logged = LogFolder::new();
     let proxy = logged.launch(&[], "gaugestep::facade=info").start();
     assert_eq!(lines(&logged.log), 0);
     let mut id = 0;
@@ -147,12 +147,12 @@
     assert_eq!(lines(&logged.log), lines_of_level(&logged.log, "INFO"));
 }
 
-/// The lifecycle of requests: one line for each attempt, and nothing of any other part.
+/// The request lifecycle logs one line for each attempt, and no other part logs anything.
 #[test]
-fn net_relay_brings_out_one_line_an_attempt() {
+fn net_relay_shows_one_line_an_attempt() {
     for filter in ["gaugestep::net::relay=debug", "off,gaugestep::net::relay=debug", "gaugestep::net::relay"]
     {
-        let (logged, engine) = (Logged::new(), RespondingEngine::new());
+        let (logged, engine) = (LogFolder::new(), RespondingEngine::new());
         let engines = [&engine.listener];
         let proxy = logged.launch(&engines, filter).start();
         serve(&proxy, 0, 5);
@@ -166,31 +166,31 @@
     }
 }
 
-/// Connections to engines: a line when one ends. The outer module's name covers it too.
+/// A connection to an engine logs a line when it ends. The name of the outer module covers it too.
 #[test]
-fn net_back_brings_out_connections_that_end() {
+fn net_back_shows_connections_that_end() {
     for filter in ["gaugestep::net::back=debug", "gaugestep::net::back::lines=debug"] {
-        let (logged, engine) = (Logged::new(), Engine::new());
+        let (logged, engine) = (LogFolder::new(), Engine::new());
         let engines = [&engine];
         let proxy = logged.launch(&engines, filter).start();
         assert_eq!(lines(&logged.log), 0, "{filter}");
-        break_a_connection(&proxy, &engine);
+        fail_a_request(&proxy, &engine);
         logged.wait_for("DEBUG", 1);
         stop(proxy);
         assert_eq!(lines(&logged.log), lines_of_level(&logged.log, "DEBUG"), "{filter}");
     }
 }
 
-/// The list of engines: INFO for what it holds, DEBUG for an orderly end of the stream.
+/// Discovery logs the list of engines at INFO and an orderly end of the stream at DEBUG.
 #[test]
-fn net_coordinator_brings_out_lists_and_the_end_of_the_stream() {
-    let (logged, engine, coordinator) = (Logged::new(), RespondingEngine::new(), Coordinator::new());
+fn net_coordinator_shows_lists_and_the_end_of_the_stream() {
+    let (logged, engine, coordinator) = (LogFolder::new(), RespondingEngine::new(), Coordinator::new());
     let engines = [&engine.listener];
     let launch = logged.launch(&engines, "gaugestep::net::coordinator=debug");
     let proxy = Launch { coordinator: Some(&coordinator), ..launch }.start();
-    let mut stream = accept_call(&coordinator).stream;
+    let mut stream = accept_request(&coordinator).stream;
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
-    // The list of the configuration, and its only engine.
+    // One line for the list of the configuration, and one for its only engine.
     logged.wait_for("INFO", 2);
     let before = lines_of_level(&logged.log, "INFO");
     let changed = event(2, &[engine.listener.list_entry("s-0", "DRAINING")]);
@@ -202,10 +202,10 @@
     stop(proxy);
 }
 
-/// The listener: drains that operators ask for.
+/// The server logs when an operator starts and stops a drain.
 #[test]
-fn net_server_brings_out_drains() {
-    let logged = Logged::new();
+fn net_server_shows_drains() {
+    let logged = LogFolder::new();
     let proxy = logged.launch(&[], "gaugestep::net::server=debug").start();
     assert_eq!(lines(&logged.log), 0);
     assert_eq!(proxy.call("PUT", "/ops/drain/start").0, 200);
@@ -216,10 +216,10 @@
     assert_eq!(lines(&logged.log), 2);
 }
 
-/// What cannot be read of a list: a warning, and no other line of the program.
+/// A list entry that cannot be parsed is logged as a warning, and there is no other line.
 #[test]
-fn a_level_holds_for_the_part_that_it_names() {
-    let (logged, engine, coordinator) = (Logged::new(), RespondingEngine::new(), Coordinator::new());
+fn a_level_applies_to_the_part_that_it_names() {
+    let (logged, engine, coordinator) = (LogFolder::new(), RespondingEngine::new(), Coordinator::new());
     let engines = [&engine.listener];
     let launch = logged.launch(&engines, "gaugestep::net::coordinator=warn");
     let proxy = Launch { coordinator: Some(&coordinator), ..launch }.start();
@@ -230,17 +230,17 @@
     assert_eq!(lines(&logged.log), lines_of_level(&logged.log, "WARN"));
 }
 
-/// The proxy's side of the control stream.
+/// The proxy's side of the control stream logs versions.
 #[test]
-fn control_follow_brings_out_versions() {
+fn control_follow_shows_versions() {
     for filter in ["gaugestep_control::follow=info", "gaugestep_control=info"] {
-        let (logged, service, engine) =
-            (Logged::new(), ScriptedControlServer::new(), RespondingEngine::new());
+        let (logged, server, engine) =
+            (LogFolder::new(), ScriptedControlServer::new(), RespondingEngine::new());
         let engines = [&engine.listener];
-        let address = service.0.local_addr().unwrap();
+        let address = server.0.local_addr().unwrap();
         let operator = Some(write_operator_file(logged.folder.path(), address, &logged.state(), ""));
         let proxy = Launch { operator, ..logged.launch(&engines, filter) }.start();
-        let mut stream = service.accept();
+        let mut stream = server.accept();
         logged.wait_for("INFO", 1);
         let before = lines_of_level(&logged.log, "INFO");
         stream.send(&offer_message(offer(5, 1, "limits { max_open: 50 }")));
@@ -254,16 +254,17 @@
     }
 }
 
-/// A document brings out a part that the filter of the start hides, also when the proxy starts on it again without a
-/// control service; a document without it hides the part again.
+/// A document shows a part that the filter in the environment hides, also after a restart without a control
+/// server; a document without the part hides it again.
 #[test]
-fn a_document_brings_out_a_part_now_and_after_a_restart() {
+fn a_document_shows_a_part_at_once_and_after_a_restart() {
     for part in [
         r#"parts { name: "gaugestep::net::relay" level: DEBUG }"#,
         r#"parts { name: "gaugestep::net" level: DEBUG }"#,
         "level: DEBUG",
     ] {
-        let (logged, mut control, engine) = (Logged::new(), ControlServer::start(), RespondingEngine::new());
+        let (logged, mut control, engine) =
+            (LogFolder::new(), ControlServer::start(), RespondingEngine::new());
         let engines = [&engine.listener];
         let operator = Some(control.write_operator_file(&logged.state()));
         let launch = Launch { log_filter: None, operator, ..logged.launch(&engines, "") };
@@ -286,50 +287,50 @@
         wait_until("the proxy follows again", || proxy.statistics()["configuration"]["connected"] == true);
         let number = control.publish("", &[]);
         wait_until("the version is in force", || proxy.statistic("/configuration/version") == Some(number));
-        let quiet = Quiet::since(&logged);
+        let baseline = DebugBaseline::once_stable(&logged);
         serve(&proxy, 30, 2);
         stop(proxy);
-        quiet.assert_no_debug(&logged, part);
+        baseline.assert_unchanged(&logged, part);
     }
 }
 
-/// Lines of the level DEBUG up to a moment at which all earlier ones were written.
-struct Quiet(usize);
+/// The number of DEBUG lines at a moment at which all earlier lines have been written.
+struct DebugBaseline(usize);
 
-impl Quiet {
-    /// Waits until the log holds all lines that were being written: the count stays the same over several looks.
-    fn since(logged: &Logged) -> Self {
-        const STABLE_LOOKS: usize = 20;
+impl DebugBaseline {
+    /// Waits until the count is the same in several samples, so that all pending lines have been written.
+    fn once_stable(logged: &LogFolder) -> Self {
+        const STABLE_SAMPLES: usize = 20;
         let (mut count, mut stable) = (usize::MAX, 0);
-        wait_until("the log comes to rest", || {
+        wait_until("the log stops growing", || {
             let now = lines_of_level(&logged.log, "DEBUG");
             stable = if now == count { stable + 1 } else { 0 };
             count = now;
-            stable >= STABLE_LOOKS
+            stable >= STABLE_SAMPLES
         });
-        Quiet(count)
+        DebugBaseline(count)
     }
 
-    fn assert_no_debug(&self, logged: &Logged, what: &str) {
-        assert_eq!(lines_of_level(&logged.log, "DEBUG"), self.0, "{what}");
+    fn assert_unchanged(&self, logged: &LogFolder, part: &str) {
+        assert_eq!(lines_of_level(&logged.log, "DEBUG"), self.0, "{part}");
     }
 }
 
-/// A control service under a log filter of its own.
-struct FilteredService {
+/// A control server with its own log filter.
+struct FilteredControlServer {
     child: Child,
     operators: String,
-    logged: Logged,
+    logged: LogFolder,
 }
 
-impl FilteredService {
+impl FilteredControlServer {
     fn start(filter: &str) -> Self {
         Self::start_with(Some(filter))
     }
 
-    /// Starts one under a filter, or under the default.
+    /// Starts a control server with this filter; `None` for the default.
     fn start_with(filter: Option<&str>) -> Self {
-        let logged = Logged::new();
+        let logged = LogFolder::new();
         let (listen, operators) = (free_address(), free_address().to_string());
         let config = logged.folder.path().join("control.textproto");
         let store = logged.folder.path().join("versions.redb");
@@ -343,12 +344,12 @@
             None => command.env_remove("GAUGESTEP_LOG"),
         };
         command.stdout(Stdio::null()).stderr(std::fs::File::create(&logged.log).unwrap());
-        let service = FilteredService { child: command.spawn().unwrap(), operators, logged };
-        wait_until("the control service starts", || service.run(&["list"]));
-        service
+        let server = FilteredControlServer { child: command.spawn().unwrap(), operators, logged };
+        wait_until("the control server starts", || server.run(&["list"]));
+        server
     }
 
-    /// Runs a command against it; whether that succeeded.
+    /// Runs an operator command against the control server and returns whether it succeeded.
     fn run(&self, arguments: &[&str]) -> bool {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gaugestep-control"));
         command.args(arguments).args(["--service", &self.operators]);
@@ -362,7 +363,7 @@
     }
 }
 
-impl Drop for FilteredService {
+impl Drop for FilteredControlServer {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -370,75 +371,75 @@
 }
 
 #[test]
-fn the_default_filter_of_the_control_service_shows_info_and_hides_debug() {
-    let service = FilteredService::start_with(None);
-    service.publish();
-    service.logged.wait_for("INFO", 3);
-    assert_eq!(lines_of_level(&service.logged.log, "DEBUG"), 0);
-    assert_eq!(lines_of_level(&service.logged.log, "TRACE"), 0);
+fn the_default_filter_of_the_control_server_shows_info_and_hides_debug() {
+    let server = FilteredControlServer::start_with(None);
+    server.publish();
+    server.logged.wait_for("INFO", 3);
+    assert_eq!(lines_of_level(&server.logged.log, "DEBUG"), 0);
+    assert_eq!(lines_of_level(&server.logged.log, "TRACE"), 0);
 }
 
-/// The program itself, once it serves.
+/// The command line logs a line once the control server serves.
 #[test]
-fn control_cli_brings_out_the_start() {
-    let service = FilteredService::start("gaugestep_control::cli=info");
-    service.logged.wait_for("INFO", 1);
+fn control_cli_shows_the_start() {
+    let server = FilteredControlServer::start("gaugestep_control::cli=info");
+    server.logged.wait_for("INFO", 1);
 }
 
-/// Leadership of the group, from the start on.
+/// The leadership of the group is logged from the start.
 #[test]
-fn control_node_brings_out_leadership() {
-    let service = FilteredService::start("gaugestep_control::node=info");
-    service.logged.wait_for("INFO", 2);
+fn control_node_shows_leadership() {
+    let server = FilteredControlServer::start("gaugestep_control::node=info");
+    server.logged.wait_for("INFO", 2);
 }
 
-/// Raft's own lines, at the level under which they are logged.
+/// The lines of the Raft library are logged at TRACE.
 #[test]
-fn control_node_brings_out_raft_at_its_lowest_level() {
-    let service = FilteredService::start("gaugestep_control::node=trace");
-    service.logged.wait_for("TRACE", 1);
+fn control_node_shows_raft_at_its_lowest_level() {
+    let server = FilteredControlServer::start("gaugestep_control::node=trace");
+    server.logged.wait_for("TRACE", 1);
 }
 
-/// Rollouts of versions: nothing else is logged, so the count grows with a publication.
+/// The rollout driver logs a publication.
 #[test]
-fn control_driving_brings_out_publications() {
-    let service = FilteredService::start("gaugestep_control::driving=info");
-    service.publish();
-    service.logged.wait_for("INFO", 1);
+fn control_driving_shows_publications() {
+    let server = FilteredControlServer::start("gaugestep_control::driving=info");
+    server.publish();
+    server.logged.wait_for("INFO", 1);
 }
 
-/// The roster of proxies, once it is managed.
+/// The roster of proxies is logged once it is managed.
 #[test]
-fn control_seating_brings_out_the_roster() {
-    let service = FilteredService::start("gaugestep_control::seating=info");
-    assert_eq!(lines(&service.logged.log), 0);
-    wait_until("the roster is kept", || service.run(&["declare", "seats"]));
-    service.logged.wait_for("INFO", 1);
+fn control_seating_shows_the_roster() {
+    let server = FilteredControlServer::start("gaugestep_control::seating=info");
+    assert_eq!(lines(&server.logged.log), 0);
+    wait_until("the role of the roster is declared", || server.run(&["declare", "seats"]));
+    server.logged.wait_for("INFO", 1);
 }
 
-/// Streams of proxies: a peer that sends noise ends with a line.
+/// The stream of a peer that sends a malformed message logs a line when it ends.
 #[test]
-fn control_service_brings_out_streams_that_end() {
-    let service = FilteredService::start("gaugestep_control::service=info");
-    assert_eq!(lines(&service.logged.log), 0);
-    let mut socket = std::net::TcpStream::connect(&service.operators).unwrap();
+fn control_service_shows_streams_that_end() {
+    let server = FilteredControlServer::start("gaugestep_control::service=info");
+    assert_eq!(lines(&server.logged.log), 0);
+    let mut socket = std::net::TcpStream::connect(&server.operators).unwrap();
     socket.write_all(&[0xff; 8]).unwrap();
-    service.logged.wait_for("INFO", 1);
+    server.logged.wait_for("INFO", 1);
 }
 
-/// An operator's take-over.
+/// An operator's take-over is logged as a warning.
 #[test]
-fn control_calls_brings_out_a_take_over() {
-    let service = FilteredService::start("gaugestep_control::calls=info");
-    assert_eq!(lines(&service.logged.log), 0);
-    wait_until("the take-over is done", || service.run(&["take-over"]));
-    service.logged.wait_for("WARN", 1);
+fn control_calls_shows_a_take_over() {
+    let server = FilteredControlServer::start("gaugestep_control::calls=info");
+    assert_eq!(lines(&server.logged.log), 0);
+    wait_until("the take-over is done", || server.run(&["take-over"]));
+    server.logged.wait_for("WARN", 1);
 }
 
-/// A part that is not named stays silent.
+/// A part that the filter does not name logs nothing.
 #[test]
 fn a_filter_that_names_another_part_shows_nothing() {
-    let service = FilteredService::start("gaugestep_control::peers=info");
-    service.publish();
-    assert_eq!(lines(&service.logged.log), 0);
+    let server = FilteredControlServer::start("gaugestep_control::peers=info");
+    server.publish();
+    assert_eq!(lines(&server.logged.log), 0);
 }
--- a/tests/compatibility/rejection_codes.rs
+++ b/tests/compatibility/rejection_codes.rs
@@ -1,4 +1,4 @@
-//! The control stream: codes and field paths of the answers to versions that a proxy rejects.
+//! The control stream: codes and field paths of the responses of a proxy to versions that it rejects.
 
 use gaugestep_config::schema::{Offer, from_client};
 use gaugestep_config::{Document, text, version};
@@ -9,7 +9,7 @@
 use crate::golden;
 use crate::proxy::{Engine, Launch, query};
 
-/// What is offered, and what becomes of it, in the form of a golden file.
+/// A record of offers with the response to each, in the form of a golden file.
 struct Offers {
     stream: ControlStream,
     nonce: u64,
@@ -17,17 +17,17 @@
 }
 
 impl Offers {
-    /// Offers a version and notes the answer.
+    /// Offers a version and records the response.
     fn offer(&mut self, name: &str, offered: Offer) {
         self.nonce += 1;
         self.stream.send(&offer_message(Offer { nonce: self.nonce, ..offered }));
-        let answer = loop {
-            if let Some(from_client::Said::Answer(answer)) = self.stream.next().said {
-                break answer;
+        let response = loop {
+            if let Some(from_client::Said::Answer(response)) = self.stream.next().said {
+                break response;
             }
         };
-        assert_eq!(answer.nonce, self.nonce);
-        let recorded = answer.refusal.map_or("accepted".into(), |rejection| {
+        assert_eq!(response.nonce, self.nonce);
+        let recorded = response.refusal.map_or("accepted".into(), |rejection| {
             assert!(!rejection.reason.is_empty() && rejection.reason.lines().count() == 1);
             format!("{} at '{}'", rejection.code, rejection.path)
         });
@@ -42,32 +42,33 @@
 
 #[test]
 fn rejections_keep_codes_and_paths() {
-    let (service, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
+    let (server, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
     let (engine, draining) = (Engine::new(), Engine::new());
-    let address = service.0.local_addr().unwrap();
+    let address = server.0.local_addr().unwrap();
     let operator = Some(write_operator_file(folder.path(), address, &folder.path().join("n0"), ""));
-    let both = format!("{},{}", engine.list_entry("s-0", "SERVING"), draining.list_entry("s-1", "DRAINING"));
-    let first = engine.list_entry("s-0", "SERVING");
-    let change = |config: String| config.replace(&first, &both);
-    let proxy = Launch { operator, edit_config: &change, ..Launch::new(&[&engine]) }.start();
-    let stream = service.accept();
+    let both_engines =
+        format!("{},{}", engine.list_entry("s-0", "SERVING"), draining.list_entry("s-1", "DRAINING"));
+    let first_engine = engine.list_entry("s-0", "SERVING");
+    let edit_config = |config: String| config.replace(&first_engine, &both_engines);
+    let proxy = Launch { operator, edit_config: &edit_config, ..Launch::new(&[&engine]) }.start();
+    let stream = server.accept();
     assert_eq!(stream.hello.protocol, 1);
     let mut offers = Offers { stream, nonce: 0, text: String::new() };
 
-    let sound = || offer(5, 0, "limits { max_open: 50 }");
-    offers.offer("no content", Offer { content: None, ..sound() });
-    offers.offer("no version", Offer { version: None, ..sound() });
-    let mut other_digest = sound();
+    let valid = || offer(5, 0, "limits { max_open: 50 }");
+    offers.offer("no content", Offer { content: None, ..valid() });
+    offers.offer("no version", Offer { version: None, ..valid() });
+    let mut other_digest = valid();
     other_digest.version.as_mut().unwrap().digest[0] ^= 1;
     offers.offer("another digest", other_digest);
-    offers.offer("no term", Offer { term: 0, ..sound() });
-    offers.offer("sound", sound());
-    offers.offer("the same again", sound());
-    let mut older = sound();
+    offers.offer("no term", Offer { term: 0, ..valid() });
+    offers.offer("sound", valid());
+    offers.offer("the same again", valid());
+    let mut older = valid();
     older.version.as_mut().unwrap().number = 4;
     offers.offer("an older one", older);
     let other: Document = text::parse("limits { max_open: 51 }").unwrap();
-    offers.offer("the same number for another", Offer { version: Some(version(5, &other)), ..sound() });
+    offers.offer("the same number for another", Offer { version: Some(version(5, &other)), ..valid() });
 
     offers.document(r#"routes { name: "a" }"#);
     offers.document(r#"limits { max_open: 0 }"#);
--- a/tests/compatibility/schema.rs
+++ b/tests/compatibility/schema.rs
@@ -1,7 +1,8 @@
 //! The protobuf schema: numbers and types of all fields, and names where a text form shows them.
 //!
-//! Messages that operators write as text (documents and the files of proxy and service) keep their field names.
-//! Messages that only travel as bytes may be renamed, but their structure stays: they are compared without names.
+//! Messages that operators write as text (documents and the settings files of proxies and control servers)
+//! keep their field names. Messages that are only sent or stored as bytes may be renamed, but their structure
+//! stays: they are compared without names.
 
 use std::collections::BTreeMap;
 
@@ -25,12 +26,12 @@
     compiler.descriptor_pool()
 }
 
-/// The messages of a file, those inside others too.
+/// The messages of a file, including nested ones.
 fn messages(pool: &DescriptorPool, file: &str) -> Vec<MessageDescriptor> {
     pool.all_messages().filter(|message| message.parent_file().name() == file).collect()
 }
 
-/// What precedes the type of a field: whether it is repeated, optional or one of a choice.
+/// The label of a field: repeated, required, optional, or a member of a `oneof`; empty for a plain field.
 fn label(field: &FieldDescriptor) -> &'static str {
     match (field.cardinality(), field.containing_oneof()) {
         (Cardinality::Repeated, _) => "repeated ",
@@ -47,8 +48,8 @@
     format!("enum({})", values.join(" "))
 }
 
-/// A message with the names of its fields.
-fn named(message: &MessageDescriptor) -> String {
+/// A description of a message with the numbers, names and types of its fields.
+fn describe_with_names(message: &MessageDescriptor) -> String {
     let mut text = format!("message {}\n", message.name());
     for field in message.fields() {
         let kind = match field.kind() {
@@ -61,24 +62,24 @@
     text
 }
 
-/// The structures of messages without any name of messages or fields, each under a number of its own. Messages of the
-/// same structure share one.
+/// The structures of messages, without the names of messages and fields, each with its own number. Messages
+/// with the same structure share a number.
 #[derive(Default)]
 struct Structures {
     numbers: BTreeMap<String, usize>,
-    /// Messages whose structure is being read, to find those inside themselves.
-    open: Vec<MessageDescriptor>,
+    /// Messages whose structure is being described, to detect recursive ones.
+    ancestors: Vec<MessageDescriptor>,
 }
 
 impl Structures {
-    /// The number of a message's structure, after those of the messages in it.
+    /// The number of a message's structure. Messages in its fields are numbered first.
     fn number(&mut self, message: &MessageDescriptor) -> usize {
-        assert!(!self.open.contains(message), "{} is inside itself", message.name());
-        self.open.push(message.clone());
+        assert!(!self.ancestors.contains(message), "{} contains itself", message.name());
+        self.ancestors.push(message.clone());
         let mut fields: Vec<FieldDescriptor> = message.fields().collect();
         fields.sort_by_key(FieldDescriptor::number);
         let fields: Vec<String> = fields.iter().map(|field| self.field(field)).collect();
-        self.open.pop();
+        self.ancestors.pop();
         let next = self.numbers.len() + 1;
         *self.numbers.entry(fields.join(", ")).or_insert(next)
     }
@@ -92,7 +93,7 @@
         format!("{}: {}{kind}", field.number(), label(field))
     }
 
-    /// All of them in the order of their numbers.
+    /// All structures in the order of their numbers.
     fn text(&self) -> String {
         let mut lines: Vec<(usize, &String)> =
             self.numbers.iter().map(|(fields, number)| (*number, fields)).collect();
@@ -104,7 +105,8 @@
 #[test]
 fn messages_with_a_text_form_keep_names_numbers_and_types() {
     let pool = pool();
-    let text: String = TEXT_FORM.iter().flat_map(|file| messages(&pool, file)).map(|it| named(&it)).collect();
+    let messages = TEXT_FORM.iter().flat_map(|file| messages(&pool, file));
+    let text: String = messages.map(|message| describe_with_names(&message)).collect();
     golden::assert_matches("schema_text_form.txt", &text);
 }
 
--- a/tests/compatibility/simulator_wire.rs
+++ b/tests/compatibility/simulator_wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: replies of the adapter, and its answers to malformed lines.
+//! The protocol of the simulator: responses of the adapter to messages, malformed lines and invalid settings.
 
 use std::io::Write as _;
 use std::process::{Command, Stdio};
@@ -56,7 +56,8 @@
     .to_vec()
 }
 
-/// Feeds lines to the adapter; what it did, as a golden file records it.
+/// Runs the adapter with these lines as its input and returns its output and exit code in the form of a
+/// golden file.
 fn run(lines: &[String]) -> String {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_gaugestep-adapter"))
         .stdin(Stdio::piped())
@@ -66,7 +67,7 @@
         .unwrap();
     let input: String = lines.iter().map(|line| format!("{line}\n")).collect();
     let mut stdin = adapter.stdin.take().unwrap();
-    // The adapter may end before it has read all.
+    // The adapter may end before it has read its complete input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     let output = adapter.wait_with_output().unwrap();
@@ -75,12 +76,12 @@
     format!("{}{}exit code {code}\n", text(&output.stdout), text(&output.stderr))
 }
 
-/// Every message of the protocol, and all replies of the dispatcher to them.
+/// Every message of the protocol, and all responses of the dispatcher.
 #[test]
-fn replies_to_every_message_stay() {
+fn responses_to_every_message_stay() {
     let mut lines = start(&settings());
-    let mut batch = |at: f64, messages: &[&str]| {
-        lines.push(format!("tick wall_ms={at}"));
+    let mut batch = |wall_ms: f64, messages: &[&str]| {
+        lines.push(format!("tick wall_ms={wall_ms}"));
         lines.extend(messages.iter().map(|message| message.to_string()));
         lines.push("eob".into());
         lines.push(String::new());
@@ -138,7 +139,7 @@
     golden::assert_matches("simulator_replies.txt", &run(&lines));
 }
 
-/// Lines that are malformed, each in a batch of its own behind a valid one.
+/// Malformed lines. Each is sent in a batch of its own after a valid one.
 const MALFORMED: [&str; 40] = [
     "nonsense dispatcher_id=3",
     " dispatcher_id=3",
@@ -183,14 +184,14 @@
 ];
 
 #[test]
-fn answers_to_malformed_lines_stay() {
+fn responses_to_malformed_lines_stay() {
     let mut recorded = String::new();
     for line in MALFORMED {
         let mut lines = start(&settings());
         lines.extend(["tick wall_ms=1001".into(), line.into(), "eob".into()]);
         recorded += &format!("> {line}\n{}", run(&lines));
     }
-    let outside: [&[&str]; 7] = [
+    let malformed_batches: [&[&str]; 7] = [
         &["eob"],
         &["timer dispatcher_id=3 handle=1"],
         &["tick"],
@@ -199,16 +200,16 @@
         &["tick wall_ms=1", "define_list bank=2 members_list=1", "eob"],
         &["tick wall_ms=1", "define_list bank=2 members_list=1", "item node=1 readiness=X"],
     ];
-    for lines in outside {
+    for lines in malformed_batches {
         let lines: Vec<String> = lines.iter().map(|line| line.to_string()).collect();
         recorded += &format!("> {}\n{}", lines.join("\n> "), run(&lines));
     }
     golden::assert_matches("simulator_malformed_lines.txt", &recorded);
 }
 
-/// Each number among the settings, replaced by a text and by a number below 0: the answers name the key.
+/// Each number in the settings is replaced by a text and by a negative number.
 #[test]
-fn answers_to_bad_settings_stay() {
+fn responses_to_bad_settings_stay() {
     let mut recorded = String::new();
     for pointer in number_pointers(&settings(), "") {
         for bad in [json!("x"), json!(-1)] {
@@ -220,7 +221,7 @@
     golden::assert_matches("simulator_bad_settings.txt", &recorded);
 }
 
-/// JSON pointers to all numbers.
+/// JSON pointers to all numbers in a value.
 fn number_pointers(value: &Value, path: &str) -> Vec<String> {
     match value {
         Value::Number(_) => vec![path.to_owned()],
--- a/tests/compatibility/startup_errors.rs
+++ b/tests/compatibility/startup_errors.rs
@@ -1,4 +1,5 @@
-//! Programs that cannot start: exit code 1, one line on standard error that names the fault, nothing on standard output.
+//! Programs that cannot start: exit code 1, one line on standard error that names the cause, nothing on
+//! standard output.
 
 use std::path::Path;
 use std::process::Command;
@@ -10,7 +11,7 @@
 const PROXY: &str = env!("CARGO_BIN_EXE_gaugestep");
 const CONTROL: &str = env!("CARGO_BIN_EXE_gaugestep-control");
 
-/// A configuration that can be used.
+/// A valid configuration.
 fn configuration() -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "8c1f",
@@ -28,7 +29,7 @@
     })
 }
 
-/// A value of the configuration that cannot be used, and the word by which the error names it.
+/// An invalid value of the configuration, and the word by which the error names it.
 struct BadValue {
     pointer: &'static str,
     value: Value,
@@ -70,7 +71,8 @@
     ]
 }
 
-/// How a program failed to start, in the form of a golden file; that the error names `named` is asserted here.
+/// Runs a program that fails to start, checks that its error contains `named`, and returns the result in the
+/// form of a golden file.
 fn failure(command: &mut Command, named: &str) -> String {
     let output = command.output().unwrap();
     let error = String::from_utf8(output.stderr).unwrap();
@@ -114,7 +116,7 @@
 }
 
 #[test]
-fn a_sound_configuration_is_reported_as_such() {
+fn a_valid_configuration_is_reported_as_such() {
     let folder = tempfile::tempdir().unwrap();
     let path = write(folder.path(), "config.json", &configuration().to_string());
     let output = proxy(&["check-config"]).arg(&path).output().unwrap();
@@ -154,7 +156,7 @@
 }
 
 #[test]
-fn bad_service_files_end_the_control_service_with_one_line() {
+fn bad_settings_files_end_the_control_server_with_one_line() {
     let folder = tempfile::tempdir().unwrap();
     let listen = "listen: \"127.0.0.1:0\" operators: \"127.0.0.1:0\"";
     let mut recorded = String::new();
@@ -186,7 +188,7 @@
     golden::assert_matches("startup_errors_service.txt", &recorded);
 }
 
-/// Every fault of a document by code and path; the reason is prose.
+/// Every fault of a document is pinned by code and path; its reason is prose.
 #[test]
 fn faults_of_documents_keep_codes_and_paths() {
     let folder = tempfile::tempdir().unwrap();
@@ -227,10 +229,10 @@
     for document in documents {
         let path = write(folder.path(), "document.textproto", document);
         let output = Command::new(CONTROL).args(["--json", "validate"]).arg(&path).output().unwrap();
-        let answer: Value = serde_json::from_slice(&output.stdout).unwrap();
+        let faults: Value = serde_json::from_slice(&output.stdout).unwrap();
         let shown = if document.len() > 200 { "1001 classes" } else { document };
-        let answer = golden::without_varying(&answer, &["document", "reason"]);
-        recorded += &format!("{shown}\n  exit code {}: {answer}\n", output.status.code().unwrap());
+        let faults = golden::without_varying(&faults, &["document", "reason"]);
+        recorded += &format!("{shown}\n  exit code {}: {faults}\n", output.status.code().unwrap());
     }
     golden::assert_matches("document_faults.txt", &recorded);
 }
--- a/tests/compatibility/upstream.rs
+++ b/tests/compatibility/upstream.rs
@@ -1,4 +1,4 @@
-//! What engines and the coordinator are sent.
+//! The commands that the proxy sends to engines, and its request to the coordinator.
 
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::net::TcpStream;
@@ -6,16 +6,16 @@
 use crate::golden;
 use crate::proxy::{Coordinator, Engine, Proxy, TIMEOUT, event, query};
 
-/// A call of the proxy to the coordinator, not answered yet.
-pub struct CoordinatorCall {
-    /// All up to the empty line.
+/// A request of the proxy to the coordinator, before the response.
+pub struct CoordinatorRequest {
+    /// The request line and the headers, up to the empty line.
     pub head: String,
-    /// The connection.
     pub stream: TcpStream,
 }
 
-/// The next call to the coordinator. A dial that the proxy gave up before it said anything is passed over.
-pub fn accept_call(coordinator: &Coordinator) -> CoordinatorCall {
+/// Accepts the next request to the coordinator. Connections that the proxy closes before it has sent a
+/// request are skipped.
+pub fn accept_request(coordinator: &Coordinator) -> CoordinatorRequest {
     loop {
         let (socket, _) = coordinator.0.accept().unwrap();
         socket.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -23,13 +23,13 @@
         let mut head = String::new();
         while reader.read_line(&mut head).unwrap() > 0 {
             if head.ends_with("\r\n\r\n") {
-                return CoordinatorCall { head, stream: reader.into_inner() };
+                return CoordinatorRequest { head, stream: reader.into_inner() };
             }
         }
     }
 }
 
-/// Numbers replaced: times differ between runs.
+/// Replaces each number by `N`, as times differ between runs.
 fn without_numbers(text: &str) -> String {
     let mut recorded = String::new();
     for character in text.chars() {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn commands_to_databases_stay() {
+fn commands_to_engines_stay() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut recorded = String::new();
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn the_call_to_the_coordinator_stays() {
+fn the_request_to_the_coordinator_stays() {
     let coordinator = Coordinator::new();
     let engine = Engine::new();
     let proxy = Proxy::follow(&[], Some(&coordinator));
-    let CoordinatorCall { head, mut stream } = accept_call(&coordinator);
+    let CoordinatorRequest { head, mut stream } = accept_request(&coordinator);
     stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").unwrap();
     stream.write_all(event(2, &[engine.list_entry("s-0", "SERVING")]).as_bytes()).unwrap();
-    crate::control::wait_until("the event is taken", || proxy.statistic("/discovered") == Some(1));
+    crate::control::wait_until("the event is applied", || proxy.statistic("/discovered") == Some(1));
     let host = coordinator.0.local_addr().unwrap().to_string();
     golden::assert_matches("coordinator_call.txt", &head.replace(&host, "ADDRESS").replace('\r', ""));
 }
