--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,13 +1,16 @@
-//! Stored data of build 02c3b0d, which every later build must open: stores and generation files of three control services,
-//! the last good versions and the terms of a proxy.
+//! Stored data of build 02c3b0d, which every later build must open: stores and generation files of three
+//! control servers, and the last good versions and terms of a proxy.
 //!
-//! The data lies in `tests/data/stored-02c3b0d` and was written by that build: three members, two versions, three singleton
-//! roles (`versions`, `seats`, `reports`), and the state directory of the proxy `n0`. Tests work on copies of it. Beside the
-//! data lie golden files, `records.txt`, with each stored record as protobuf text.
+//! The data is in `tests/data/stored-02c3b0d` and was written by that build: three members, two versions,
+//! three singleton roles (`versions`, `seats`, `reports`), and the state directory of the proxy `n0`. Tests
+//! work on copies of it. Golden files beside the data, `records.txt`, contain each stored record as protobuf
+//! text.
 //!
-//! The members' stores name their addresses, so the copies run at the same ones ([`StoredAddresses`]).
+//! The members' stores contain their addresses, so the copies run at the same addresses
+//! ([`StoredAddresses`]).
 //!
-//! [`write_the_stored_data`] writes the data again. **Run it at build 02c3b0d only**: data of a later build proves nothing.
+//! [`write_the_stored_data`] writes the data again. **Run it at build 02c3b0d only**: data of a later build
+//! does not show that old data can be opened.
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 #[path = "stored_data/addresses.rs"]
@@ -43,7 +46,7 @@
 use prost::Message as _;
 
 use addresses::StoredAddresses;
-use agreed::Agreed;
+use agreed::GroupState;
 use control::{ScriptedControlServer, offer, offer_message};
 use files::{MEMBERS, PROXY, copy_proxy_state, copy_store, proxy_data};
 use generation_file::GenerationFile;
@@ -51,7 +54,7 @@
 use proxy::{Launch, Proxy, free_address};
 use records::Records;
 
-/// A role of no further meaning, beside [`CONFIGURATION_ROLE`] and [`ORDINALS_ROLE`].
+/// A role that the programs do not use, beside [`CONFIGURATION_ROLE`] and [`ORDINALS_ROLE`].
 const REPORTS: &str = "reports";
 
 /// The first version, as it was published.
@@ -65,14 +68,14 @@
     logging { level: INFO parts { name: "gaugestep::net::relay" level: DEBUG } }"#;
 const SECOND_KEY: &str = "second";
 const SECOND_VERSION: u64 = 2;
-/// What a test publishes as the third version.
+/// The document that tests publish as the third version.
 const THIRD_DOCUMENT: &str = "limits { max_open: 100 }";
 const THIRD_VERSION: u64 = 3;
 
 /// The environment variable without which [`write_the_stored_data`] does nothing.
 const WRITE_VARIABLE: &str = "GAUGESTEP_WRITE_STORED";
 
-/// A member at its stored addresses, not started yet, with an empty folder of its own.
+/// A member at its stored addresses, with an empty folder of its own. It is not started yet.
 fn member_at_stored_addresses(group: &Group, number: u64) -> MemberProcess {
     let folder = group.folder.path().join(format!("service-{number}"));
     std::fs::create_dir(&folder).unwrap();
@@ -81,7 +84,7 @@
     MemberProcess { number, folder, listen, relay: listen, operators, process, disabled_check, shell_prefix }
 }
 
-/// Where a group's proxy of the stored name keeps its state.
+/// The state directory of the proxy [`PROXY`] in the folder of a group.
 fn proxy_state(group: &Group) -> PathBuf {
     group.folder.path().join(format!("proxy-{PROXY}"))
 }
@@ -98,13 +101,13 @@
     group
 }
 
-/// The term of the role [`CONFIGURATION_ROLE`] that a proxy's state directory holds.
+/// The term of the role [`CONFIGURATION_ROLE`] in a proxy's state directory.
 fn stored_term(state: &Path) -> u64 {
     let terms = Charter::decode(slot_file::read(&state.join("terms/current")).as_slice()).unwrap();
-    terms.duties.iter().find(|it| it.name == CONFIGURATION_ROLE).expect("a term is stored").term
+    terms.duties.iter().find(|role| role.name == CONFIGURATION_ROLE).expect("a term is stored").term
 }
 
-/// The number of the version that a slot of a proxy's state directory holds.
+/// The number of the version in a slot of a proxy's state directory.
 fn stored_version(state: &Path, slot: &str) -> u64 {
     let stored = Offer::decode(slot_file::read(&state.join(slot)).as_slice()).unwrap();
     stored.version.expect("a version is stored").number
@@ -119,14 +122,14 @@
 }
 
 #[test]
-fn a_group_and_a_proxy_start_on_the_stored_files_and_go_on_publishing() {
+fn a_group_and_a_proxy_start_on_the_stored_files_and_publish_further_versions() {
     let _addresses = StoredAddresses::reserve();
-    let stored = Agreed::by_stored_group();
+    let stored = GroupState::of_stored_group();
     let mut group = copied_group();
     let generations: Vec<_> =
         group.members.iter().map(|member| GenerationFile::read(&member.store())).collect();
 
-    // No control service runs yet.
+    // No control server runs yet.
     let proxy = group.start_proxy(PROXY, 0);
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
     assert_eq!(term_seen(&proxy), Some(stored_term(&proxy_data())));
@@ -138,18 +141,18 @@
     group.lease_holder();
     group.wait_for_equal_versions();
     for member in &group.members {
-        wait_until("every role has an owner", || {
-            let roles = Agreed::by_running(member).roles;
+        wait_until("every role has a lease holder", || {
+            let roles = GroupState::of_running_member(member).roles;
             !roles.is_empty() && roles.iter().all(|role| role.owner > 0)
         });
-        let running = Agreed::by_running(member);
+        let running = GroupState::of_running_member(member);
         assert_eq!(running.members, stored.members);
         assert_eq!(running.versions, stored.versions);
-        running.no_term_went_back(&stored);
+        running.assert_no_term_decreased(&stored);
     }
 
-    let (again, _) = group.publish(SECOND_DOCUMENT, SECOND_KEY, Plan::default()).unwrap();
-    assert_eq!(again, SECOND_VERSION, "its key is known: it is not published twice");
+    let (repeated, _) = group.publish(SECOND_DOCUMENT, SECOND_KEY, Plan::default()).unwrap();
+    assert_eq!(repeated, SECOND_VERSION, "a document with a known key is not published twice");
     let third = group.publish_until_acknowledged(THIRD_DOCUMENT, "third", Plan::default());
     assert_eq!(third, THIRD_VERSION);
     let proxies = [proxy];
@@ -157,13 +160,13 @@
     group.wait_for_equal_versions();
     group.wait_for_ordinals(&[&proxies[0]], 1);
     for member in &group.members {
-        let running = Agreed::by_running(member);
+        let running = GroupState::of_running_member(member);
         assert_eq!(running.versions[1..], stored.versions);
-        running.no_term_went_back(&stored);
+        running.assert_no_term_decreased(&stored);
     }
     assert_eq!(audit(&group.records(&[PROXY])).violations, []);
 
-    // What the programs wrote since then is of the same form.
+    // The files that the programs have written since then have the same format.
     for (member, before) in group.members.iter().zip(generations) {
         let now = GenerationFile::read(&member.store());
         assert_eq!(
@@ -179,36 +182,37 @@
 }
 
 #[test]
-fn a_proxy_on_its_stored_state_refuses_a_term_below_the_stored_one() {
+fn a_proxy_on_its_stored_state_rejects_a_term_below_the_stored_one() {
     let folder = tempfile::tempdir().unwrap();
     let state = folder.path().join("state");
     copy_proxy_state(&proxy_data(), &state);
     let seen = stored_term(&state);
     assert!(seen > 1, "there is a lower term");
-    let service = ScriptedControlServer::new();
-    let operator = control::write_operator_file(folder.path(), service.0.local_addr().unwrap(), &state, "");
-    // The scripted service answers later: the proxy starts without it.
+    let server = ScriptedControlServer::new();
+    let operator = control::write_operator_file(folder.path(), server.0.local_addr().unwrap(), &state, "");
+    // The scripted server accepts the stream later: the proxy starts without it.
     let proxy = Launch { operator: Some(operator), ..Launch::new(&[]) }.start();
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
 
-    let mut stream = service.accept_with_term(seen);
+    let mut stream = server.accept_with_term(seen);
     assert_eq!(stream.hello.in_force.as_ref().map(|version| version.number), Some(SECOND_VERSION));
-    let hello_seen = stream.hello.seen.iter().find(|it| it.duty == CONFIGURATION_ROLE);
-    assert_eq!(hello_seen.map(|it| it.term), Some(seen));
+    let hello_seen = stream.hello.seen.iter().find(|seen| seen.duty == CONFIGURATION_ROLE);
+    assert_eq!(hello_seen.map(|seen| seen.term), Some(seen));
     let stale = Offer { term: seen - 1, ..offer(THIRD_VERSION, 1, THIRD_DOCUMENT) };
     stream.send(&offer_message(stale));
     assert_eq!(stream.next_acknowledgement(), (1, Some("stale-term".into())));
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
     assert_eq!(proxy.statistic("/configuration/stale_refused"), Some(1));
 
-    let present = Offer { term: seen, ..offer(THIRD_VERSION, 2, THIRD_DOCUMENT) };
-    stream.send(&offer_message(present));
+    let current = Offer { term: seen, ..offer(THIRD_VERSION, 2, THIRD_DOCUMENT) };
+    stream.send(&offer_message(current));
     assert_eq!(stream.next_acknowledgement(), (2, None));
     assert_eq!(version_in_force(&proxy), Some(THIRD_VERSION));
 }
 
-/// Starts a control service on this store, which it must refuse with exit code 1 and one line: the line.
-fn refusal_of(store: &Path) -> String {
+/// Starts a control server on this store, which it must reject with exit code 1 and one line, and returns
+/// that line.
+fn rejection_of(store: &Path) -> String {
     let (config, log) = (store.with_file_name("control.textproto"), store.with_file_name("log"));
     let (listen, operators) = (free_address(), free_address());
     let store = store.display().to_string();
@@ -219,30 +223,30 @@
     command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).unwrap());
     let mut process = Process::start(&mut command).unwrap();
     let mut exit = None;
-    wait_until("a control service refuses the store", || {
+    wait_until("the control server rejects the store", || {
         exit = process.exit_status().unwrap();
         exit.is_some()
     });
     let error = std::fs::read_to_string(&log).unwrap();
-    assert_eq!((exit.and_then(|it| it.code()), error.lines().count()), (Some(1), 1), "{error}");
+    assert_eq!((exit.and_then(|status| status.code()), error.lines().count()), (Some(1), 1), "{error}");
     error
 }
 
 #[test]
-fn a_copied_store_is_refused_with_its_old_generation_file_and_without_one() {
+fn a_copied_store_is_rejected_with_its_old_generation_file_and_without_one() {
     for member in MEMBERS {
         let folder = tempfile::tempdir().unwrap();
         let store = copy_store(member, folder.path());
-        let copied = refusal_of(&store);
+        let copied = rejection_of(&store);
         assert!(copied.contains("the store is a copy: its seal names another file"), "{copied}");
         std::fs::remove_file(GenerationFile::path(&store)).unwrap();
-        let unsealed = refusal_of(&store);
+        let unsealed = rejection_of(&store);
         assert!(unsealed.contains("the store has no seal beside it"), "{unsealed}");
     }
 }
 
 #[test]
-fn a_store_with_fewer_starts_than_its_generation_file_counts_is_refused() {
+fn a_store_with_fewer_starts_than_its_generation_file_counts_is_rejected() {
     for member in MEMBERS {
         let folder = tempfile::tempdir().unwrap();
         let store = copy_store(member, folder.path());
@@ -250,9 +254,10 @@
         let generation = GenerationFile::read(&store);
         let (starts, counted) = (generation.starts, generation.starts + 1);
         GenerationFile { starts: counted, ..generation }.write(&store);
-        let older = refusal_of(&store);
-        let wanted = format!("the store is older than its seal ({starts} starts, the seal counts {counted})");
-        assert!(older.contains(&wanted), "{older}");
+        let older = rejection_of(&store);
+        let expected =
+            format!("the store is older than its seal ({starts} starts, the seal counts {counted})");
+        assert!(older.contains(&expected), "{older}");
     }
 }
 
@@ -269,11 +274,12 @@
 
 #[test]
 fn the_stored_documents_are_those_that_were_published() {
-    let published = [FIRST_DOCUMENT, SECOND_DOCUMENT].map(|it| text::parse(it).unwrap().encode_to_vec());
+    let published =
+        [FIRST_DOCUMENT, SECOND_DOCUMENT].map(|document| text::parse(document).unwrap().encode_to_vec());
     for member in MEMBERS {
         let folder = tempfile::tempdir().unwrap();
         let stored = ControlStore::open(&copy_store(member, folder.path())).unwrap().versions().unwrap();
-        let documents: Vec<Vec<u8>> = stored.into_iter().map(|it| it.document).collect();
+        let documents: Vec<Vec<u8>> = stored.into_iter().map(|version| version.document).collect();
         assert_eq!(documents, published, "member {member}");
     }
 }
@@ -284,8 +290,9 @@
 /// GAUGESTEP_WRITE_STORED=1 cargo test --test stored_data -- --ignored --exact write_the_stored_data
 /// ```
 ///
-/// The programs themselves write the data, as a group of three control services with a proxy that follows. The first member
-/// is ended with SIGTERM, the others are killed, so that both kinds of store are there.
+/// The programs themselves write the data, as a group of three control servers with a proxy that follows
+/// them. The first member is ended with SIGTERM and the others are killed, so that the data has stores of
+/// both kinds.
 #[test]
 #[ignore = "writes test data, and only at build 02c3b0d"]
 fn write_the_stored_data() {
@@ -310,7 +317,7 @@
     let plan = Plan { first: 1, share: 0.5, hold_ms: 100, refusals: Some(2), ..Plan::default() };
     let second = group.publish_until_acknowledged(SECOND_DOCUMENT, SECOND_KEY, plan);
     group.wait_until_in_force(&proxies, second);
-    wait_until("its rollout is complete", || group.version_state(second) == "COMPLETE");
+    wait_until("the rollout is complete", || group.version_state(second) == "COMPLETE");
     group.wait_for_ordinals(&[&proxies[0]], 1);
     let (_, term) = group.lease_holder();
     wait_until("the proxy has seen the term", || term_seen(&proxies[0]) == Some(term));
@@ -328,7 +335,7 @@
     last.kill();
     last.start();
     let number = last.number;
-    wait_until("the others know of its start", || {
+    wait_until("the other members know of the restart", || {
         group.known_members(1).contains(&number) && group.known_members(2).contains(&number)
     });
     group.wait_for_equal_versions();
@@ -338,10 +345,11 @@
 fn raise_terms(group: &Group) {
     for role in [CONFIGURATION_ROLE, ORDINALS_ROLE, REPORTS] {
         for to in MEMBERS {
-            let owner = || Agreed::by_running(&group.members[0]).role(role).map_or(0, |it| it.owner);
+            let holder =
+                || GroupState::of_running_member(&group.members[0]).role(role).map_or(0, |role| role.owner);
             wait_until("the role is handed over", || {
                 let hand_over = HandOver { duty: role.into(), to };
-                owner() == to || (group.call(call::What::HandOver(hand_over)).is_ok() && owner() == to)
+                holder() == to || (group.call(call::What::HandOver(hand_over)).is_ok() && holder() == to)
             });
         }
     }
--- a/tests/stored_data/agreed.rs
+++ b/tests/stored_data/agreed.rs
@@ -1,4 +1,4 @@
-//! What a group agreed on: as a stored member's store says, and as a running member says.
+//! The replicated state of a group, from the store of a stored member or as a running member reports it.
 
 use gaugestep_config::schema::{self, Charter, Entry, ListMembers, call, reply};
 use gaugestep_config::short_digest;
@@ -8,7 +8,7 @@
 use crate::files::{MEMBERS, copy_store};
 use crate::group::MemberProcess;
 
-/// A member and where it is reached.
+/// A member and its addresses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberAddresses {
     pub number: u64,
@@ -23,36 +23,38 @@
     }
 }
 
-/// A singleton role: work for the whole fleet with one owner at a time.
+/// A singleton role: work for the complete fleet with one lease holder at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Role {
     pub name: String,
+    /// The member that holds the lease; 0 for none.
     pub owner: u64,
     /// The fencing token.
     pub term: u64,
 }
 
-/// A version as a member holds it.
+/// A version in a member's store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeldVersion {
+pub struct StoredVersion {
     pub number: u64,
     pub digest: String,
     pub key: String,
 }
 
-/// What a group agreed on.
+/// The state that the members of a group have committed.
 #[derive(Debug, PartialEq)]
-pub struct Agreed {
+pub struct GroupState {
     pub members: Vec<MemberAddresses>,
     pub roles: Vec<Role>,
     /// Newest first.
-    pub versions: Vec<HeldVersion>,
+    pub versions: Vec<StoredVersion>,
 }
 
-impl Agreed {
-    /// What the stored group agreed on. One of its members may know of a later term than another; the latest counts.
-    pub fn by_stored_group() -> Self {
-        let mut all = MEMBERS.map(Self::by_stored_member).into_iter();
+impl GroupState {
+    /// The state of the stored group, with the latest term of each role, as some members know of a later term
+    /// than others.
+    pub fn of_stored_group() -> Self {
+        let mut all = MEMBERS.map(Self::of_stored_member).into_iter();
         let mut latest = all.next().expect("there are members");
         for other in all {
             assert_eq!(other.members, latest.members);
@@ -67,34 +69,34 @@
         latest
     }
 
-    /// What a copy of a stored member's store says.
-    fn by_stored_member(member: u64) -> Self {
+    /// The state in a copy of a stored member's store.
+    fn of_stored_member(member: u64) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let store = ControlStore::open(&copy_store(member, folder.path())).unwrap();
         let state = store.value("charter").unwrap().expect("a state is stored");
         let state = Charter::decode(state.as_slice()).unwrap();
-        let role = |it: schema::Duty| Role { name: it.name, owner: it.owner, term: it.term };
+        let role = |duty: schema::Duty| Role { name: duty.name, owner: duty.owner, term: duty.term };
         let version = |stored: gaugestep_storage::control_store::VersionRow| {
             let entry = Entry::decode(stored.entry.as_slice()).unwrap();
             let digest = short_digest(&entry.version.unwrap_or_default().digest);
-            HeldVersion { number: stored.number, digest, key: entry.key }
+            StoredVersion { number: stored.number, digest, key: entry.key }
         };
-        Agreed {
+        GroupState {
             members: state.members.into_iter().map(MemberAddresses::from).collect(),
             roles: state.duties.into_iter().map(role).collect(),
             versions: store.versions().unwrap().into_iter().rev().map(version).collect(),
         }
     }
 
-    /// What a running member says; empty where it does not answer.
-    pub fn by_running(member: &MemberProcess) -> Self {
+    /// The state that a running member reports; lists are empty if it does not respond.
+    pub fn of_running_member(member: &MemberProcess) -> Self {
         let members = match member.call(call::What::Members(ListMembers {})) {
-            Ok(reply::What::Members(answer)) => answer.members,
+            Ok(reply::What::Members(response)) => response.members,
             _ => Vec::new(),
         };
-        let role = |it: schema::DutyState| Role { name: it.name, owner: it.owner, term: it.term };
-        let version = |(number, digest, key)| HeldVersion { number, digest, key };
-        Agreed {
+        let role = |duty: schema::DutyState| Role { name: duty.name, owner: duty.owner, term: duty.term };
+        let version = |(number, digest, key)| StoredVersion { number, digest, key };
+        GroupState {
             members: members.into_iter().map(MemberAddresses::from).collect(),
             roles: member.roles().into_iter().map(role).collect(),
             versions: member.versions().into_iter().map(version).collect(),
@@ -106,9 +108,9 @@
         self.roles.iter().find(|role| role.name == name)
     }
 
-    /// Checks that there are the same roles as in the stored group, and that no term is below the stored one. Under a stored
-    /// term the owner is the stored one, as no term is given twice.
-    pub fn no_term_went_back(&self, stored: &Agreed) {
+    /// Asserts that there are the same roles as in the stored group, that no term is below the stored one,
+    /// and that a role whose term is the stored one has the stored lease holder, as each term has one holder.
+    pub fn assert_no_term_decreased(&self, stored: &GroupState) {
         assert_eq!(self.roles.len(), stored.roles.len(), "{self:?}");
         for (now, then) in self.roles.iter().zip(&stored.roles) {
             assert_eq!(now.name, then.name);
--- a/tests/stored_data/files.rs
+++ b/tests/stored_data/files.rs
@@ -10,16 +10,16 @@
 /// The proxy whose state is stored.
 pub const PROXY: &str = "n0";
 
-/// A control service's store, as the tests' groups name it.
+/// File name of a control server's store in the groups of the tests.
 const STORE: &str = "versions.redb";
-/// The same in the stored data, see [`short_form`].
+/// File name of a store in the stored data, see [`short_form`].
 const SHORT_STORE: &str = "versions.redb.short";
-/// The golden file of the records beside it.
+/// File name of the golden file with the records of a store or of a proxy's state.
 const RECORDS: &str = "records.txt";
 /// The files of a proxy's state directory.
 const SLOTS: [&str; 4] = ["current", "previous", "terms/current", "terms/previous"];
 
-/// The stored data.
+/// The folder of the stored data.
 fn data() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/stored-02c3b0d")
 }
@@ -43,7 +43,7 @@
     proxy_data().join(RECORDS)
 }
 
-/// Copies a stored member's store and generation file to a folder; the store's path.
+/// Copies a stored member's store and generation file to a folder and returns the store's path.
 pub fn copy_store(member: u64, folder: &Path) -> PathBuf {
     let (stored, store) = (member_data(member), folder.join(STORE));
     short_form::restore(&stored.join(SHORT_STORE), &store);
--- a/tests/stored_data/records.rs
+++ b/tests/stored_data/records.rs
@@ -1,7 +1,7 @@
 //! Stored records as protobuf text, for golden files.
 //!
-//! Each record is decoded twice: by the message definitions in `proto/`, which gives the text, and by the program's own types,
-//! which must write the same bytes again and read the same message from the text.
+//! Each record is decoded twice: by the message definitions in `proto/`, which gives the text, and by the
+//! program's own types, which must encode to the same bytes and parse the same message from the text.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -17,10 +17,10 @@
 
 /// Files with the definitions of the messages that are stored.
 const DEFINITIONS: [&str; 2] = ["gaugestep/config/v1/group.proto", "gaugestep/config/v1/stream.proto"];
-/// Kind of a log entry that changes the members; all others are commands.
+/// Kind of a log entry that changes the members; entries of other kinds are commands.
 const MEMBERS_CHANGE: i32 = 1;
 
-/// Records as text, one section for each.
+/// Records as text, with a section for each.
 pub struct Records {
     definitions: DescriptorPool,
     text: String,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// All records of a control service's store. The store is opened, and so must be a copy. A lineage of 0: it has none, as
-    /// of a member that joined a group.
+    /// All records of a control server's store. Opening a store changes it, so it must be a copy. A lineage
+    /// of 0 means that the store has none, as that of a member that joined a group.
     pub fn of_store(store: &Path) -> String {
         let mut records = Records::new();
         let store = ControlStore::open(store).unwrap();
@@ -75,10 +75,10 @@
         writeln!(self.text, "# {title}\n{}\n", content.trim_end()).unwrap();
     }
 
-    /// A record of numbers, each `u64` and big endian.
+    /// Adds a record of numbers, each a big-endian `u64`.
     fn numbers(&mut self, title: &str, bytes: &[u8]) {
         let numbers =
-            bytes.chunks(8).map(|it| u64::from_be_bytes(it.try_into().expect("eight bytes a number")));
+            bytes.chunks(8).map(|chunk| u64::from_be_bytes(chunk.try_into().expect("eight bytes a number")));
         let numbers: Vec<String> = numbers.map(|number| number.to_string()).collect();
         self.section(title, &numbers.join(" "));
     }
@@ -94,13 +94,17 @@
         let dynamic = DynamicMessage::decode(definition, bytes).unwrap();
         let printed = dynamic.to_text_format_with_options(&FormatOptions::new().pretty(true));
         let message = M::decode(bytes).unwrap();
-        assert_eq!(message.encode_to_vec(), bytes, "{title}: the program writes the same bytes again");
-        assert_eq!(text::read::<M>(name, &printed).unwrap(), message, "{title}: text and bytes say the same");
+        assert_eq!(message.encode_to_vec(), bytes, "{title}: the program encodes the same bytes");
+        assert_eq!(
+            text::read::<M>(name, &printed).unwrap(),
+            message,
+            "{title}: text and bytes are the same message"
+        );
         self.section(&format!("{title}: {name}"), &printed);
         message
     }
 
-    /// The replicated state, and what it holds for the next owner of each role.
+    /// Adds the replicated state, and the state that it contains for the next lease holder of each role.
     fn group_state(&mut self, bytes: &[u8]) {
         let state = self.message::<schema::Charter>("charter", "Charter", bytes);
         for role in state.duties {
@@ -129,7 +133,7 @@
                     );
                 }
             }
-            // The library's own entries, one behind each election, are empty.
+            // The Raft library adds an empty entry after each election.
             _ if entry.data.is_empty() => {}
             _ => drop(self.message::<schema::Act>(&title, "Act", &entry.data)),
         }
--- a/tests/stored_data/short_form.rs
+++ b/tests/stored_data/short_form.rs
@@ -1,13 +1,13 @@
-//! A short form of a store's file, as the embedded database fills most of its file with the same bytes over and over.
+//! A short form of a store's file, as the embedded database fills most of its file with repeated bytes.
 //!
-//! The form: the file's length, then each block that differs from the one before it, as its index and its bytes; the block
-//! before the first is all zero bytes. Numbers are `u64`, big endian.
+//! The format is the file's length, then each block that differs from the block before it, as its index and
+//! its bytes. The first block is compared with a block of zeros. Numbers are big-endian `u64`.
 
 use std::path::Path;
 
-/// Bytes of a block; files have a length of whole blocks.
+/// Bytes in a block; the length of a file is a multiple of it.
 const BLOCK_BYTES: usize = 64;
-/// Bytes of a number.
+/// Bytes in a number.
 const NUMBER_BYTES: usize = 8;
 
 /// Writes the file `from` in the short form to `to`.
@@ -45,7 +45,7 @@
     content
 }
 
-/// Adds the block to the content again and again up to this length.
+/// Appends the block to the content repeatedly up to this length.
 fn repeat(block: &[u8], length: usize, content: &mut Vec<u8>) {
     while content.len() < length {
         content.extend(block);
