--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,5 @@
-//! Black-box tests of the adapter: every message in and out, and what is malformed.
+//! Black-box tests of the simulator adapter: every message of the protocol in both directions, and malformed
+//! input.
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 use std::io::Write;
@@ -18,21 +19,22 @@
     format!("provision dispatcher_id=3 salt=11 profile_data={}", SETTINGS.replace('\n', ""))
 }
 
-/// Runs the lines of a batch and returns its reply, or the error.
-fn batch(host: &mut Host, at: &str, lines: &[&str]) -> Result<String, String> {
-    host.handle_line(&format!("tick wall_ms={at}")).map_err(|error| error.to_string())?;
+/// Sends the lines of a batch and returns the response, or the error.
+fn run_batch(host: &mut Host, wall_ms: &str, lines: &[&str]) -> Result<String, String> {
+    host.handle_line(&format!("tick wall_ms={wall_ms}")).map_err(|error| error.to_string())?;
     for line in lines {
         assert_eq!(host.handle_line(line).map_err(|error| error.to_string())?, None);
     }
     Ok(host
         .handle_line("eob")
         .map_err(|error| error.to_string())?
-        .expect("the closing line brings the reply"))
+        .expect("the last line of a batch has a response"))
 }
 
-fn started() -> Host {
+/// A host with one dispatcher and two engines.
+fn started_host() -> Host {
     let mut host = Host::new();
-    let reply = batch(
+    let response = run_batch(
         &mut host,
         "1000.5",
         &[
@@ -43,23 +45,23 @@
             "discovery dispatcher_id=3 bank=2 kind=cached epoch=41",
         ],
     );
-    assert_eq!(reply.unwrap(), "done\n");
+    assert_eq!(response.unwrap(), "done\n");
     host
 }
 
 #[test]
 fn every_message_of_the_protocol_is_decoded() {
-    let mut host = started();
+    let mut host = started_host();
     let new = "new_request dispatcher_id=3 req=r-1 estimate_ms=12.0 due_ms=5000 owner=0 source_set=11 \
                ram_mb=384 category=0 is_retry=1";
-    let reply = batch(&mut host, "1001", &[new]).unwrap();
-    let lines: Vec<&str> = reply.lines().collect();
+    let response = run_batch(&mut host, "1001", &[new]).unwrap();
+    let lines: Vec<&str> = response.lines().collect();
     assert!(lines[0].starts_with("set_terms dispatcher_id=3 req=r-1 memory_grant="));
     assert!(lines[1].starts_with("forward dispatcher_id=3 req=r-1 node="));
     assert!(lines[2].starts_with("sleep dispatcher_id=3 handle=0 offset_ms="));
     assert_eq!(lines[3], "done");
     let node = lines[1].rsplit('=').next().unwrap();
-    let reply = batch(
+    let response = run_batch(
         &mut host,
         "1010",
         &[
@@ -71,12 +73,12 @@
             "timer dispatcher_id=3 handle=0",
         ],
     );
-    assert!(reply.unwrap().ends_with("done\n"));
+    assert!(response.unwrap().ends_with("done\n"));
     let ended = format!(
         "reply dispatcher_id=3 req=r-1 no_more=1 used_up=69728 node={node} verdict=200 time_taken_ms=18.5 \
          send_no=0 load=7,0,0.62,0.1,9"
     );
-    batch(&mut host, "1020", &[&ended, "client_gone dispatcher_id=3 req=r-1"]).unwrap();
+    run_batch(&mut host, "1020", &[&ended, "client_gone dispatcher_id=3 req=r-1"]).unwrap();
     let lists = [
         "define_list bank=2 members_list=1",
         "item node=51 readiness=L",
@@ -85,9 +87,11 @@
         "new_request dispatcher_id=3 req=r-2 estimate_ms=12 due_ms=9000 category=0",
         "streaming dispatcher_id=3 req=r-2 time_taken_ms=1 send_no=0 node=74",
     ];
-    assert!(batch(&mut host, "1030", &lists).unwrap().contains("forward dispatcher_id=3 req=r-2 node=74\n"));
-    batch(&mut host, "1040", &["shutdown dispatcher_id=3", &provision()]).unwrap();
-    assert_eq!(batch(&mut host, "1050", &[]).unwrap(), "done\n");
+    assert!(
+        run_batch(&mut host, "1030", &lists).unwrap().contains("forward dispatcher_id=3 req=r-2 node=74\n")
+    );
+    run_batch(&mut host, "1040", &["shutdown dispatcher_id=3", &provision()]).unwrap();
+    assert_eq!(run_batch(&mut host, "1050", &[]).unwrap(), "done\n");
     assert!(host.finish().is_ok());
 }
 
@@ -122,9 +126,9 @@
 #[test]
 fn exactly_the_verdicts_of_the_protocol_are_accepted() {
     for verdict in [200, 502, 429, 408, 521, 520, 444, 409, 999] {
-        let mut host = started();
+        let mut host = started_host();
         let line = format!("sampled dispatcher_id=3 time_taken_ms=1 verdict={verdict} node=51");
-        assert_eq!(batch(&mut host, "1001", &[&line]).is_ok(), verdict != 999, "{verdict}");
+        assert_eq!(run_batch(&mut host, "1001", &[&line]).is_ok(), verdict != 999, "{verdict}");
     }
 }
 
@@ -132,12 +136,13 @@
 fn absent_settings_take_the_defaults_of_the_protocol() {
     let json =
         serde_json::from_str(r#"{"services": [{"effect": "keyed", "group": "cell", "window_ms": 9}]}"#);
-    let read = decode(&json.unwrap()).unwrap();
-    assert_eq!(read.classes[0].effect, Effect::Keyed(DedupGroup::Cell, 9.0));
-    assert_eq!(read.classes[0].target_stretch, 0.0);
-    assert_eq!((read.retry_budget, read.order_pause, read.tenants.len()), (None, 0.0, 0));
+    let settings = decode(&json.unwrap()).unwrap();
+    let class = &settings.classes[0];
+    assert_eq!(class.effect, Effect::Keyed(DedupGroup::Cell, 9.0));
+    assert_eq!(class.target_stretch, 0.0);
+    assert_eq!((settings.retry_budget, settings.order_pause, settings.tenants.len()), (None, 0.0, 0));
     assert!(
-        !read.cancellation && !read.concurrent_attempts && !read.memory_grants && !read.classes[0].ordered
+        !settings.cancellation && !settings.concurrent_attempts && !settings.memory_grants && !class.ordered
     );
 }
 
@@ -157,8 +162,8 @@
         ("provision dispatcher_id=5 salt=1 profile_data={}", "classes must not be empty"),
     ];
     for (line, message) in cases {
-        let mut host = started();
-        let error = batch(&mut host, "1001", &[line]).unwrap_err();
+        let mut host = started_host();
+        let error = run_batch(&mut host, "1001", &[line]).unwrap_err();
         assert!(error.contains(message), "'{line}' gave '{error}'");
         assert!(error.starts_with("line 9: "), "{error}");
     }
