--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,5 @@
-//! The admin API of the proxy and its signals: statistics, drain, reload and take-over of the listening socket.
+//! The admin API and the signals of the proxy: statistics, drain, reload and take-over of the listening
+//! socket.
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 #[path = "common/proxy.rs"]
@@ -10,14 +11,15 @@
 
 use proxy::{Client, Engine, Proxy, TIMEOUT, query, read_to_close};
 
-/// Callers that stay silent do not block the admin API, and each outcome of a request is counted once.
+/// Guards against silent clients that block the admin API, and against counting the outcome of a request
+/// twice.
 #[test]
 fn statistics_count_request_outcomes_while_silent_admin_connections_are_open() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let _silent: Vec<_> = (0..8).map(|_| proxy.admin_connection()).collect();
-    let mut half = proxy.admin_connection();
-    half.write_all(b"GET /ops/stats HT").unwrap();
+    let mut incomplete = proxy.admin_connection();
+    incomplete.write_all(b"GET /ops/stats HT").unwrap();
     let (mut client, mut load) = (proxy.client(), proxy.client());
     let (mut connection, serve) = client.send_to(&engine, &query("lookup", 1, 15_000));
     assert_eq!(proxy.statistic("/outstanding"), Some(1));
@@ -43,10 +45,10 @@
     }
     assert_eq!(proxy.call("GET", "/ops/none").0, 404);
     assert_eq!(proxy.call("GET", "/ops/drain/start").0, 405);
-    assert!(read_to_close(&half).contains("408"));
+    assert!(read_to_close(&incomplete).contains("408"));
 }
 
-/// Clients do not stay connected to a drained proxy, and a drain can be taken back.
+/// A drained proxy closes the sessions of its clients and accepts no new ones until the drain is stopped.
 #[test]
 fn a_drained_proxy_closes_its_sessions_and_serves_again_once_the_drain_is_stopped() {
     let engine = Engine::new();
@@ -57,7 +59,7 @@
     assert_eq!(proxy.call("GET", "/ops/readiness").0, 503);
     assert_eq!(read_to_close(&idle.socket), "", "an idle session is closed");
     connection.serve(&serve[1]);
-    assert_eq!(busy.read_response(), "TDC", "an open request is answered");
+    assert_eq!(busy.read_response(), "TDC", "an open request receives its response");
     assert_eq!(read_to_close(&busy.socket), "");
     let late = std::net::TcpStream::connect(proxy.address).unwrap();
     (&late).write_all(b"\0\0\0\x09\0\x03\0\0\0").unwrap();
@@ -67,7 +69,7 @@
     assert_eq!(proxy.client().request(""), "I");
 }
 
-/// Open requests keep the settings under which they were accepted, and an invalid file changes nothing.
+/// Open requests keep the settings under which they were accepted, and an invalid file changes no setting.
 #[test]
 fn new_settings_apply_to_new_requests_and_invalid_ones_are_rejected() {
     let (first, second) = (Engine::new(), Engine::new());
@@ -91,14 +93,15 @@
     assert!(other.command()[2].starts_with("queue=import"));
     other.send(&format!("{:016x}", 3), "HIT", "total=1", "a\tb\tc\n");
     assert_eq!(new.read_response(), "TDC");
-    // Under its own settings the old request may be retried, and so it is rejected and does not fail.
+    // Under the settings of the old request its class is safe: it may be retried, and so it is rejected and
+    // does not fail.
     connection.send(&serve[1], "FAULT", "-", "");
     drop((connection, second));
     assert!(!old.read_response().starts_with("E 58000"));
     assert_eq!(proxy.statistic("/sighup_applied"), Some(2));
 }
 
-/// Open and new requests of clients are served while a successor takes over.
+/// Open and new requests are served while a successor takes over.
 #[test]
 fn a_successor_takes_over_the_listening_socket() {
     let engine = Engine::new();
@@ -119,7 +122,7 @@
     drop(idle);
     connection.serve(&serve[1]);
     assert_eq!(busy.read_response(), "TDC");
-    assert_eq!(read_to_close(&busy.socket), "", "closed after its answer");
+    assert_eq!(read_to_close(&busy.socket), "", "the session is closed after its response");
     assert!(old.wait().success());
     assert_eq!(new.client().request(""), "I");
 }
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -1,4 +1,5 @@
-//! The README's first example, as a newcomer plays it: `examples/config.json`, the toy database, the statement.
+//! The first example of the README (`examples/config.json`, the toy engine and the statement), and the
+//! settings files of the other examples.
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 #[path = "common/proxy.rs"]
@@ -11,9 +12,10 @@
 
 use proxy::{Proxy, TIMEOUT, free_address};
 
-struct Toy(Child);
+/// The process of the toy engine; killed when dropped.
+struct ToyEngine(Child);
 
-impl Drop for Toy {
+impl Drop for ToyEngine {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -33,18 +35,18 @@
 
 #[test]
 fn the_example_serves_its_two_rows_to_the_first_query_and_to_later_ones() {
-    let at = free_address();
-    let mut toy = Command::new("python3");
-    toy.arg(file("examples/toy_database.py")).arg(at.to_string()).stdout(Stdio::null());
-    let _toy = Toy(toy.spawn().unwrap());
+    let address = free_address();
+    let mut command = Command::new("python3");
+    command.arg(file("examples/toy_database.py")).arg(address.to_string()).stdout(Stdio::null());
+    let _engine = ToyEngine(command.spawn().unwrap());
     let until = Instant::now() + TIMEOUT;
-    while TcpStream::connect(at).is_err() {
-        assert!(Instant::now() < until, "the toy database does not start");
+    while TcpStream::connect(address).is_err() {
+        assert!(Instant::now() < until, "the toy engine does not start");
         std::thread::sleep(Duration::from_millis(20));
     }
     let example = std::fs::read_to_string(file("examples/config.json")).unwrap();
     assert!(example.contains("127.0.0.1:9101"));
-    let proxy = Proxy::configured(&example.replace("127.0.0.1:9101", &at.to_string()));
+    let proxy = Proxy::configured(&example.replace("127.0.0.1:9101", &address.to_string()));
     let statement = statement();
     let rid = "rid=9b1f03aa5c7e2d41";
     assert!(statement.contains(rid));
@@ -54,19 +56,19 @@
     }
 }
 
-/// A client that reads the error alone learns whether to retry, and why it was rejected.
+/// The error alone shows a client whether to retry, and why the request was rejected.
 #[test]
 fn a_rejection_carries_its_code_and_reason() {
     let proxy = Proxy::start(&[]);
     let mut client = proxy.client();
-    let answer = client.request("/* method=lookup,rid=00000000000000aa,budget=300 */ SELECT 1");
-    assert!(answer.starts_with("E 53000 refused, nothing was done: backoff="), "{answer}");
+    let response = client.request("/* method=lookup,rid=00000000000000aa,budget=300 */ SELECT 1");
+    assert!(response.starts_with("E 53000 refused, nothing was done: backoff="), "{response}");
     assert_eq!(client.hint.as_deref(), Some("no engine had room before the time ran out"));
 }
 
-/// The files of the example with versions are of their forms, and the document is one that can be published.
+/// The settings files of the example with versions can be parsed, and its document can be published.
 #[test]
-fn the_example_of_a_control_service_is_valid() {
+fn the_example_of_a_control_server_is_valid() {
     use gaugestep_config::schema::{Operator, Service};
     use gaugestep_config::text;
     let read = |name: &str| std::fs::read_to_string(file(name)).unwrap();
@@ -80,7 +82,8 @@
     assert_eq!(gaugestep_config::check::check(&document), []);
 }
 
-/// The files of the example with a group are of their forms, and the proxy names all its services.
+/// The settings files of the example with a group can be parsed, and the operator's file lists all members of
+/// the group.
 #[test]
 fn the_example_of_a_group_is_valid() {
     use gaugestep_config::schema::{Operator, Service};
@@ -94,8 +97,8 @@
     let operator: Operator = text::read("Operator", &read("examples/group/operator.textproto")).unwrap();
     let listen: Vec<String> = services.iter().map(|service| service.listen.clone()).collect();
     assert_eq!(operator.control.unwrap().services, listen);
-    for (at, service) in services.iter().enumerate() {
+    for (index, service) in services.iter().enumerate() {
         let settings = gaugestep_control_plane::server::Settings::from_schema(service).unwrap();
-        assert_eq!((settings.member.number, settings.joins), (at as u64 + 1, at > 0));
+        assert_eq!((settings.member.number, settings.joins), (index as u64 + 1, index > 0));
     }
 }
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Tests of the real program, started as a process.
+//! Black-box tests of the proxy as a process, with scripted clients, engines and a scripted coordinator.
 #![allow(clippy::unwrap_used, reason = "helpers of tests: a failed unwrap is a failed test")]
 
 #[path = "common/proxy.rs"]
@@ -24,20 +24,21 @@
     assert_eq!(client.read_response(), "TDDC");
 }
 
-/// Guards against losing what the module ends while the deadline is being dealt with (facade.rs, last_word).
+/// Guards against losing the final response when the dispatcher ends the request while the proxy still
+/// handles the deadline (crates/proxy/src/facade/mailbox.rs).
 #[test]
-fn a_silent_database_yields_one_answer_at_the_deadline() {
+fn a_silent_engine_yields_one_response_at_the_deadline() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let (mut safe, mut load) = (proxy.client(), proxy.client());
     safe.send(&query("lookup", 1, 600));
     load.send(&query("load", 2, 600));
     assert_eq!(safe.read_response(), "E 53000 refused, nothing was done: backoff=700");
-    // It may have run: a refusal would invite the client to run it twice.
+    // The load may have run, and a response that it was rejected would make the client run it again.
     assert_eq!(load.read_response(), "E 58000 failed: the statement may have run");
 }
 
-/// The unsafe class is protected: a reset proves nothing, a refused connection proves that it never ran.
+/// After a reset a load may have run and must not be retried; after a SHED message it has not run.
 #[test]
 fn a_load_is_retried_after_a_rejection_but_not_after_a_reset() {
     let (first, second) = (Engine::new(), Engine::new());
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn bad_fields_and_messages_get_an_error_at_once() {
+fn invalid_fields_and_messages_are_rejected_at_once() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut client = proxy.client();
@@ -67,9 +68,9 @@
     assert!(client.request(&query("none", 1, 50)).starts_with("E 22023"));
     assert!(client.request(&query("lookup", 1, 0)).starts_with("E 42601"));
     assert_eq!(client.request(" ; "), "I");
-    let mut garbage = Client::open(proxy.address);
-    garbage.socket.write_all(b"Q\x7f\xff\xff\xff").unwrap();
-    let response = read_to_close(&garbage.socket);
+    let mut oversized = Client::open(proxy.address);
+    oversized.socket.write_all(b"Q\x7f\xff\xff\xff").unwrap();
+    let response = read_to_close(&oversized.socket);
     assert!(response.contains("54000"), "{response:?}");
     for bad in ["budget=1e9", "budget=50,est=1e12", "budget=50,est=-1", "budget=50,space=NaN", "budget=inf"] {
         let text = format!("/* method=lookup,rid={:016x},{bad} */ SELECT a FROM sales_17.orders", 1);
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_garbled_line_ends_the_connection_and_not_the_proxy() {
+fn a_malformed_line_of_an_engine_closes_the_connection_and_does_not_affect_the_session() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut client = proxy.client();
@@ -107,18 +108,19 @@
     let mut client = proxy.client();
     client.send(&query("lookup", 1, 15_000));
     let (mut connection, serve) = client.send_to(&engine, &query("lookup", 2, 15_000));
-    let answer = std::thread::spawn(move || {
+    let session = std::thread::spawn(move || {
         std::thread::sleep(std::time::Duration::from_millis(1_500));
         connection.serve(&serve[1]);
         (client.read_response(), read_to_close(&client.socket))
     });
     assert!(proxy.terminate().success());
-    let (answer, rest) = answer.join().unwrap();
-    assert_eq!(answer, "TDC");
-    assert!(rest.contains("57P03"), "what comes behind the window is refused: {rest:?}");
+    let (response, rest) = session.join().unwrap();
+    assert_eq!(response, "TDC");
+    assert!(rest.contains("57P03"), "the session ends with an error: {rest:?}");
 }
 
-/// Guards against ending on SIGHUP, waiting for the old coordinator's silence and applying an event twice.
+/// Guards against a proxy that ends on SIGHUP, that keeps its stream to the old coordinator until that is
+/// silent, or that applies an event twice.
 #[test]
 fn sighup_switches_to_the_new_coordinator_without_touching_attempts() {
     let (first, second) = (Engine::new(), Engine::new());
@@ -127,23 +129,24 @@
     let (mut stream, last) = old.accept();
     assert_eq!(last, 1);
     let mut client = proxy.client();
-    // Of another class than those below: on a busy machine this one is answered late, and its class is taken to be slow.
+    // This request has another class than the ones below, as on a busy machine its late response makes its
+    // class slow.
     let (mut connection, serve) = client.send_to(&first, &query("load", 1, 15_000));
-    // The new configuration holds event 1 again, by which the first engine would be back.
-    let gone = [first.list_entry("s-0", "DRAINING"), second.list_entry("s-9", "SERVING")];
-    stream.write_all(event(2, &gone).as_bytes()).unwrap();
-    reached(&proxy, &second);
+    // The new configuration contains event 1 again, which would list the first engine as serving.
+    let replaced = [first.list_entry("s-0", "DRAINING"), second.list_entry("s-9", "SERVING")];
+    stream.write_all(event(2, &replaced).as_bytes()).unwrap();
+    wait_until_reached(&proxy, &second);
     proxy.load_invalid_configuration();
     proxy.reconfigure(&[&first], &new);
     let (_stream, last) = new.accept();
     assert_eq!(last, 2);
-    assert_eq!(std::io::Read::read(&mut stream, &mut [0]).unwrap(), 0, "the old stream is shut");
+    assert_eq!(std::io::Read::read(&mut stream, &mut [0]).unwrap(), 0, "the old stream is closed");
     connection.serve(&serve[1]);
     assert_eq!(client.read_response(), "TDC");
-    reached(&proxy, &second);
+    wait_until_reached(&proxy, &second);
 }
 
-/// Guards against applying half an event, and against a list that never comes after a stream that breaks.
+/// Guards against applying an incomplete event, and against losing the list after a stream has broken.
 #[test]
 fn a_truncated_event_counts_only_once_it_is_complete() {
     let (first, second) = (Engine::new(), Engine::new());
@@ -158,11 +161,12 @@
     assert_eq!(last, 1);
     stream.write_all(notice.as_bytes()).unwrap();
     stream.write_all(notice.as_bytes()).unwrap();
-    reached(&proxy, &second);
+    wait_until_reached(&proxy, &second);
 }
 
-/// Sends short queries until one reaches this engine, as it does once the proxy knows of it.
-fn reached(proxy: &Proxy, engine: &Engine) {
+/// Sends queries with short deadlines until one reaches this engine, which shows that the proxy has applied
+/// its event.
+fn wait_until_reached(proxy: &Proxy, engine: &Engine) {
     engine.0.set_nonblocking(true).unwrap();
     let mut client = proxy.client();
     for id in 1_000.. {
@@ -176,32 +180,33 @@
     }
 }
 
-/// Clients that connect and send nothing, or part of a message, do not hold descriptors for good.
+/// Guards against clients that occupy descriptors forever by sending nothing or a part of a message.
 #[test]
-fn an_unfinished_client_message_is_answered_with_an_error() {
+fn clients_with_an_incomplete_message_receive_an_error_and_are_disconnected() {
     let proxy = Proxy::start(&[&Engine::new()]);
     let silent = TcpStream::connect(proxy.address).unwrap();
-    let mut half = proxy.client();
+    let mut incomplete = proxy.client();
     let idle = &mut proxy.client();
-    half.socket.write_all(b"Q\0\0\0\x20/* met").unwrap();
+    incomplete.socket.write_all(b"Q\0\0\0\x20/* met").unwrap();
     assert!(read_to_close(&silent).contains("57014"));
-    assert!(read_to_close(&half.socket).contains("57014"));
+    assert!(read_to_close(&incomplete.socket).contains("57014"));
     assert_eq!(idle.request(""), "I", "an idle session stays open");
 }
 
-/// The error arrives: a connection closed with unread bytes is reset, and what was sent last is lost.
+/// Guards against closing the connection with unread bytes, which resets it and loses the error that was sent
+/// last.
 #[test]
-fn an_oversized_message_is_answered_while_the_client_still_sends() {
+fn an_oversized_message_is_rejected_with_an_error_while_the_client_still_sends() {
     let proxy = Proxy::start(&[&Engine::new()]);
     let mut client = proxy.client();
     client.socket.write_all(b"Q\x03\x93\x87\0").unwrap();
     for _ in 0..600 {
-        client.socket.write_all(&[b'x'; 10_000]).expect("the proxy goes on reading");
+        client.socket.write_all(&[b'x'; 10_000]).expect("the proxy still reads");
     }
     assert!(read_to_close(&client.socket).contains("54000"));
 }
 
-/// The open request is protected: its answer would go to whoever names its id.
+/// Guards against a client that names the id of another client's request and receives its response.
 #[test]
 fn the_id_of_an_open_request_is_rejected_for_other_requests() {
     let engine = Engine::new();
@@ -213,7 +218,7 @@
     assert_eq!(first.read_response(), "TDC");
 }
 
-/// Clients that keep an idle connection for good do not keep others out.
+/// Guards against idle clients that keep their connections and prevent new clients from connecting.
 #[test]
 fn the_longest_idle_session_is_evicted_and_a_busy_one_is_not() {
     let engine = Engine::new();
@@ -228,9 +233,10 @@
     assert_eq!(busy.read_response(), "TDC");
 }
 
-/// Accepted requests are answered before SIGKILL, which comes long before some deadlines.
+/// Accepted requests receive a response before the platform sends SIGKILL, which is long before some of their
+/// deadlines.
 #[test]
-fn sigterm_answers_requests_that_would_outlast_the_shutdown() {
+fn sigterm_ends_requests_that_would_outlast_the_shutdown_with_an_error() {
     let engine = Engine::new();
     let mut proxy = Proxy::start(&[&engine]);
     let (mut safe, mut load) = (proxy.client(), proxy.client());
@@ -242,9 +248,9 @@
     assert!(load.read_response().starts_with("E 58000"));
 }
 
-/// What belongs to no request is dropped, and the connection stays in use.
+/// Responses that belong to no request are discarded, and the connection stays in use.
 #[test]
-fn answers_with_an_unknown_id_and_duplicate_answers_are_ignored() {
+fn responses_with_an_unknown_id_and_duplicate_responses_are_ignored() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut client = proxy.client();
@@ -261,10 +267,10 @@
     assert_eq!(connection.command()[1], format!("{:016x}", 2));
 }
 
-/// The client sees no malformed data, and a request of an unsafe class is not reported as never run.
+/// The client receives no malformed data, and a request of an unsafe class is not reported as not run.
 #[test]
-fn a_malformed_answer_fails_a_load_without_affecting_other_requests() {
-    let spoilt = [
+fn a_malformed_response_fails_a_load_without_affecting_other_requests() {
+    let malformed = [
         ("HIT", "total=1", "a\tb\n"),
         ("HIT", "total=1", "a\tb\tc"),
         ("HIT", "total=x", "a\tb\tc\n"),
@@ -273,8 +279,8 @@
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let (mut client, mut other) = (proxy.client(), proxy.client());
-    let (mut well, serve) = other.send_to(&engine, &query("load", 99, 15_000));
-    for (id, (word, fields, body)) in (1..).zip(spoilt) {
+    let (mut other_connection, serve) = other.send_to(&engine, &query("load", 99, 15_000));
+    for (id, (word, fields, body)) in (1..).zip(malformed) {
         client.send(&query("load", id, 15_000));
         let mut connection = engine.accept();
         let id = connection.command()[1].clone();
@@ -284,13 +290,13 @@
         connection.send(&id, word, fields, body);
         assert!(client.read_response().starts_with("E 58000"), "{word} {fields} {body}");
     }
-    well.serve(&serve[1]);
+    other_connection.serve(&serve[1]);
     assert_eq!(other.read_response(), "TDC");
 }
 
-/// A machine that has vanished leaves its connections open and silent.
+/// An engine whose machine fails leaves its connections open and silent.
 #[test]
-fn a_silent_connection_is_closed() {
+fn a_connection_without_a_response_to_a_health_check_is_closed() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut client = proxy.client();
@@ -301,9 +307,9 @@
     assert!(client.read_response().starts_with("E 58000"));
 }
 
-/// With a length that is too large, whatever follows is taken for the answer's own bytes.
+/// After a length that is too large, all further bytes on the connection count as part of the same response.
 #[test]
-fn an_answer_that_never_completes_ends_its_connection() {
+fn a_response_that_never_completes_closes_its_connection() {
     let engine = Engine::new();
     let proxy = Proxy::start(&[&engine]);
     let mut client = proxy.client();
@@ -316,9 +322,9 @@
     assert!(client.read_response().starts_with("E 58000"));
 }
 
-/// Neither an old connection nor old health is used for an address or id that is used again.
+/// Guards against using an old connection or old health state for an endpoint id that is listed again.
 #[test]
-fn a_database_that_returns_at_another_address_is_reached_on_new_connections() {
+fn an_engine_that_returns_at_another_address_is_reached_on_new_connections() {
     let (first, second) = (Engine::new(), Engine::new());
     let coordinator = Coordinator::new();
     let proxy = Proxy::follow(&[&first], Some(&coordinator));
@@ -330,10 +336,11 @@
     stream.write_all(event(2, &[first.list_entry("s-0", "DELETED")]).as_bytes()).unwrap();
     assert_eq!(read_to_close(connection.0.get_ref()), "", "the old connection is closed");
     stream.write_all(event(3, &[second.list_entry("s-0", "SERVING")]).as_bytes()).unwrap();
-    reached(&proxy, &second);
+    wait_until_reached(&proxy, &second);
 }
 
-/// There is one worker: a coroutine whose sleep ended in may's own timers would continue in another thread.
+/// The proxy has one worker thread. Guards against timers of the coroutine library, which resume a coroutine
+/// on another thread.
 #[cfg(target_os = "linux")]
 #[test]
 fn coroutines_run_on_one_thread() {
@@ -343,10 +350,10 @@
     assert_eq!(busy, 1, "{:?}", proxy.threads());
 }
 
-/// The worker is never blocked while the kernel enlarges the descriptor table.
+/// Guards against blocking the worker thread while the kernel enlarges the descriptor table.
 #[cfg(target_os = "linux")]
 #[test]
 fn the_descriptor_table_has_its_full_size_from_the_start() {
-    let room: usize = Proxy::with_descriptors(900).status("FDSize:").parse().unwrap();
-    assert!(room >= 900, "room for {room}");
+    let table_size: usize = Proxy::with_descriptors(900).status("FDSize:").parse().unwrap();
+    assert!(table_size >= 900, "a table of {table_size} descriptors");
 }
