--- a/examples/toy_database.py
+++ b/examples/toy_database.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A toy database on 127.0.0.1:9101, or at HOST:PORT if named: answers every statement with two rows after 50 ms."""
+"""A toy engine on 127.0.0.1:9101, or on HOST:PORT if given: responds to every statement with two rows after 50 ms."""
 import socketserver
 import sys
 import time
