--- a/benches/leadership.rs
+++ b/benches/leadership.rs
@@ -60,8 +60,8 @@
     );
 }
 
-/// Median and maximum time from the call of a publication until all scripted subscribers have acknowledged it, in
-/// milliseconds.
+/// Median and maximum time from the call of a publication until all scripted subscribers have acknowledged
+/// it, in milliseconds.
 fn publish_to_subscribers(listen: SocketAddr, operators: SocketAddr, count: usize) -> (f64, f64) {
     let received = subscribers(listen, count);
     let client = AdminClient { addresses: vec![operators], keys: None };
@@ -209,8 +209,8 @@
         std::env::var("GAUGESTEP_ROUNDS").ok().and_then(|configured| configured.parse().ok()).unwrap_or(50);
     for count in [1, 30, 300] {
         let before = publish_with_earlier_build(count);
-        for services in [1, 3, 5] {
-            let group = Group::start(services);
+        for members in [1, 3, 5] {
+            let group = Group::start(members);
             let (holder, _) = group.lease_holder();
             let member = group.member(holder);
             let (middle, worst) = publish_to_subscribers(member.listen, member.operators, count);
@@ -218,14 +218,14 @@
                 format!("; {:.2} and {:.2} times the earlier build's", middle / before.0, worst / before.1)
             });
             println!(
-                "{services} services, {count:>3} subscribers: publish to acknowledged {middle:.1} ms median, {worst:.1} ms \
+                "{members} services, {count:>3} subscribers: publish to acknowledged {middle:.1} ms median, {worst:.1} ms \
                  worst{ratio}"
             );
         }
     }
-    for services in [1, 3, 5] {
+    for members in [1, 3, 5] {
         for count in [1, 30] {
-            publish_to_proxies(&Group::start(services), count);
+            publish_to_proxies(&Group::start(members), count);
         }
     }
     let group = Group::start(3);
--- a/examples/group/run.sh
+++ b/examples/group/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Starts a toy engine, three control servers as one group, and a proxy that follows the group, until Ctrl-C. Then, from
-# another terminal:
+# Starts a toy engine, three control servers as one group, and a proxy that follows the group, until Ctrl-C.
+# Then, from another terminal:
 #   export GAUGESTEP_CONTROL=127.0.0.1:9401,127.0.0.1:9411,127.0.0.1:9421
 #   target/release/gaugestep-control members
 #   target/release/gaugestep-control duties
@@ -16,7 +16,8 @@
 for member in 1 2 3; do
   "$control" serve --config "examples/group/control-$member.textproto" &
 done
-# The first control server is a group of one member. The others are added one at a time, and vote once they have caught up.
+# The first control server is a group of one member. The others are added one at a time, and vote once they
+# have caught up.
 until "$control" members >/dev/null 2>&1; do sleep 0.2; done
 for member in 2 3; do
   "$control" members | grep -q "^ *$member " ||
--- a/examples/seats/run.sh
+++ b/examples/seats/run.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Starts a control server that manages a roster and ten proxies that follow it, until Ctrl-C. Then, from another terminal:
+# Starts a control server that manages a roster and ten proxies that follow it, until Ctrl-C.
+# Then, from another terminal:
 #   export GAUGESTEP_CONTROL=127.0.0.1:9401
 #   target/release/gaugestep-control seats
 #   pkill -f 'found/seats/n3.json'; sleep 8; target/release/gaugestep-control seats
--- a/examples/versions/run.sh
+++ b/examples/versions/run.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Starts a toy engine, a control server and a proxy that follows it, until Ctrl-C. Then, from another terminal:
+# Starts a toy engine, a control server and a proxy that follows it, until Ctrl-C.
+# Then, from another terminal:
 #   target/release/gaugestep-control publish examples/versions/document.textproto
 set -eu
 cd "$(dirname "$0")/../.."
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -234,8 +234,8 @@
     /// code of the rejection.
     pub fn next_acknowledgement(&mut self) -> (u64, Option<String>) {
         loop {
-            if let Some(from_client::Said::Answer(answer)) = self.next().said {
-                return (answer.nonce, answer.refusal.map(|refusal| refusal.code));
+            if let Some(from_client::Said::Answer(response)) = self.next().said {
+                return (response.nonce, response.refusal.map(|rejection| rejection.code));
             }
         }
     }
--- a/tests/common/proxy/database.rs
+++ b/tests/common/proxy/database.rs
@@ -16,8 +16,8 @@
 
     /// The engine's entry in the coordinator's list.
     pub fn list_entry(&self, id: &str, phase: &str) -> String {
-        let at = self.0.local_addr().unwrap();
-        format!(r#"{{"id":"{id}","host_port":"{at}","locality":"dc","flavor":"k","phase":"{phase}"}}"#)
+        let address = self.0.local_addr().unwrap();
+        format!(r#"{{"id":"{id}","host_port":"{address}","locality":"dc","flavor":"k","phase":"{phase}"}}"#)
     }
 
     /// An engine with a full accept backlog, and the connection that fills it: dials hang until the test
--- a/tests/compatibility/upstream.rs
+++ b/tests/compatibility/upstream.rs
@@ -33,9 +33,9 @@
 fn without_numbers(text: &str) -> String {
     let mut recorded = String::new();
     for character in text.chars() {
-        let kept = if character.is_ascii_digit() { 'N' } else { character };
-        if kept != 'N' || !recorded.ends_with('N') {
-            recorded.push(kept);
+        let shown = if character.is_ascii_digit() { 'N' } else { character };
+        if shown != 'N' || !recorded.ends_with('N') {
+            recorded.push(shown);
         }
     }
     recorded
--- a/tests/configuration/validation.rs
+++ b/tests/configuration/validation.rs
@@ -54,13 +54,13 @@
 /// in many rounds: no lookup reaches the engine once it has drained for 250 ms.
 #[test]
 fn an_engine_that_drains_between_validation_and_apply_receives_no_request() {
-    let (service, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
+    let (server, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
     let (a, b, coordinator) = (RespondingEngine::new(), RespondingEngine::new(), Coordinator::new());
     let engines = [&a.listener, &b.listener];
     let operator =
-        Some(write_operator_file(folder.path(), service.0.local_addr().unwrap(), &state_folder(&folder), ""));
+        Some(write_operator_file(folder.path(), server.0.local_addr().unwrap(), &state_folder(&folder), ""));
     let proxy = Launch { coordinator: Some(&coordinator), operator, ..Launch::new(&engines) }.start();
-    let (mut stream, (mut list, _)) = (service.accept(), coordinator.accept());
+    let (mut stream, (mut list, _)) = (server.accept(), coordinator.accept());
     let (mut rejected, mut accepted) = (0, 0);
     for round in 0..12u64 {
         let (number, phase) = (2 * round + 1, if round % 2 == 0 { "DRAINING" } else { "SERVING" });
@@ -98,13 +98,13 @@
 /// Versions that are truncated, altered, numbered wrongly or that cannot be decoded never come into force.
 #[test]
 fn invalid_versions_are_rejected_and_malformed_streams_closed() {
-    let (service, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
+    let (server, folder) = (ScriptedControlServer::new(), tempfile::tempdir().unwrap());
     let engine = RespondingEngine::new();
     let engines = [&engine.listener];
     let operator =
-        Some(write_operator_file(folder.path(), service.0.local_addr().unwrap(), &state_folder(&folder), ""));
+        Some(write_operator_file(folder.path(), server.0.local_addr().unwrap(), &state_folder(&folder), ""));
     let proxy = Launch { operator, ..Launch::new(&engines) }.start();
-    let mut stream = service.accept();
+    let mut stream = server.accept();
     assert_eq!(stream.hello.proxy, "n0");
     let mut nonce = 0;
     let mut offer_altered =
@@ -142,7 +142,7 @@
         if truncated.contains(&bytes) {
             stream.socket.shutdown(std::net::Shutdown::Both).unwrap();
         }
-        stream = service.accept();
+        stream = server.accept();
         let version = stream.hello.in_force.as_ref().map_or(0, |version| version.number);
         assert_eq!(version, 5, "the last good version stays in force");
         assert_eq!(run_query(&proxy, "lookup", bytes.len() as u64), "TDC", "clients are served");
--- a/tests/event_races/client_leaves.rs
+++ b/tests/event_races/client_leaves.rs
@@ -1,4 +1,4 @@
-//! A client closes, cancels or disconnects while its request takes its next step.
+//! A client closes, cancels or disconnects at the moment at which its request is sent, retried or relaunched.
 
 use std::io::Write;
 use std::net::Shutdown;
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -75,8 +75,9 @@
     for folder in ["examples/versions", "deploy"] {
         let operator: Operator =
             text::read("Operator", &read(&format!("{folder}/operator.textproto"))).unwrap();
-        let service: Service = text::read("Service", &read(&format!("{folder}/control.textproto"))).unwrap();
-        assert_eq!(operator.control.unwrap().services, [service.listen]);
+        let control_server: Service =
+            text::read("Service", &read(&format!("{folder}/control.textproto"))).unwrap();
+        assert_eq!(operator.control.unwrap().services, [control_server.listen]);
     }
     let document = text::parse(&read("examples/versions/document.textproto")).unwrap();
     assert_eq!(gaugestep_config::check::check(&document), []);
@@ -89,16 +90,16 @@
     use gaugestep_config::schema::{Operator, Service};
     use gaugestep_config::text;
     let read = |name: &str| std::fs::read_to_string(file(name)).unwrap();
-    let services: Vec<Service> = (1..=3)
+    let control_servers: Vec<Service> = (1..=3)
         .map(|member| {
             text::read("Service", &read(&format!("examples/group/control-{member}.textproto"))).unwrap()
         })
         .collect();
     let operator: Operator = text::read("Operator", &read("examples/group/operator.textproto")).unwrap();
-    let listen: Vec<String> = services.iter().map(|service| service.listen.clone()).collect();
+    let listen: Vec<String> = control_servers.iter().map(|server| server.listen.clone()).collect();
     assert_eq!(operator.control.unwrap().services, listen);
-    for (index, service) in services.iter().enumerate() {
-        let settings = gaugestep_control_plane::server::Settings::from_schema(service).unwrap();
+    for (index, server) in control_servers.iter().enumerate() {
+        let settings = gaugestep_control_plane::server::Settings::from_schema(server).unwrap();
         assert_eq!((settings.member.number, settings.joins), (index as u64 + 1, index > 0));
     }
 }
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -184,6 +184,16 @@
         (self.engines.len() - 1, drained, drained)
     }
 
+    /// Restarts a killed proxy after the engines up to this index have been replaced. Its configuration has
+    /// the list that the coordinator has published so far, as under a platform.
+    fn restart_proxy(&mut self, proxy: usize, last_replaced: usize) {
+        for engine in &self.engines[..=last_replaced] {
+            let (before, now) = (engine.list_entry("SERVING", 0), engine.list_entry("DRAINING", 0));
+            self.proxies[proxy].rewrite(&before, &now);
+        }
+        self.proxies[proxy].restart();
+    }
+
     fn stop_clients(&mut self) {
         self.stop_requested.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| client.join().unwrap());
@@ -219,13 +229,7 @@
             2 => [8, 9, 10, 12].iter().for_each(|proxy| fleet.proxies[*proxy].kill()),
             3 => {
                 for proxy in [8, 9, 10, 12] {
-                    // A platform restarts a proxy with the list that the coordinator has published so far.
-                    for engine in &fleet.engines[..=index] {
-                        let (before, now) =
-                            (engine.list_entry("SERVING", 0), engine.list_entry("DRAINING", 0));
-                        fleet.proxies[proxy].rewrite(&before, &now);
-                    }
-                    fleet.proxies[proxy].restart();
+                    fleet.restart_proxy(proxy, index);
                 }
             }
             _ => {}
--- a/tests/leadership/failover.rs
+++ b/tests/leadership/failover.rs
@@ -75,7 +75,7 @@
     });
     group.member_mut(old).suspend();
     let (_, term) = group.lease_holder_other_than(old);
-    wait_until("its successor publishes", || !group.version_state(first + 2).is_empty());
+    wait_until("the successor publishes", || !group.version_state(first + 2).is_empty());
     group.member_mut(old).resume();
     group.wait_for_equal_versions();
     let mut records = publisher.stop();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -186,25 +186,25 @@
     let folder = tempfile::tempdir().unwrap();
     let state = folder.path().join("state");
     copy_proxy_state(&proxy_data(), &state);
-    let seen = stored_term(&state);
-    assert!(seen > 1, "there is a lower term");
+    let stored = stored_term(&state);
+    assert!(stored > 1, "there is a lower term");
     let server = ScriptedControlServer::new();
     let operator = control::write_operator_file(folder.path(), server.0.local_addr().unwrap(), &state, "");
     // The scripted server accepts the stream later: the proxy starts without it.
     let proxy = Launch { operator: Some(operator), ..Launch::new(&[]) }.start();
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
 
-    let mut stream = server.accept_with_term(seen);
+    let mut stream = server.accept_with_term(stored);
     assert_eq!(stream.hello.in_force.as_ref().map(|version| version.number), Some(SECOND_VERSION));
     let hello_seen = stream.hello.seen.iter().find(|seen| seen.duty == CONFIGURATION_ROLE);
-    assert_eq!(hello_seen.map(|seen| seen.term), Some(seen));
-    let stale = Offer { term: seen - 1, ..offer(THIRD_VERSION, 1, THIRD_DOCUMENT) };
+    assert_eq!(hello_seen.map(|seen| seen.term), Some(stored));
+    let stale = Offer { term: stored - 1, ..offer(THIRD_VERSION, 1, THIRD_DOCUMENT) };
     stream.send(&offer_message(stale));
     assert_eq!(stream.next_acknowledgement(), (1, Some("stale-term".into())));
     assert_eq!(version_in_force(&proxy), Some(SECOND_VERSION));
     assert_eq!(proxy.statistic("/configuration/stale_refused"), Some(1));
 
-    let current = Offer { term: seen, ..offer(THIRD_VERSION, 2, THIRD_DOCUMENT) };
+    let current = Offer { term: stored, ..offer(THIRD_VERSION, 2, THIRD_DOCUMENT) };
     stream.send(&offer_message(current));
     assert_eq!(stream.next_acknowledgement(), (2, None));
     assert_eq!(version_in_force(&proxy), Some(THIRD_VERSION));
