--- a/tests/leadership/identity.rs
+++ b/tests/leadership/identity.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use gaugestep_config::schema::{Hello, call};
+use gaugestep_config::schema::{Fleet, Hello, call};
 use gaugestep_testbed::leadership_audit::audit;
 use gaugestep_testbed::network::Partition;
 
@@ -29,6 +29,11 @@
     assert_eq!(earlier.call("GET", "/ops/readiness").0, 503);
     assert_eq!(later.call("GET", "/ops/readiness").0, 200);
     assert_eq!(version(&earlier), Some(1), "the earlier process is offered nothing");
+    // The control server records the acknowledgement some time after the proxy has the version in force.
+    wait_until("the control server records the acknowledgement of the later process", || {
+        let is_recorded = |fleet: &Fleet| fleet.proxies.iter().any(|proxy| proxy.in_force == second);
+        group.status().as_ref().is_some_and(is_recorded)
+    });
     let shown = group.status().unwrap().proxies;
     let summary: Vec<_> =
         shown.iter().map(|proxy| (proxy.name.as_str(), proxy.displaced, proxy.in_force)).collect();
