--- a/crates/dispatch/src/interface/events.rs
+++ b/crates/dispatch/src/interface/events.rs
@@ -37,7 +37,7 @@
 
 impl EngineEntry {
     /// The engine as a member for drawing subsets. `size` is its capacity relative to the other engines.
-    pub fn subset_member(&self, size: f64) -> CandidateEngine {
+    pub fn candidate_engine(&self, size: f64) -> CandidateEngine {
         CandidateEngine { id: self.engine.0, key: self.name_key, size, zone: self.zone.0 as u64 }
     }
 }
--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -91,7 +91,8 @@
     /// contains all of them unless this dispatcher sends to a subset only.
     pub fn draw_subset(&mut self, context: &Context) {
         let listed = self.engines.values().filter(|engine| engine.is_up()).map(|engine| &engine.entry);
-        let to_member = |entry: &EngineEntry| entry.subset_member(context.settings.machine_type(entry).cores);
+        let to_member =
+            |entry: &EngineEntry| entry.candidate_engine(context.settings.machine_type(entry).cores);
         let members: Vec<CandidateEngine> = listed.map(to_member).collect();
         let size = if self.uses_subset(context) { SUBSET_SIZE } else { usize::MAX };
         let position = self.subset.position(context.now, context.settings.fleet_position);
