--- a/crates/control-plane/src/server/admin/group.rs
+++ b/crates/control-plane/src/server/admin/group.rs
@@ -55,7 +55,7 @@
     /// that the lease holders of those terms will not return.
     pub(super) fn take_over(&self, role: &str) -> CallResult {
         let term = self.require_lease(role)?;
-        self.lock_pause_detector().clear();
+        self.lock_suspension_detector().clear();
         let above = self.highest_credible_term(term);
         tracing::warn!(role, term, above, "an operator forces a takeover");
         await_outcome(|responder| self.propose(role, term, What::Raise(above), responder))
--- a/crates/control-plane/src/server/admin/versions.rs
+++ b/crates/control-plane/src/server/admin/versions.rs
@@ -57,7 +57,7 @@
     /// another server replaced it meanwhile, so it waits until a proxy has confirmed that none did.
     fn check_not_superseded_while_suspended(&self) -> Result<(), CallFailure> {
         self.check_suspension(&mut self.lock_state(), clock::now());
-        let suspended_for = self.lock_pause_detector().suspended_for();
+        let suspended_for = self.lock_suspension_detector().suspended_for();
         let Some(suspended_for) = suspended_for.filter(|_| self.replica.is_single_voter()) else {
             return Ok(());
         };
--- a/crates/control-plane/src/server/maintenance.rs
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -46,7 +46,7 @@
     /// Checks whether the process was suspended. Called at each tick and before a publication, as either may
     /// run first after a suspension.
     pub(crate) fn check_suspension(&self, state: &mut ServerState, now: Timestamp) {
-        if !self.lock_pause_detector().observe(now, MAX_SUSPENSION, !state.identities.is_empty()) {
+        if !self.lock_suspension_detector().observe(now, MAX_SUSPENSION, !state.identities.is_empty()) {
             return;
         }
         tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -113,7 +113,7 @@
             .get(id)
             .is_some_and(|session| !session.close_requested && session.highest_term_seen() <= term);
         if follows {
-            self.lock_pause_detector().clear();
+            self.lock_suspension_detector().clear();
         }
     }
 
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -14,7 +14,7 @@
 use gaugestep_leadership::CONFIGURATION_ROLE;
 use gaugestep_leadership::checkpoint::CheckpointBarrier;
 use gaugestep_leadership::identity::IdentityRegistry;
-use gaugestep_leadership::pause_detector::PauseDetector;
+use gaugestep_leadership::pause_detector::SuspensionDetector;
 use gaugestep_subsetting::roster::RosterManager;
 
 use crate::raft::replica::Replica;
@@ -196,7 +196,7 @@
     state: Mutex<ServerState>,
     /// The replicated state of the group, and the leases.
     pub(crate) replica: Arc<Replica>,
-    pause_detector: Mutex<PauseDetector>,
+    suspension_detector: Mutex<SuspensionDetector>,
     /// The minimum number of versions to retain.
     pub(crate) retained_versions: u32,
     /// The maximum number of concurrent sessions.
@@ -212,7 +212,7 @@
         Arc::new_cyclic(|weak_self| ServerContext {
             state: Mutex::default(),
             replica,
-            pause_detector: Mutex::new(PauseDetector::new(clock::now())),
+            suspension_detector: Mutex::new(SuspensionDetector::new(clock::now())),
             retained_versions: settings.retained_versions,
             max_sessions: settings.max_streams,
             store_restored: settings.restored,
@@ -224,8 +224,8 @@
         lock(&self.state)
     }
 
-    pub(crate) fn lock_pause_detector(&self) -> MutexGuard<'_, PauseDetector> {
-        lock(&self.pause_detector)
+    pub(crate) fn lock_suspension_detector(&self) -> MutexGuard<'_, SuspensionDetector> {
+        lock(&self.suspension_detector)
     }
 
     /// A weak reference to this context, for callbacks that may outlive the server.
--- a/crates/leadership/src/pause_detector.rs
+++ b/crates/leadership/src/pause_detector.rs
@@ -9,18 +9,18 @@
 use gaugestep_clock::Timestamp;
 
 /// Detects that this process was suspended for at least the duration of a lease. A suspension stays recorded
-/// until [`PauseDetector::clear`] is called.
+/// until [`SuspensionDetector::clear`] is called.
 #[derive(Debug)]
-pub struct PauseDetector {
+pub struct SuspensionDetector {
     last_observed: Timestamp,
     longest_suspension: Option<Duration>,
 }
 
-impl PauseDetector {
+impl SuspensionDetector {
     /// Creates the detector of a server that starts now. No suspension is recorded at first, because the
     /// store contains the roles of the server.
     pub fn new(now: Timestamp) -> Self {
-        PauseDetector { last_observed: now, longest_suspension: None }
+        SuspensionDetector { last_observed: now, longest_suspension: None }
     }
 
     /// Compares the clock with the previous call. `has_followers` is set if proxies follow this server, which
--- a/crates/leadership/tests/pause_detector.rs
+++ b/crates/leadership/tests/pause_detector.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use gaugestep_clock::Timestamp;
-use gaugestep_leadership::pause_detector::PauseDetector;
+use gaugestep_leadership::pause_detector::SuspensionDetector;
 
 const LEASE: Duration = Duration::from_secs(2);
 
 #[test]
 fn a_suspension_while_proxies_follow_is_recorded_until_it_is_cleared() {
-    let mut detector = PauseDetector::new(Timestamp::ORIGIN);
+    let mut detector = SuspensionDetector::new(Timestamp::ORIGIN);
     assert!(!detector.observe(Timestamp::from_millis(1_999), LEASE, true));
     assert!(
         !detector.observe(Timestamp::from_millis(9_000), LEASE, false),
