--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -7,7 +7,7 @@
 use gaugestep_config::Document;
 use gaugestep_config::schema::{Charter, Entry, Member, RaftEntry, RaftHard, RaftMembers};
 use gaugestep_leadership::group_state::{GroupState, StoredVersion};
-use gaugestep_leadership::rollback_guard::{self, FoundStore, RestorePolicy, StoreRejected};
+use gaugestep_leadership::rollback_guard::{self, FoundStore, RestoredStorePolicy, StoreRejected};
 use gaugestep_storage::control_store::{ControlStore, WriteBatch};
 use gaugestep_storage::generation_file::{self, Generation};
 use prost::Message;
@@ -120,8 +120,8 @@
         }),
     };
     let policy = match settings.restored && !has_peers {
-        true => RestorePolicy::Accept,
-        false => RestorePolicy::Reject,
+        true => RestoredStorePolicy::Accept,
+        false => RestoredStorePolicy::Reject,
     };
     let boot = rollback_guard::next_boot(found, policy)
         .map_err(|rejected| store_rejected(path, rejected, has_peers))?;
--- a/crates/leadership/src/rollback_guard.rs
+++ b/crates/leadership/src/rollback_guard.rs
@@ -49,7 +49,7 @@
 
 /// The handling of a store that fails the check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestorePolicy {
+pub enum RestoredStorePolicy {
     /// The store is rejected.
     Reject,
     /// The store is used, because the operator has confirmed that its former user never runs again.
@@ -60,9 +60,9 @@
 ///
 /// # Errors
 ///
-/// [`StoreRejected`] if the store fails the check and `policy` is [`RestorePolicy::Reject`].
-pub fn next_boot(found: FoundStore, policy: RestorePolicy) -> Result<u64, StoreRejected> {
-    if policy == RestorePolicy::Reject {
+/// [`StoreRejected`] if the store fails the check and `policy` is [`RestoredStorePolicy::Reject`].
+pub fn next_boot(found: FoundStore, policy: RestoredStorePolicy) -> Result<u64, StoreRejected> {
+    if policy == RestoredStorePolicy::Reject {
         check(found)?;
     }
     let recorded = found.generation.map_or(0, |generation| generation.boots);
--- a/crates/leadership/tests/rollback_guard.rs
+++ b/crates/leadership/tests/rollback_guard.rs
@@ -1,7 +1,7 @@
 //! A store that was rolled back or copied is rejected.
 
 use gaugestep_leadership::rollback_guard::{
-    FoundStore, Generation, ProcessStart, RestorePolicy, StoreRejected, is_stale_start, next_boot,
+    FoundStore, Generation, ProcessStart, RestoredStorePolicy, StoreRejected, is_stale_start, next_boot,
 };
 
 #[test]
@@ -10,8 +10,8 @@
         let generation = generation.map(|(boots, file)| Generation { boots, file });
         FoundStore { boots, file, generation }
     };
-    let check = |found| next_boot(found, RestorePolicy::Reject);
-    let restore = |found| next_boot(found, RestorePolicy::Accept);
+    let check = |found| next_boot(found, RestoredStorePolicy::Reject);
+    let restore = |found| next_boot(found, RestoredStorePolicy::Accept);
     assert_eq!(check(found(0, 1, None)), Ok(1), "a new store, or one of an older build");
     assert_eq!(check(found(3, 1, Some((3, 1)))), Ok(4));
     assert_eq!(check(found(4, 1, Some((3, 1)))), Ok(5), "the process was killed between the two writes");
