--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -28,7 +28,7 @@
     /// The version that it rejected last.
     pub last_rejection: Option<Rejection>,
     /// When it last sent anything.
-    pub last_seen: Timestamp,
+    pub last_active_at: Timestamp,
     /// Whether it has a version in force that this control server has not published.
     pub is_ahead: bool,
     /// The last report of request outcomes on the present stream.
@@ -80,7 +80,7 @@
             // The time that the proxy reports counts, so that a change of the control server does not restart
             // the wait of a stage.
             in_force_since: now - hello.in_force_for,
-            last_seen: now,
+            last_active_at: now,
             is_ahead: matches!(hello.in_force, ReportedVersion::Unpublished(_)),
             last_rejection: self.last_rejection.take(),
             ..ProxyStatus::default()
@@ -91,13 +91,13 @@
         self.stream = None;
         self.pending_offer = None;
         self.last_counts = None;
-        self.last_seen = now;
+        self.last_active_at = now;
     }
 
     /// Ends the pending offer after a response and returns the number of the offered version; `None` if no
     /// offer with this nonce is pending.
     pub(super) fn take_pending_offer(&mut self, now: Timestamp, nonce: u64) -> Option<u64> {
-        self.last_seen = now;
+        self.last_active_at = now;
         self.pending_offer.take_if(|offer| offer.nonce == nonce).map(|offer| offer.number)
     }
 
@@ -130,7 +130,7 @@
         counts: RequestCounts,
         number: u64,
     ) -> Option<RequestCounts> {
-        self.last_seen = now;
+        self.last_active_at = now;
         let earlier = self.last_counts.replace(CountReport { counts, number })?;
         (earlier.number == number).then(|| counts.since(earlier.counts))
     }
@@ -144,8 +144,9 @@
         if self.pending_offer.as_ref().is_some_and(is_overdue) {
             return Some("does not answer");
         }
-        let is_lost =
-            !self.is_connected() && self.in_force == number && has_elapsed(self.last_seen, RECONNECT_TIMEOUT);
+        let is_lost = !self.is_connected()
+            && self.in_force == number
+            && has_elapsed(self.last_active_at, RECONNECT_TIMEOUT);
         is_lost.then_some("left after it took the version")
     }
 }
@@ -154,7 +155,7 @@
 /// [`MAX_DISCONNECTED`].
 pub(super) fn discard_longest_disconnected(proxies: &mut BTreeMap<String, ProxyStatus>) {
     let disconnected = proxies.iter().filter(|(_, proxy)| !proxy.is_connected());
-    let longest = disconnected.clone().min_by_key(|(_, proxy)| proxy.last_seen);
+    let longest = disconnected.clone().min_by_key(|(_, proxy)| proxy.last_active_at);
     if let Some(name) = longest.map(|(name, _)| name.clone()) {
         if disconnected.count() > MAX_DISCONNECTED {
             proxies.remove(&name);
--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -38,7 +38,7 @@
         offered: status.pending_offer.map_or(0, |offer| offer.number),
         refusal: status.last_rejection.as_ref().map(|rejection| rejection.refusal.clone()),
         refused: status.last_rejection.as_ref().map_or(0, |rejection| rejection.number),
-        heard_ms: now.duration_since(status.last_seen).as_millis() as u64,
+        heard_ms: now.duration_since(status.last_active_at).as_millis() as u64,
         ahead: status.is_ahead,
         incarnation,
         name_term,
