--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -83,7 +83,7 @@
     }
 
     /// Checks that a name consists of printable ASCII characters without separators: names appear in logs and
-    /// metrics, and those of classes and tenants also in the comment of a query that has the fields of a
+    /// metrics, and those of classes and tenants also in the query comment that contains the fields of a
     /// request.
     fn check_name(&mut self, path: &str, name: &str) {
         let is_allowed = |c: char| c.is_ascii_graphic() && !matches!(c, ',' | '=' | '*' | '/' | '"' | '\\');
--- a/crates/config/src/rollout/mod.rs
+++ b/crates/config/src/rollout/mod.rs
@@ -182,8 +182,8 @@
     ) {
         let Some(proxy) = self.proxy_on_stream(name, stream) else { return };
         let Some(number) = proxy.take_pending_offer(now, nonce) else { return };
-        let Some(refusal) = refusal else { return proxy.accepted(now, number) };
-        let Some(objection) = proxy.rejected(name, number, refusal) else { return };
+        let Some(refusal) = refusal else { return proxy.record_acknowledgement(now, number) };
+        let Some(objection) = proxy.record_rejection(name, number, refusal) else { return };
         if let Some(version) = self.versions.get_mut(&number) {
             version.objections.insert(name.to_owned(), objection);
         }
--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -21,13 +21,14 @@
     pub build: String,
     /// The number of the version in force at the proxy; 0 if there is none.
     pub in_force: u64,
-    /// When that version came in force, by the report of the proxy.
+    /// When that version came in force: by the report of the proxy when it connected, later by its
+    /// acknowledgement.
     pub in_force_since: Timestamp,
     /// The offer that it has not responded to yet.
     pub pending_offer: Option<PendingOffer>,
     /// The version that it rejected last.
     pub last_rejection: Option<Rejection>,
-    /// When it last sent anything.
+    /// When it last connected, sent a message or disconnected.
     pub last_active_at: Timestamp,
     /// Whether it has a version in force that this control server has not published.
     pub is_ahead: bool,
@@ -101,14 +102,15 @@
         self.pending_offer.take_if(|offer| offer.nonce == nonce).map(|offer| offer.number)
     }
 
-    pub(super) fn accepted(&mut self, now: Timestamp, number: u64) {
+    /// Records that the proxy has acknowledged a version, which is in force there now.
+    pub(super) fn record_acknowledgement(&mut self, now: Timestamp, number: u64) {
         self.in_force = number;
         self.in_force_since = now;
         self.is_ahead = false;
     }
 
     /// Records a rejection, and returns its reason if it concerns the content of the version.
-    pub(super) fn rejected(&mut self, name: &str, number: u64, refusal: Refusal) -> Option<String> {
+    pub(super) fn record_rejection(&mut self, name: &str, number: u64, refusal: Refusal) -> Option<String> {
         if refusal.code == RejectReason::WRONG_BASE {
             // The proxy does not have the base version of the delta, so the next offer has the complete
             // document.
--- a/crates/config/src/rollout/selection.rs
+++ b/crates/config/src/rollout/selection.rs
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Whether a selected proxy is connected, or may still reconnect to this control server.
+    /// Whether a selected proxy is connected, or has not connected to this control server yet and may still
+    /// do so.
     fn is_present(&self, now: Timestamp, version: &VersionRollout, name: &str) -> bool {
         match self.proxies.get(name) {
             Some(proxy) => proxy.is_connected(),
--- a/crates/config/src/rollout/version.rs
+++ b/crates/config/src/rollout/version.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Whether the rollout no longer waits for a proxy: it has had the version in force for the time in the
-    /// plan, or will not be offered it, as it rejected it or has a newer version in force.
+    /// Whether the rollout no longer waits for a proxy: the proxy has had the version in force for the time
+    /// in the plan, has rejected this version or a newer one, or has a newer version in force.
     pub(super) fn is_settled(&self, now: Timestamp, number: u64, proxy: &ProxyStatus) -> bool {
         let hold = Duration::from_millis(self.plan.hold_ms);
         let hold_has_elapsed = proxy.in_force == number && now.duration_since(proxy.in_force_since) >= hold;
--- a/crates/config/src/version_tracker/mod.rs
+++ b/crates/config/src/version_tracker/mod.rs
@@ -249,8 +249,8 @@
         Ok(document)
     }
 
-    /// Checks that the number of an offered version, which differs from the one in force, is greater than its
-    /// number.
+    /// Checks that an offered version, which is not the one in force, has a higher number than the one in
+    /// force.
     fn check_number(&self, version: &Version) -> Result<(), RejectReason> {
         let Some(accepted) = &self.in_force else { return Ok(()) };
         let (offered, in_force) = (version.number, accepted.version.number);
--- a/crates/leadership/src/checkpoint.rs
+++ b/crates/leadership/src/checkpoint.rs
@@ -1,8 +1,8 @@
 //! Commits the progress of a rollout before it takes effect.
 //!
-//! The next holder of the role must know everything that its predecessor has done. A step of a rollout is
-//! therefore replicated before any proxy is offered the version under it, and offers are deferred until the
-//! commit.
+//! The next holder of the role must know everything that its predecessor has done. Each change of the
+//! progress, such as the start of a stage, is therefore replicated before any proxy receives an offer that
+//! depends on it: offers are deferred until the commit.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use gaugestep_config::schema::{Keep, Progress};
 use prost::Message as _;
 
-/// The interval at which changed request counts are checkpointed. Any other change is checkpointed at once.
+/// The shortest interval between checkpoints of which only request counts differ. Any other change is
+/// checkpointed at once.
 pub const COUNTS_CHECKPOINT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The last checkpoint that was proposed.
@@ -25,9 +26,9 @@
 #[derive(Debug)]
 pub struct CheckpointBarrier<A> {
     last_proposed: Option<ProposedCheckpoint>,
-    /// Order of the last checkpoint under this term.
+    /// Sequence number of the last checkpoint under this term.
     last_order: u64,
-    /// Order of the checkpoint that is not committed yet.
+    /// Sequence number of the checkpoint that is not committed yet; `None` if there is none.
     pending_order: Option<u64>,
     deferred: Vec<A>,
 }
@@ -44,7 +45,7 @@
 
 impl<A> CheckpointBarrier<A> {
     /// Creates the barrier of a holder that resumes from the progress in the state of its role. `order` is
-    /// the order under which that state was stored.
+    /// the sequence number with which that state was stored.
     pub fn resume(order: u64, progress: Progress) -> Self {
         let last_proposed = Some(ProposedCheckpoint { progress, proposed_at: None });
         CheckpointBarrier { last_proposed, last_order: order, ..Self::default() }
@@ -73,7 +74,8 @@
         None
     }
 
-    /// Handles the result of the checkpoint with this order. Returns the actions that may be carried out now.
+    /// Handles the result of the checkpoint with this sequence number. Returns the actions that may be
+    /// carried out now.
     ///
     /// If the checkpoint could not be committed, the next [`CheckpointBarrier::checkpoint`] proposes another
     /// one, and actions stay deferred until that one is committed.
--- a/crates/leadership/src/fencing.rs
+++ b/crates/leadership/src/fencing.rs
@@ -54,7 +54,7 @@
 pub enum FencingAction<M> {
     /// Persist the highest term of each role, then call [`FencingGuard::on_persisted`].
     Persist(BTreeMap<String, u64>),
-    /// Process the message: its sender is the latest holder known to this receiver.
+    /// Process the message: it has the highest term of the role that this receiver has received.
     Accept(M),
     /// Reject the message for this reason; it must not take effect.
     Reject(M, FencingRejected),
--- a/crates/leadership/src/group_state/mod.rs
+++ b/crates/leadership/src/group_state/mod.rs
@@ -25,11 +25,11 @@
 
 /// The maximum number of roles of a group.
 pub const MAX_ROLES: usize = 4_096;
-/// The maximum length of the state that a role stores for its next holder.
+/// The maximum length of the state that a role stores for its next holder, in bytes.
 pub const MAX_ROLE_STATE_BYTES: usize = 256 * 1024;
 /// The maximum number of members of a group.
 pub const MAX_MEMBERS: usize = 7;
-/// The maximum length of the name of a role and of the key of a publication.
+/// The maximum length of the name of a role and of the key of a publication, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 /// The largest increase of a term by one command. A receiver that reports a term further ahead is taken to be
 /// corrupt, and must not exhaust the terms of the role.
--- a/crates/leadership/src/group_state/roles.rs
+++ b/crates/leadership/src/group_state/roles.rs
@@ -79,8 +79,9 @@
         self.assign_role(name, member, term.max(above), changes)
     }
 
-    /// Stores the state of a role for its next holder. A command whose order is not above the stored one has
-    /// no effect, so that a command that is committed twice does not undo a later one.
+    /// Stores the state of a role for its next holder. `keep.order` is a sequence number within the term; a
+    /// command whose number is not above the stored one has no effect, so that a command that is committed
+    /// twice does not undo a later one.
     pub(super) fn store_role_state(
         &mut self,
         name: &str,
--- a/crates/leadership/src/leader_discovery.rs
+++ b/crates/leadership/src/leader_discovery.rs
@@ -1,8 +1,8 @@
 //! The choice of the control server that a proxy connects to: the holder of the configuration role.
 //!
-//! A proxy has a list of endpoints and learns which member serves each endpoint when it connects. It stays
-//! connected to the holder, disconnects at once from a server that announces another holder, and disconnects
-//! after [`NO_HOLDER_TIMEOUT`] from a server that announces none.
+//! A proxy has a list of addresses of control servers, the endpoints, and learns which member serves each
+//! endpoint when it connects. It stays connected to the holder, disconnects at once from a control server
+//! that announces another holder, and disconnects after [`NO_HOLDER_TIMEOUT`] from one that announces none.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 use crate::RoleHolder;
 
-/// A proxy disconnects from a server that has announced no holder for this time.
+/// A proxy disconnects from a control server that has announced no holder for this time.
 pub const NO_HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The decision about a stream after the welcome of the server.
+/// The decision about a stream after the welcome of the control server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamDecision {
-    /// Stay connected to this server.
+    /// Stay connected to this control server.
     Keep,
     /// Close the stream and connect to another endpoint.
     Close,
@@ -26,7 +26,7 @@
 /// How soon to connect to the next endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reconnect {
-    /// Without backoff, because the last server announced a holder that was not tried yet.
+    /// Without backoff, because the last control server announced a holder that was not tried yet.
     Promptly,
     /// After the backoff that follows a failed connection.
     AfterBackoff,
@@ -40,9 +40,10 @@
     member_at: BTreeMap<usize, u64>,
     /// Index of the endpoint to connect to.
     current: usize,
-    /// The holder that the server at the current endpoint announced, if it is another member.
+    /// The holder that the control server at the current endpoint announced, if it is another member.
     announced: Option<RoleHolder>,
-    /// The time since which the server at the current endpoint announces no holder.
+    /// The time since which the control server at the current endpoint announces no holder; `None` if it has
+    /// announced one, or before its first welcome.
     no_holder_since: Option<Timestamp>,
     /// The announced member whose endpoint was tried last; `None` once a holder is found or the search moves
     /// on.
@@ -67,9 +68,9 @@
         self.current
     }
 
-    /// Handles the welcome of the server at the current endpoint: its member number, and the holder that it
-    /// announces. `highest_term` is the highest term that the proxy has received; an announced holder with a
-    /// lower term is ignored.
+    /// Handles the welcome of the control server at the current endpoint: its member number, and the holder
+    /// that it announces. `highest_term` is the highest term that the proxy has received; an announced holder
+    /// with a lower term is ignored.
     pub fn on_welcome(
         &mut self,
         now: Timestamp,
@@ -114,7 +115,7 @@
                 self.current = endpoint;
                 self.tried_member = Some(member);
             }
-            // The endpoint of the member is not known yet; it is one of the others.
+            // Which endpoint the member serves has not been learned yet; it is one of the other endpoints.
             None => self.move_to_next(),
         }
         Reconnect::Promptly
--- a/crates/leadership/src/lease/grantor.rs
+++ b/crates/leadership/src/lease/grantor.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Have a majority confirm that this member still leads, then call [`LeaseGrantor::on_confirmed`] with
-    /// this number of the confirmation.
+    /// this number, which identifies the confirmation.
     ConfirmLeadership(u64),
     /// Notify a member that its lease is granted.
     Grant {
--- a/crates/leadership/src/lease/session.rs
+++ b/crates/leadership/src/lease/session.rs
@@ -28,7 +28,7 @@
     last_number: u64,
     /// The earliest time of the next request; `None` if it is due at once.
     next_request_at: Option<Timestamp>,
-    /// Hand-overs that are not known to be committed, by role.
+    /// Hand-overs whose commit this member has not observed yet, by role.
     resignations: BTreeMap<String, Resignation>,
 }
 
--- a/crates/leadership/src/pause_detector.rs
+++ b/crates/leadership/src/pause_detector.rs
@@ -1,8 +1,8 @@
-//! Detects suspensions of a control server without peers, after which it may no longer be the holder of its
-//! roles.
+//! Detects that the process of a control server without peers was suspended. Afterwards the control server
+//! may no longer be the holder of its roles.
 //!
-//! Such a server has no majority that could confirm its roles. Only the proxies can report whether another
-//! server replaced it in the meantime.
+//! Such a control server has no majority that could confirm its roles. Only the proxies can report whether
+//! another control server replaced it in the meantime.
 
 use std::time::Duration;
 
@@ -17,17 +17,18 @@
 }
 
 impl SuspensionDetector {
-    /// Creates the detector of a server that starts now. No suspension is recorded at first, because the
-    /// store contains the roles of the server.
+    /// Creates the detector of a control server that starts now. No suspension is recorded at first, because
+    /// the store contains the roles of the control server.
     pub fn new(now: Timestamp) -> Self {
         SuspensionDetector { last_observed: now, longest_suspension: None }
     }
 
-    /// Compares the clock with the previous call. `has_followers` is set if proxies follow this server, which
-    /// may have followed another one during a suspension.
+    /// Compares the clock with the previous call. `has_followers` is true if proxies have connected to this
+    /// control server: they may have followed another one during a suspension.
     ///
-    /// Returns true if the process was suspended for `lease` or longer. Connected proxies must then connect
-    /// again, because they report the terms that they have received only when they connect.
+    /// Returns true if there are followers and the process was suspended for `lease` or longer. Connected
+    /// proxies must then connect again, because they report the terms that they have received only when they
+    /// connect.
     pub fn observe(&mut self, now: Timestamp, lease: Duration, has_followers: bool) -> bool {
         let elapsed = now.duration_since(self.last_observed);
         self.last_observed = now;
@@ -45,7 +46,7 @@
     }
 
     /// The longest suspension since the detector was cleared; `None` if there was none. While it is `Some`,
-    /// the server must not publish versions.
+    /// the control server must not publish versions.
     pub fn suspended_for(&self) -> Option<Duration> {
         self.longest_suspension
     }
--- a/crates/leadership/src/peer_directory.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -17,7 +17,8 @@
 /// The maximum total length of the addresses of a member.
 const MAX_ADDRESS_BYTES: usize = 512;
 
-/// The reason why a peer is rejected. Its text is sent to the peer.
+/// The reason why a peer, a process that connects as another member, is rejected. Its text is sent to the
+/// peer.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PeerRejected {
     /// The peer uses another version of the protocol.
--- a/crates/leadership/src/pending_proposals.rs
+++ b/crates/leadership/src/pending_proposals.rs
@@ -1,7 +1,8 @@
 //! Proposals of this member that are not committed yet: when each is proposed again, and when it times out.
 //!
-//! A proposal may be lost with a message or a leader. Committing a command twice
-//! does no harm.
+//! A proposal may be lost with a message or a leader, and is therefore proposed again until it is committed.
+//! A command may thus be committed twice. The second time it changes nothing, except that a publication
+//! without a key publishes its document again under the next number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/leadership/src/rollback_guard.rs
+++ b/crates/leadership/src/rollback_guard.rs
@@ -47,12 +47,13 @@
     Copied,
 }
 
-/// The handling of a store that fails the check.
+/// Whether a store that appears to be restored from a backup or copied is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoredStorePolicy {
     /// The store is rejected.
     Reject,
-    /// The store is used, because the operator has confirmed that its former user never runs again.
+    /// The store is used, because the operator has confirmed that the process that used it before never runs
+    /// again.
     Accept,
 }
 
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -71,7 +71,7 @@
     #[error("its checksum does not match")]
     ChecksumMismatch,
     /// The generation file does not consist of two decimal numbers.
-    #[error("it does not hold two numbers")]
+    #[error("it does not contain two numbers")]
     InvalidGeneration,
 }
 
--- a/crates/subsetting/src/position.rs
+++ b/crates/subsetting/src/position.rs
@@ -1,4 +1,4 @@
-//! The position of a proxy in the fleet: all proxies that decide by the same rules.
+//! The position of a proxy in the fleet, which consists of all proxies that decide by the same rules.
 
 use crate::rotation::RotationSlot;
 use crate::uniform_hash;
--- a/crates/subsetting/src/roster.rs
+++ b/crates/subsetting/src/roster.rs
@@ -1,11 +1,11 @@
 //! Which proxy has which ordinal, as decided by the lease holder of the role that manages the roster.
 //!
-//! A proxy uses its ordinal while a control server confirms it, each time for [`LEASE_DURATION`]. A server
-//! confirms only what is committed, and only while its own lease is valid, so it lags behind a change by
-//! [`MEMBER_LEASE`] at most. The manager frees the ordinal of a proxy that had no heartbeat for
-//! [`ABSENT_AFTER`], and assigns a free ordinal again only after [`REUSE_DELAY`], which is longer than both
-//! leases together. Two proxies therefore never use the same ordinal at the same time, whichever proxies,
-//! servers or links are suspended.
+//! A proxy uses its ordinal while a control server confirms it, each time for [`LEASE_DURATION`]. A control
+//! server confirms only ordinals of the committed roster, and only while its own lease is valid, so it lags
+//! behind a change by [`MEMBER_LEASE`] at most. The manager frees the ordinal of a proxy that has sent no
+//! heartbeat for [`ABSENT_AFTER`], and assigns a free ordinal again only after [`REUSE_DELAY`], which is
+//! longer than both leases together. Two proxies therefore never use the same ordinal at the same time,
+//! whichever proxies, control servers or connections are suspended.
 //!
 //! New proxies get free ordinals first and further ones at the end. Remaining gaps are closed: the proxy with
 //! the highest ordinal moves to the lowest free one, one proxy at a time, as a move replaces the complete
@@ -22,7 +22,7 @@
 /// The lease of a member: how far a control server that confirms ordinals may lag behind the committed
 /// roster.
 pub const MEMBER_LEASE: Duration = Duration::from_secs(2);
-/// A proxy counts as gone if no control server had a heartbeat of it for this long.
+/// A proxy counts as gone if no control server has received a heartbeat from it for this long.
 pub const ABSENT_AFTER: Duration = Duration::from_secs(6);
 /// How long an ordinal stays free before it is assigned again: both leases, and a tenth more, as clocks may
 /// differ in rate.
@@ -62,7 +62,7 @@
     roster: Roster,
     /// The roster that was proposed and whose outcome is not reported yet.
     pending: Option<Roster>,
-    /// The last heartbeat of each proxy.
+    /// The time of the last heartbeat of each proxy.
     last_heartbeats: BTreeMap<String, Timestamp>,
     /// When each free ordinal became free.
     free_since: BTreeMap<usize, Timestamp>,
--- a/crates/subsetting/src/slow_start.rs
+++ b/crates/subsetting/src/slow_start.rs
@@ -73,10 +73,10 @@
 /// How much work all proxies together may send one engine while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartLimit {
-    /// The number of its cores: the milliseconds of work that it processes per millisecond after it has
-    /// warmed up.
+    /// The number of cores of the engine: the milliseconds of work that it processes per millisecond after it
+    /// has warmed up.
     pub cores: f64,
-    /// How its capacity grows, and how much load overloads it.
+    /// How the capacity of the engine grows, and how much load overloads it.
     pub settings: SlowStartSettings,
 }
 
