--- a/crates/control-plane/src/cli/args.rs
+++ b/crates/control-plane/src/cli/args.rs
@@ -129,8 +129,8 @@
         #[arg(long, default_value_t = 0)]
         to: u64,
     },
-    /// Raises the term of a role above all terms that proxies have seen. Use it only if the servers that
-    /// granted those terms never run again.
+    /// Raises the term of a role above all terms that proxies have received. Use it only if the servers that
+    /// held the role under those terms never run again.
     TakeOver {
         #[command(flatten)]
         connection: ConnectionArgs,
--- a/crates/control-plane/src/cli/exit.rs
+++ b/crates/control-plane/src/cli/exit.rs
@@ -72,7 +72,7 @@
     #[error(transparent)]
     PrintDocument(TextError),
     /// The value of `--hold` is out of range.
-    #[error("the seconds to hold must be 0 or more")]
+    #[error("the value of --hold must be a number of seconds from 0 to 1e9")]
     InvalidHold,
     /// The control server cannot run.
     #[error(transparent)]
--- a/crates/control-plane/src/cli/members.rs
+++ b/crates/control-plane/src/cli/members.rs
@@ -56,7 +56,7 @@
         let role = match (self.is_leader, self.is_voter) {
             (true, _) => "  leader",
             (false, true) => "",
-            (false, false) => "  catches up",
+            (false, false) => "  catching up",
         };
         format!("{member:>4}  {presence}  {listen:<22}  {operators:<22}  starts {starts}{role}\n")
     }
--- a/crates/control-plane/src/cli/ordinals.rs
+++ b/crates/control-plane/src/cli/ordinals.rs
@@ -30,8 +30,9 @@
         let RosterReport { holder, term, epoch, proxies } = self;
         let free = proxies.iter().filter(|name| name.is_empty()).count();
         let ordinals = proxies.len();
-        let header =
-            format!("kept by member {holder}  term {term}  epoch {epoch}  {ordinals} seats, {free} free\n");
+        let header = format!(
+            "assigned by member {holder}  term {term}  epoch {epoch}  {ordinals} seats, {free} free\n"
+        );
         let line = |(ordinal, name): (usize, &String)| {
             format!("{ordinal:>5}  {}\n", if name.is_empty() { "-" } else { name })
         };
--- a/crates/control-plane/src/cli/proxies.rs
+++ b/crates/control-plane/src/cli/proxies.rs
@@ -54,8 +54,8 @@
     /// Whether another process was granted the proxy's name.
     #[serde(rename = "displaced")]
     is_superseded: bool,
-    /// The term of the configuration role that the proxy has seen, if it is higher than the control server's;
-    /// 0 otherwise.
+    /// The highest term of the configuration role that the proxy has received, if it is higher than the
+    /// control server's; 0 otherwise.
     #[serde(rename = "beyond")]
     newer_term_seen: u64,
 }
@@ -101,10 +101,10 @@
             remarks.push("ahead of this control server".into());
         }
         if self.is_superseded {
-            remarks.push(format!("its name is another's (process {})", self.process));
+            remarks.push(format!("superseded (process {}): another process has its name", self.process));
         }
         if self.newer_term_seen > 0 {
-            remarks.push(format!("has seen a later owner, of term {}", self.newer_term_seen));
+            remarks.push(format!("has received a higher term: {}", self.newer_term_seen));
         }
         if self.rejected > 0 {
             let reason = self.rejection.as_ref().map_or("", |rejection| &rejection.reason);
--- a/crates/control-plane/src/cli/roles.rs
+++ b/crates/control-plane/src/cli/roles.rs
@@ -21,9 +21,10 @@
     term: u64,
     /// The number of changes of the lease holder.
     changes: u64,
-    /// Milliseconds for which the lease holder has held the role, as far as the responding server has seen.
+    /// Milliseconds since the responding server applied the last change of the lease holder; 0 if it has
+    /// applied none since it started.
     held_ms: u64,
-    /// The number of messages under a stale term that the responding server has rejected.
+    /// The number of commands that the responding server has rejected for a stale term since it started.
     #[serde(rename = "stale_refused")]
     stale_rejected: u64,
 }
@@ -79,8 +80,8 @@
     connection.change(output, &call::What::Declare(role.into()), &format!("role '{role}' exists"))
 }
 
-/// Raises the term of a role above all terms that proxies have seen. Its lease holder continues under the new
-/// term.
+/// Raises the term of a role above all terms that proxies have received. Its lease holder continues under the
+/// new term.
 pub(crate) fn take_over(output: Output, connection: &ConnectionArgs, role: &str) -> CommandResult {
     let confirmation = format!("the lease holder of '{role}' continues under a higher term");
     connection.change(output, &call::What::TakeOver(role.into()), &confirmation)
--- a/crates/control-plane/src/client/fencing.rs
+++ b/crates/control-plane/src/client/fencing.rs
@@ -20,8 +20,8 @@
 const MAX_TIMESTAMP: Timestamp = Timestamp::from_millis(u64::MAX);
 
 impl ConfigSubscriber {
-    /// Applies a message, or rejects it if it was sent under a term of the role lower than the highest seen.
-    /// If its term must be stored first, the message is applied after that.
+    /// Applies a message, or rejects it if it was sent under a lower term of the role than the highest one
+    /// received. If its term must be stored first, the message is applied after that.
     pub(super) fn check_fencing(&self, role: &str, term: u64, message: FencedMessage) {
         let actions = lock(&self.state).fencing.check(role, term, message);
         self.execute_fencing_actions(actions);
--- a/crates/control-plane/src/client/session.rs
+++ b/crates/control-plane/src/client/session.rs
@@ -154,7 +154,7 @@
         }
         if self.phase == Phase::AwaitingWelcome {
             let (server, lineage, member) = (self.server, welcome.lineage, welcome.member);
-            tracing::info!(%server, lineage, member, "connected to a server");
+            tracing::info!(%server, lineage, member, "connected to a control server");
             self.phase = Phase::Established;
         }
         self.subscriber.on_welcome(self.stream, welcome)
--- a/crates/control-plane/src/client/status.rs
+++ b/crates/control-plane/src/client/status.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns the version in force, its age, and whether the proxy follows the leader, as one line.
+    /// Returns the version in force, its age, and whether the proxy follows the lease holder, as one line.
     pub fn status_line(&self) -> String {
         let state = lock(&self.state);
         let following = if self.is_following.load(Ordering::Relaxed) { "following" } else { "no service" };
--- a/crates/control-plane/src/client/stream.rs
+++ b/crates/control-plane/src/client/stream.rs
@@ -27,8 +27,8 @@
             let was_following = self.end_stream(stream);
             let reconnect = lock(&self.state).discovery.on_disconnect();
             let healthy_for = if reconnect == Reconnect::Promptly {
-                // The lease holder is known and was not tried yet, so the backoff is reset. The first delay
-                // is still random, so that many proxies do not connect at the same moment.
+                // The server named a lease holder that was not tried yet, so the backoff is reset. The first
+                // delay is still random, so that many proxies do not connect at the same moment.
                 Duration::MAX
             } else if was_following {
                 started_at.elapsed()
--- a/crates/control-plane/src/raft/driver/leadership.rs
+++ b/crates/control-plane/src/raft/driver/leadership.rs
@@ -18,8 +18,8 @@
     /// Does the work that depends on the time: due proposals, this member's lease, and the leader's tasks.
     ///
     /// With `all_roles` it also checks the holder of each role and looks for stalled hand-overs. That is done
-    /// only at ticks and after changes, because otherwise each message of an idle group would iterate over up
-    /// to a thousand roles.
+    /// only at ticks and after changes: a group may have thousands of roles, and iterating over them after
+    /// each message would be costly even for an idle group.
     pub(super) fn maintain_leases(&mut self, all_roles: bool) {
         let now = clock::now();
         self.propose_due(now);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Proposes the new descriptions, with addresses, of members that have restarted since the last one was
+    /// Proposes the new addresses and start numbers of members that have restarted since theirs were last
     /// committed.
     fn propose_restarted_members(&mut self) {
         let members = {
@@ -133,11 +133,11 @@
     }
 
     fn grant_lease(&self, member: u64, number: u64) {
-        let applied = self.raw_node.raft.raft_log.committed;
+        let committed_index = self.raw_node.raft.raft_log.committed;
         if member == self.replica.own_member.number {
-            self.replica.lock_state().lease.on_granted(number, applied);
+            self.replica.lock_state().lease.on_granted(number, committed_index);
         } else {
-            let granted = Renewed { member, number, applied };
+            let granted = Renewed { member, number, applied: committed_index };
             self.replica.links.send(member, Said::Renewed(granted));
         }
     }
--- a/crates/control-plane/src/raft/driver/mod.rs
+++ b/crates/control-plane/src/raft/driver/mod.rs
@@ -165,7 +165,7 @@
         if self.keys_checked_at.elapsed() >= KEY_RELOAD_INTERVAL {
             self.keys_checked_at = Instant::now();
             if let Some(tls) = self.replica.tls() {
-                tls.keys.reload_if_changed();
+                tls.config.reload_if_changed();
             }
         }
         true
--- a/crates/control-plane/src/raft/recovery.rs
+++ b/crates/control-plane/src/raft/recovery.rs
@@ -137,7 +137,7 @@
 fn store_rejected(path: &Path, source: StoreRejected, has_peers: bool) -> ReplicaError {
     let remedy = match has_peers {
         true => "remove this member with `members remove`, and add a new one with an empty store",
-        false => "if whoever used it is gone for good, start with `serve --restored`",
+        false => "if the control server that used it before never runs again, start with `serve --restored`",
     };
     ReplicaError::StoreRejected { path: path.to_owned(), source, remedy }
 }
--- a/crates/control-plane/src/raft/replica.rs
+++ b/crates/control-plane/src/raft/replica.rs
@@ -23,11 +23,11 @@
 /// member replaces them.
 const MAX_PRESENCE_REPORTS: usize = 64;
 
-/// The TLS configuration with which this member connects to other members.
+/// The TLS configuration with which this member connects to the other members.
 pub(crate) struct PeerTls {
-    pub(crate) keys: ClientTls,
-    /// The name that the other members' certificates carry.
-    pub(crate) service_name: String,
+    pub(crate) config: ClientTls,
+    /// The name that the other members' certificates must contain.
+    pub(crate) server_name: String,
 }
 
 /// The replica of the group's state on this member.
@@ -101,12 +101,12 @@
         self.lock_state().voters.len() == 1
     }
 
-    /// The number of the Raft leader; [`NO_MEMBER`] if none is known.
+    /// The number of the Raft leader; [`NO_MEMBER`] if this member knows of none.
     pub fn leader(&self) -> u64 {
         self.lock_state().leader
     }
 
-    /// A member with the addresses of its latest known start; `None` for an unknown number.
+    /// A member with the addresses of its latest recorded start; `None` if no member has this number.
     pub fn member(&self, number: u64) -> Option<Member> {
         let state = self.lock_state();
         state.peers.member(&state.group, number)
@@ -122,9 +122,9 @@
         self.lock_state().role_report(clock::now())
     }
 
-    /// The server name that the certificates of other members must carry; `None` without TLS.
+    /// The name that the certificates of the other members must contain; `None` without TLS.
     pub fn peer_name(&self) -> Option<&str> {
-        self.tls.as_ref().map(|tls| tls.service_name.as_str())
+        self.tls.as_ref().map(|tls| tls.server_name.as_str())
     }
 
     // Leases.
--- a/crates/control-plane/src/raft/replica_thread.rs
+++ b/crates/control-plane/src/raft/replica_thread.rs
@@ -40,7 +40,7 @@
 ///
 /// If the TLS keys or the store cannot be used.
 pub fn open(settings: ReplicaSettings) -> Result<(Arc<Replica>, ReplicaThread), ReplicaError> {
-    let tls = settings.keys.as_ref().map(load_keys).transpose()?;
+    let tls = settings.tls.as_ref().map(load_peer_tls).transpose()?;
     let recovered = RecoveredState::open(&settings)?;
     let own = process_member(&settings, recovered.boot);
     // Lease request numbers start from the number of this process start, so that none is reused after a
@@ -54,8 +54,11 @@
     Ok((replica, thread))
 }
 
-fn load_keys(keys: &TlsIdentity) -> Result<PeerTls, TlsError> {
-    Ok(PeerTls { keys: ClientTls::load(keys.files.clone())?, service_name: keys.server_name.clone() })
+fn load_peer_tls(identity: &TlsIdentity) -> Result<PeerTls, TlsError> {
+    Ok(PeerTls {
+        config: ClientTls::load(identity.files.clone())?,
+        server_name: identity.server_name.clone(),
+    })
 }
 
 impl ReplicaThread {
--- a/crates/control-plane/src/raft/request.rs
+++ b/crates/control-plane/src/raft/request.rs
@@ -60,7 +60,7 @@
     Propose { command: Box<Command>, responder: Responder },
     /// Add a member to the group.
     AddMember { member: Member, responder: Responder },
-    /// Remove a member from the group for good.
+    /// Remove a member from the group permanently.
     RemoveMember { member: u64, responder: Responder },
     /// Process a Raft message of another member.
     Step(Box<Message>),
--- a/crates/control-plane/src/raft/settings.rs
+++ b/crates/control-plane/src/raft/settings.rs
@@ -16,10 +16,10 @@
     /// The path of the store file.
     pub store: PathBuf,
     /// Whether to use the store even if it is a copy or older than its generation file. With it the operator
-    /// confirms that the previous user of the store will not return.
+    /// confirms that the process that used the store before never runs again.
     pub restored: bool,
     /// The TLS identity for connections to other members; `None` connects without TLS.
-    pub keys: Option<TlsIdentity>,
+    pub tls: Option<TlsIdentity>,
     /// The seed of random draws and of this process's nonce; must differ between processes.
     pub seed: u64,
 }
--- a/crates/control-plane/src/raft/state.rs
+++ b/crates/control-plane/src/raft/state.rs
@@ -17,7 +17,7 @@
     pub(crate) applied_index: u64,
     /// The lease of this member, which covers all its roles.
     pub(crate) lease: LeaseSession,
-    /// The Raft leader; [`NO_MEMBER`] if none is known.
+    /// The number of the Raft leader; [`NO_MEMBER`] if this member knows of none.
     pub(crate) leader: u64,
     /// The members that vote. The remaining members are learners that are catching up.
     pub(crate) voters: BTreeSet<u64>,
--- a/crates/control-plane/src/raft/transport/outbound.rs
+++ b/crates/control-plane/src/raft/transport/outbound.rs
@@ -109,7 +109,7 @@
     fn open(replica: &'a Arc<Replica>, member: u64) -> Result<Self, OutboundError> {
         let address = replica.address(member).ok_or(OutboundError::UnknownAddress)?;
         let socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
-        let tls = replica.tls().map(|tls| (ClientTls::current(&tls.keys), tls.service_name.as_str()));
+        let tls = replica.tls().map(|tls| (ClientTls::current(&tls.config), tls.server_name.as_str()));
         let mut connection = FramedConnection::from_connected(socket, tls)?;
         replica.links.on_opened(member, connection.waker());
         let hello = PeerHello {
--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -47,13 +47,13 @@
 }
 
 /// The status of a connected proxy that the rollout does not manage, because another process holds its name
-/// or it has seen a later term; `None` for any other proxy.
+/// or it has received a higher term; `None` for any other proxy.
 fn unmanaged_proxy_status(state: &ServerState, id: SessionId, proxy: &ConnectedProxy) -> Option<Proxy> {
     let hello = &proxy.hello;
     let displaced = !state.identities.is_holder(&hello.proxy, id);
     let term = state.rollout_lease.acting_term.unwrap_or(0);
-    let newer_term = Some(proxy.highest_term_seen()).filter(|seen| *seen > term);
-    (displaced || newer_term.is_some()).then(|| Proxy {
+    let higher_term = Some(proxy.highest_term()).filter(|highest| *highest > term);
+    (displaced || higher_term.is_some()).then(|| Proxy {
         name: hello.proxy.clone(),
         connected: true,
         build: hello.build.clone(),
@@ -61,7 +61,7 @@
         incarnation: hello.incarnation,
         name_term: hello.name_term,
         displaced,
-        beyond: newer_term.unwrap_or(0),
+        beyond: higher_term.unwrap_or(0),
         ..Proxy::default()
     })
 }
--- a/crates/control-plane/src/server/admin/group.rs
+++ b/crates/control-plane/src/server/admin/group.rs
@@ -51,8 +51,8 @@
         await_outcome(|responder| self.propose(role, 0, What::Declare(Declare {}), responder))
     }
 
-    /// Raises the term of a role above the terms that proxies have seen. With this call the operator confirms
-    /// that the lease holders of those terms will not return.
+    /// Raises the term of a role above the terms that proxies have received. With this call the operator
+    /// confirms that the lease holders of those terms never run again.
     pub(super) fn take_over(&self, role: &str) -> CallResult {
         let term = self.require_lease(role)?;
         self.lock_suspension_detector().clear();
@@ -61,12 +61,12 @@
         await_outcome(|responder| self.propose(role, term, What::Raise(above), responder))
     }
 
-    /// The highest term that a proxy has seen, at least `term`. Terms more than [`MAX_TERM_RAISE`] above
+    /// The highest term that a proxy has received, at least `term`. Terms more than [`MAX_TERM_RAISE`] above
     /// `term` are ignored as corrupt.
     fn highest_credible_term(&self, term: u64) -> u64 {
         let state = self.lock_state();
-        let terms = state.sessions.values().map(Session::highest_term_seen);
-        let credible = terms.filter(|seen| seen.saturating_sub(term) <= MAX_TERM_RAISE);
+        let terms = state.sessions.values().map(Session::highest_term);
+        let credible = terms.filter(|highest| highest.saturating_sub(term) <= MAX_TERM_RAISE);
         credible.max().unwrap_or(0).max(term)
     }
 }
--- a/crates/control-plane/src/server/admin/mod.rs
+++ b/crates/control-plane/src/server/admin/mod.rs
@@ -67,8 +67,8 @@
     let Some(from_client::Said::Call(call)) = message.said else {
         return Err(SessionError::UnexpectedMessage);
     };
-    let reply = Reply { what: Some(context.response_to(call)) };
-    connection.send(&FromService { said: Some(from_service::Said::Reply(reply)) })?;
+    let response = Reply { what: Some(context.response_to(call)) };
+    connection.send(&FromService { said: Some(from_service::Said::Reply(response)) })?;
     connection.pump()?;
     Ok(true)
 }
@@ -82,7 +82,7 @@
         result.unwrap_or_else(reply::What::from)
     }
 
-    /// Executes a call. Calls that propose a command block the coroutine until its result is known.
+    /// Executes a call. Calls that propose a command block the coroutine until the command has a result.
     fn execute(&self, request: call::What) -> CallResult {
         match request {
             call::What::Publish(publish) => self.publish(publish),
--- a/crates/control-plane/src/server/admin/outcome.rs
+++ b/crates/control-plane/src/server/admin/outcome.rs
@@ -38,8 +38,8 @@
 pub(super) type CallResult = Result<reply::What, CallFailure>;
 
 impl ServerContext {
-    /// Returns the term under which this server holds the lease of a role. Otherwise fails with the address
-    /// of the lease holder, or as unavailable if no holder is known.
+    /// Returns the term under which this server holds the lease of a role. Otherwise fails with the addresses
+    /// of the lease holder, or as unavailable if this server knows of no lease holder.
     pub(super) fn require_lease(&self, role: &str) -> Result<u64, CallFailure> {
         if let Some(term) = self.replica.acting_term(role) {
             return Ok(term);
--- a/crates/control-plane/src/server/admin/versions.rs
+++ b/crates/control-plane/src/server/admin/versions.rs
@@ -46,8 +46,8 @@
         }
         check_plan(new.plan.get_or_insert_default())?;
         let term = self.require_lease(CONFIGURATION_ROLE)?;
-        self.check_no_newer_term(&self.lock_state(), term)
-            .map_err(|newer| CallFailure::Rejected(newer.to_string()))?;
+        self.check_no_higher_term(&self.lock_state(), term)
+            .map_err(|higher| CallFailure::Rejected(higher.to_string()))?;
         self.check_not_superseded_while_suspended()?;
         let new = self.complete_new_version(&self.lock_state(), new);
         await_outcome(|responder| self.propose(CONFIGURATION_ROLE, term, What::Version(new), responder))
--- a/crates/control-plane/src/server/maintenance.rs
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -51,7 +51,7 @@
         }
         tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
         // The proxies may already follow another server. Their next hello contains the highest term that they
-        // have seen.
+        // have received.
         for session in state.sessions.values_mut().filter(|session| session.proxy.is_some()) {
             session.close_requested = true;
         }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -79,7 +79,7 @@
         joins: settings.joins,
         store: settings.store.clone(),
         restored: settings.restored,
-        keys: keys.map(|keys| TlsIdentity {
+        tls: keys.map(|keys| TlsIdentity {
             files: keys.proxies.clone(),
             server_name: settings.service_name.clone(),
         }),
--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -10,7 +10,7 @@
 
 use crate::clock;
 use crate::server::error::SessionError;
-use crate::server::state::{ConnectedProxy, ServerContext, ServerState, SessionId, highest_term_seen};
+use crate::server::state::{ConnectedProxy, ServerContext, ServerState, SessionId, highest_term};
 
 /// The maximum length of a proxy's name, of its build, and of an operator's name.
 pub(crate) const MAX_NAME_BYTES: usize = 128;
@@ -29,7 +29,7 @@
 fn log_hello(hello: &Hello) {
     let version = hello.in_force.as_ref().map_or(0, |version| version.number);
     let (proxy, incarnation, build) = (&hello.proxy, hello.incarnation, &hello.build);
-    tracing::info!(proxy, version, incarnation, seen = highest_term_seen(hello), build, "proxy connected");
+    tracing::info!(proxy, version, incarnation, seen = highest_term(hello), build, "proxy connected");
 }
 
 fn claim_request(hello: &Hello, term: u64, stream: SessionId) -> ClaimRequest<'_> {
@@ -103,7 +103,7 @@
 
     /// Clears the suspension if the proxy of this session follows this server.
     ///
-    /// A proxy that sends figures has read this server's welcome. If it has seen no later term, no other
+    /// A proxy that sends figures has read this server's welcome. If it has received no higher term, no other
     /// server has superseded this one during the suspension. A hello does not prove that, as it may have been
     /// queued while the process was suspended.
     fn clear_suspension_if_followed(&self, state: &ServerState, id: SessionId) {
@@ -111,7 +111,7 @@
         let follows = state
             .sessions
             .get(id)
-            .is_some_and(|session| !session.close_requested && session.highest_term_seen() <= term);
+            .is_some_and(|session| !session.close_requested && session.highest_term() <= term);
         if follows {
             self.lock_suspension_detector().clear();
         }
--- a/crates/control-plane/src/server/publication.rs
+++ b/crates/control-plane/src/server/publication.rs
@@ -11,13 +11,14 @@
 
 use crate::server::state::{ServerContext, ServerState};
 
-/// At least half of the connected proxies have seen a later term than that of the publication.
+/// The error if at least half of the connected proxies have received a higher term than that of the
+/// publication. Its text is sent to the operator.
 #[derive(Debug, thiserror::Error)]
 #[error(
     "proxies follow an owner of term {highest}, this one's is {term}: if that owner is gone for good, \
      `take-over {CONFIGURATION_ROLE}`"
 )]
-pub(crate) struct NewerTermSeen {
+pub(crate) struct HigherTerm {
     highest: u64,
     term: u64,
 }
@@ -42,15 +43,15 @@
         }
     }
 
-    /// Rejects a publication if the proxies follow a lease holder of a later term: only that holder may
+    /// Rejects a publication if the proxies follow a lease holder of a higher term: only that holder may
     /// publish to them.
-    pub(crate) fn check_no_newer_term(&self, state: &ServerState, term: u64) -> Result<(), NewerTermSeen> {
-        let terms = state.sessions.proxies().map(|(_, proxy)| proxy.highest_term_seen());
-        let (newer_terms, other_terms): (Vec<u64>, Vec<u64>) = terms.partition(|seen| *seen > term);
-        match newer_terms.iter().max() {
-            // A minority of proxies with a newer term does not block changes for the fleet.
-            Some(highest) if newer_terms.len() >= other_terms.len() => {
-                Err(NewerTermSeen { highest: *highest, term })
+    pub(crate) fn check_no_higher_term(&self, state: &ServerState, term: u64) -> Result<(), HigherTerm> {
+        let terms = state.sessions.proxies().map(|(_, proxy)| proxy.highest_term());
+        let (higher_terms, other_terms): (Vec<u64>, Vec<u64>) = terms.partition(|highest| *highest > term);
+        match higher_terms.iter().max() {
+            // A minority of proxies with a higher term does not block changes for the fleet.
+            Some(highest) if higher_terms.len() >= other_terms.len() => {
+                Err(HigherTerm { highest: *highest, term })
             }
             _ => Ok(()),
         }
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -96,15 +96,20 @@
         state.rollout_lease.rollout.discard_below(oldest);
     }
 
-    /// Adds a proxy to the rollout if its process holds its name and it has seen no later term.
+    /// Adds a proxy to the rollout if its process holds its name and it has received no higher term.
     pub(crate) fn register_proxy(&self, state: &mut ServerState, id: SessionId) {
         let Some(proxy) = state.identified_proxy(id) else { return };
         let (hello, updated_at) = (proxy.hello.clone(), proxy.updated_at);
-        let highest_seen = proxy.highest_term_seen();
-        let superseded_term = state.rollout_lease.acting_term.filter(|term| highest_seen > *term);
+        let highest_term = proxy.highest_term();
+        let superseded_term = state.rollout_lease.acting_term.filter(|term| highest_term > *term);
         if let Some(term) = superseded_term.filter(|_| !crate::failpoints::is_check_disabled("owner")) {
-            tracing::warn!(proxy = hello.proxy, seen = highest_seen, term, "the proxy has seen a newer term");
-            self.raise_term_of_restored_store(highest_seen, term);
+            tracing::warn!(
+                proxy = hello.proxy,
+                seen = highest_term,
+                term,
+                "the proxy has received a higher term"
+            );
+            self.raise_term_of_restored_store(highest_term, term);
             return;
         }
         let in_force = self.reported_version(&hello);
@@ -129,11 +134,11 @@
         }
     }
 
-    /// With a store that an operator declared restored, raises the term above the one that a proxy has seen:
-    /// the operator has confirmed that the previous user of the store will not return.
-    fn raise_term_of_restored_store(&self, highest_seen: u64, term: u64) {
-        if self.store_restored && highest_seen - term <= MAX_TERM_RAISE {
-            self.propose(CONFIGURATION_ROLE, term, What::Raise(highest_seen), Box::new(|_| {}));
+    /// With a store that an operator declared restored, raises the term above the one that a proxy has
+    /// received: the operator has confirmed that the process that used the store before never runs again.
+    fn raise_term_of_restored_store(&self, highest_term: u64, term: u64) {
+        if self.store_restored && highest_term - term <= MAX_TERM_RAISE {
+            self.propose(CONFIGURATION_ROLE, term, What::Raise(highest_term), Box::new(|_| {}));
         }
     }
 
@@ -180,9 +185,9 @@
             hello.in_force = version;
         }
         // The proxy has stored the term of the offer that it acknowledged.
-        let seen_term = hello.seen.iter_mut().find(|seen| seen.duty == CONFIGURATION_ROLE);
-        if let (Some(seen_term), Some(term)) = (seen_term, term) {
-            seen_term.term = seen_term.term.max(term);
+        let highest = hello.seen.iter_mut().find(|role| role.duty == CONFIGURATION_ROLE);
+        if let (Some(highest), Some(term)) = (highest, term) {
+            highest.term = highest.term.max(term);
         }
     }
 
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -2,7 +2,7 @@
 //! which makes the decisions. Every member sends the ordinals of the committed roster to its own proxies.
 //!
 //! Members report the proxies that are connected to them to the lease holder. The roster is committed by the
-//! group, so every member knows it.
+//! group, so every member has it.
 
 use std::time::Duration;
 
--- a/crates/control-plane/src/server/session.rs
+++ b/crates/control-plane/src/server/session.rs
@@ -99,8 +99,8 @@
                     self.send(from_service::Said::PeerWelcome(welcome))?;
                 }
             }
-            (Some(from_client::Said::Answer(answer)), Remote::Proxy(name)) => {
-                self.context.on_offer_response(name, self.id, answer);
+            (Some(from_client::Said::Answer(response)), Remote::Proxy(name)) => {
+                self.context.on_offer_response(name, self.id, response);
             }
             (Some(from_client::Said::Figures(figures)), Remote::Proxy(name)) => {
                 let responses = self.context.on_figures(name, self.id, &figures);
@@ -134,8 +134,8 @@
         }
     }
 
-    /// With TLS, the peer's certificate must carry the name, so that the key of one proxy cannot be used for
-    /// another.
+    /// With TLS, the peer's certificate must contain the name, so that the key of one proxy cannot be used
+    /// for another.
     fn check_certificate(&self, name: Option<&str>) -> Result<(), SessionError> {
         let Some(certificate) = self.connection.peer_certificate() else { return Ok(()) };
         if name.is_some_and(|name| tls::certificate_is_valid_for(certificate, name)) {
--- a/crates/control-plane/src/server/settings.rs
+++ b/crates/control-plane/src/server/settings.rs
@@ -7,9 +7,9 @@
 
 use crate::transport::tls::{self, TlsError, TlsFiles};
 
-/// The default of the minimum number of retained versions.
+/// The default of [`Settings::retained_versions`].
 const DEFAULT_RETAINED_VERSIONS: u32 = 100;
-/// The default of the maximum number of concurrent streams.
+/// The default of [`Settings::max_streams`].
 const DEFAULT_MAX_STREAMS: u32 = 4_096;
 /// The default of the member number, for a server that is a group of one.
 const DEFAULT_MEMBER_NUMBER: u64 = 1;
@@ -56,7 +56,8 @@
     pub store: PathBuf,
     /// The TLS keys; `None` serves without TLS, on loopback addresses only.
     pub keys: Option<ListenerKeys>,
-    /// The minimum number of versions to retain, at least 1.
+    /// The number of newest versions to retain, at least 1. Older ones are retained only while a proxy has
+    /// them in force or a rollback would restore them.
     pub retained_versions: u32,
     /// The maximum number of concurrent streams, at least 1.
     pub max_streams: usize,
@@ -64,7 +65,7 @@
     pub member: Member,
     /// Whether this server starts with an empty store and waits to be added to a group.
     pub joins: bool,
-    /// The server name that the certificates of the other members must carry.
+    /// The name that the certificates of the other members must contain.
     pub service_name: String,
     /// Whether to use the store even if it is a copy or older than its generation file; set by the option
     /// `--restored`.
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -1,7 +1,7 @@
 //! The state that the modules of a control server share.
 //!
-//! Locks are acquired in this order: the server's state, the pause detector, the locks of the replica. No
-//! lock is held while waiting for a connection.
+//! Locks are acquired in this order: the server's state, the suspension detector, the locks of the replica.
+//! No lock is held while a coroutine waits for a connection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -34,15 +34,15 @@
 }
 
 impl ConnectedProxy {
-    /// The highest term of the configuration role that the proxy has seen.
-    pub(crate) fn highest_term_seen(&self) -> u64 {
-        highest_term_seen(&self.hello)
+    /// The highest term of the configuration role that the proxy has received.
+    pub(crate) fn highest_term(&self) -> u64 {
+        highest_term(&self.hello)
     }
 }
 
 /// The highest term of the configuration role in a hello; 0 if there is none.
-pub(crate) fn highest_term_seen(hello: &Hello) -> u64 {
-    let terms = hello.seen.iter().filter(|seen| seen.duty == CONFIGURATION_ROLE).map(|seen| seen.term);
+pub(crate) fn highest_term(hello: &Hello) -> u64 {
+    let terms = hello.seen.iter().filter(|role| role.duty == CONFIGURATION_ROLE).map(|role| role.term);
     terms.max().unwrap_or(0)
 }
 
@@ -75,9 +75,9 @@
         std::mem::take(&mut self.outbound)
     }
 
-    /// The highest term of the configuration role that the proxy has seen; 0 before its hello.
-    pub(crate) fn highest_term_seen(&self) -> u64 {
-        self.proxy.as_ref().map_or(0, ConnectedProxy::highest_term_seen)
+    /// The highest term of the configuration role that the proxy has received; 0 before its hello.
+    pub(crate) fn highest_term(&self) -> u64 {
+        self.proxy.as_ref().map_or(0, ConnectedProxy::highest_term)
     }
 }
 
@@ -197,12 +197,12 @@
     /// The replicated state of the group, and the leases.
     pub(crate) replica: Arc<Replica>,
     suspension_detector: Mutex<SuspensionDetector>,
-    /// The minimum number of versions to retain.
+    /// The number of newest versions to retain; older ones are retained only while they are needed.
     pub(crate) retained_versions: u32,
     /// The maximum number of concurrent sessions.
     pub(crate) max_sessions: usize,
-    /// Whether the operator has confirmed, with `--restored`, that the previous user of the store will not
-    /// return.
+    /// Whether the operator has confirmed, with `--restored`, that the process that used the store before
+    /// never runs again.
     pub(crate) store_restored: bool,
     weak_self: Weak<ServerContext>,
 }
