--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -134,7 +134,7 @@
         let mut state = self.lock_state();
         match state.roster.managed.as_mut().filter(|managed| managed.term == term) {
             Some(managed) if is_current => {
-                managed.manager.change_decided(clock::now(), proposed.epoch, true);
+                managed.manager.on_change_decided(clock::now(), proposed.epoch, true);
             }
             // The proposal may still be committed, or another one was: resumes from the committed roster.
             Some(_) => state.roster.managed = None,
--- a/crates/subsetting/src/roster.rs
+++ b/crates/subsetting/src/roster.rs
@@ -163,7 +163,7 @@
     }
 
     /// Processes the outcome of the proposal with this epoch: whether it was committed.
-    pub fn change_decided(&mut self, now: Timestamp, epoch: u64, committed: bool) {
+    pub fn on_change_decided(&mut self, now: Timestamp, epoch: u64, committed: bool) {
         if self.pending.as_ref().is_none_or(|pending| pending.epoch != epoch) {
             return;
         }
--- a/crates/subsetting/tests/roster.rs
+++ b/crates/subsetting/tests/roster.rs
@@ -15,7 +15,7 @@
 fn settle(manager: &mut RosterManager, now: Timestamp) -> u64 {
     let before = manager.roster().epoch;
     while let Some(next) = manager.next_change(now) {
-        manager.change_decided(now, next.epoch, true);
+        manager.on_change_decided(now, next.epoch, true);
     }
     manager.roster().epoch - before
 }
@@ -65,7 +65,7 @@
     let next = manager.next_change(now).unwrap();
     assert_eq!(next.names, ["f", "", "c", "", "", ""], "one proxy moves");
     assert_eq!(manager.next_change(now), None, "one change at a time");
-    manager.change_decided(now, next.epoch, true);
+    manager.on_change_decided(now, next.epoch, true);
     settle(&mut manager, now);
     assert_eq!(names(&manager), "fc----", "the delay applies to ordinals of moved proxies too");
     let later = now + REUSE_DELAY + MILLISECOND;
@@ -79,7 +79,7 @@
     let mut manager = RosterManager::resume(START, Roster::default());
     manager.record_heartbeats(START, ["a", "b"].into_iter());
     let next = manager.next_change(START).unwrap();
-    manager.change_decided(START + MILLISECOND, next.epoch, false);
+    manager.on_change_decided(START + MILLISECOND, next.epoch, false);
     assert_eq!(names(&manager), "");
     settle(&mut manager, START + 2 * MILLISECOND);
     let absent = START + ABSENT_AFTER;
