--- a/crates/control-plane/src/raft/replica_thread.rs
+++ b/crates/control-plane/src/raft/replica_thread.rs
@@ -105,7 +105,7 @@
     let mut state = replica.lock_state();
     state.store_failure = Some(error.to_string());
     state.leader = NO_MEMBER;
-    state.lease.store_failed(clock::now());
+    state.lease.on_store_failure(clock::now());
 }
 
 /// Rejects all requests during the given time, because there is no usable store.
--- a/crates/leadership/src/lease/session.rs
+++ b/crates/leadership/src/lease/session.rs
@@ -49,7 +49,7 @@
 
     /// Gives up the lease after a failure of the store. The member requests a lease again only after
     /// [`LeaseTiming::probation`].
-    pub fn store_failed(&mut self, now: Timestamp) {
+    pub fn on_store_failure(&mut self, now: Timestamp) {
         self.expires_at = None;
         self.requested_at.clear();
         self.next_request_at = Some(now + self.timing.probation);
--- a/crates/leadership/tests/lease.rs
+++ b/crates/leadership/tests/lease.rs
@@ -53,13 +53,13 @@
 fn a_member_whose_store_fails_repeatedly_never_requests_a_lease() {
     let mut session = LeaseSession::new(LeaseTiming::default(), 0);
     let requested = session.next_request(at(0)).unwrap();
-    session.store_failed(at(100));
+    session.on_store_failure(at(100));
     session.on_granted(requested, 0);
     assert!(!session.may_act(at(101), 0, "d", 1), "a request from before the failure is not granted");
     for failure in 1..50 {
         let now = at(100 + failure * 1_000);
         assert_eq!(session.next_request(now), None);
-        session.store_failed(now);
+        session.on_store_failure(now);
     }
     assert!(
         session.next_request(at(49_100 + 5_000)).is_some(),
