--- a/crates/control-plane/src/server/proxy_session.rs
+++ b/crates/control-plane/src/server/proxy_session.rs
@@ -123,7 +123,7 @@
         let mut state = self.lock_state();
         let Some(ConnectedProxy { hello, .. }) = state.sessions.close(id) else { return };
         let was_holder = state.identities.is_holder(&hello.proxy, id);
-        state.identities.disconnected(clock::now(), id);
+        state.identities.on_disconnected(clock::now(), id);
         if was_holder {
             self.handle_rollout_event(&mut state, Event::Disconnected { proxy: hello.proxy, stream: id });
         }
--- a/crates/leadership/src/identity.rs
+++ b/crates/leadership/src/identity.rs
@@ -127,7 +127,7 @@
     }
 
     /// Records that a stream was closed.
-    pub fn disconnected(&mut self, now: Timestamp, stream: u64) {
+    pub fn on_disconnected(&mut self, now: Timestamp, stream: u64) {
         self.superseded.remove(&stream);
         let open = Connection::Open(stream);
         if let Some(registration) =
--- a/crates/leadership/tests/identity.rs
+++ b/crates/leadership/tests/identity.rs
@@ -22,10 +22,10 @@
         registry.superseded().collect::<Vec<_>>(),
         [SupersededProcess { stream: 1, name: "n0", incarnation: 7 }]
     );
-    registry.disconnected(at(2), 1);
+    registry.on_disconnected(at(2), 1);
     assert_eq!(registry.claim(at(3), claim("n0", 7, 1, 3)), Claim::Superseded { term: 2, by: 8 });
     assert!(registry.is_holder("n0", 2) && !registry.is_holder("n0", 3));
-    registry.disconnected(at(4), 2);
+    registry.on_disconnected(at(4), 2);
     assert_eq!(
         registry.claim(at(5), claim("n0", 7, 1, 4)),
         Claim::Superseded { term: 2, by: 8 },
