--- a/crates/leadership/src/peer_directory.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -41,14 +41,14 @@
     UnknownMember(u64),
     /// A later start of the peer is recorded, so that the peer may have lost its vote. It must stop.
     #[error(
-        "a later start of member {member} is known (number {known_boot}, this is number {announced_boot}): \
+        "a later start of member {member} is known (number {recorded_boot}, this is number {announced_boot}): \
          its store is older than what it has told. Remove the member, and add a new one with an empty store"
     )]
     StaleStart {
         /// Number of the member.
         member: u64,
         /// Number of the latest recorded start.
-        known_boot: u64,
+        recorded_boot: u64,
         /// Number of the start that the peer announced.
         announced_boot: u64,
     },
@@ -140,7 +140,7 @@
         match is_stale_start(process_start(latest), process_start(&from)) {
             true => Err(PeerRejected::StaleStart {
                 member: from.number,
-                known_boot: latest.boot,
+                recorded_boot: latest.boot,
                 announced_boot: from.boot,
             }),
             false => Ok(()),
--- a/crates/leadership/tests/peer_directory.rs
+++ b/crates/leadership/tests/peer_directory.rs
@@ -28,7 +28,7 @@
     let check = |hello: PeerHello| directory.check_hello(&state, &hello);
     assert_eq!(check(hello(member(2, 3), 1)), Ok(()));
     assert_eq!(check(hello(member(2, 4), 1)), Ok(()), "a later start is accepted");
-    let stale_start = PeerRejected::StaleStart { member: 2, known_boot: 3, announced_boot: 2 };
+    let stale_start = PeerRejected::StaleStart { member: 2, recorded_boot: 3, announced_boot: 2 };
     assert_eq!(check(hello(member(2, 2), 1)), Err(stale_start.clone()));
     assert!(stale_start.is_fatal());
     assert!(PeerRejected::Removed(3).is_fatal());
