--- a/crates/config/src/rollout/mod.rs
+++ b/crates/config/src/rollout/mod.rs
@@ -130,7 +130,7 @@
             Event::Published { number, plan, rolls_back_to } => {
                 self.on_published(number, plan, Purpose::of(rolls_back_to), &mut actions);
             }
-            Event::Connected(hello) => self.on_connected(now, hello),
+            Event::Connected(report) => self.on_connected(now, report),
             Event::Disconnected { proxy, stream } => self.on_disconnected(now, &proxy, stream),
             Event::Responded { proxy, stream, nonce, refusal } => {
                 self.on_responded(now, &proxy, stream, nonce, refusal);
@@ -160,9 +160,9 @@
         self.versions.insert(number, VersionRollout::new(plan, purpose));
     }
 
-    fn on_connected(&mut self, now: Timestamp, hello: ConnectedProxy) {
-        self.highest_reported = self.highest_reported.max(hello.in_force.number());
-        self.proxies.entry(hello.proxy.clone()).or_default().connect(now, hello);
+    fn on_connected(&mut self, now: Timestamp, report: ConnectedProxy) {
+        self.highest_reported = self.highest_reported.max(report.in_force.number());
+        self.proxies.entry(report.proxy.clone()).or_default().connect(now, report);
     }
 
     fn on_disconnected(&mut self, now: Timestamp, name: &str, stream: u64) {
--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -73,16 +73,16 @@
 
     /// Resets the status for a new stream. Only the last rejection is kept, for display: a restarted proxy
     /// may accept a version that it rejected before.
-    pub(super) fn connect(&mut self, now: Timestamp, hello: ConnectedProxy) {
+    pub(super) fn connect(&mut self, now: Timestamp, report: ConnectedProxy) {
         *self = ProxyStatus {
-            stream: Some(hello.stream),
-            build: hello.build,
-            in_force: hello.in_force.number(),
+            stream: Some(report.stream),
+            build: report.build,
+            in_force: report.in_force.number(),
             // The time that the proxy reports counts, so that a change of the control server does not restart
             // the wait of a stage.
-            in_force_since: now - hello.in_force_for,
+            in_force_since: now - report.in_force_for,
             last_active_at: now,
-            is_ahead: matches!(hello.in_force, ReportedVersion::Unpublished(_)),
+            is_ahead: matches!(report.in_force, ReportedVersion::Unpublished(_)),
             last_rejection: self.last_rejection.take(),
             ..ProxyStatus::default()
         };
--- a/crates/config/src/version_tracker/mod.rs
+++ b/crates/config/src/version_tracker/mod.rs
@@ -241,7 +241,7 @@
         proxy: &ProxyState,
     ) -> Result<Document, RejectReason> {
         self.check_number(version)?;
-        let document = self.content(message)?;
+        let document = self.complete_document(message)?;
         if digest(&document) != version.digest {
             return Err(RejectReason::DigestDiffers);
         }
@@ -264,7 +264,7 @@
     }
 
     /// Returns the complete document of an offer. A delta is applied to the document in force.
-    fn content(&self, offer: &schema::Offer) -> Result<Document, RejectReason> {
+    fn complete_document(&self, offer: &schema::Offer) -> Result<Document, RejectReason> {
         match &offer.content {
             None => Err(RejectReason::Missing { path: "content".into() }),
             Some(Content::Snapshot(document)) => Ok(document.clone()),
--- a/crates/control-plane/src/cli/connection.rs
+++ b/crates/control-plane/src/cli/connection.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Fetches the status of all proxies that the control server knows.
+    /// Fetches the status of all proxies that the lease holder has a record of.
     pub(crate) fn fleet(&self) -> Result<Fleet, CallError> {
         match self.call(&call::What::Status(Status {}))? {
             reply::What::Fleet(fleet) => Ok(fleet),
--- a/crates/control-plane/src/client/settings.rs
+++ b/crates/control-plane/src/client/settings.rs
@@ -20,7 +20,8 @@
     pub state_directory: PathBuf,
     /// The proxy's TLS certificate and key, and the name expected of the servers; `None` without TLS.
     pub tls: Option<TlsIdentity>,
-    /// The seed of the random delays between connection attempts.
+    /// The seed of the random delays between connection attempts, and part of the random number that
+    /// identifies the process (its incarnation).
     pub seed: u64,
 }
 
--- a/crates/control-plane/src/client/state.rs
+++ b/crates/control-plane/src/client/state.rs
@@ -11,7 +11,8 @@
 use gaugestep_subsetting::ordinal_lease::{OrdinalGrant, OrdinalLease};
 use gaugestep_subsetting::position::FleetPosition;
 
-/// The state of a subscriber. The [module](super) documents the order of its lock among others.
+/// The state of a subscriber. The documentation of the [module](super) gives the order in which its lock and
+/// others are acquired.
 pub(super) struct SubscriberState {
     pub(super) tracker: VersionTracker,
     pub(super) stream: CurrentStream,
@@ -51,7 +52,7 @@
     pub(super) assigned: Option<FleetPosition>,
 }
 
-/// Whether the control servers know this process under the proxy's name.
+/// Whether the control servers have granted this process the proxy's name.
 #[derive(Default)]
 pub(super) struct IdentityState {
     /// The term under which this process was granted the name; 0 if it never was.
--- a/crates/control-plane/src/raft/settings.rs
+++ b/crates/control-plane/src/raft/settings.rs
@@ -20,6 +20,7 @@
     pub restored: bool,
     /// The TLS identity for connections to other members; `None` connects without TLS.
     pub tls: Option<TlsIdentity>,
-    /// The seed of random draws and of this process's nonce; must differ between processes.
+    /// A random number, different in each process, from which the nonce of this process and the lineage of a
+    /// new group are derived.
     pub seed: u64,
 }
--- a/crates/control-plane/src/raft/transport/inbound.rs
+++ b/crates/control-plane/src/raft/transport/inbound.rs
@@ -23,7 +23,7 @@
     #[error("a message in pieces cannot be read: {0}")]
     Undecodable(#[from] prost::DecodeError),
     /// A Raft message has a different sender than the peer, or a different receiver than this member.
-    #[error("a Raft message with another sender or receiver")]
+    #[error("a Raft message names another sender or receiver")]
     WrongMember,
     /// A Raft message has a kind that this build does not support or that a peer must not send.
     #[error("an unsupported Raft message")]
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -69,7 +69,7 @@
         let (version, step, rejections) = (progress.number, progress.step, progress.against.len());
         tracing::info!(role = CONFIGURATION_ROLE, term, version, step, rejections, "lease acquired");
         state.rollout_lease.rollout = Rollout::recover(clock::now(), versions);
-        state.rollout_lease.checkpoint = CheckpointBarrier::resume(role.order, progress.clone());
+        state.rollout_lease.checkpoint_barrier = CheckpointBarrier::resume(role.order, progress.clone());
         state.rollout_lease.rollout.resume(progress);
         for id in state.sessions.proxy_ids() {
             self.register_proxy(state, id);
@@ -202,7 +202,7 @@
             // A stage must be committed, so that the next lease holder knows it, before any proxy receives
             // its offers.
             let ready = match action {
-                Action::Offer { .. } => state.rollout_lease.checkpoint.submit(action),
+                Action::Offer { .. } => state.rollout_lease.checkpoint_barrier.submit(action),
                 _ => Some(action),
             };
             if let Some(action) = ready {
@@ -285,7 +285,9 @@
     /// Proposes the progress of the rollout if a checkpoint is due. Offers wait until it is committed.
     fn propose_progress(&self, state: &mut ServerState, now: Timestamp, term: u64) {
         let progress = state.rollout_lease.rollout.progress();
-        let Some(checkpoint) = state.rollout_lease.checkpoint.checkpoint(now, progress) else { return };
+        let Some(checkpoint) = state.rollout_lease.checkpoint_barrier.checkpoint(now, progress) else {
+            return;
+        };
         let context = self.downgrade();
         let proposed = checkpoint.clone();
         let responder = move |outcome: CommandResult| {
@@ -304,7 +306,7 @@
         if state.rollout_lease.acting_term != Some(term) {
             return;
         }
-        for action in state.rollout_lease.checkpoint.on_commit(order, committed) {
+        for action in state.rollout_lease.checkpoint_barrier.on_commit(order, committed) {
             self.execute_action(&mut state, term, action);
         }
     }
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -120,8 +120,8 @@
         self.propose(ORDINALS_ROLE, term, command, Box::new(responder));
     }
 
-    /// The checkpoint command for a roster. Its order follows the committed one, so that of two proposals
-    /// that are based on the same roster only the first is accepted.
+    /// The checkpoint command for a roster. Its sequence number (`order`) follows the committed one, so that
+    /// of two proposals that are based on the same roster only the first takes effect.
     fn roster_checkpoint(&self, roster: &Roster) -> Keep {
         let committed =
             self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map_or(0, |role| role.order));
--- a/crates/control-plane/src/server/session.rs
+++ b/crates/control-plane/src/server/session.rs
@@ -32,7 +32,8 @@
     Close,
 }
 
-/// The session's own coroutine state. Other coroutines use [`Session`](crate::server::state::Session).
+/// The part of a session that only its own coroutine uses. Other coroutines use
+/// [`Session`](crate::server::state::Session).
 pub(crate) struct PeerSession<'a> {
     context: &'a ServerContext,
     connection: FramedConnection,
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -153,7 +153,7 @@
     /// Decides which version is offered to which proxy.
     pub(crate) rollout: Rollout,
     /// Delays the offers of a stage until its progress is committed.
-    pub(crate) checkpoint: CheckpointBarrier<Action>,
+    pub(crate) checkpoint_barrier: CheckpointBarrier<Action>,
 }
 
 /// The roster that this server manages under the term of its lease.
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -11,8 +11,8 @@
 //! lease holder of a role manages ([`roster`]); a proxy uses an ordinal of the roster under a lease
 //! ([`ordinal_lease`]). [`fairness`] measures how evenly load is distributed.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread. What dispatch calls for each request measures
-//! time in `f64` milliseconds, as the settings and the wire do; leases use
+//! Nothing here does I/O, reads a clock or starts a thread. The functions that the dispatcher calls for each
+//! request take times in `f64` milliseconds, as the settings and the wire do; leases use
 //! [`Timestamp`](gaugestep_clock::Timestamp) and [`Duration`](std::time::Duration).
 
 pub mod assignment;
--- a/crates/subsetting/src/ordinal_lease.rs
+++ b/crates/subsetting/src/ordinal_lease.rs
@@ -36,6 +36,7 @@
 /// The lease of one proxy on its ordinal.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OrdinalLease {
+    /// The last confirmed grant; `None` before the first one.
     last: Option<ConfirmedGrant>,
 }
 
