--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -21,7 +21,7 @@
     pub build: String,
     /// The number of the version in force at the proxy; 0 if there is none.
     pub in_force: u64,
-    /// When that version came in force: by the report of the proxy when it connected, later by its
+    /// When that version came into force: by the report of the proxy when it connected, later by its
     /// acknowledgement.
     pub in_force_since: Timestamp,
     /// The offer that it has not responded to yet.
--- a/crates/control-plane/src/cli/admin_client.rs
+++ b/crates/control-plane/src/cli/admin_client.rs
@@ -18,8 +18,8 @@
 
 /// The time after which a call fails if no member could carry it out.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The timeout of one attempt if there are several members, so that one that does not respond leaves time for
-/// the others.
+/// The timeout of one attempt if there are several members, so that after a member that does not respond
+/// there is time to try another one.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 /// The delay between attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/control-plane/src/raft/driver/mod.rs
+++ b/crates/control-plane/src/raft/driver/mod.rs
@@ -118,7 +118,7 @@
         Ok(driver)
     }
 
-    /// Serves requests until the store fails or all senders of requests are gone.
+    /// Serves requests until the store fails or every sender of requests was dropped.
     pub(crate) fn run(mut self, requests: &Receiver<Request>) -> Result<(), ReplicaError> {
         let result = self.serve(requests);
         for responder in std::mem::take(&mut self.responders).into_values() {
--- a/crates/control-plane/src/raft/settings.rs
+++ b/crates/control-plane/src/raft/settings.rs
@@ -9,7 +9,7 @@
 /// The settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// This member: its number, and the addresses at which others reach it.
+    /// This member: its number, its address for proxies and other members, and its address for operators.
     pub member: Member,
     /// Whether this member starts with an empty store and waits to be added to a group.
     pub joins: bool,
--- a/crates/control-plane/src/raft/stored_values.rs
+++ b/crates/control-plane/src/raft/stored_values.rs
@@ -1,4 +1,4 @@
-//! The values that a replica keeps in its store beside versions and log entries: their names and encoding,
+//! The values in the store of a replica other than versions and log entries: their names and encoding,
 //! which are fixed.
 
 use gaugestep_leadership::group_state::GroupState;
--- a/crates/leadership/src/peer_directory.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// The latest information of one member about the others.
+/// The latest information of one member about the other members.
 #[derive(Debug)]
 pub struct PeerDirectory {
     own: Member,
@@ -76,7 +76,8 @@
     ProcessStart { boot: member.boot, nonce: member.nonce }
 }
 
-/// Whether this member has not joined a group yet, so that it learns of the others only from their messages.
+/// Whether this member has not joined a group yet, so that it learns of other members only from their
+/// messages.
 fn has_not_joined(state: &GroupState) -> bool {
     state.lineage == 0
 }
