--- a/crates/leadership/src/lease/mod.rs
+++ b/crates/leadership/src/lease/mod.rs
@@ -45,8 +45,8 @@
 
 impl LeaseTiming {
     /// The time that a leader waits after the last request of a member before it assigns the roles of that
-    /// member to other members: the duration of a lease on the slowest allowed clock, as measured by the fastest
-    /// allowed clock.
+    /// member to other members: the duration of a lease on the slowest allowed clock, as measured by the
+    /// fastest allowed clock.
     pub fn expiry_grace(&self) -> Duration {
         self.duration.mul_f64((1.0 + self.drift) / (1.0 - self.drift))
     }
