--- a/crates/leadership/src/peer_directory.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -42,7 +42,8 @@
     /// A later start of the peer is recorded, so that the peer may have lost its vote. It must stop.
     #[error(
         "a later start of member {member} is known (number {recorded_boot}, this is number \
-         {announced_boot}): its store is older than what it has told. Remove the member, and add a new one with an empty store"
+         {announced_boot}): its store is older than what it has told. Remove the member, and add a new one \
+         with an empty store"
     )]
     StaleStart {
         /// Number of the member.
