--- a/crates/control-plane/src/cli/proxies.rs
+++ b/crates/control-plane/src/cli/proxies.rs
@@ -54,8 +54,8 @@
     /// Whether another process was granted the proxy's name.
     #[serde(rename = "displaced")]
     is_superseded: bool,
-    /// The term of the configuration role that the proxy has seen, if it is higher than the control server's;
-    /// 0 otherwise.
+    /// The highest term of the configuration role that the proxy has received, if it is higher than the
+    /// control server's; 0 otherwise.
     #[serde(rename = "beyond")]
     newer_term_seen: u64,
 }
--- a/crates/control-plane/src/raft/replica_thread.rs
+++ b/crates/control-plane/src/raft/replica_thread.rs
@@ -40,7 +40,7 @@
 ///
 /// If the TLS keys or the store cannot be used.
 pub fn open(settings: ReplicaSettings) -> Result<(Arc<Replica>, ReplicaThread), ReplicaError> {
-    let tls = settings.keys.as_ref().map(load_keys).transpose()?;
+    let tls = settings.tls.as_ref().map(load_peer_tls).transpose()?;
     let recovered = RecoveredState::open(&settings)?;
     let own = process_member(&settings, recovered.boot);
     // Lease request numbers start from the number of this process start, so that none is reused after a
@@ -54,8 +54,11 @@
     Ok((replica, thread))
 }
 
-fn load_keys(keys: &TlsIdentity) -> Result<PeerTls, TlsError> {
-    Ok(PeerTls { keys: ClientTls::load(keys.files.clone())?, service_name: keys.server_name.clone() })
+fn load_peer_tls(identity: &TlsIdentity) -> Result<PeerTls, TlsError> {
+    Ok(PeerTls {
+        config: ClientTls::load(identity.files.clone())?,
+        server_name: identity.server_name.clone(),
+    })
 }
 
 impl ReplicaThread {
@@ -102,7 +105,7 @@
     let mut state = replica.lock_state();
     state.store_failure = Some(error.to_string());
     state.leader = NO_MEMBER;
-    state.lease.store_failed(clock::now());
+    state.lease.on_store_failure(clock::now());
 }
 
 /// Rejects all requests during the given time, because there is no usable store.
--- a/crates/control-plane/src/server/admin/versions.rs
+++ b/crates/control-plane/src/server/admin/versions.rs
@@ -46,8 +46,8 @@
         }
         check_plan(new.plan.get_or_insert_default())?;
         let term = self.require_lease(CONFIGURATION_ROLE)?;
-        self.check_no_newer_term(&self.lock_state(), term)
-            .map_err(|newer| CallFailure::Rejected(newer.to_string()))?;
+        self.check_no_higher_term(&self.lock_state(), term)
+            .map_err(|higher| CallFailure::Rejected(higher.to_string()))?;
         self.check_not_superseded_while_suspended()?;
         let new = self.complete_new_version(&self.lock_state(), new);
         await_outcome(|responder| self.propose(CONFIGURATION_ROLE, term, What::Version(new), responder))
@@ -57,7 +57,7 @@
     /// another server replaced it meanwhile, so it waits until a proxy has confirmed that none did.
     fn check_not_superseded_while_suspended(&self) -> Result<(), CallFailure> {
         self.check_suspension(&mut self.lock_state(), clock::now());
-        let suspended_for = self.lock_pause_detector().suspended_for();
+        let suspended_for = self.lock_suspension_detector().suspended_for();
         let Some(suspended_for) = suspended_for.filter(|_| self.replica.is_single_voter()) else {
             return Ok(());
         };
--- a/crates/control-plane/src/server/maintenance.rs
+++ b/crates/control-plane/src/server/maintenance.rs
@@ -46,12 +46,12 @@
     /// Checks whether the process was suspended. Called at each tick and before a publication, as either may
     /// run first after a suspension.
     pub(crate) fn check_suspension(&self, state: &mut ServerState, now: Timestamp) {
-        if !self.lock_pause_detector().observe(now, MAX_SUSPENSION, !state.identities.is_empty()) {
+        if !self.lock_suspension_detector().observe(now, MAX_SUSPENSION, !state.identities.is_empty()) {
             return;
         }
         tracing::warn!("the process was suspended for longer than a lease: closing proxy sessions");
         // The proxies may already follow another server. Their next hello contains the highest term that they
-        // have seen.
+        // have received.
         for session in state.sessions.values_mut().filter(|session| session.proxy.is_some()) {
             session.close_requested = true;
         }
--- a/crates/control-plane/src/server/roster_service.rs
+++ b/crates/control-plane/src/server/roster_service.rs
@@ -2,7 +2,7 @@
 //! which makes the decisions. Every member sends the ordinals of the committed roster to its own proxies.
 //!
 //! Members report the proxies that are connected to them to the lease holder. The roster is committed by the
-//! group, so every member knows it.
+//! group, so every member has it.
 
 use std::time::Duration;
 
@@ -120,8 +120,8 @@
         self.propose(ORDINALS_ROLE, term, command, Box::new(responder));
     }
 
-    /// The checkpoint command for a roster. Its order follows the committed one, so that of two proposals
-    /// that are based on the same roster only the first is accepted.
+    /// The checkpoint command for a roster. Its sequence number (`order`) follows the committed one, so that
+    /// of two proposals that are based on the same roster only the first takes effect.
     fn roster_checkpoint(&self, roster: &Roster) -> Keep {
         let committed =
             self.replica.with_state(|group| group.roles.get(ORDINALS_ROLE).map_or(0, |role| role.order));
@@ -134,7 +134,7 @@
         let mut state = self.lock_state();
         match state.roster.managed.as_mut().filter(|managed| managed.term == term) {
             Some(managed) if is_current => {
-                managed.manager.change_decided(clock::now(), proposed.epoch, true);
+                managed.manager.on_change_decided(clock::now(), proposed.epoch, true);
             }
             // The proposal may still be committed, or another one was: resumes from the committed roster.
             Some(_) => state.roster.managed = None,
--- a/crates/leadership/src/lease/session.rs
+++ b/crates/leadership/src/lease/session.rs
@@ -28,7 +28,7 @@
     last_number: u64,
     /// The earliest time of the next request; `None` if it is due at once.
     next_request_at: Option<Timestamp>,
-    /// Hand-overs that are not known to be committed, by role.
+    /// Hand-overs whose commit this member has not observed yet, by role.
     resignations: BTreeMap<String, Resignation>,
 }
 
@@ -49,7 +49,7 @@
 
     /// Gives up the lease after a failure of the store. The member requests a lease again only after
     /// [`LeaseTiming::probation`].
-    pub fn store_failed(&mut self, now: Timestamp) {
+    pub fn on_store_failure(&mut self, now: Timestamp) {
         self.expires_at = None;
         self.requested_at.clear();
         self.next_request_at = Some(now + self.timing.probation);
