--- a/crates/dispatch/src/policy/timeout.rs
+++ b/crates/dispatch/src/policy/timeout.rs
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Sets the timeout of a class to the value that minimises the load of a query, ρ(τ) in equation (10)
-    /// of the paper: the area under the survival curve of first runs up to the timeout, plus the mean relaunch
-    /// time multiplied by the survival at the timeout (Theorem 4, section 5). Sets it to `None` where never
-    /// cancelling is as good (Theorem 2, section 4), or if `cancellation_enabled` is false. Runs that were
-    /// not served, or are in flight, are right-censored. Returns a log line if the class gets a timeout or
-    /// loses it.
+    /// Sets the timeout of a class to the value that minimises the load of a query, ρ(τ) in equation
+    /// (10) of the paper: the area under the survival curve of first runs up to the timeout, plus the
+    /// mean relaunch time multiplied by the survival at the timeout (Theorem 4, section 5). Sets it to
+    /// `None` where never cancelling is as good (Theorem 2, section 4), or if `cancellation_enabled` is
+    /// false. Runs that were not served, or are in flight, are right-censored. Returns a log line if
+    /// the class gets a timeout or loses it.
     pub fn choose_timeout(
         &mut self,
         class: ClassId,
