--- a/crates/control-plane/src/client/versions.rs
+++ b/crates/control-plane/src/client/versions.rs
@@ -64,7 +64,9 @@
                 self.storage.submit(StorageRequest::StageVersion { number, bytes });
             }
             Action::Commit { number } => self.storage.submit(StorageRequest::CommitVersion { number }),
-            Action::Answer { offer, number, outcome } => self.respond_to_offer(state, offer, number, outcome),
+            Action::Respond { offer, number, outcome } => {
+                self.respond_to_offer(state, offer, number, outcome)
+            }
         }
     }
 
--- a/crates/control-plane/src/server/rollout_driver.rs
+++ b/crates/control-plane/src/server/rollout_driver.rs
@@ -93,7 +93,7 @@
     /// Removes versions from the rollout that the group no longer retains.
     pub(crate) fn on_versions_dropped(&self, state: &mut ServerState) {
         let oldest = self.replica.with_state(|group| group.versions.keys().next().copied().unwrap_or(0));
-        state.rollout_lease.rollout.forget_below(oldest);
+        state.rollout_lease.rollout.discard_below(oldest);
     }
 
     /// Adds a proxy to the rollout if its process holds its name and it has seen no later term.
@@ -161,7 +161,7 @@
         }
         self.handle_rollout_event(
             &mut state,
-            Event::Answered { proxy: proxy.into(), stream: id, nonce, refusal },
+            Event::Responded { proxy: proxy.into(), stream: id, nonce, refusal },
         );
     }
 
--- a/crates/control-plane/src/transport/framing.rs
+++ b/crates/control-plane/src/transport/framing.rs
@@ -4,7 +4,7 @@
 use prost::Message;
 
 /// The largest message in bytes: a document, and up to 64 KiB for the fields around it.
-pub const MAX_MESSAGE_LENGTH: usize = gaugestep_config::MAX_DOCUMENT_LENGTH + 64 * 1024;
+pub const MAX_MESSAGE_LENGTH: usize = gaugestep_config::MAX_DOCUMENT_BYTES + 64 * 1024;
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Why received bytes are not a valid message.
--- a/crates/dispatch/src/interface/mod.rs
+++ b/crates/dispatch/src/interface/mod.rs
@@ -15,7 +15,7 @@
 };
 pub use gaugestep_subsetting::position::FleetPosition;
 pub use gaugestep_subsetting::slow_start::SlowStartSettings;
-pub use gaugestep_subsetting::subset::Member;
+pub use gaugestep_subsetting::subset::CandidateEngine;
 pub use ids::{
     AttemptNo, CellId, ClassId, EngineId, MachineTypeId, OrderKey, RequestId, TableSetId, TenantId, TimerId,
     ZoneId,
--- a/crates/dispatch/src/interface/settings.rs
+++ b/crates/dispatch/src/interface/settings.rs
@@ -59,7 +59,8 @@
     pub ordered: bool,
     /// True if a query locks its tables on its engine while it runs, as loads do.
     pub locks_tables: bool,
-    /// True if a query is blocked on an engine while a load there locks its tables.
+    /// True if a query is blocked on an engine while a load there locks its tables. No policy of the
+    /// dispatcher reads it.
     pub waits_for_loads: bool,
     /// The zones of the engines that the class may be sent to. None allows all zones.
     pub zones: Option<Vec<ZoneId>>,
@@ -142,8 +143,9 @@
     pub memory_queueing: bool,
     /// True if the engines apply the priority of [`Action::SetAttemptOptions`].
     pub priorities: bool,
-    /// The fraction of the priority weight that a request above its tenant's quota keeps.
-    pub over_quota_fraction: f64,
+    /// The factor on the priority weight of requests beyond their tenant's quota; with 1 quotas have
+    /// no effect.
+    pub over_quota_weight_factor: f64,
     /// The penalty for an attempt on an engine in another zone, as a fraction of the value of a first
     /// attempt; 0 for none. Placement raises the load of engines in other zones in proportion to it.
     pub cross_zone_penalty: f64,
@@ -214,8 +216,8 @@
         }
         let times = [
             ("answer_slack", settings.response_slack),
-            ("cold.warm_within", settings.slow_start.warm_up),
-            ("cold.span", settings.slow_start.window),
+            ("cold.warm_within", settings.slow_start.warm_up_ms),
+            ("cold.span", settings.slow_start.window_ms),
             ("order_pause", settings.order_pause),
             ("max_retry_after", settings.max_retry_after),
             ("budget.span", settings.retry_budget.map_or(0.0, |budget| budget.window)),
@@ -228,7 +230,7 @@
         if settings.dispatchers == 0 {
             return fail("dispatchers", "must be 1 or more");
         }
-        if !(0.0..=1.0).contains(&settings.slow_start.initial_share) {
+        if !(0.0..=1.0).contains(&settings.slow_start.initial_fraction) {
             return fail("cold.share", "must lie between 0 and 1");
         }
         if !is_valid(settings.slow_start.capacity_multiple) {
--- a/crates/dispatch/src/policy/fleet.rs
+++ b/crates/dispatch/src/policy/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet of engines, and the subset of them that this dispatcher sends to, which limits its connections.
 
-use gaugestep_subsetting::subset::{Member, Subset};
+use gaugestep_subsetting::subset::{CandidateEngine, Subset};
 
 use super::load::MAX_REPORTERS;
 use super::outlier::BASE_EJECTION_TIME;
@@ -19,6 +19,9 @@
 pub const RANDOM_CANDIDATES: usize = 2;
 /// Number of engines in the subset.
 const SUBSET_SIZE: usize = 8;
+/// Milliseconds after which the available members of the subset are chosen again. It is the mean duration of
+/// a first ejection.
+const SUBSET_REFRESH_INTERVAL: Millis = BASE_EJECTION_TIME;
 /// Lower bound of an engine's slowness.
 const MIN_SLOWNESS: f64 = 0.5;
 /// Upper bound of an engine's slowness, so that a few slow runs do not stop all traffic to it.
@@ -61,7 +64,7 @@
         if context.now >= self.subset.refresh_at {
             let is_available = |engine: &&Engine| self.outliers.is_available(engine, context.now);
             self.subset.available_members = self.subset_members(is_available);
-            self.subset.refresh_at = context.now + BASE_EJECTION_TIME;
+            self.subset.refresh_at = context.now + SUBSET_REFRESH_INTERVAL;
         }
         for request in requests.values() {
             let demand = work.demand(context, &request.new);
@@ -89,10 +92,10 @@
     pub fn draw_subset(&mut self, context: &Context) {
         let listed = self.engines.values().filter(|engine| engine.is_up()).map(|engine| &engine.entry);
         let to_member = |entry: &EngineEntry| entry.subset_member(context.settings.machine_type(entry).cores);
-        let members: Vec<Member> = listed.map(to_member).collect();
+        let members: Vec<CandidateEngine> = listed.map(to_member).collect();
         let size = if self.uses_subset(context) { SUBSET_SIZE } else { usize::MAX };
         let position = self.subset.position(context.now, context.settings.fleet_position);
-        self.subset.drawn = Subset::draw(position, context.settings.dispatchers, &members, size);
+        self.subset.drawn = Subset::compute(position, context.settings.dispatchers, &members, size);
         self.subset.refresh_at = context.now;
     }
 
--- a/crates/dispatch/src/policy/load.rs
+++ b/crates/dispatch/src/policy/load.rs
@@ -5,7 +5,8 @@
 use crate::engines::{Engine, LoadTracker};
 use crate::interface::Millis;
 use crate::stats::{
-    InFlightLoad, OwnQueries, estimate_fleet_queries_per_core, push_bounded, queries_of_other_dispatchers,
+    InFlightLoad, OwnQueries, estimate_fleet_queries_per_core, estimate_queries_of_other_dispatchers,
+    push_bounded,
 };
 
 /// Horizon in milliseconds over which a load report loses its weight: about the run time of a heavy query.
@@ -19,8 +20,8 @@
 const MIN_DEMAND_WEIGHT: Millis = 1.0;
 
 impl LoadTracker {
-    /// Stores a load report, as the number of queries of other dispatchers on the engine, and makes the
-    /// engine the latest reporter.
+    /// Adds a load report, as the number of queries of other dispatchers on the engine, to the engine's
+    /// decaying mean, and makes the engine the latest reporter.
     pub fn on_report(&mut self, engine: &mut Engine, queries_of_other_dispatchers: f64, now: Millis) {
         let reported = &mut engine.reported_queries_of_other_dispatchers;
         reported.add(queries_of_other_dispatchers, now, REPORT_HORIZON);
@@ -46,7 +47,9 @@
             let confidence = reported.confidence(context.now, REPORT_HORIZON);
             // The first engine counts as if it had also just reported that it is idle. Without fresh reports
             // the mean is then low, requests are sent, and their responses bring reports.
-            reporting_cores += cores * confidence + if reporting_cores == 0.0 { cores } else { 0.0 };
+            let is_first = reporting_cores == 0.0;
+            let idle_report_cores = if is_first { cores } else { 0.0 };
+            reporting_cores += cores * confidence + idle_report_cores;
             reported_queries += reported.value.max(0.0) * confidence;
             if self.reporters.is_empty() {
                 own_queries.push(OwnQueries { queries: engine.own_load.queries, cores });
@@ -71,7 +74,7 @@
         let fleet_mean = self.fleet_queries_per_core.value * cores * capacity_fraction;
         if self.reporters.is_empty() {
             let dispatchers = context.settings.dispatchers;
-            return queries_of_other_dispatchers(engine.own_load.queries, fleet_mean, dispatchers);
+            return estimate_queries_of_other_dispatchers(engine.own_load.queries, fleet_mean, dispatchers);
         }
         let reported = &engine.reported_queries_of_other_dispatchers;
         let difference = reported.value - fleet_mean;
--- a/crates/dispatch/src/policy/slow_start.rs
+++ b/crates/dispatch/src/policy/slow_start.rs
@@ -11,7 +11,7 @@
     /// The fraction of its full capacity that the engine has now at the least, up to 1.
     pub fn capacity_fraction(&self, context: &Context) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        context.settings.slow_start.capacity_share(context.now - started_at)
+        context.settings.slow_start.capacity_fraction(context.now - started_at)
     }
 }
 
@@ -25,7 +25,7 @@
         let cores = context.settings.machine_type(&engine.entry).cores;
         let limit = SlowStartLimit { cores, settings: context.settings.slow_start };
         let age = context.now - started_at;
-        let work_of_classes = (0..work.0.len()).map(|class| work.typical_work(ClassId(class)));
+        let work_of_classes = (0..work.corrections.len()).map(|class| work.typical_work(ClassId(class)));
         let work_of_request = work.typical_work(class);
         engine.warm_up.budget.available(&limit, rotation_slot, age, work_of_classes, work_of_request)
     }
--- a/crates/leadership/tests/peer_directory.rs
+++ b/crates/leadership/tests/peer_directory.rs
@@ -1,7 +1,7 @@
 //! Acceptance of peers, and the addresses of members since their last start.
 
 use gaugestep_clock::Timestamp;
-use gaugestep_config::PROTOCOL;
+use gaugestep_config::PROTOCOL_VERSION;
 use gaugestep_config::schema::{Member, PeerHello};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 #[test]
 fn stale_removed_and_unknown_peers_are_rejected() {
     let (directory, state) = (PeerDirectory::new(member(1, 1)), group_state());
-    let hello = |from, to| PeerHello { protocol: PROTOCOL, lineage: 9, from: Some(from), to };
+    let hello = |from, to| PeerHello { protocol: PROTOCOL_VERSION, lineage: 9, from: Some(from), to };
     let check = |hello: PeerHello| directory.check_hello(&state, &hello);
     assert_eq!(check(hello(member(2, 3), 1)), Ok(()));
     assert_eq!(check(hello(member(2, 4), 1)), Ok(()), "a later start is accepted");
