--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -115,6 +115,8 @@
         self.handle(Event::Request(new))
     }
 
+    /// Reports the end of an attempt that lasted `elapsed` ms, without its cost or a load report. Does not
+    /// advance the clock.
     pub fn end(
         &mut self,
         number: u32,
--- a/crates/dispatch/tests/random_events.rs
+++ b/crates/dispatch/tests/random_events.rs
@@ -100,8 +100,8 @@
     /// The attempts without an outcome, each by its request and number.
     fn in_flight(&self) -> Vec<(RequestId, usize)> {
         let attempts_of = |(id, request): (&RequestId, &OpenRequest)| {
-            let live = request.sent.iter().enumerate().filter(|(_, sent)| sent.outcome.is_none());
-            live.map(|(index, _)| (id.clone(), index)).collect::<Vec<_>>()
+            let in_flight = request.sent.iter().enumerate().filter(|(_, sent)| sent.outcome.is_none());
+            in_flight.map(|(index, _)| (id.clone(), index)).collect::<Vec<_>>()
         };
         self.requests.iter().flat_map(attempts_of).collect()
     }
@@ -272,7 +272,7 @@
 }
 
 /// Passes `steps` random events to a dispatcher and checks every action. Returns the actions as text.
-fn play(seed: u128, steps: usize) -> String {
+fn simulate(seed: u128, steps: usize) -> String {
     let mut random = Rand64::new(seed);
     let mut model = Model::new(random_settings());
     let mut dispatcher =
@@ -298,6 +298,6 @@
 #[test]
 fn random_events_violate_no_rule_and_give_the_same_actions_again() {
     for seed in 1..13 {
-        assert_eq!(play(seed, 1_500), play(seed, 1_500));
+        assert_eq!(simulate(seed, 1_500), simulate(seed, 1_500));
     }
 }
--- a/crates/testbed/src/emulated_fleet/engine.rs
+++ b/crates/testbed/src/emulated_fleet/engine.rs
@@ -103,6 +103,7 @@
 /// A request in flight.
 struct Running {
     ends_at: Instant,
+    /// The work that the statement names, in milliseconds.
     work: f64,
 }
 
@@ -140,6 +141,8 @@
         }
     }
 
+    /// Handles a line of the engines' protocol: a query, a cancel or a health check. Other lines
+    /// are ignored.
     fn on_command(&mut self, command: &str) -> io::Result<()> {
         let words: Vec<&str> = command.split(' ').collect();
         match words[..] {
