--- a/crates/config/src/rollout/proxies.rs
+++ b/crates/config/src/rollout/proxies.rs
@@ -21,14 +21,15 @@
     pub build: String,
     /// The number of the version in force at the proxy; 0 if there is none.
     pub in_force: u64,
-    /// When that version came in force, by the report of the proxy.
+    /// When that version came into force: by the report of the proxy when it connected, later by its
+    /// acknowledgement.
     pub in_force_since: Timestamp,
     /// The offer that it has not responded to yet.
     pub pending_offer: Option<PendingOffer>,
     /// The version that it rejected last.
     pub last_rejection: Option<Rejection>,
-    /// When it last sent anything.
-    pub last_seen: Timestamp,
+    /// When it last connected, sent a message or disconnected.
+    pub last_active_at: Timestamp,
     /// Whether it has a version in force that this control server has not published.
     pub is_ahead: bool,
     /// The last report of request outcomes on the present stream.
@@ -72,16 +73,16 @@
 
     /// Resets the status for a new stream. Only the last rejection is kept, for display: a restarted proxy
     /// may accept a version that it rejected before.
-    pub(super) fn connect(&mut self, now: Timestamp, hello: ConnectedProxy) {
+    pub(super) fn connect(&mut self, now: Timestamp, report: ConnectedProxy) {
         *self = ProxyStatus {
-            stream: Some(hello.stream),
-            build: hello.build,
-            in_force: hello.in_force.number(),
+            stream: Some(report.stream),
+            build: report.build,
+            in_force: report.in_force.number(),
             // The time that the proxy reports counts, so that a change of the control server does not restart
             // the wait of a stage.
-            in_force_since: now - hello.in_force_for,
-            last_seen: now,
-            is_ahead: matches!(hello.in_force, ReportedVersion::Unpublished(_)),
+            in_force_since: now - report.in_force_for,
+            last_active_at: now,
+            is_ahead: matches!(report.in_force, ReportedVersion::Unpublished(_)),
             last_rejection: self.last_rejection.take(),
             ..ProxyStatus::default()
         };
@@ -91,24 +92,25 @@
         self.stream = None;
         self.pending_offer = None;
         self.last_counts = None;
-        self.last_seen = now;
+        self.last_active_at = now;
     }
 
     /// Ends the pending offer after a response and returns the number of the offered version; `None` if no
     /// offer with this nonce is pending.
     pub(super) fn take_pending_offer(&mut self, now: Timestamp, nonce: u64) -> Option<u64> {
-        self.last_seen = now;
+        self.last_active_at = now;
         self.pending_offer.take_if(|offer| offer.nonce == nonce).map(|offer| offer.number)
     }
 
-    pub(super) fn accepted(&mut self, now: Timestamp, number: u64) {
+    /// Records that the proxy has acknowledged a version, which is in force there now.
+    pub(super) fn record_acknowledgement(&mut self, now: Timestamp, number: u64) {
         self.in_force = number;
         self.in_force_since = now;
         self.is_ahead = false;
     }
 
     /// Records a rejection, and returns its reason if it concerns the content of the version.
-    pub(super) fn rejected(&mut self, name: &str, number: u64, refusal: Refusal) -> Option<String> {
+    pub(super) fn record_rejection(&mut self, name: &str, number: u64, refusal: Refusal) -> Option<String> {
         if refusal.code == RejectReason::WRONG_BASE {
             // The proxy does not have the base version of the delta, so the next offer has the complete
             // document.
@@ -130,7 +132,7 @@
         counts: RequestCounts,
         number: u64,
     ) -> Option<RequestCounts> {
-        self.last_seen = now;
+        self.last_active_at = now;
         let earlier = self.last_counts.replace(CountReport { counts, number })?;
         (earlier.number == number).then(|| counts.since(earlier.counts))
     }
@@ -144,8 +146,9 @@
         if self.pending_offer.as_ref().is_some_and(is_overdue) {
             return Some("does not answer");
         }
-        let is_lost =
-            !self.is_connected() && self.in_force == number && has_elapsed(self.last_seen, RECONNECT_TIMEOUT);
+        let is_lost = !self.is_connected()
+            && self.in_force == number
+            && has_elapsed(self.last_active_at, RECONNECT_TIMEOUT);
         is_lost.then_some("left after it took the version")
     }
 }
@@ -154,7 +157,7 @@
 /// [`MAX_DISCONNECTED`].
 pub(super) fn discard_longest_disconnected(proxies: &mut BTreeMap<String, ProxyStatus>) {
     let disconnected = proxies.iter().filter(|(_, proxy)| !proxy.is_connected());
-    let longest = disconnected.clone().min_by_key(|(_, proxy)| proxy.last_seen);
+    let longest = disconnected.clone().min_by_key(|(_, proxy)| proxy.last_active_at);
     if let Some(name) = longest.map(|(name, _)| name.clone()) {
         if disconnected.count() > MAX_DISCONNECTED {
             proxies.remove(&name);
--- a/crates/config/src/version_tracker/mod.rs
+++ b/crates/config/src/version_tracker/mod.rs
@@ -241,7 +241,7 @@
         proxy: &ProxyState,
     ) -> Result<Document, RejectReason> {
         self.check_number(version)?;
-        let document = self.content(message)?;
+        let document = self.complete_document(message)?;
         if digest(&document) != version.digest {
             return Err(RejectReason::DigestDiffers);
         }
@@ -249,8 +249,8 @@
         Ok(document)
     }
 
-    /// Checks that the number of an offered version, which differs from the one in force, is greater than its
-    /// number.
+    /// Checks that an offered version, which is not the one in force, has a higher number than the one in
+    /// force.
     fn check_number(&self, version: &Version) -> Result<(), RejectReason> {
         let Some(accepted) = &self.in_force else { return Ok(()) };
         let (offered, in_force) = (version.number, accepted.version.number);
@@ -264,7 +264,7 @@
     }
 
     /// Returns the complete document of an offer. A delta is applied to the document in force.
-    fn content(&self, offer: &schema::Offer) -> Result<Document, RejectReason> {
+    fn complete_document(&self, offer: &schema::Offer) -> Result<Document, RejectReason> {
         match &offer.content {
             None => Err(RejectReason::Missing { path: "content".into() }),
             Some(Content::Snapshot(document)) => Ok(document.clone()),
--- a/crates/control-plane/src/server/admin/fleet.rs
+++ b/crates/control-plane/src/server/admin/fleet.rs
@@ -38,7 +38,7 @@
         offered: status.pending_offer.map_or(0, |offer| offer.number),
         refusal: status.last_rejection.as_ref().map(|rejection| rejection.refusal.clone()),
         refused: status.last_rejection.as_ref().map_or(0, |rejection| rejection.number),
-        heard_ms: now.duration_since(status.last_seen).as_millis() as u64,
+        heard_ms: now.duration_since(status.last_active_at).as_millis() as u64,
         ahead: status.is_ahead,
         incarnation,
         name_term,
@@ -47,13 +47,13 @@
 }
 
 /// The status of a connected proxy that the rollout does not manage, because another process holds its name
-/// or it has seen a later term; `None` for any other proxy.
+/// or it has received a higher term; `None` for any other proxy.
 fn unmanaged_proxy_status(state: &ServerState, id: SessionId, proxy: &ConnectedProxy) -> Option<Proxy> {
     let hello = &proxy.hello;
     let displaced = !state.identities.is_holder(&hello.proxy, id);
     let term = state.rollout_lease.acting_term.unwrap_or(0);
-    let newer_term = Some(proxy.highest_term_seen()).filter(|seen| *seen > term);
-    (displaced || newer_term.is_some()).then(|| Proxy {
+    let higher_term = Some(proxy.highest_term()).filter(|highest| *highest > term);
+    (displaced || higher_term.is_some()).then(|| Proxy {
         name: hello.proxy.clone(),
         connected: true,
         build: hello.build.clone(),
@@ -61,7 +61,7 @@
         incarnation: hello.incarnation,
         name_term: hello.name_term,
         displaced,
-        beyond: newer_term.unwrap_or(0),
+        beyond: higher_term.unwrap_or(0),
         ..Proxy::default()
     })
 }
--- a/crates/control-plane/src/server/state.rs
+++ b/crates/control-plane/src/server/state.rs
@@ -1,7 +1,7 @@
 //! The state that the modules of a control server share.
 //!
-//! Locks are acquired in this order: the server's state, the pause detector, the locks of the replica. No
-//! lock is held while waiting for a connection.
+//! Locks are acquired in this order: the server's state, the suspension detector, the locks of the replica.
+//! No lock is held while a coroutine waits for a connection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -14,7 +14,7 @@
 use gaugestep_leadership::CONFIGURATION_ROLE;
 use gaugestep_leadership::checkpoint::CheckpointBarrier;
 use gaugestep_leadership::identity::IdentityRegistry;
-use gaugestep_leadership::pause_detector::PauseDetector;
+use gaugestep_leadership::pause_detector::SuspensionDetector;
 use gaugestep_subsetting::roster::RosterManager;
 
 use crate::raft::replica::Replica;
@@ -34,15 +34,15 @@
 }
 
 impl ConnectedProxy {
-    /// The highest term of the configuration role that the proxy has seen.
-    pub(crate) fn highest_term_seen(&self) -> u64 {
-        highest_term_seen(&self.hello)
+    /// The highest term of the configuration role that the proxy has received.
+    pub(crate) fn highest_term(&self) -> u64 {
+        highest_term(&self.hello)
     }
 }
 
 /// The highest term of the configuration role in a hello; 0 if there is none.
-pub(crate) fn highest_term_seen(hello: &Hello) -> u64 {
-    let terms = hello.seen.iter().filter(|seen| seen.duty == CONFIGURATION_ROLE).map(|seen| seen.term);
+pub(crate) fn highest_term(hello: &Hello) -> u64 {
+    let terms = hello.seen.iter().filter(|role| role.duty == CONFIGURATION_ROLE).map(|role| role.term);
     terms.max().unwrap_or(0)
 }
 
@@ -75,9 +75,9 @@
         std::mem::take(&mut self.outbound)
     }
 
-    /// The highest term of the configuration role that the proxy has seen; 0 before its hello.
-    pub(crate) fn highest_term_seen(&self) -> u64 {
-        self.proxy.as_ref().map_or(0, ConnectedProxy::highest_term_seen)
+    /// The highest term of the configuration role that the proxy has received; 0 before its hello.
+    pub(crate) fn highest_term(&self) -> u64 {
+        self.proxy.as_ref().map_or(0, ConnectedProxy::highest_term)
     }
 }
 
@@ -153,7 +153,7 @@
     /// Decides which version is offered to which proxy.
     pub(crate) rollout: Rollout,
     /// Delays the offers of a stage until its progress is committed.
-    pub(crate) checkpoint: CheckpointBarrier<Action>,
+    pub(crate) checkpoint_barrier: CheckpointBarrier<Action>,
 }
 
 /// The roster that this server manages under the term of its lease.
@@ -196,13 +196,13 @@
     state: Mutex<ServerState>,
     /// The replicated state of the group, and the leases.
     pub(crate) replica: Arc<Replica>,
-    pause_detector: Mutex<PauseDetector>,
-    /// The minimum number of versions to retain.
+    suspension_detector: Mutex<SuspensionDetector>,
+    /// The number of newest versions to retain; older ones are retained only while they are needed.
     pub(crate) retained_versions: u32,
     /// The maximum number of concurrent sessions.
     pub(crate) max_sessions: usize,
-    /// Whether the operator has confirmed, with `--restored`, that the previous user of the store will not
-    /// return.
+    /// Whether the operator has confirmed, with `--restored`, that the process that used the store before
+    /// never runs again.
     pub(crate) store_restored: bool,
     weak_self: Weak<ServerContext>,
 }
@@ -212,7 +212,7 @@
         Arc::new_cyclic(|weak_self| ServerContext {
             state: Mutex::default(),
             replica,
-            pause_detector: Mutex::new(PauseDetector::new(clock::now())),
+            suspension_detector: Mutex::new(SuspensionDetector::new(clock::now())),
             retained_versions: settings.retained_versions,
             max_sessions: settings.max_streams,
             store_restored: settings.restored,
@@ -224,8 +224,8 @@
         lock(&self.state)
     }
 
-    pub(crate) fn lock_pause_detector(&self) -> MutexGuard<'_, PauseDetector> {
-        lock(&self.pause_detector)
+    pub(crate) fn lock_suspension_detector(&self) -> MutexGuard<'_, SuspensionDetector> {
+        lock(&self.suspension_detector)
     }
 
     /// A weak reference to this context, for callbacks that may outlive the server.
--- a/crates/leadership/src/peer_directory.rs
+++ b/crates/leadership/src/peer_directory.rs
@@ -17,7 +17,8 @@
 /// The maximum total length of the addresses of a member.
 const MAX_ADDRESS_BYTES: usize = 512;
 
-/// The reason why a peer is rejected. Its text is sent to the peer.
+/// The reason why a peer, a process that connects as another member, is rejected. Its text is sent to the
+/// peer.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PeerRejected {
     /// The peer uses another version of the protocol.
@@ -40,14 +41,15 @@
     UnknownMember(u64),
     /// A later start of the peer is recorded, so that the peer may have lost its vote. It must stop.
     #[error(
-        "a later start of member {member} is known (number {known_boot}, this is number {announced_boot}): \
-         its store is older than what it has told. Remove the member, and add a new one with an empty store"
+        "a later start of member {member} is known (number {recorded_boot}, this is number \
+         {announced_boot}): its store is older than what it has told. Remove the member, and add a new one \
+         with an empty store"
     )]
     StaleStart {
         /// Number of the member.
         member: u64,
         /// Number of the latest recorded start.
-        known_boot: u64,
+        recorded_boot: u64,
         /// Number of the start that the peer announced.
         announced_boot: u64,
     },
@@ -61,7 +63,7 @@
     }
 }
 
-/// The latest information of one member about the others.
+/// The latest information of one member about the other members.
 #[derive(Debug)]
 pub struct PeerDirectory {
     own: Member,
@@ -75,7 +77,8 @@
     ProcessStart { boot: member.boot, nonce: member.nonce }
 }
 
-/// Whether this member has not joined a group yet, so that it learns of the others only from their messages.
+/// Whether this member has not joined a group yet, so that it learns of other members only from their
+/// messages.
 fn has_not_joined(state: &GroupState) -> bool {
     state.lineage == 0
 }
@@ -139,7 +142,7 @@
         match is_stale_start(process_start(latest), process_start(&from)) {
             true => Err(PeerRejected::StaleStart {
                 member: from.number,
-                known_boot: latest.boot,
+                recorded_boot: latest.boot,
                 announced_boot: from.boot,
             }),
             false => Ok(()),
